--- a/gateway/src/main/java/org/geraniumreach/gateway/adapter/AdapterSlots.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/adapter/AdapterSlots.java
@@ -19,33 +19,33 @@
  * The adapter slots of one life of a target, as its owner tracks them.
  *
  * <p>Invariants: the adapters that are loaded, loading, or may not be unloaded yet are never more than the slots, since an order
- * beyond them crashes the target; at most {@link #MOST_COMING} are coming; one call is under way at a time, so the number of
+ * beyond them crashes the target; at most {@link #MAX_CONCURRENT_LOADS} are coming; one call is under way at a time, so the number of
  * accepted orders that each order names is known, and an order that is carried out late finds another number and does
  * nothing. An order whose answer was lost is sent again unchanged before any other: whichever copy comes first is carried out,
- * and the others find another number. After {@link #MOST_COPIES}, or a conflict, nothing is ordered until a report has told
+ * and the others find another number. After {@link #MAX_SEND_ATTEMPTS}, or a conflict, nothing is ordered until a report has told
  * what is so. Confined to the event loop.
  */
 public final class AdapterSlots {
 
     /** Adapters that a target fetches at the same time; it refuses more. */
-    static final int MOST_COMING = 4;
+    static final int MAX_CONCURRENT_LOADS = 4;
 
     /**
      * Part of an undisturbed fetch's time after which it is polled first. Recent fetch times would feed back: they are measured by
      * these polls, so one slow fetch would delay the polls of the next ones.
      */
-    private static final double FIRST_POLL_PART = 0.92;
+    private static final double FIRST_POLL_FRACTION = 0.92;
 
-    private static final Duration FIRST_POLL_WARM = Duration.ofMillis(24);
+    private static final Duration CACHED_FIRST_POLL_DELAY = Duration.ofMillis(24);
 
     /** An order repeated to ask whether a load is done costs a thirtieth of a report and delays nobody. */
     private static final Duration POLL_INTERVAL = Duration.ofMillis(25);
 
     /** A target that waits for runs to end before it carries an order out refuses all others meanwhile. */
-    private static final Duration WAITING_POLL_INTERVAL = Duration.ofMillis(40);
+    private static final Duration DEFERRED_ORDER_POLL_INTERVAL = Duration.ofMillis(40);
 
     /** Sendings of one order; a target that answers none of them is better asked for a report. */
-    private static final int MOST_COPIES = 3;
+    private static final int MAX_SEND_ATTEMPTS = 3;
 
     private static final Duration MODEL_POLL_INTERVAL = Duration.ofMillis(200);
 
@@ -53,34 +53,34 @@
     private static final Duration REPORT_LAG = Duration.ofMillis(300);
 
     /** Entries report requests that began within {@link UsageReports#CHECK_INTERVAL}, so one that began earlier is known. */
-    private static final Duration IDLE_BEFORE_EVICTION = Duration.ofMillis(450);
+    private static final Duration MIN_IDLE_BEFORE_EVICTION = Duration.ofMillis(450);
 
     /** Adapters that a target is taken to keep at hand after they were evicted; taken for more, a fetch would not be counted as one. */
-    private static final int AT_HAND = 100;
+    private static final int MAX_CACHED_ADAPTERS = 100;
 
-    private static final Duration REFUSED_PAUSE = Duration.ofMillis(500);
+    private static final Duration REFUSAL_DELAY = Duration.ofMillis(500);
 
-    private final int places;
+    private final int slots;
     private final String model;
     private final Function<AdapterName, Long> newestVersion;
-    private final FetchWindow window;
+    private final FetchWindow fetchWindow;
     private final Listener listener;
-    private final Map<AdapterName, Long> fetchedSince = new HashMap<>();
+    private final Map<AdapterName, Long> fetchStartedAt = new HashMap<>();
     private final Map<AdapterName, Long> resident = new HashMap<>();
-    private final Map<AdapterName, Long> nextPoll = new HashMap<>();
-    private final Set<AdapterName> leaving = new HashSet<>();
-    private Optional<AdapterName> awaitingRuns = Optional.empty();
+    private final Map<AdapterName, Long> nextPollAt = new HashMap<>();
+    private final Set<AdapterName> unloading = new HashSet<>();
+    private Optional<AdapterName> deferredAdapter = Optional.empty();
     private final LoadQueue loadQueue = new LoadQueue();
-    private final AdapterFrequency uses = new AdapterFrequency();
+    private final AdapterUseFrequency frequency = new AdapterUseFrequency();
     private final RunningAdapters running = new RunningAdapters();
-    private final Deque<AdapterName> atHand = new ArrayDeque<>();
-    private boolean modelPresent;
-    private boolean modelComing;
-    private OptionalLong orders = OptionalLong.empty();
-    private long notBefore;
-    private boolean callUnderWay;
-    private Optional<Step.Send> unanswered = Optional.empty();
-    private int copies;
+    private final Deque<AdapterName> cachedAtTarget = new ArrayDeque<>();
+    private boolean modelLoaded;
+    private boolean modelLoading;
+    private OptionalLong acceptedOrders = OptionalLong.empty();
+    private long earliestCallAt;
+    private boolean callInProgress;
+    private Optional<Step.Send> unansweredOrder = Optional.empty();
+    private int sendAttempts;
 
     /**
      * Whether an order from before the last report may still await runs at the target. A report does not tell; the same order sent
@@ -88,7 +88,7 @@
      * carried out when the number came, it loaded an adapter beyond the places. So the count is read anew after such an order,
      * until the target has accepted a load, whose number it has checked.
      */
-    private boolean countDoubtful = true;
+    private boolean orderCountUncertain = true;
 
     /** Is told of adapters that come and go. */
     public interface Listener {
@@ -125,7 +125,7 @@
         record Send(Order.Operation operation, Optional<AdapterName> adapter, long expectedOrders) implements Step {}
 
         /** Read the report. */
-        record Report() implements Step {}
+        record ReadReport() implements Step {}
     }
 
     /**
@@ -146,10 +146,10 @@
         if (places < 1) {
             throw new IllegalArgumentException("places below 1: " + places);
         }
-        this.places = places;
+        this.slots = places;
         this.model = Objects.requireNonNull(model, "model");
         this.newestVersion = Objects.requireNonNull(newestVersion, "newestVersion");
-        this.window = Objects.requireNonNull(window, "window");
+        this.fetchWindow = Objects.requireNonNull(window, "window");
         this.listener = Objects.requireNonNull(listener, "listener");
     }
 
@@ -161,7 +161,7 @@
      * @param now the time
      */
     public void enqueue(AdapterName adapter, OptionalLong lateAt, long now) {
-        uses.used(adapter, 1, now);
+        frequency.recordUses(adapter, 1, now);
         if (isPresent(adapter)) {
             listener.arrived(adapter, resident.get(adapter));
             return;
@@ -177,8 +177,8 @@
      * @return true if it does, or if the adapter is there, coming or asked for already
      */
     public boolean hasSlotFor(AdapterName adapter, long now) {
-        boolean known = resident.containsKey(adapter) || nextPoll.containsKey(adapter) || loadQueue.contains(adapter);
-        return known || places - occupied() + evictable(now).count() > loadQueue.size();
+        boolean known = resident.containsKey(adapter) || nextPollAt.containsKey(adapter) || loadQueue.contains(adapter);
+        return known || slots - occupiedSlots() + evictionCandidates(now).count() > loadQueue.size();
     }
 
     /**
@@ -189,7 +189,7 @@
      * @param now the time
      */
     public void used(AdapterName adapter, int count, long now) {
-        uses.used(adapter, count, now);
+        frequency.recordUses(adapter, count, now);
     }
 
     /**
@@ -200,7 +200,7 @@
      * @param now the time
      */
     public void running(String entry, Set<AdapterName> adapters, long now) {
-        running.reported(entry, adapters, now);
+        running.update(entry, adapters, now);
     }
 
     /**
@@ -210,20 +210,22 @@
      * @return the time until the next call may be due, empty if that depends on other events than the passing of time, not null
      */
     public Optional<Duration> untilNextCall(long now) {
-        boolean open =
-                orders.isEmpty() || !modelPresent || unanswered.isPresent() || !loadQueue.areAllIn(nextPoll.keySet());
-        if (open || callUnderWay) {
+        boolean open = acceptedOrders.isEmpty()
+                || !modelLoaded
+                || unansweredOrder.isPresent()
+                || !loadQueue.isSubsetOf(nextPollAt.keySet());
+        if (open || callInProgress) {
             return Optional.empty();
         }
-        Optional<Long> next = awaitingRuns.isPresent()
-                ? awaitingRuns.map(waiting -> nextPoll.getOrDefault(waiting, now))
-                : nextPoll.values().stream().min(Long::compare);
-        return next.map(at -> Duration.ofNanos(Math.max(0, Math.max(at, notBefore) - now)));
+        Optional<Long> next = deferredAdapter.isPresent()
+                ? deferredAdapter.map(waiting -> nextPollAt.getOrDefault(waiting, now))
+                : nextPollAt.values().stream().min(Long::compare);
+        return next.map(at -> Duration.ofNanos(Math.max(0, Math.max(at, earliestCallAt) - now)));
     }
 
     private boolean isPresent(AdapterName adapter) {
         Long version = resident.get(adapter);
-        return version != null && !leaving.contains(adapter) && version >= newestVersion.apply(adapter);
+        return version != null && !unloading.contains(adapter) && version >= newestVersion.apply(adapter);
     }
 
     /**
@@ -233,107 +235,109 @@
      * @return the call, or empty if none is due
      */
     public Optional<Step> next(long now) {
-        if (callUnderWay || now < notBefore) {
+        if (callInProgress || now < earliestCallAt) {
             return Optional.empty();
         }
-        Optional<Step> step = orders.isEmpty() ? Optional.of(new Step.Report()) : nextOrder(now);
-        callUnderWay = step.isPresent();
+        Optional<Step> step = acceptedOrders.isEmpty() ? Optional.of(new Step.ReadReport()) : nextOrder(now);
+        callInProgress = step.isPresent();
         return step;
     }
 
     private Optional<Step> nextOrder(long now) {
-        if (unanswered.isPresent()) {
-            return Optional.of(unanswered.get());
+        if (unansweredOrder.isPresent()) {
+            return Optional.of(unansweredOrder.get());
         }
-        if (!modelPresent) {
-            notBefore = now + MODEL_POLL_INTERVAL.toNanos();
+        if (!modelLoaded) {
+            earliestCallAt = now + MODEL_POLL_INTERVAL.toNanos();
             return send(Order.Operation.LOAD, Optional.empty());
         }
-        if (awaitingRuns.isPresent()) {
-            return pollWaiting(now);
+        if (deferredAdapter.isPresent()) {
+            return pollDeferredOrder(now);
         }
-        Optional<AdapterName> due = nextPoll.entrySet().stream()
+        Optional<AdapterName> due = nextPollAt.entrySet().stream()
                 .filter(poll -> poll.getValue() <= now)
                 .map(Map.Entry::getKey)
                 .findFirst();
         if (due.isPresent()) {
-            return send(operation(due.get()), due);
+            return send(pendingOperation(due.get()), due);
         }
         return nextLoadRequest(now);
     }
 
-    private Optional<Step> pollWaiting(long now) {
-        if (nextPoll.getOrDefault(awaitingRuns.get(), now) > now) {
+    private Optional<Step> pollDeferredOrder(long now) {
+        if (nextPollAt.getOrDefault(deferredAdapter.get(), now) > now) {
             return Optional.empty();
         }
-        return send(operation(awaitingRuns.get()), awaitingRuns);
+        return send(pendingOperation(deferredAdapter.get()), deferredAdapter);
     }
 
-    private Order.Operation operation(AdapterName underWay) {
-        return leaving.contains(underWay) ? Order.Operation.UNLOAD : Order.Operation.LOAD;
+    private Order.Operation pendingOperation(AdapterName underWay) {
+        return unloading.contains(underWay) ? Order.Operation.UNLOAD : Order.Operation.LOAD;
     }
 
     private Optional<Step> nextLoadRequest(long now) {
-        if (loadQueue.isEmpty() || coming() >= MOST_COMING) {
+        if (loadQueue.isEmpty() || loadingCount() >= MAX_CONCURRENT_LOADS) {
             return Optional.empty();
         }
-        for (AdapterName adapter : loadQueue.inOrder(now, window.undisturbed().orElse(Duration.ZERO))) {
+        for (AdapterName adapter :
+                loadQueue.byUrgency(now, fetchWindow.baseFetchTime().orElse(Duration.ZERO))) {
             if (isPresent(adapter)) {
                 loadQueue.remove(adapter);
                 continue;
             }
             // What the target has at hand does not wait for the weight store behind what it has not.
-            boolean mustWait = isFetch(adapter) && !window.isOpen();
-            if (nextPoll.containsKey(adapter) || mustWait) {
+            boolean mustWait = isFetch(adapter) && !fetchWindow.isOpen();
+            if (nextPollAt.containsKey(adapter) || mustWait) {
                 continue;
             }
-            if (resident.containsKey(adapter) || occupied() < places) {
+            if (resident.containsKey(adapter) || occupiedSlots() < slots) {
                 return send(Order.Operation.LOAD, Optional.of(adapter));
             }
-            return victim(now).flatMap(idle -> send(Order.Operation.UNLOAD, Optional.of(idle)));
+            return evictionVictim(now).flatMap(idle -> send(Order.Operation.UNLOAD, Optional.of(idle)));
         }
         return Optional.empty();
     }
 
     private boolean isFetch(AdapterName adapter) {
-        return !atHand.contains(adapter);
+        return !cachedAtTarget.contains(adapter);
     }
 
-    private long coming() {
-        return nextPoll.keySet().stream()
-                .filter(adapter -> !leaving.contains(adapter))
+    private long loadingCount() {
+        return nextPollAt.keySet().stream()
+                .filter(adapter -> !unloading.contains(adapter))
                 .count();
     }
 
-    private long occupied() {
+    private long occupiedSlots() {
         return resident.size()
-                + nextPoll.keySet().stream()
+                + nextPollAt.keySet().stream()
                         .filter(adapter -> !resident.containsKey(adapter))
                         .count();
     }
 
-    private Optional<AdapterName> victim(long now) {
-        if (!leaving.isEmpty()) {
+    private Optional<AdapterName> evictionVictim(long now) {
+        if (!unloading.isEmpty()) {
             return Optional.empty();
         }
-        return evictable(now).min((one, other) -> Double.compare(evictionRank(one, now), evictionRank(other, now)));
+        return evictionCandidates(now)
+                .min((one, other) -> Double.compare(evictionRank(one, now), evictionRank(other, now)));
     }
 
-    private Stream<AdapterName> evictable(long now) {
+    private Stream<AdapterName> evictionCandidates(long now) {
         return resident.keySet().stream()
-                .filter(adapter -> !loadQueue.contains(adapter) && !nextPoll.containsKey(adapter))
-                .filter(adapter -> uses.isIdle(adapter, now, IDLE_BEFORE_EVICTION.toNanos()))
+                .filter(adapter -> !loadQueue.contains(adapter) && !nextPollAt.containsKey(adapter))
+                .filter(adapter -> frequency.isIdle(adapter, now, MIN_IDLE_BEFORE_EVICTION.toNanos()))
                 .filter(adapter -> !running.contains(adapter, now));
     }
 
     /** An outdated version serves nobody, so it goes first. */
     private double evictionRank(AdapterName adapter, long now) {
         boolean outdated = resident.get(adapter) < newestVersion.apply(adapter);
-        return outdated ? -1 : uses.score(adapter, now);
+        return outdated ? -1 : frequency.score(adapter, now);
     }
 
     private Optional<Step> send(Order.Operation operation, Optional<AdapterName> adapter) {
-        return Optional.of(new Step.Send(operation, adapter, orders.getAsLong()));
+        return Optional.of(new Step.Send(operation, adapter, acceptedOrders.getAsLong()));
     }
 
     /**
@@ -344,146 +348,147 @@
      * @param now the time
      */
     public void answered(Step.Send sent, OrderResult result, long now) {
-        callUnderWay = false;
-        copies++;
+        callInProgress = false;
+        sendAttempts++;
         if (result == OrderResult.UNKNOWN && mayRepeat(sent)) {
-            unanswered = Optional.of(sent);
+            unansweredOrder = Optional.of(sent);
             return;
         }
-        boolean wasUnanswered = unanswered.isPresent();
-        unanswered = Optional.empty();
-        copies = 0;
+        boolean wasUnanswered = unansweredOrder.isPresent();
+        unansweredOrder = Optional.empty();
+        sendAttempts = 0;
         switch (result) {
             case ACCEPTED -> accepted(sent, now);
-            case ALREADY_SO -> alreadySo(sent, wasUnanswered, now);
-            case REFUSED, FENCED, ANOTHER_TARGET -> refused(sent, now);
-            default -> lostTrack(now);
+            case ALREADY_SO -> onAlreadyDone(sent, wasUnanswered, now);
+            case REFUSED, FENCED, ANOTHER_TARGET -> onRefused(sent, now);
+            default -> requireReport(now);
         }
     }
 
     /** A load of the base model is asked for again in any case, and a look is no new order. */
     private boolean mayRepeat(Step.Send sent) {
-        boolean known =
-                sent.adapter().isEmpty() || nextPoll.containsKey(sent.adapter().get());
-        return !known && copies < MOST_COPIES;
+        boolean known = sent.adapter().isEmpty()
+                || nextPollAt.containsKey(sent.adapter().get());
+        return !known && sendAttempts < MAX_SEND_ATTEMPTS;
     }
 
     private void accepted(Step.Send sent, long now) {
         if (sent.adapter().isEmpty()) {
-            if (!modelComing) {
-                modelComing = true;
+            if (!modelLoading) {
+                modelLoading = true;
                 countOrder();
             }
             return;
         }
         AdapterName adapter = sent.adapter().get();
-        boolean repeated = nextPoll.containsKey(adapter);
+        boolean repeated = nextPollAt.containsKey(adapter);
         boolean waits = sent.operation() == Order.Operation.UNLOAD || resident.containsKey(adapter);
-        if (!repeated && !(waits && countDoubtful)) {
+        if (!repeated && !(waits && orderCountUncertain)) {
             countOrder();
         }
-        countDoubtful &= waits || repeated;
+        orderCountUncertain &= waits || repeated;
         if (waits) {
-            awaitingRuns = Optional.of(adapter);
+            deferredAdapter = Optional.of(adapter);
         }
         if (!waits && !repeated && isFetch(adapter)) {
-            fetchedSince.put(adapter, now);
-            window.began();
+            fetchStartedAt.put(adapter, now);
+            fetchWindow.onFetchStarted();
         }
-        nextPoll.put(adapter, now + untilPoll(adapter, waits, repeated));
-        if (sent.operation() == Order.Operation.UNLOAD && leaving.add(adapter)) {
+        nextPollAt.put(adapter, now + pollDelay(adapter, waits, repeated));
+        if (sent.operation() == Order.Operation.UNLOAD && unloading.add(adapter)) {
             listener.leaves(adapter);
         }
     }
 
-    private long untilPoll(AdapterName adapter, boolean waits, boolean repeated) {
+    private long pollDelay(AdapterName adapter, boolean waits, boolean repeated) {
         if (waits) {
-            return WAITING_POLL_INTERVAL.toNanos();
+            return DEFERRED_ORDER_POLL_INTERVAL.toNanos();
         }
         if (repeated) {
             return POLL_INTERVAL.toNanos();
         }
         if (!isFetch(adapter)) {
-            return FIRST_POLL_WARM.toNanos();
+            return CACHED_FIRST_POLL_DELAY.toNanos();
         }
-        return window.undisturbed()
-                .map(time -> (long) (time.toNanos() * FIRST_POLL_PART))
+        return fetchWindow
+                .baseFetchTime()
+                .map(time -> (long) (time.toNanos() * FIRST_POLL_FRACTION))
                 .orElse(POLL_INTERVAL.toNanos());
     }
 
-    private void alreadySo(Step.Send sent, boolean wasUnanswered, long now) {
+    private void onAlreadyDone(Step.Send sent, boolean wasUnanswered, long now) {
         if (sent.adapter().isEmpty()) {
-            modelComing = false;
-            modelPresent = true;
+            modelLoading = false;
+            modelLoaded = true;
             listener.modelArrived();
             return;
         }
         AdapterName adapter = sent.adapter().get();
-        boolean repeated = nextPoll.remove(adapter) != null;
-        awaitingRuns = awaitingRuns.filter(waiting -> !waiting.equals(adapter));
+        boolean repeated = nextPollAt.remove(adapter) != null;
+        deferredAdapter = deferredAdapter.filter(waiting -> !waiting.equals(adapter));
         if (sent.operation() == Order.Operation.UNLOAD) {
             if (!repeated && resident.containsKey(adapter)) {
                 countOrder();
             }
-            leaving.remove(adapter);
+            unloading.remove(adapter);
             resident.remove(adapter);
-            keepAtHand(adapter);
+            addCachedAtTarget(adapter);
             listener.leaves(adapter);
-            if (countDoubtful) {
-                lostTrack(now);
+            if (orderCountUncertain) {
+                requireReport(now);
             }
             return;
         }
         if (wasUnanswered && !repeated && !resident.containsKey(adapter)) {
             countOrder();
         }
-        Long since = fetchedSince.remove(adapter);
+        Long since = fetchStartedAt.remove(adapter);
         if (since != null) {
-            window.ended(Duration.ofNanos(now - since));
+            fetchWindow.onFetchEnded(Duration.ofNanos(now - since));
         }
         long version = newestVersion.apply(adapter);
         boolean replaced = repeated && resident.containsKey(adapter);
         resident.put(adapter, version);
         loadQueue.remove(adapter);
-        uses.used(adapter, 0, now);
+        frequency.recordUses(adapter, 0, now);
         listener.arrived(adapter, version);
-        if (countDoubtful && replaced) {
-            lostTrack(now);
+        if (orderCountUncertain && replaced) {
+            requireReport(now);
         }
     }
 
     private void countOrder() {
-        orders = OptionalLong.of(orders.getAsLong() + 1);
+        acceptedOrders = OptionalLong.of(acceptedOrders.getAsLong() + 1);
     }
 
-    private void keepAtHand(AdapterName adapter) {
-        atHand.remove(adapter);
-        atHand.addLast(adapter);
-        if (atHand.size() > AT_HAND) {
-            atHand.removeFirst();
+    private void addCachedAtTarget(AdapterName adapter) {
+        cachedAtTarget.remove(adapter);
+        cachedAtTarget.addLast(adapter);
+        if (cachedAtTarget.size() > MAX_CACHED_ADAPTERS) {
+            cachedAtTarget.removeFirst();
         }
     }
 
-    private void refused(Step.Send sent, long now) {
+    private void onRefused(Step.Send sent, long now) {
         sent.adapter().ifPresent(loadQueue::remove);
-        notBefore = now + REFUSED_PAUSE.toNanos();
+        earliestCallAt = now + REFUSAL_DELAY.toNanos();
     }
 
-    private void lostTrack(long now) {
-        countDoubtful = true;
-        forgetFetches();
-        orders = OptionalLong.empty();
-        notBefore = now + REPORT_LAG.toNanos();
+    private void requireReport(long now) {
+        orderCountUncertain = true;
+        abandonFetches();
+        acceptedOrders = OptionalLong.empty();
+        earliestCallAt = now + REPORT_LAG.toNanos();
     }
 
-    private void forgetFetches() {
-        fetchedSince.keySet().forEach(adapter -> window.abandoned());
-        fetchedSince.clear();
+    private void abandonFetches() {
+        fetchStartedAt.keySet().forEach(adapter -> fetchWindow.onFetchAbandoned());
+        fetchStartedAt.clear();
     }
 
     /** Ends the keeping: what is still fetched is looked after by the next holder. */
     public void close() {
-        forgetFetches();
+        abandonFetches();
     }
 
     /**
@@ -493,10 +498,10 @@
      * @param now the time
      */
     public void reported(TargetReport report, long now) {
-        callUnderWay = false;
-        orders = OptionalLong.of(report.orders());
-        modelPresent = report.models().containsKey(model);
-        modelComing = false;
+        callInProgress = false;
+        acceptedOrders = OptionalLong.of(report.acceptedOrders());
+        modelLoaded = report.models().containsKey(model);
+        modelLoading = false;
         Map<AdapterName, Long> there = new HashMap<>();
         report.models()
                 .getOrDefault(model, Map.of())
@@ -505,11 +510,11 @@
         gone.removeAll(there.keySet());
         resident.clear();
         resident.putAll(there);
-        leaving.clear();
-        awaitingRuns = Optional.empty();
-        nextPoll.clear();
-        report.coming()
-                .forEach(adapter -> nextPoll.put(new AdapterName(model, adapter), now + POLL_INTERVAL.toNanos()));
+        unloading.clear();
+        deferredAdapter = Optional.empty();
+        nextPollAt.clear();
+        report.loading()
+                .forEach(adapter -> nextPollAt.put(new AdapterName(model, adapter), now + POLL_INTERVAL.toNanos()));
         gone.forEach(listener::leaves);
         there.forEach(listener::arrived);
     }
@@ -520,8 +525,8 @@
      * @param now the time
      */
     public void reportFailed(long now) {
-        callUnderWay = false;
-        notBefore = now + REFUSED_PAUSE.toNanos();
+        callInProgress = false;
+        earliestCallAt = now + REFUSAL_DELAY.toNanos();
     }
 
     /**
@@ -530,7 +535,7 @@
      * @return false if nothing is wanted, coming or leaving, and all is known
      */
     public boolean isBusy() {
-        return orders.isEmpty() || !modelPresent || !loadQueue.isEmpty() || !nextPoll.isEmpty();
+        return acceptedOrders.isEmpty() || !modelLoaded || !loadQueue.isEmpty() || !nextPollAt.isEmpty();
     }
 
     public String model() {
--- a/gateway/src/main/java/org/geraniumreach/gateway/adapter/AdapterFrequency.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/adapter/AdapterUseFrequency.java
@@ -11,33 +11,33 @@
  * <p>Invariant: what has faded is forgotten, so the number of adapters remembered is bounded by the uses of a few half-lives.
  * Confined to the event loop.
  */
-final class AdapterFrequency {
+final class AdapterUseFrequency {
 
     /** Demand moves on within 3 to 6 s, so that uses of 8 s ago count half. */
     private static final double HALF_LIFE_NANOS = 8e9;
 
-    private static final double FORGOTTEN = 0.01;
-    private static final int LOOK_THROUGH = 512;
+    private static final double MIN_SCORE = 0.01;
+    private static final int PRUNE_THRESHOLD_ADAPTERS = 512;
 
     private final Map<AdapterName, Score> scores = new HashMap<>();
 
     private record Score(double value, long usedAt) {
 
-        double at(long now) {
+        double valueAt(long now) {
             return value * Math.pow(0.5, (now - usedAt) / HALF_LIFE_NANOS);
         }
     }
 
-    void used(AdapterName adapter, int count, long now) {
-        scores.merge(adapter, new Score(count, now), (old, added) -> new Score(old.at(now) + count, now));
-        if (scores.size() > LOOK_THROUGH) {
-            scores.values().removeIf(score -> score.at(now) < FORGOTTEN);
+    void recordUses(AdapterName adapter, int count, long now) {
+        scores.merge(adapter, new Score(count, now), (old, added) -> new Score(old.valueAt(now) + count, now));
+        if (scores.size() > PRUNE_THRESHOLD_ADAPTERS) {
+            scores.values().removeIf(score -> score.valueAt(now) < MIN_SCORE);
         }
     }
 
     double score(AdapterName adapter, long now) {
         Score score = scores.get(adapter);
-        return score == null ? 0 : score.at(now);
+        return score == null ? 0 : score.valueAt(now);
     }
 
     boolean isIdle(AdapterName adapter, long now, long idleNanos) {
--- a/gateway/src/main/java/org/geraniumreach/gateway/adapter/FetchTimes.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/adapter/FetchTimes.java
@@ -18,79 +18,81 @@
  */
 final class FetchTimes {
 
-    private static final int REMEMBERED = 32;
+    private static final int HISTORY_SIZE = 32;
 
     /** Fetches of the last moments, of which the median counts. */
-    private static final int RECENT = 5;
+    private static final int RECENT_FETCHES = 5;
 
     /** Part of what most take at the most below which a load came from a target's own memory. */
-    private static final double FROM_MEMORY = 0.25;
+    private static final double MIN_FETCH_FRACTION = 0.25;
 
-    private static final double MOST_TAKE_AT_THE_MOST = 0.75;
+    private static final double UPPER_QUARTILE = 0.75;
 
     /** Part of the same below which a shortest time of earlier fetches is left out; a fetch that is slowed several times is no load from memory. */
-    private static final double EARLIER_FROM_MEMORY = 0.15;
+    private static final double MIN_EARLIER_FETCH_FRACTION = 0.15;
 
-    private static final int EARLIER_BLOCKS = 16;
+    private static final int MAX_EARLIER_BLOCKS = 16;
 
-    private final long[] nanos = new long[REMEMBERED];
+    private final long[] recentNanos = new long[HISTORY_SIZE];
 
     /** The shortest time of each earlier block of fetches, the oldest first. */
-    private final Deque<Long> earlier = new ArrayDeque<>();
+    private final Deque<Long> earlierBlockMinimums = new ArrayDeque<>();
 
     private int count;
-    private Optional<Duration> undisturbed = Optional.empty();
+    private Optional<Duration> baseTime = Optional.empty();
 
     void add(Duration took) {
-        nanos[count % REMEMBERED] = took.toNanos();
+        recentNanos[count % HISTORY_SIZE] = took.toNanos();
         count++;
-        long[] recent = sorted(Math.min(count, REMEMBERED));
-        long mostTakeAtTheMost = recent[(int) ((recent.length - 1) * MOST_TAKE_AT_THE_MOST)];
-        Optional<Duration> shortest = shortestFrom(Arrays.stream(recent), mostTakeAtTheMost * FROM_MEMORY);
-        undisturbed = shorter(
+        long[] recent = newestSorted(Math.min(count, HISTORY_SIZE));
+        long mostTakeAtTheMost = recent[(int) ((recent.length - 1) * UPPER_QUARTILE)];
+        Optional<Duration> shortest = minAtLeast(Arrays.stream(recent), mostTakeAtTheMost * MIN_FETCH_FRACTION);
+        baseTime = min(
                 shortest,
-                shortestFrom(earlier.stream().mapToLong(Long::longValue), mostTakeAtTheMost * EARLIER_FROM_MEMORY));
-        if (count % REMEMBERED == 0) {
-            shortest.ifPresent(this::rememberBlock);
+                minAtLeast(
+                        earlierBlockMinimums.stream().mapToLong(Long::longValue),
+                        mostTakeAtTheMost * MIN_EARLIER_FETCH_FRACTION));
+        if (count % HISTORY_SIZE == 0) {
+            shortest.ifPresent(this::addEarlierBlock);
         }
     }
 
     /** Guards against a weight store that is busy for long: the shortest of the last fetches alone would tell a slowed one. */
-    private void rememberBlock(Duration shortest) {
-        if (earlier.size() == EARLIER_BLOCKS) {
-            earlier.removeFirst();
+    private void addEarlierBlock(Duration shortest) {
+        if (earlierBlockMinimums.size() == MAX_EARLIER_BLOCKS) {
+            earlierBlockMinimums.removeFirst();
         }
-        earlier.addLast(shortest.toNanos());
+        earlierBlockMinimums.addLast(shortest.toNanos());
     }
 
     /** Gets the shortest time that a fetch took, empty if none is known. */
-    Optional<Duration> undisturbed() {
-        return undisturbed;
+    Optional<Duration> baseTime() {
+        return baseTime;
     }
 
-    private static Optional<Duration> shortestFrom(LongStream nanos, double least) {
+    private static Optional<Duration> minAtLeast(LongStream nanos, double least) {
         OptionalLong shortest = nanos.filter(each -> each >= (long) least).min();
         return shortest.isPresent() ? Optional.of(Duration.ofNanos(shortest.getAsLong())) : Optional.empty();
     }
 
-    private static Optional<Duration> shorter(Optional<Duration> one, Optional<Duration> other) {
+    private static Optional<Duration> min(Optional<Duration> one, Optional<Duration> other) {
         return Stream.of(one, other).flatMap(Optional::stream).min(Duration::compareTo);
     }
 
     /** Tells how many times the undisturbed time the last fetches took, 1 if nothing is known. */
-    double slowness() {
-        if (undisturbed.isEmpty()) {
+    double slowdown() {
+        if (baseTime.isEmpty()) {
             return 1;
         }
-        long[] recent = sorted(Math.min(count, RECENT));
-        return (double) recent[recent.length / 2] / undisturbed.get().toNanos();
+        long[] recent = newestSorted(Math.min(count, RECENT_FETCHES));
+        return (double) recent[recent.length / 2] / baseTime.get().toNanos();
     }
 
     /** Gets the newest times, the shortest first. */
-    private long[] sorted(int newest) {
+    private long[] newestSorted(int newest) {
         long[] copy = new long[newest];
         for (int each = 0; each < newest; each++) {
-            copy[each] = nanos[(count - 1 - each) % REMEMBERED];
+            copy[each] = recentNanos[(count - 1 - each) % HISTORY_SIZE];
         }
         Arrays.sort(copy);
         return copy;
--- a/gateway/src/main/java/org/geraniumreach/gateway/adapter/Lease.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/adapter/Lease.java
@@ -10,7 +10,7 @@
  *
  * <p>Invariants: it counts from before the acknowledged renewal was sent. A frozen process's steady clock may stand still
  * while others see time pass, so the lease does not hold either once steady clock and time of day have moved apart by more
- * than {@link #GREATEST_STEP} since then; a mere step of the time of day costs no more than the wait for the next renewal. Confined
+ * than {@link #MAX_CLOCK_DIVERGENCE} since then; a mere step of the time of day costs no more than the wait for the next renewal. Confined
  * to the event loop.
  */
 public final class Lease {
@@ -19,13 +19,13 @@
     public static final Duration DURATION = Duration.ofSeconds(8);
 
     /** Two entries' orders to one target must be this far apart. */
-    public static final Duration TURN = Duration.ofMillis(3_300);
+    public static final Duration HANDOVER_GAP = Duration.ofMillis(3_300);
 
     /** Half of what a sender has after it woke up before its orders count against it. */
-    static final Duration GREATEST_STEP = Duration.ofMillis(150);
+    static final Duration MAX_CLOCK_DIVERGENCE = Duration.ofMillis(150);
 
     private final MonotonicClock clock;
-    private final WallClock wall;
+    private final WallClock wallClock;
     private boolean renewed;
     private boolean released;
     private long renewedAt;
@@ -59,7 +59,7 @@
      */
     public Lease(MonotonicClock clock, WallClock wall) {
         this.clock = Objects.requireNonNull(clock, "clock");
-        this.wall = Objects.requireNonNull(wall, "wall");
+        this.wallClock = Objects.requireNonNull(wall, "wall");
     }
 
     /**
@@ -93,12 +93,12 @@
      *
      * @return true if it does
      */
-    public boolean holds() {
+    public boolean isValid() {
         long now = clock.nanos();
         return renewed
                 && !released
                 && now - renewedAt < DURATION.toNanos()
-                && Math.abs(offset(now) - offsetMillis) < GREATEST_STEP.toMillis();
+                && Math.abs(offset(now) - offsetMillis) < MAX_CLOCK_DIVERGENCE.toMillis();
     }
 
     /**
@@ -118,6 +118,6 @@
     }
 
     private long offset(long nanos) {
-        return wall.millis() - nanos / 1_000_000;
+        return wallClock.millis() - nanos / 1_000_000;
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/adapter/LoadQueue.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/adapter/LoadQueue.java
@@ -26,16 +26,16 @@
     static final Duration LOAD_REQUEST_TTL = Duration.ofMillis(500);
 
     private final Map<AdapterName, LoadRequest> requests = new HashMap<>();
-    private long numbers;
+    private long nextSequence;
 
-    private record LoadRequest(long number, long renewedAt, OptionalLong lateAt) {
+    private record LoadRequest(long sequence, long renewedAt, OptionalLong deadline) {
 
-        boolean isWaitedFor() {
-            return lateAt.isPresent();
+        boolean hasDeadline() {
+            return deadline.isPresent();
         }
 
-        boolean isInTime(long loaded) {
-            return isWaitedFor() && lateAt.getAsLong() >= loaded;
+        boolean meetsDeadline(long loaded) {
+            return hasDeadline() && deadline.getAsLong() >= loaded;
         }
     }
 
@@ -49,14 +49,15 @@
     void enqueue(AdapterName adapter, OptionalLong lateAt, long now) {
         LoadRequest before = requests.get(adapter);
         if (before == null) {
-            requests.put(adapter, new LoadRequest(numbers++, now, lateAt));
+            requests.put(adapter, new LoadRequest(nextSequence++, now, lateAt));
             return;
         }
-        requests.put(adapter, new LoadRequest(before.number(), now, moreUrgent(before.lateAt(), lateAt, now)));
+        requests.put(
+                adapter, new LoadRequest(before.sequence(), now, moreUrgentDeadline(before.deadline(), lateAt, now)));
     }
 
     /** Of several requests the next to be late counts, among those that are not late yet. */
-    private static OptionalLong moreUrgent(OptionalLong one, OptionalLong other, long now) {
+    private static OptionalLong moreUrgentDeadline(OptionalLong one, OptionalLong other, long now) {
         if (one.isEmpty() || other.isEmpty()) {
             return one.isPresent() ? one : other;
         }
@@ -71,13 +72,13 @@
      * @param load how long a load takes
      * @return the adapters, the next to be loaded first
      */
-    List<AdapterName> inOrder(long now, Duration load) {
+    List<AdapterName> byUrgency(long now, Duration load) {
         requests.values().removeIf(request -> now - request.renewedAt() > LOAD_REQUEST_TTL.toNanos());
         long loaded = now + load.toNanos();
-        Comparator<LoadRequest> order = Comparator.comparing((LoadRequest request) -> !request.isInTime(loaded))
-                .thenComparing(request -> !request.isWaitedFor())
-                .thenComparingLong(
-                        request -> request.isInTime(loaded) ? request.lateAt().getAsLong() : request.number());
+        Comparator<LoadRequest> order = Comparator.comparing((LoadRequest request) -> !request.meetsDeadline(loaded))
+                .thenComparing(request -> !request.hasDeadline())
+                .thenComparingLong(request ->
+                        request.meetsDeadline(loaded) ? request.deadline().getAsLong() : request.sequence());
         List<AdapterName> adapters = new ArrayList<>(requests.keySet());
         adapters.sort(Comparator.comparing(requests::get, order));
         return adapters;
@@ -91,7 +92,7 @@
         return requests.containsKey(adapter);
     }
 
-    boolean areAllIn(Set<AdapterName> adapters) {
+    boolean isSubsetOf(Set<AdapterName> adapters) {
         return adapters.containsAll(requests.keySet());
     }
 
--- a/gateway/src/main/java/org/geraniumreach/gateway/adapter/TargetOwnership.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/adapter/TargetOwnership.java
@@ -23,7 +23,7 @@
  *
  * <p>Invariants: an entry orders a target only under a fence that this life of its process was given by the store, and only
  * while its lease holds. A target of another entry is taken over only once that entry's lease has been seen unchanged for the
- * lease and a {@link Lease#TURN}, by a transaction that requires it to be unchanged still; by then the other has stopped by
+ * lease and a {@link Lease#HANDOVER_GAP}, by a transaction that requires it to be unchanged still; by then the other has stopped by
  * itself. Confined to the event loop.
  */
 public final class TargetOwnership {
@@ -34,29 +34,29 @@
     /** The table of leases; apart, so that renewals wake nobody who waits for news. */
     public static final String LEASES = "leases";
 
-    private static final String PREFIX = "holder/";
+    private static final String HOLDER_KEY_PREFIX = "holder/";
 
     /** The lead of the first in order, which spares the others a transaction that fails. */
-    private static final Duration LEAD = Duration.ofMillis(700);
+    private static final Duration CLAIM_STAGGER = Duration.ofMillis(700);
 
     /** An entry that is only restarted renews its lease within 2 s of its end, and finds what it had. */
-    static final Duration COMES_BACK = Duration.ofSeconds(4);
+    static final Duration RESTART_GRACE = Duration.ofSeconds(4);
 
     /** Rows of one transaction; the store takes a hundred. */
-    private static final int MOST_CLAIMS = 40;
+    private static final int MAX_CLAIMS = 40;
 
     private final String self;
     private final long incarnation;
     private final Lease lease;
     private final MonotonicClock clock;
-    private final Map<TargetId, Held> rows = new HashMap<>();
-    private final Map<String, SeenLease> leases = new HashMap<>();
+    private final Map<TargetId, VersionedRow> holderRows = new HashMap<>();
+    private final Map<String, ObservedLease> observedLeases = new HashMap<>();
     private final Map<TargetId, Long> claimableSince = new HashMap<>();
     private EntryCapacity capacity = EntryCapacity.alike();
 
-    private record Held(HolderRow row, long version) {}
+    private record VersionedRow(HolderRow row, long version) {}
 
-    private record SeenLease(long version, OptionalLong releasedBy, long since) {}
+    private record ObservedLease(long version, OptionalLong releasedBy, long observedAt) {}
 
     /**
      * Makes holdings without rows.
@@ -98,7 +98,7 @@
      * @return true if it is
      */
     public static boolean isHolderRow(String key) {
-        return key.startsWith(PREFIX);
+        return key.startsWith(HOLDER_KEY_PREFIX);
     }
 
     /**
@@ -108,14 +108,14 @@
      * @param row the row, or empty if it was removed
      */
     public void put(String key, Optional<Row> row) {
-        TargetId target = TargetId.of(key.substring(PREFIX.length()));
-        Optional<Held> held = row.flatMap(
-                present -> HolderRow.parse(present.value()).map(parsed -> new Held(parsed, present.version())));
-        Held known = rows.get(target);
+        TargetId target = TargetId.of(key.substring(HOLDER_KEY_PREFIX.length()));
+        Optional<VersionedRow> held = row.flatMap(
+                present -> HolderRow.parse(present.value()).map(parsed -> new VersionedRow(parsed, present.version())));
+        VersionedRow known = holderRows.get(target);
         if (held.isEmpty()) {
-            rows.remove(target);
+            holderRows.remove(target);
         } else if (known == null || known.version() < held.get().version()) {
-            rows.put(target, held.get());
+            holderRows.put(target, held.get());
         }
     }
 
@@ -127,9 +127,9 @@
      * @param releasedBy the life of the entry's process that has said that it acts no more, empty if none has, not null
      */
     public void seenLease(String node, long version, OptionalLong releasedBy) {
-        SeenLease known = leases.get(node);
+        ObservedLease known = observedLeases.get(node);
         if (known == null || known.version() != version) {
-            leases.put(node, new SeenLease(version, releasedBy, clock.nanos()));
+            observedLeases.put(node, new ObservedLease(version, releasedBy, clock.nanos()));
         }
     }
 
@@ -140,7 +140,8 @@
      * @return the entry's instance, or empty if nobody holds it
      */
     public Optional<String> holder(TargetId target) {
-        return Optional.ofNullable(rows.get(target)).map(held -> held.row().node());
+        return Optional.ofNullable(holderRows.get(target))
+                .map(held -> held.row().node());
     }
 
     /**
@@ -150,8 +151,8 @@
      * @return the fence, or empty if it may not
      */
     public OptionalLong fence(TargetId target) {
-        Held held = rows.get(target);
-        if (held == null || !isOwn(held.row()) || !lease.holds()) {
+        VersionedRow held = holderRows.get(target);
+        if (held == null || !isOwn(held.row()) || !lease.isValid()) {
             return OptionalLong.empty();
         }
         return OptionalLong.of(held.version());
@@ -170,7 +171,7 @@
      */
     public boolean wantsLeases(List<TargetId> targets, Predicate<String> visible) {
         return targets.stream()
-                .map(rows::get)
+                .map(holderRows::get)
                 .anyMatch(held -> held != null
                         && !held.row().node().equals(self)
                         && !visible.test(held.row().node()));
@@ -185,26 +186,26 @@
      * @return the transaction that takes them over, or empty if there are none
      */
     public Optional<Transaction> claim(List<TargetId> targets, List<String> entries, Predicate<String> visible) {
-        if (!lease.holds()) {
+        if (!lease.isValid()) {
             return Optional.empty();
         }
         long now = clock.nanos();
         claimableSince.keySet().retainAll(targets);
         List<TargetId> due = new ArrayList<>();
         for (TargetId target : targets) {
-            if (isDue(target, entries, visible, now) && due.size() < MOST_CLAIMS) {
+            if (isClaimable(target, entries, visible, now) && due.size() < MAX_CLAIMS) {
                 due.add(target);
             }
         }
-        return due.isEmpty() ? Optional.empty() : Optional.of(transaction(due));
+        return due.isEmpty() ? Optional.empty() : Optional.of(claimTransaction(due));
     }
 
-    private boolean isDue(TargetId target, List<String> entries, Predicate<String> visible, long now) {
-        Held held = rows.get(target);
+    private boolean isClaimable(TargetId target, List<String> entries, Predicate<String> visible, long now) {
+        VersionedRow held = holderRows.get(target);
         if (held != null && held.row().node().equals(self)) {
             return !isOwn(held.row());
         }
-        if (held != null && !isOver(held.row(), now)) {
+        if (held != null && !isLeaseExpired(held.row(), now)) {
             claimableSince.remove(target);
             return false;
         }
@@ -212,19 +213,19 @@
         List<String> candidates = entries.stream()
                 .filter(entry -> entry.equals(self) || visible.test(entry))
                 .toList();
-        int rank = order(target, candidates).indexOf(self);
-        return now - since >= rank * LEAD.toNanos();
+        int rank = entriesByRank(target, candidates).indexOf(self);
+        return now - since >= rank * CLAIM_STAGGER.toNanos();
     }
 
     /** A row of a former life that said so late does not end the lease of the next. */
-    private boolean isOver(HolderRow holder, long now) {
-        SeenLease seen = leases.get(holder.node());
+    private boolean isLeaseExpired(HolderRow holder, long now) {
+        ObservedLease seen = observedLeases.get(holder.node());
         if (seen == null) {
             return false;
         }
         boolean released = seen.releasedBy().isPresent() && seen.releasedBy().getAsLong() == holder.incarnation();
-        Duration limit = released ? Lease.TURN : Lease.DURATION.plus(Lease.TURN);
-        return now - seen.since() > limit.toNanos();
+        Duration limit = released ? Lease.HANDOVER_GAP : Lease.DURATION.plus(Lease.HANDOVER_GAP);
+        return now - seen.observedAt() > limit.toNanos();
     }
 
     /**
@@ -236,28 +237,28 @@
     public Map<String, Long> endedFor(Duration limit) {
         long now = clock.nanos();
         Map<String, Long> ended = new HashMap<>();
-        leases.forEach((node, seen) -> {
-            Duration needed = seen.releasedBy().isPresent() ? COMES_BACK : limit;
-            if (!node.equals(self) && now - seen.since() > needed.toNanos()) {
+        observedLeases.forEach((node, seen) -> {
+            Duration needed = seen.releasedBy().isPresent() ? RESTART_GRACE : limit;
+            if (!node.equals(self) && now - seen.observedAt() > needed.toNanos()) {
                 ended.put(node, seen.version());
             }
         });
         return ended;
     }
 
-    private List<String> order(TargetId target, List<String> entries) {
+    private List<String> entriesByRank(TargetId target, List<String> entries) {
         return entries.stream()
                 .sorted(Comparator.comparingDouble((String entry) -> capacity.rank(target.value(), entry))
                         .thenComparing(Comparator.naturalOrder()))
                 .toList();
     }
 
-    private Transaction transaction(List<TargetId> due) {
+    private Transaction claimTransaction(List<TargetId> due) {
         Transaction transaction = Transaction.empty();
         List<String> former = new ArrayList<>();
         for (TargetId target : due) {
-            Held held = rows.get(target);
-            RowKey key = RowKey.of(TABLE, PREFIX + target.value());
+            VersionedRow held = holderRows.get(target);
+            RowKey key = RowKey.of(TABLE, HOLDER_KEY_PREFIX + target.value());
             transaction = transaction
                     .withCondition(key, held == null ? Transaction.ABSENT : held.version())
                     .withWrite(key, new HolderRow(self, incarnation).toText());
@@ -266,7 +267,7 @@
                 former.add(held.row().node());
                 transaction = transaction.withCondition(
                         RowKey.of(LEASES, held.row().node()),
-                        leases.get(held.row().node()).version());
+                        observedLeases.get(held.row().node()).version());
             }
         }
         return transaction;
--- a/gateway/src/main/java/org/geraniumreach/gateway/adapter/TargetReport.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/adapter/TargetReport.java
@@ -8,14 +8,14 @@
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param orders the orders accepted in this life
+ * @param acceptedOrders the orders accepted in this life
  * @param models the base models held, with the version of each adapter by its name
- * @param coming the adapters that are being loaded, by their names
+ * @param loading the adapters that are being loaded, by their names
  */
-public record TargetReport(long orders, Map<String, Map<String, Long>> models, Set<String> coming) {
+public record TargetReport(long acceptedOrders, Map<String, Map<String, Long>> models, Set<String> loading) {
 
     public TargetReport {
         models = Map.copyOf(models);
-        coming = Set.copyOf(coming);
+        loading = Set.copyOf(loading);
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/adapter/UsageReports.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/adapter/UsageReports.java
@@ -38,17 +38,17 @@
 
     private static final class Usage {
         private final Map<AdapterName, Integer> running = new HashMap<>();
-        private final List<AdapterName> began = new ArrayList<>();
-        private Set<AdapterName> reported = Set.of();
+        private final List<AdapterName> started = new ArrayList<>();
+        private Set<AdapterName> lastReported = Set.of();
         private long reportedAt;
 
         private boolean isDue(long now) {
-            boolean changed = !began.isEmpty() || !running.keySet().equals(reported);
+            boolean changed = !started.isEmpty() || !running.keySet().equals(lastReported);
             return changed || !running.isEmpty() && now - reportedAt >= RENEWAL_INTERVAL.toNanos();
         }
 
-        private boolean isOver() {
-            return began.isEmpty() && running.isEmpty() && reported.isEmpty();
+        private boolean isEmpty() {
+            return started.isEmpty() && running.isEmpty() && lastReported.isEmpty();
         }
     }
 
@@ -61,7 +61,7 @@
     public void began(Target target, AdapterName adapter) {
         Usage usage = usages.computeIfAbsent(target, missing -> new Usage());
         usage.running.merge(adapter, 1, Integer::sum);
-        usage.began.add(adapter);
+        usage.started.add(adapter);
     }
 
     /**
@@ -98,13 +98,13 @@
         while (all.hasNext()) {
             Map.Entry<Target, Usage> each = all.next();
             Usage usage = each.getValue();
-            if (usage.isOver()) {
+            if (usage.isEmpty()) {
                 all.remove();
             } else if (usage.isDue(now)) {
-                usage.reported = Set.copyOf(usage.running.keySet());
+                usage.lastReported = Set.copyOf(usage.running.keySet());
                 usage.reportedAt = now;
-                reports.add(new Report(each.getKey(), List.copyOf(usage.began), usage.reported));
-                usage.began.clear();
+                reports.add(new Report(each.getKey(), List.copyOf(usage.started), usage.lastReported));
+                usage.started.clear();
             }
         }
         return reports;
--- a/gateway/src/main/java/org/geraniumreach/gateway/cold/ColdTargets.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/cold/ColdTargets.java
@@ -29,9 +29,9 @@
     /** A little more than the second that the limit is for, since requests take different times to arrive. */
     static final Duration WINDOW = Duration.ofMillis(1_100);
 
-    private final Function<String, Optional<ServiceDefinition>> services;
+    private final Function<String, Optional<ServiceDefinition>> findService;
     private final Tolerance tolerance;
-    private final SendDivision division;
+    private final LimitDivision division;
     private final MonotonicClock clock;
     private final DecisionLog log;
     private final Map<Target, Long> coldUntil = new HashMap<>();
@@ -68,10 +68,10 @@
     public ColdTargets(
             Function<String, Optional<ServiceDefinition>> services,
             Tolerance tolerance,
-            SendDivision division,
+            LimitDivision division,
             MonotonicClock clock,
             DecisionLog log) {
-        this.services = Objects.requireNonNull(services, "services");
+        this.findService = Objects.requireNonNull(services, "services");
         this.tolerance = Objects.requireNonNull(tolerance, "tolerance");
         this.division = Objects.requireNonNull(division, "division");
         this.clock = Objects.requireNonNull(clock, "clock");
@@ -87,7 +87,7 @@
     @Override
     public void changed(Target target) {
         long now = clock.nanos();
-        Duration left = target.description().coldFor().orElseGet(() -> unknown(target));
+        Duration left = target.description().coldFor().orElseGet(() -> estimateColdTime(target));
         if (left.isZero()) {
             coldUntil.remove(target);
             return;
@@ -98,8 +98,9 @@
     }
 
     /** A life that does not tell may have begun when it was first seen. */
-    private Duration unknown(Target target) {
-        Duration coldStart = services.apply(target.description().service())
+    private Duration estimateColdTime(Target target) {
+        Duration coldStart = findService
+                .apply(target.description().service())
                 .map(ServiceDefinition::coldStart)
                 .orElse(ServiceDefinition.ColdStart.NONE)
                 .length();
@@ -135,17 +136,17 @@
         }
         long now = clock.nanos();
         boolean started = now - createdAt >= WINDOW.toNanos();
-        return started && target.sentWithin(WINDOW, now) < part(target).orElse(0);
+        return started && target.sentWithin(WINDOW, now) < share(target).orElse(0);
     }
 
     /** Without a configuration the rate is not known. */
-    private OptionalInt part(Target target) {
+    private OptionalInt share(Target target) {
         Optional<ServiceDefinition> service =
-                services.apply(target.description().service());
+                findService.apply(target.description().service());
         if (service.isEmpty()) {
             return OptionalInt.empty();
         }
         int limit = tolerance.limit(service.get().coldStart().requestsPerSecond());
-        return OptionalInt.of(division.part(target.id(), limit));
+        return OptionalInt.of(division.share(target.id(), limit));
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/cold/SendDivision.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/cold/LimitDivision.java
@@ -9,7 +9,7 @@
  * loop.
  */
 @FunctionalInterface
-public interface SendDivision {
+public interface LimitDivision {
 
     /**
      * Gets this entry's part.
@@ -18,5 +18,5 @@
      * @param limit the requests that all entries together may send in a window, not negative
      * @return the requests that this entry may send in a window, not negative
      */
-    int part(TargetId target, int limit);
+    int share(TargetId target, int limit);
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/cold/OwnerDivision.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/cold/OwnerOnlyDivision.java
@@ -11,21 +11,21 @@
  * <p>Intended for fleets with few requests at each entry. Invariant: two entries never have a part of one target, since ownership is exclusive and
  * passes on only after a lease. Confined to the event loop.
  */
-public final class OwnerDivision implements SendDivision {
+public final class OwnerOnlyDivision implements LimitDivision {
 
-    private final Predicate<TargetId> owned;
+    private final Predicate<TargetId> isOwned;
 
     /**
      * Creates a division.
      *
      * @param owned queries whether this entry owns a target now, not null
      */
-    public OwnerDivision(Predicate<TargetId> owned) {
-        this.owned = Objects.requireNonNull(owned, "owned");
+    public OwnerOnlyDivision(Predicate<TargetId> owned) {
+        this.isOwned = Objects.requireNonNull(owned, "owned");
     }
 
     @Override
-    public int part(TargetId target, int limit) {
-        return owned.test(target) ? limit : 0;
+    public int share(TargetId target, int limit) {
+        return isOwned.test(target) ? limit : 0;
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/evacuation/Evacuations.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/evacuation/Evacuations.java
@@ -23,18 +23,18 @@
  * serve the adapters that only they hold, while these are loaded elsewhere, so that the weight store is not asked for all of them at once.
  * Afterwards it is {@link Phase#EMPTY}, and nothing is sent there.
  *
- * <p>Invariant: a domain is empty from {@link #EMPTYING_PART} of the limit after the last reading of the store that did not show its evacuation
+ * <p>Invariant: a domain is empty from {@link #DRAIN_FRACTION} of the limit after the last reading of the store that did not show its evacuation
  * yet; where there was no reading before, at once. Confined to the event loop.
  */
 public final class Evacuations {
 
     /** Part of the limit that is used for emptying; the rest covers clock drift and requests on their way. */
-    static final double EMPTYING_PART = 0.6;
+    static final double DRAIN_FRACTION = 0.6;
 
-    private final Duration emptyingTime;
+    private final Duration drainTime;
     private final MonotonicClock clock;
     private final DecisionLog log;
-    private final Map<FailureDomain, Long> emptyFrom = new HashMap<>();
+    private final Map<FailureDomain, Long> drainedFrom = new HashMap<>();
 
     /** What may still be sent to a failure domain. */
     public enum Phase {
@@ -55,7 +55,7 @@
      */
     public Evacuations(Duration limit, MonotonicClock clock, DecisionLog log) {
         Objects.requireNonNull(limit, "limit");
-        this.emptyingTime = Duration.ofNanos((long) (limit.toNanos() * EMPTYING_PART));
+        this.drainTime = Duration.ofNanos((long) (limit.toNanos() * DRAIN_FRACTION));
         this.clock = Objects.requireNonNull(clock, "clock");
         this.log = Objects.requireNonNull(log, "log");
     }
@@ -78,19 +78,19 @@
             }
         }
         if (news.whole()) {
-            Set.copyOf(emptyFrom.keySet()).stream()
+            Set.copyOf(drainedFrom.keySet()).stream()
                     .filter(domain -> !listed.contains(domain))
                     .forEach(this::end);
         }
     }
 
     private void start(FailureDomain domain, OptionalLong readBefore) {
-        if (emptyFrom.containsKey(domain)) {
+        if (drainedFrom.containsKey(domain)) {
             return;
         }
         long now = clock.nanos();
-        long from = readBefore.isPresent() ? Math.max(now, readBefore.getAsLong() + emptyingTime.toNanos()) : now;
-        emptyFrom.put(domain, from);
+        long from = readBefore.isPresent() ? Math.max(now, readBefore.getAsLong() + drainTime.toNanos()) : now;
+        drainedFrom.put(domain, from);
         log.write(
                 EventCode.DOMAIN_EVACUATED,
                 domain.value(),
@@ -103,7 +103,7 @@
     }
 
     private void end(FailureDomain domain) {
-        if (emptyFrom.remove(domain) != null) {
+        if (drainedFrom.remove(domain) != null) {
             log.write(EventCode.DOMAIN_TAKEN_BACK, domain.value());
         }
     }
@@ -115,7 +115,7 @@
      * @return the phase, not null
      */
     public Phase phase(FailureDomain domain) {
-        Long from = emptyFrom.get(domain);
+        Long from = drainedFrom.get(domain);
         if (from == null) {
             return Phase.IN_USE;
         }
--- a/gateway/src/main/java/org/geraniumreach/gateway/meter/DemandRate.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/meter/DemandRate.java
@@ -10,7 +10,7 @@
     /** An entry sees one or two requests a second of a small account; four seconds make five of them. */
     private static final double TIME_CONSTANT_NANOS = 4e9;
 
-    private static final double NANOS = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
     private double perSecond;
     private long updatedAt;
@@ -31,7 +31,7 @@
      * @param now the time
      */
     public void asked(double units, long now) {
-        perSecond = at(now) + units * NANOS / TIME_CONSTANT_NANOS;
+        perSecond = at(now) + units * NANOS_PER_SECOND / TIME_CONSTANT_NANOS;
         updatedAt = now;
     }
 
@@ -43,7 +43,7 @@
      * @return units a second, not below zero
      */
     public double without(double units, long now) {
-        return Math.max(0, at(now) - units * NANOS / TIME_CONSTANT_NANOS);
+        return Math.max(0, at(now) - units * NANOS_PER_SECOND / TIME_CONSTANT_NANOS);
     }
 
     /**
--- a/gateway/src/main/java/org/geraniumreach/gateway/pacing/OwnerAdmission.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/pacing/OwnerAdmission.java
@@ -36,10 +36,10 @@
     private final Timers timers;
     private final MonotonicClock clock;
     private final Map<Target, PromptPacer> pacers = new HashMap<>();
-    private final Map<Long, Pending> pending = new HashMap<>();
-    private long numbers;
+    private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
+    private long lastRequestNumber;
 
-    private record Pending(Consumer<Decision> decided, Cancellable timeout) {}
+    private record PendingRequest(Consumer<Decision> callback, Cancellable timeout) {}
 
     /**
      * Creates an admission.
@@ -69,23 +69,24 @@
     @Override
     public Cancellable admit(Target target, long promptTokens, Duration longestDelay, Consumer<Decision> decided) {
         if (isOwned(target)) {
-            decided.accept(pace(target, promptTokens, longestDelay));
+            decided.accept(admitLocally(target, promptTokens, longestDelay));
             return Cancellable.NOTHING;
         }
-        long number = ++numbers;
+        long number = ++lastRequestNumber;
         Optional<String> owner = ownership.holder(target.id()).filter(entry -> !entry.equals(ownership.self()));
-        boolean asked = owner.isPresent() && peers.ask(owner.get(), number, target.id(), promptTokens, longestDelay);
+        boolean asked = owner.isPresent()
+                && peers.requestAdmission(owner.get(), number, target.id(), promptTokens, longestDelay);
         if (!asked) {
-            decided.accept(Decision.AT_ONCE);
+            decided.accept(Decision.IMMEDIATE);
             return Cancellable.NOTHING;
         }
-        Cancellable timeout = timers.after(ANSWER_TIMEOUT, () -> onAnswer(number, Decision.AT_ONCE));
-        pending.put(number, new Pending(decided, timeout));
-        return () -> forget(number);
+        Cancellable timeout = timers.after(ANSWER_TIMEOUT, () -> onAnswer(number, Decision.IMMEDIATE));
+        pendingRequests.put(number, new PendingRequest(decided, timeout));
+        return () -> cancel(number);
     }
 
-    private void forget(long number) {
-        Pending request = pending.remove(number);
+    private void cancel(long number) {
+        PendingRequest request = pendingRequests.remove(number);
         if (request != null) {
             request.timeout().cancel();
         }
@@ -95,7 +96,7 @@
         return ownership.fence(target.id()).isPresent();
     }
 
-    private Decision pace(Target target, long promptTokens, Duration longestDelay) {
+    private Decision admitLocally(Target target, long promptTokens, Duration longestDelay) {
         double millis =
                 promptTokens / tokensPerMilli.applyAsDouble(target.description().service());
         Duration reading = Duration.ofNanos((long) (millis * NANOS_PER_MILLI));
@@ -113,8 +114,8 @@
     public Decision decide(TargetId id, long promptTokens, Duration longestDelay) {
         return registry.find(id)
                 .filter(this::isOwned)
-                .map(target -> pace(target, Math.max(0, promptTokens), longestDelay))
-                .orElse(Decision.AT_ONCE);
+                .map(target -> admitLocally(target, Math.max(0, promptTokens), longestDelay))
+                .orElse(Decision.IMMEDIATE);
     }
 
     /**
@@ -124,10 +125,10 @@
      * @param decision the decision, not null
      */
     public void onAnswer(long number, Decision decision) {
-        Pending request = pending.remove(number);
+        PendingRequest request = pendingRequests.remove(number);
         if (request != null) {
             request.timeout().cancel();
-            request.decided().accept(decision);
+            request.callback().accept(decision);
         }
     }
 
--- a/gateway/src/main/java/org/geraniumreach/gateway/pacing/TargetAdmission.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/pacing/TargetAdmission.java
@@ -35,7 +35,7 @@
     record Decision(boolean admitted, Duration delay) {
 
         /** The prompt may be sent at once. */
-        public static final Decision AT_ONCE = new Decision(true, Duration.ZERO);
+        public static final Decision IMMEDIATE = new Decision(true, Duration.ZERO);
 
         /** The prompt would be held back for too long. */
         public static final Decision SATURATED = new Decision(false, Duration.ZERO);
@@ -52,7 +52,7 @@
      */
     static TargetAdmission unpaced() {
         return (target, promptTokens, longestDelay, decided) -> {
-            decided.accept(Decision.AT_ONCE);
+            decided.accept(Decision.IMMEDIATE);
             return Cancellable.NOTHING;
         };
     }
--- a/gateway/src/main/java/org/geraniumreach/gateway/pacing/TargetAdmissionPeers.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/pacing/TargetAdmissionPeers.java
@@ -22,5 +22,5 @@
      * @param longestDelay the longest time that it may be held back, not null
      * @return false if the entry cannot be reached
      */
-    boolean ask(String entry, long number, TargetId target, long promptTokens, Duration longestDelay);
+    boolean requestAdmission(String entry, long number, TargetId target, long promptTokens, Duration longestDelay);
 }
--- a/gateway/src/test/java/org/geraniumreach/gateway/adapter/AdapterSlotsTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/adapter/AdapterSlotsTest.java
@@ -122,7 +122,7 @@
         }
         world.slots.reported(new TargetReport(0, Map.of("base", full), Set.of()), 0);
         world.slots.running("gone", Set.of(name(0), name(1), name(2), name(3), name(4)), 0);
-        long now = RunningAdapters.LIFETIME.toNanos();
+        long now = RunningAdapters.REPORT_LIFETIME.toNanos();
         world.slots.enqueue(name(9), OptionalLong.empty(), now);
         assertThat(world.slots.next(now)).isPresent();
     }
@@ -185,10 +185,10 @@
         world.slots.answered(unload, OrderResult.ALREADY_SO, now);
         full.remove(unload.adapter().orElseThrow().adapter());
         now += 400 * MILLI;
-        assertThat(world.slots.next(now)).contains(new AdapterSlots.Step.Report());
+        assertThat(world.slots.next(now)).contains(new AdapterSlots.Step.ReadReport());
         world.slots.reported(new TargetReport(1, Map.of("base", full), Set.of()), now);
         while (world.window.isOpen()) {
-            world.window.began();
+            world.window.onFetchStarted();
         }
         world.slots.enqueue(name(9), OptionalLong.of(now), now);
         world.slots.enqueue(unload.adapter().orElseThrow(), OptionalLong.of(now + 1), now);
@@ -253,7 +253,7 @@
             now += 150 * MILLI;
             world.slots.answered((AdapterSlots.Step.Send) step, OrderResult.UNKNOWN, now);
         }
-        assertThat(world.slots.next(now + 400 * MILLI)).contains(new AdapterSlots.Step.Report());
+        assertThat(world.slots.next(now + 400 * MILLI)).contains(new AdapterSlots.Step.ReadReport());
     }
 
     private static AdapterName name(int number) {
@@ -288,7 +288,7 @@
                 }
                 slots.next(now).ifPresent(this::carryOut);
                 assertThat(resident.size() + coming.size()).isLessThanOrEqualTo(PLACES);
-                assertThat(window.underWay()).isBetween(0, PLACES);
+                assertThat(window.inFlight()).isBetween(0, PLACES);
             }
         }
 
@@ -304,7 +304,7 @@
         }
 
         private void carryOut(AdapterSlots.Step step) {
-            if (step instanceof AdapterSlots.Step.Report) {
+            if (step instanceof AdapterSlots.Step.ReadReport) {
                 report();
                 return;
             }
--- a/gateway/src/test/java/org/geraniumreach/gateway/adapter/FetchWindowTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/adapter/FetchWindowTest.java
@@ -25,11 +25,11 @@
         FetchWindow window = new FetchWindow();
         int begun = 0;
         while (window.isOpen()) {
-            window.began();
+            window.onFetchStarted();
             begun++;
         }
         assertThat(begun).isEqualTo(window.size());
-        window.ended(FULL_SPEED);
+        window.onFetchEnded(FULL_SPEED);
         assertThat(window.isOpen()).isTrue();
     }
 
@@ -40,8 +40,8 @@
         FetchWindow window = new FetchWindow();
         int first = window.size();
         for (int round = 0; round < 100; round++) {
-            window.began();
-            window.ended(Duration.ofMillis(round % 2 == 0 ? 25 : 250));
+            window.onFetchStarted();
+            window.onFetchEnded(Duration.ofMillis(round % 2 == 0 ? 25 : 250));
         }
         assertThat(window.size()).isGreaterThanOrEqualTo(first);
     }
@@ -49,11 +49,11 @@
     @Test
     void aSlowWeightStoreNeverStopsFetches() {
         FetchWindow window = new FetchWindow();
-        window.began();
-        window.ended(FULL_SPEED);
+        window.onFetchStarted();
+        window.onFetchEnded(FULL_SPEED);
         for (int round = 1; round < 100; round++) {
-            window.began();
-            window.ended(Duration.ofSeconds(10));
+            window.onFetchStarted();
+            window.onFetchEnded(Duration.ofSeconds(10));
         }
         assertThat(window.isOpen()).isTrue();
     }
@@ -110,16 +110,16 @@
     void oneSlowFetchDoesNotShutTheWindow() {
         FetchWindow window = new FetchWindow();
         for (int round = 0; round < 40; round++) {
-            window.began();
-            window.began();
-            window.ended(FULL_SPEED);
-            window.ended(FULL_SPEED);
+            window.onFetchStarted();
+            window.onFetchStarted();
+            window.onFetchEnded(FULL_SPEED);
+            window.onFetchEnded(FULL_SPEED);
         }
         int before = window.size();
-        window.began();
-        window.ended(Duration.ofSeconds(3));
-        window.began();
-        window.ended(FULL_SPEED);
+        window.onFetchStarted();
+        window.onFetchEnded(Duration.ofSeconds(3));
+        window.onFetchStarted();
+        window.onFetchEnded(FULL_SPEED);
         assertThat(window.size()).isGreaterThanOrEqualTo(before - 1);
     }
 
@@ -169,7 +169,7 @@
 
         private void begin(FetchWindow window) {
             while (window.isOpen()) {
-                window.began();
+                window.onFetchStarted();
                 underWay.add(new Fetch(window, nowMillis - random.nextInt(20)));
             }
         }
@@ -178,7 +178,7 @@
             underWay.remove(fetch);
             long took = nowMillis - fetch.begunMillis;
             times.add(took);
-            fetch.window.ended(Duration.ofMillis(took));
+            fetch.window.onFetchEnded(Duration.ofMillis(took));
         }
     }
 }
--- a/gateway/src/test/java/org/geraniumreach/gateway/adapter/LoadQueueTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/adapter/LoadQueueTest.java
@@ -36,7 +36,7 @@
         queue.enqueue(name(2), at(100), 0);
         queue.enqueue(name(3), at(900), 0);
         queue.enqueue(name(4), at(400), 0);
-        assertThat(queue.inOrder(0, LOAD)).containsExactly(name(4), name(3), name(2), name(1));
+        assertThat(queue.byUrgency(0, LOAD)).containsExactly(name(4), name(3), name(2), name(1));
     }
 
     @Test
@@ -44,7 +44,7 @@
         queue.enqueue(name(1), at(100), 0);
         queue.enqueue(name(2), at(700), 200 * MILLI);
         queue.enqueue(name(1), at(600), 200 * MILLI);
-        assertThat(queue.inOrder(200 * MILLI, LOAD)).containsExactly(name(1), name(2));
+        assertThat(queue.byUrgency(200 * MILLI, LOAD)).containsExactly(name(1), name(2));
     }
 
     // For some seconds adapters are asked for half as often again as one target can fetch them. In the order of their
@@ -65,7 +65,7 @@
             }
             renew(asking, askedAt, now);
             if (now >= loadedAt && !queue.isEmpty()) {
-                List<AdapterName> order = queue.inOrder(now * MILLI, LOAD);
+                List<AdapterName> order = queue.byUrgency(now * MILLI, LOAD);
                 int loaded = Integer.parseInt(order.get(0).adapter().substring(1));
                 queue.remove(order.get(0));
                 asking.remove(loaded);
--- a/gateway/src/test/java/org/geraniumreach/gateway/adapter/TargetOwnershipTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/adapter/TargetOwnershipTest.java
@@ -116,7 +116,7 @@
     void aReleaseCountsForTheLifeThatWroteIt(long releasedBy, boolean claimed) {
         held("two", 1, 7);
         holdings.seenLease("two", 3, OptionalLong.of(releasedBy));
-        time.pass(Lease.TURN.plusMillis(100));
+        time.pass(Lease.HANDOVER_GAP.plusMillis(100));
         renew();
         assertThat(claim().isPresent()).isEqualTo(claimed);
     }
--- a/gateway/src/test/java/org/geraniumreach/gateway/cold/ColdTargetsTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/cold/ColdStartLimiterTest.java
@@ -26,7 +26,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /** Plays entries that send as much as they may to a target that has not warmed up. */
-class ColdTargetsTest {
+class ColdStartLimiterTest {
 
     private static final TargetId ID = TargetId.of("t1");
     private static final ColdTargets.Tolerance TOLERANCE = new ColdTargets.Tolerance(1.5, 5);
@@ -201,7 +201,7 @@
     /** Guards against two entries that both take themselves for the owner's part. */
     @Test
     void theOwnerAloneHasThePartWhereItIsNotDivided() {
-        assertThat(new OwnerDivision(target -> true).part(ID, 17)).isEqualTo(17);
-        assertThat(new OwnerDivision(target -> false).part(ID, 17)).isZero();
+        assertThat(new OwnerOnlyDivision(target -> true).share(ID, 17)).isEqualTo(17);
+        assertThat(new OwnerOnlyDivision(target -> false).share(ID, 17)).isZero();
     }
 }
--- a/gateway/src/test/java/org/geraniumreach/gateway/pacing/OwnerAdmissionTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/pacing/OwnerAdmissionTest.java
@@ -106,7 +106,7 @@
         other.send();
         time.pass(Duration.ofMillis(10));
         assertThat(decisions).hasSize(3);
-        assertThat(decisions.get(0)).isEqualTo(Decision.AT_ONCE);
+        assertThat(decisions.get(0)).isEqualTo(Decision.IMMEDIATE);
         assertThat(decisions.get(2).delay()).isGreaterThan(Duration.ofMillis(80));
     }
 
@@ -116,10 +116,10 @@
         answers = false;
         other.send();
         time.pass(Duration.ofMillis(70));
-        assertThat(decisions).containsExactly(Decision.AT_ONCE);
+        assertThat(decisions).containsExactly(Decision.IMMEDIATE);
         linkOpen = false;
         other.send();
-        assertThat(decisions).containsExactly(Decision.AT_ONCE, Decision.AT_ONCE);
+        assertThat(decisions).containsExactly(Decision.IMMEDIATE, Decision.IMMEDIATE);
     }
 
     /** Guards against a second decision for one request, after its time was up or its caller had gone. */
@@ -133,10 +133,10 @@
     @Test
     void anEntryThatDoesNotOwnTheTargetHoldsNothingBack() {
         for (int prompt = 0; prompt < 20; prompt++) {
-            assertThat(other.admission.decide(ID, PROMPT, LONGEST)).isEqualTo(Decision.AT_ONCE);
+            assertThat(other.admission.decide(ID, PROMPT, LONGEST)).isEqualTo(Decision.IMMEDIATE);
         }
         assertThat(owner.admission.decide(TargetId.of("unknown"), PROMPT, LONGEST))
-                .isEqualTo(Decision.AT_ONCE);
+                .isEqualTo(Decision.IMMEDIATE);
     }
 
     /** Guards against a target that starts anew and is taken to have its former life's prompts to read. */
@@ -149,6 +149,6 @@
         owner.registry.put(description(2));
         decisions.clear();
         owner.send();
-        assertThat(decisions).containsExactly(Decision.AT_ONCE);
+        assertThat(decisions).containsExactly(Decision.IMMEDIATE);
     }
 }
--- a/gateway/src/test/java/org/geraniumreach/gateway/pacing/PromptPacerTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/pacing/PromptPacerTest.java
@@ -46,7 +46,7 @@
         PromptPacer pacer = new PromptPacer();
         pacer.admit(Duration.ofSeconds(10), LONGEST, 0);
         assertThat(pacer.admit(PROMPT, LONGEST, Duration.ofSeconds(14).toNanos()))
-                .isEqualTo(Decision.AT_ONCE);
+                .isEqualTo(Decision.IMMEDIATE);
     }
 
     /** Guards against a span in which a target has more to read than its streams can bear. */
@@ -72,7 +72,8 @@
                 long span = sent.get(next)[0] - sent.get(first)[0];
                 assertThat(before)
                         .isLessThanOrEqualTo(
-                                (long) ((span + PromptPacer.BURST.toNanos()) * PromptPacer.READING_PART) + 1_000_000);
+                                (long) ((span + PromptPacer.BURST.toNanos()) * PromptPacer.READING_FRACTION)
+                                        + 1_000_000);
             }
         }
     }
