--- a/gateway/src/main/java/org/geraniumreach/gateway/adapter/AdapterSlots.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/adapter/AdapterSlots.java
@@ -16,46 +16,46 @@
 import org.geraniumreach.gateway.traffic.AdapterName;
 
 /**
- * The adapter slots of one life of a target, as its owner tracks them.
+ * Tracks the adapter slots of one incarnation of a target for the entry that owns it, and chooses the calls to the target.
  *
- * <p>Invariants: the adapters that are loaded, loading, or may not be unloaded yet are never more than the slots, since an order
- * beyond them crashes the target; at most {@link #MAX_CONCURRENT_LOADS} are coming; one call is under way at a time, so the number of
- * accepted orders that each order names is known, and an order that is carried out late finds another number and does
- * nothing. An order whose answer was lost is sent again unchanged before any other: whichever copy comes first is carried out,
- * and the others find another number. After {@link #MAX_SEND_ATTEMPTS}, or a conflict, nothing is ordered until a report has told
- * what is so. Confined to the event loop.
+ * <p>Invariants: the adapters that are loaded, loading or still unloading never exceed the slots, since an order beyond them
+ * crashes the target; at most {@link #MAX_CONCURRENT_LOADS} are loading; one call is in progress at a time. Each order therefore
+ * carries the exact number of orders accepted before it, and the target ignores an order that arrives after that number has
+ * changed. An order whose answer was lost is sent again unchanged before any other: the target executes the copy that arrives
+ * first and ignores the others. After {@link #MAX_SEND_ATTEMPTS} attempts or a conflict, no order is sent until a report has shown
+ * the state of the target. Confined to the event loop.
  */
 public final class AdapterSlots {
 
-    /** Adapters that a target fetches at the same time; it refuses more. */
+    /** A target refuses to load more adapters than this at the same time. */
     static final int MAX_CONCURRENT_LOADS = 4;
 
     /**
-     * Part of an undisturbed fetch's time after which it is polled first. Recent fetch times would feed back: they are measured by
-     * these polls, so one slow fetch would delay the polls of the next ones.
+     * Fraction of the base fetch time after which a fetch is first polled. Recent fetch times are not used because the polls
+     * measure them: one slow fetch would delay the polls of the next ones.
      */
     private static final double FIRST_POLL_FRACTION = 0.92;
 
     private static final Duration CACHED_FIRST_POLL_DELAY = Duration.ofMillis(24);
 
-    /** An order repeated to ask whether a load is done costs a thirtieth of a report and delays nobody. */
+    /** A poll repeats the order; it costs a thirtieth of a report and delays no other order. */
     private static final Duration POLL_INTERVAL = Duration.ofMillis(25);
 
-    /** A target that waits for runs to end before it carries an order out refuses all others meanwhile. */
+    /** A target that defers an order until running requests end refuses all other orders meanwhile. */
     private static final Duration DEFERRED_ORDER_POLL_INTERVAL = Duration.ofMillis(40);
 
-    /** Sendings of one order; a target that answers none of them is better asked for a report. */
+    /** Attempts to send one order; a report is read if none of them is answered. */
     private static final int MAX_SEND_ATTEMPTS = 3;
 
     private static final Duration MODEL_POLL_INTERVAL = Duration.ofMillis(200);
 
-    /** A report tells of a moment up to 0.2 s ago, so one read sooner may not know of the last order. */
+    /** A report is up to 0.2 s old, so one that is read sooner may not include the last order. */
     private static final Duration REPORT_LAG = Duration.ofMillis(300);
 
-    /** Entries report requests that began within {@link UsageReports#CHECK_INTERVAL}, so one that began earlier is known. */
+    /** Longer than {@link UsageReports#CHECK_INTERVAL}, so that every request started earlier has been reported. */
     private static final Duration MIN_IDLE_BEFORE_EVICTION = Duration.ofMillis(450);
 
-    /** Adapters that a target is taken to keep at hand after they were evicted; taken for more, a fetch would not be counted as one. */
+    /** Unloaded adapters assumed to be in the target's own memory; with a higher number some fetches would not be counted. */
     private static final int MAX_CACHED_ADAPTERS = 100;
 
     private static final Duration REFUSAL_DELAY = Duration.ofMillis(500);
@@ -83,98 +83,98 @@
     private int sendAttempts;
 
     /**
-     * Whether an order from before the last report may still await runs at the target. A report does not tell; the same order sent
-     * again is accepted without being counted there. Counted here, it made a later order name a number yet to come: lost, and
-     * carried out when the number came, it loaded an adapter beyond the places. So the count is read anew after such an order,
-     * until the target has accepted a load, whose number it has checked.
+     * Whether the target may still defer an order from before the last report, which the report does not show. The target accepts
+     * a repetition of that order without counting it. Counted here, a later order would carry a number that is too high; if lost
+     * and executed once the number is reached, it would load an adapter beyond the slots. So the count is read again after such an
+     * order, until the target has accepted a load, which confirms the number.
      */
     private boolean orderCountUncertain = true;
 
-    /** Is told of adapters that come and go. */
+    /** Receives changes of the adapters that a target holds. */
     public interface Listener {
 
         /**
-         * Tells that an adapter is there.
+         * Called when an adapter is loaded.
          *
          * @param adapter the adapter, not null
-         * @param version its version
+         * @param version the loaded version
          */
         void arrived(AdapterName adapter, long version);
 
         /**
-         * Tells that an adapter is not there any more, or will not be for requests that come now.
+         * Called when an adapter is unloaded or starts to be unloaded, so that it cannot serve new requests.
          *
          * @param adapter the adapter, not null
          */
         void leaves(AdapterName adapter);
 
-        /** Tells that the base model is there. */
+        /** Called when the base model is loaded. */
         void modelArrived();
     }
 
-    /** A call to be made. */
+    /** A call to the target. */
     public sealed interface Step {
 
         /**
-         * Send an order.
+         * Sends an order.
          *
-         * @param operation what to do
+         * @param operation the operation
          * @param adapter the adapter, empty for the base model
-         * @param expectedOrders the orders accepted before
+         * @param expectedOrders the number of orders accepted before this one
          */
         record Send(Order.Operation operation, Optional<AdapterName> adapter, long expectedOrders) implements Step {}
 
-        /** Read the report. */
+        /** Reads the target's report. */
         record ReadReport() implements Step {}
     }
 
     /**
-     * Makes the places of a target whose state is not known yet.
+     * Creates the slots of a target whose state is unknown.
      *
-     * @param places how many there are
+     * @param slots the number of slots, at least 1
      * @param model the base model, not null
-     * @param newestVersion tells an adapter's newest version, not null
-     * @param window limits the fetches of all targets that this entry holds, not null
-     * @param listener told of changes, not null
+     * @param newestVersion returns an adapter's newest version, not null
+     * @param fetchWindow limits the concurrent fetches of all targets that this entry owns, not null
+     * @param listener receives changes, not null
      */
     public AdapterSlots(
-            int places,
+            int slots,
             String model,
             Function<AdapterName, Long> newestVersion,
-            FetchWindow window,
+            FetchWindow fetchWindow,
             Listener listener) {
-        if (places < 1) {
-            throw new IllegalArgumentException("places below 1: " + places);
+        if (slots < 1) {
+            throw new IllegalArgumentException("slots below 1: " + slots);
         }
-        this.slots = places;
+        this.slots = slots;
         this.model = Objects.requireNonNull(model, "model");
         this.newestVersion = Objects.requireNonNull(newestVersion, "newestVersion");
-        this.fetchWindow = Objects.requireNonNull(window, "window");
+        this.fetchWindow = Objects.requireNonNull(fetchWindow, "fetchWindow");
         this.listener = Objects.requireNonNull(listener, "listener");
     }
 
     /**
-     * Asks for an adapter.
+     * Requests the load of an adapter, or notifies the listener if it is loaded already.
      *
      * @param adapter the adapter, not null
-     * @param lateAt when the request that waits for it misses its objective, empty if none waits, not null
-     * @param now the time
+     * @param deadline when the waiting request misses its objective, empty if none waits, not null
+     * @param now the current time, in nanoseconds
      */
-    public void enqueue(AdapterName adapter, OptionalLong lateAt, long now) {
+    public void enqueue(AdapterName adapter, OptionalLong deadline, long now) {
         frequency.recordUses(adapter, 1, now);
-        if (isPresent(adapter)) {
+        if (isLoaded(adapter)) {
             listener.arrived(adapter, resident.get(adapter));
             return;
         }
-        loadQueue.enqueue(adapter, lateAt, now);
+        loadQueue.enqueue(adapter, deadline, now);
     }
 
     /**
-     * Queries whether one more load request finds a slot before those that run have ended.
+     * Returns whether one more load request can get a slot without waiting for running requests to end.
      *
      * @param adapter the adapter, not null
-     * @param now the time
-     * @return true if it does, or if the adapter is there, coming or asked for already
+     * @param now the current time, in nanoseconds
+     * @return true if it can, or if the adapter is loaded, loading or queued already
      */
     public boolean hasSlotFor(AdapterName adapter, long now) {
         boolean known = resident.containsKey(adapter) || nextPollAt.containsKey(adapter) || loadQueue.contains(adapter);
@@ -182,65 +182,65 @@
     }
 
     /**
-     * Notes that requests for an adapter were sent to the target.
+     * Records requests for an adapter that were sent to the target.
      *
      * @param adapter the adapter, not null
-     * @param count how many
-     * @param now the time
+     * @param count the number of requests
+     * @param now the current time, in nanoseconds
      */
     public void used(AdapterName adapter, int count, long now) {
         frequency.recordUses(adapter, count, now);
     }
 
     /**
-     * Takes an entry's report of the adapters that its requests run for.
+     * Replaces the adapters that an entry's running requests use.
      *
      * @param entry the entry, not null
      * @param adapters the adapters, not null
-     * @param now the time
+     * @param now the current time, in nanoseconds
      */
     public void running(String entry, Set<AdapterName> adapters, long now) {
         running.update(entry, adapters, now);
     }
 
     /**
-     * Gets how long nothing is to be done.
+     * Returns the time until the next call may be due.
      *
-     * @param now the time
-     * @return the time until the next call may be due, empty if that depends on other events than the passing of time, not null
+     * @param now the current time, in nanoseconds
+     * @return the time, empty if a call may be due already or depends on other events than time, not null
      */
     public Optional<Duration> untilNextCall(long now) {
-        boolean open = acceptedOrders.isEmpty()
+        boolean mayBeDue = acceptedOrders.isEmpty()
                 || !modelLoaded
                 || unansweredOrder.isPresent()
                 || !loadQueue.isSubsetOf(nextPollAt.keySet());
-        if (open || callInProgress) {
+        if (mayBeDue || callInProgress) {
             return Optional.empty();
         }
         Optional<Long> next = deferredAdapter.isPresent()
-                ? deferredAdapter.map(waiting -> nextPollAt.getOrDefault(waiting, now))
+                ? deferredAdapter.map(adapter -> nextPollAt.getOrDefault(adapter, now))
                 : nextPollAt.values().stream().min(Long::compare);
         return next.map(at -> Duration.ofNanos(Math.max(0, Math.max(at, earliestCallAt) - now)));
     }
 
-    private boolean isPresent(AdapterName adapter) {
+    private boolean isLoaded(AdapterName adapter) {
         Long version = resident.get(adapter);
         return version != null && !unloading.contains(adapter) && version >= newestVersion.apply(adapter);
     }
 
     /**
-     * Chooses the next call.
+     * Returns the next call, which is in progress from then on.
      *
-     * @param now the time
-     * @return the call, or empty if none is due
+     * @param now the current time, in nanoseconds
+     * @return the call, or empty if none is due or one is in progress
      */
     public Optional<Step> next(long now) {
         if (callInProgress || now < earliestCallAt) {
             return Optional.empty();
         }
-        Optional<Step> step = acceptedOrders.isEmpty() ? Optional.of(new Step.ReadReport()) : nextOrder(now);
-        callInProgress = step.isPresent();
-        return step;
+        Optional<Step> call = acceptedOrders.isEmpty() ? Optional.of(new Step.ReadReport()) : nextOrder(now);
+        callInProgress = call.isPresent();
+        return call;
     }
 
     private Optional<Step> nextOrder(long now) {
@@ -249,7 +249,7 @@
         }
         if (!modelLoaded) {
             earliestCallAt = now + MODEL_POLL_INTERVAL.toNanos();
-            return send(Order.Operation.LOAD, Optional.empty());
+            return orderCall(Order.Operation.LOAD, Optional.empty());
         }
         if (deferredAdapter.isPresent()) {
             return pollDeferredOrder(now);
@@ -259,7 +259,7 @@
                 .map(Map.Entry::getKey)
                 .findFirst();
         if (due.isPresent()) {
-            return send(pendingOperation(due.get()), due);
+            return orderCall(pendingOperation(due.get()), due);
         }
         return nextLoadRequest(now);
     }
@@ -268,11 +268,11 @@
         if (nextPollAt.getOrDefault(deferredAdapter.get(), now) > now) {
             return Optional.empty();
         }
-        return send(pendingOperation(deferredAdapter.get()), deferredAdapter);
+        return orderCall(pendingOperation(deferredAdapter.get()), deferredAdapter);
     }
 
-    private Order.Operation pendingOperation(AdapterName underWay) {
-        return unloading.contains(underWay) ? Order.Operation.UNLOAD : Order.Operation.LOAD;
+    private Order.Operation pendingOperation(AdapterName adapter) {
+        return unloading.contains(adapter) ? Order.Operation.UNLOAD : Order.Operation.LOAD;
     }
 
     private Optional<Step> nextLoadRequest(long now) {
@@ -281,19 +281,19 @@
         }
         for (AdapterName adapter :
                 loadQueue.byUrgency(now, fetchWindow.baseFetchTime().orElse(Duration.ZERO))) {
-            if (isPresent(adapter)) {
+            if (isLoaded(adapter)) {
                 loadQueue.remove(adapter);
                 continue;
             }
-            // What the target has at hand does not wait for the weight store behind what it has not.
+            // Adapters in the target's own memory do not use the weight store, so they do not wait for it.
             boolean mustWait = isFetch(adapter) && !fetchWindow.isOpen();
             if (nextPollAt.containsKey(adapter) || mustWait) {
                 continue;
             }
             if (resident.containsKey(adapter) || occupiedSlots() < slots) {
-                return send(Order.Operation.LOAD, Optional.of(adapter));
+                return orderCall(Order.Operation.LOAD, Optional.of(adapter));
             }
-            return evictionVictim(now).flatMap(idle -> send(Order.Operation.UNLOAD, Optional.of(idle)));
+            return evictionVictim(now).flatMap(idle -> orderCall(Order.Operation.UNLOAD, Optional.of(idle)));
         }
         return Optional.empty();
     }
@@ -320,7 +320,7 @@
             return Optional.empty();
         }
         return evictionCandidates(now)
-                .min((one, other) -> Double.compare(evictionRank(one, now), evictionRank(other, now)));
+                .min((first, second) -> Double.compare(evictionRank(first, now), evictionRank(second, now)));
     }
 
     private Stream<AdapterName> evictionCandidates(long now) {
@@ -330,22 +330,22 @@
                 .filter(adapter -> !running.contains(adapter, now));
     }
 
-    /** An outdated version serves nobody, so it goes first. */
+    /** Outdated versions serve no requests, so they are evicted first. */
     private double evictionRank(AdapterName adapter, long now) {
         boolean outdated = resident.get(adapter) < newestVersion.apply(adapter);
         return outdated ? -1 : frequency.score(adapter, now);
     }
 
-    private Optional<Step> send(Order.Operation operation, Optional<AdapterName> adapter) {
+    private Optional<Step> orderCall(Order.Operation operation, Optional<AdapterName> adapter) {
         return Optional.of(new Step.Send(operation, adapter, acceptedOrders.getAsLong()));
     }
 
     /**
-     * Takes the answer to an order.
+     * Processes the result of an order.
      *
      * @param sent the order, not null
-     * @param result its result, not null
-     * @param now the time
+     * @param result the result, not null
+     * @param now the current time, in nanoseconds
      */
     public void answered(Step.Send sent, OrderResult result, long now) {
         callInProgress = false;
@@ -358,21 +358,21 @@
         unansweredOrder = Optional.empty();
         sendAttempts = 0;
         switch (result) {
-            case ACCEPTED -> accepted(sent, now);
+            case ACCEPTED -> onAccepted(sent, now);
             case ALREADY_SO -> onAlreadyDone(sent, wasUnanswered, now);
             case REFUSED, FENCED, ANOTHER_TARGET -> onRefused(sent, now);
             default -> requireReport(now);
         }
     }
 
-    /** A load of the base model is asked for again in any case, and a look is no new order. */
+    /** Model loads are repeated in any case, and a poll is not a new order. */
     private boolean mayRepeat(Step.Send sent) {
         boolean known = sent.adapter().isEmpty()
                 || nextPollAt.containsKey(sent.adapter().get());
         return !known && sendAttempts < MAX_SEND_ATTEMPTS;
     }
 
-    private void accepted(Step.Send sent, long now) {
+    private void onAccepted(Step.Send sent, long now) {
         if (sent.adapter().isEmpty()) {
             if (!modelLoading) {
                 modelLoading = true;
@@ -382,26 +382,26 @@
         }
         AdapterName adapter = sent.adapter().get();
         boolean repeated = nextPollAt.containsKey(adapter);
-        boolean waits = sent.operation() == Order.Operation.UNLOAD || resident.containsKey(adapter);
-        if (!repeated && !(waits && orderCountUncertain)) {
+        boolean deferred = sent.operation() == Order.Operation.UNLOAD || resident.containsKey(adapter);
+        if (!repeated && !(deferred && orderCountUncertain)) {
             countOrder();
         }
-        orderCountUncertain &= waits || repeated;
-        if (waits) {
+        orderCountUncertain &= deferred || repeated;
+        if (deferred) {
             deferredAdapter = Optional.of(adapter);
         }
-        if (!waits && !repeated && isFetch(adapter)) {
+        if (!deferred && !repeated && isFetch(adapter)) {
             fetchStartedAt.put(adapter, now);
             fetchWindow.onFetchStarted();
         }
-        nextPollAt.put(adapter, now + pollDelay(adapter, waits, repeated));
+        nextPollAt.put(adapter, now + pollDelay(adapter, deferred, repeated));
         if (sent.operation() == Order.Operation.UNLOAD && unloading.add(adapter)) {
             listener.leaves(adapter);
         }
     }
 
-    private long pollDelay(AdapterName adapter, boolean waits, boolean repeated) {
-        if (waits) {
+    private long pollDelay(AdapterName adapter, boolean deferred, boolean repeated) {
+        if (deferred) {
             return DEFERRED_ORDER_POLL_INTERVAL.toNanos();
         }
         if (repeated) {
@@ -425,7 +425,7 @@
         }
         AdapterName adapter = sent.adapter().get();
         boolean repeated = nextPollAt.remove(adapter) != null;
-        deferredAdapter = deferredAdapter.filter(waiting -> !waiting.equals(adapter));
+        deferredAdapter = deferredAdapter.filter(deferred -> !deferred.equals(adapter));
         if (sent.operation() == Order.Operation.UNLOAD) {
             if (!repeated && resident.containsKey(adapter)) {
                 countOrder();
@@ -442,9 +442,9 @@
         if (wasUnanswered && !repeated && !resident.containsKey(adapter)) {
             countOrder();
         }
-        Long since = fetchStartedAt.remove(adapter);
-        if (since != null) {
-            fetchWindow.onFetchEnded(Duration.ofNanos(now - since));
+        Long startedAt = fetchStartedAt.remove(adapter);
+        if (startedAt != null) {
+            fetchWindow.onFetchEnded(Duration.ofNanos(now - startedAt));
         }
         long version = newestVersion.apply(adapter);
         boolean replaced = repeated && resident.containsKey(adapter);
@@ -486,43 +486,43 @@
         fetchStartedAt.clear();
     }
 
-    /** Ends the keeping: what is still fetched is looked after by the next holder. */
+    /** Stops tracking the fetches in progress, which the next owner of the target polls. */
     public void close() {
         abandonFetches();
     }
 
     /**
-     * Takes a report.
+     * Replaces the tracked state with that of a report.
      *
      * @param report the report, not null
-     * @param now the time
+     * @param now the current time, in nanoseconds
      */
     public void reported(TargetReport report, long now) {
         callInProgress = false;
         acceptedOrders = OptionalLong.of(report.acceptedOrders());
         modelLoaded = report.models().containsKey(model);
         modelLoading = false;
-        Map<AdapterName, Long> there = new HashMap<>();
+        Map<AdapterName, Long> loaded = new HashMap<>();
         report.models()
                 .getOrDefault(model, Map.of())
-                .forEach((adapter, version) -> there.put(new AdapterName(model, adapter), version));
-        Set<AdapterName> gone = new HashSet<>(resident.keySet());
-        gone.removeAll(there.keySet());
+                .forEach((adapter, version) -> loaded.put(new AdapterName(model, adapter), version));
+        Set<AdapterName> removed = new HashSet<>(resident.keySet());
+        removed.removeAll(loaded.keySet());
         resident.clear();
-        resident.putAll(there);
+        resident.putAll(loaded);
         unloading.clear();
         deferredAdapter = Optional.empty();
         nextPollAt.clear();
         report.loading()
                 .forEach(adapter -> nextPollAt.put(new AdapterName(model, adapter), now + POLL_INTERVAL.toNanos()));
-        gone.forEach(listener::leaves);
-        there.forEach(listener::arrived);
+        removed.forEach(listener::leaves);
+        loaded.forEach(listener::arrived);
     }
 
     /**
-     * Notes that there was no report.
+     * Schedules another attempt to read the report.
      *
-     * @param now the time
+     * @param now the current time, in nanoseconds
      */
     public void reportFailed(long now) {
         callInProgress = false;
@@ -530,9 +530,9 @@
     }
 
     /**
-     * Queries whether there is anything to look after.
+     * Returns whether calls to the target are still needed.
      *
-     * @return false if nothing is wanted, coming or leaving, and all is known
+     * @return false if nothing is queued, loading or unloading, and the state is known
      */
     public boolean isBusy() {
         return acceptedOrders.isEmpty() || !modelLoaded || !loadQueue.isEmpty() || !nextPollAt.isEmpty();
--- a/gateway/src/main/java/org/geraniumreach/gateway/adapter/AdapterUseFrequency.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/adapter/AdapterUseFrequency.java
@@ -6,14 +6,14 @@
 import org.geraniumreach.gateway.traffic.AdapterName;
 
 /**
- * How much adapters have been used, recent uses counting most.
+ * Exponentially decaying use counts of adapters.
  *
- * <p>Invariant: what has faded is forgotten, so the number of adapters remembered is bounded by the uses of a few half-lives.
+ * <p>Invariant: scores below {@link #MIN_SCORE} are pruned, which bounds the number of adapters by the uses within a few half-lives.
  * Confined to the event loop.
  */
 final class AdapterUseFrequency {
 
-    /** Demand moves on within 3 to 6 s, so that uses of 8 s ago count half. */
+    /** Demand shifts to other adapters within 3 to 6 s. */
     private static final double HALF_LIFE_NANOS = 8e9;
 
     private static final double MIN_SCORE = 0.01;
@@ -29,7 +29,8 @@
     }
 
     void recordUses(AdapterName adapter, int count, long now) {
-        scores.merge(adapter, new Score(count, now), (old, added) -> new Score(old.valueAt(now) + count, now));
+        scores.merge(
+                adapter, new Score(count, now), (previous, added) -> new Score(previous.valueAt(now) + count, now));
         if (scores.size() > PRUNE_THRESHOLD_ADAPTERS) {
             scores.values().removeIf(score -> score.valueAt(now) < MIN_SCORE);
         }
--- a/gateway/src/main/java/org/geraniumreach/gateway/adapter/DeclinedLoads.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/adapter/DeclinedLoads.java
@@ -8,10 +8,10 @@
 import org.geraniumreach.model.TargetId;
 
 /**
- * The targets that have declined to load an adapter lately.
+ * Remembers which targets have recently declined to load an adapter.
  *
- * <p>Intended for targets whose slots are all in use: who asks for one more adapter learns at once that another target serves it sooner.
- * Invariant: a decline is forgotten after {@link #LIFETIME}, since slots become free with each request that ends. Confined to the event loop.
+ * <p>Intended for targets whose slots are all in use: a request for another adapter is placed on a target that can serve it sooner.
+ * Invariant: a decline expires after {@link #LIFETIME}, since slots become free as requests end. Confined to the event loop.
  */
 public final class DeclinedLoads {
 
@@ -22,11 +22,11 @@
     private record Key(TargetId target, AdapterName adapter) {}
 
     /**
-     * Notes that a target has declined.
+     * Records that a target has declined to load an adapter.
      *
      * @param target the target, not null
      * @param adapter the adapter, not null
-     * @param now the time
+     * @param now the current time, in nanoseconds
      */
     public void add(TargetId target, AdapterName adapter, long now) {
         declinedAt.values().removeIf(at -> now - at >= LIFETIME.toNanos());
@@ -34,11 +34,11 @@
     }
 
     /**
-     * Queries whether a target has declined lately.
+     * Returns whether a target has declined to load an adapter within {@link #LIFETIME}.
      *
      * @param target the target, not null
      * @param adapter the adapter, not null
-     * @param now the time
+     * @param now the current time, in nanoseconds
      * @return true if it has
      */
     public boolean contains(TargetId target, AdapterName adapter, long now) {
--- a/gateway/src/main/java/org/geraniumreach/gateway/adapter/FetchWindow.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/adapter/FetchWindow.java
@@ -4,12 +4,12 @@
 import java.util.Optional;
 
 /**
- * How many adapters this entry has targets fetch from the weight store at the same time.
+ * Limits the concurrent fetches from the weight store by the targets that this entry owns.
  *
- * <p>Intended for a weight store that serves a few fetches of all targets together at full speed and slows all of them in proportion
- * beyond. Neither that number nor the other entries' fetches are known, so the limit is found by delay-based congestion control: a
- * round of fetches that takes twice the undisturbed time shows that half of them would have done. Each entry aims at
- * {@link #EXCESS_FETCHES} fetches more than that, which makes the windows of all entries converge and keeps the weight store busy.
+ * <p>Intended for a weight store that serves a limited number of fetches at full speed, counted over all targets, and slows all of
+ * them in proportion beyond it. Neither that number nor the other entries' fetches are known, so the window is set by delay-based
+ * congestion control: if fetches take twice the base time, half as many would have the same throughput. Each entry aims at
+ * {@link #EXCESS_FETCHES} more than that, which makes the windows of all entries converge and keeps the weight store busy.
  *
  * <p>Invariant: the window is at least one, so a slow weight store never stops fetches. Confined to the event loop.
  */
@@ -18,16 +18,16 @@
     private static final double INITIAL_WINDOW = 1;
     private static final double MIN_WINDOW = 1;
 
-    /** Keeps the window from growing without end where the weight store is never the limit. */
+    /** Bounds the window if the weight store is never the bottleneck. */
     private static final double MAX_WINDOW = 64;
 
-    /** The fetches that one entry keeps under way beyond its part of what the weight store serves at full speed. */
+    /** Fetches that one entry keeps in flight beyond its share of what the weight store serves at full speed. */
     private static final double EXCESS_FETCHES = 0.75;
 
-    /** Part of the way to the window aimed at that one round of fetches goes. */
+    /** Fraction of the difference to the desired window that is applied per window of fetches. */
     private static final double GAIN = 0.5;
 
-    /** Below this many times the undisturbed time nobody waits for the weight store; looks at fetches come some 25 ms apart. */
+    /** The weight store counts as uncongested up to this slowdown; fetches are polled about every 25 ms, so times are inexact. */
     private static final double MAX_UNCONGESTED_SLOWDOWN = 1.2;
 
     private final FetchTimes fetchTimes = new FetchTimes();
@@ -35,7 +35,7 @@
     private int inFlight;
 
     /**
-     * Queries whether one more fetch may begin.
+     * Returns whether another fetch may start.
      *
      * @return true if it may
      */
@@ -43,46 +43,46 @@
         return inFlight < (int) window;
     }
 
-    /** Notes that a fetch has begun. */
+    /** Counts a fetch that has started. */
     public void onFetchStarted() {
         inFlight++;
     }
 
-    /** Notes that nobody looks after a fetch any more; it tells nothing of the weight store's speed. */
+    /** Removes a fetch that is not tracked to its end, without using its time. */
     public void onFetchAbandoned() {
         inFlight--;
     }
 
     /**
-     * Notes that a fetch has ended.
+     * Removes a fetch that has ended and adjusts the window.
      *
-     * @param took how long it took, not null
+     * @param duration the time that the fetch took, not null
      */
-    public void onFetchEnded(Duration took) {
+    public void onFetchEnded(Duration duration) {
         boolean full = !isOpen();
         inFlight--;
-        fetchTimes.add(took);
-        double slowness = fetchTimes.slowdown();
-        if (slowness > MAX_UNCONGESTED_SLOWDOWN) {
-            double aim = window / slowness + EXCESS_FETCHES;
-            adjust((aim - window) * GAIN, full);
+        fetchTimes.add(duration);
+        double slowdown = fetchTimes.slowdown();
+        if (slowdown > MAX_UNCONGESTED_SLOWDOWN) {
+            double desired = window / slowdown + EXCESS_FETCHES;
+            adjust((desired - window) * GAIN, full);
         } else {
             adjust(1, full);
         }
     }
 
-    /** A window that is not used up says nothing of what more fetches would do, so it does not grow. */
-    private void adjust(double perRound, boolean full) {
-        if (perRound > 0 && !full) {
+    /** The window only grows while it is full, since otherwise the effect of more fetches is unknown. */
+    private void adjust(double changePerWindow, boolean full) {
+        if (changePerWindow > 0 && !full) {
             return;
         }
-        window = Math.min(MAX_WINDOW, Math.max(MIN_WINDOW, window + perRound / window));
+        window = Math.min(MAX_WINDOW, Math.max(MIN_WINDOW, window + changePerWindow / window));
     }
 
     /**
-     * Estimates how long a fetch takes that need not wait for others.
+     * Returns the estimated time of a fetch that is not slowed by others.
      *
-     * @return the time, or empty if no fetch has ended yet
+     * @return the time, or empty if no fetch has ended yet, not null
      */
     public Optional<Duration> baseFetchTime() {
         return fetchTimes.baseTime();
--- a/gateway/src/main/java/org/geraniumreach/gateway/adapter/HolderRow.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/adapter/HolderRow.java
@@ -4,12 +4,12 @@
 import java.util.Optional;
 
 /**
- * A stored row that names the entry which may order a target; the row's version is the holder's fence.
+ * A stored row that names the entry that owns a target; the row's version is the owner's fencing token.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @param node the entry's instance
- * @param incarnation the start of the entry's process that took the target over
+ * @param incarnation the incarnation of the entry's process that claimed the target
  */
 public record HolderRow(String node, long incarnation) {
 
@@ -18,25 +18,25 @@
     }
 
     /**
-     * Writes the row.
+     * Formats the row.
      *
-     * @return its text, not null
+     * @return the stored text, not null
      */
     public String toText() {
         return node + ' ' + incarnation;
     }
 
     /**
-     * Reads a row.
+     * Parses a row.
      *
-     * @param text the text, not null
-     * @return the row, or empty if the text is not one
+     * @param text the stored text, not null
+     * @return the row, or empty if the text is malformed
      */
     public static Optional<HolderRow> parse(String text) {
-        String[] words = text.split(" ");
-        if (words.length != 2 || words[0].isEmpty() || !words[1].matches("-?\\d{1,18}")) {
+        String[] fields = text.split(" ");
+        if (fields.length != 2 || fields[0].isEmpty() || !fields[1].matches("-?\\d{1,18}")) {
             return Optional.empty();
         }
-        return Optional.of(new HolderRow(words[0], Long.parseLong(words[1])));
+        return Optional.of(new HolderRow(fields[0], Long.parseLong(fields[1])));
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/adapter/Lease.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/adapter/Lease.java
@@ -6,22 +6,22 @@
 import org.geraniumreach.model.MonotonicClock;
 
 /**
- * This entry's own lease: for how long it may act on what it holds.
+ * This entry's lease, which limits how long it may act as an owner after a renewal.
  *
- * <p>Invariants: it counts from before the acknowledged renewal was sent. A frozen process's steady clock may stand still
- * while others see time pass, so the lease does not hold either once steady clock and time of day have moved apart by more
- * than {@link #MAX_CLOCK_DIVERGENCE} since then; a mere step of the time of day costs no more than the wait for the next renewal. Confined
+ * <p>Invariants: the lease runs from the moment before the acknowledged renewal was sent. The monotonic clock of a frozen process
+ * may stop while time passes elsewhere, so the lease is also invalid once the monotonic clock and the time of day have diverged
+ * by {@link #MAX_CLOCK_DIVERGENCE} since then. A step of the time of day alone makes it invalid only until the next renewal. Confined
  * to the event loop.
  */
 public final class Lease {
 
-    /** How long a renewal counts; longer than the store is slow or away on most days, so that loads go on meanwhile. */
+    /** Lease time after a renewal; longer than most outages of the store, so that loads continue during them. */
     public static final Duration DURATION = Duration.ofSeconds(8);
 
-    /** Two entries' orders to one target must be this far apart. */
+    /** Minimum time between the orders of two successive owners of a target. */
     public static final Duration HANDOVER_GAP = Duration.ofMillis(3_300);
 
-    /** Half of what a sender has after it woke up before its orders count against it. */
+    /** Half of the time after a process resumes within which its orders are still tolerated. */
     static final Duration MAX_CLOCK_DIVERGENCE = Duration.ofMillis(150);
 
     private final MonotonicClock clock;
@@ -31,41 +31,41 @@
     private long renewedAt;
     private long offsetMillis;
 
-    /** The time of day. */
+    /** A clock that shows the time of day. */
     @FunctionalInterface
     public interface WallClock {
 
         /**
-         * Reads the time of day.
+         * Returns the time of day.
          *
-         * @return milliseconds since 1970
+         * @return milliseconds since the epoch of 1970
          */
         long millis();
     }
 
     /**
-     * When a renewal was sent.
+     * The time at which a renewal was sent.
      *
-     * @param nanos by the steady clock
-     * @param offsetMillis the time of day less the steady clock, in milliseconds
+     * @param nanos the monotonic clock, in nanoseconds
+     * @param offsetMillis the time of day minus the monotonic clock, in milliseconds
      */
     public record Sending(long nanos, long offsetMillis) {}
 
     /**
-     * Makes a lease that does not hold yet.
+     * Creates a lease that is invalid until its first renewal.
      *
-     * @param clock the steady clock, not null
-     * @param wall the time of day, not null
+     * @param clock the monotonic clock, not null
+     * @param wallClock the time of day, not null
      */
-    public Lease(MonotonicClock clock, WallClock wall) {
+    public Lease(MonotonicClock clock, WallClock wallClock) {
         this.clock = Objects.requireNonNull(clock, "clock");
-        this.wallClock = Objects.requireNonNull(wall, "wall");
+        this.wallClock = Objects.requireNonNull(wallClock, "wallClock");
     }
 
     /**
-     * Notes the moment before a renewal is sent.
+     * Returns the current time for a renewal that is about to be sent.
      *
-     * @return to be handed to {@link #renewed}, not null
+     * @return the time, to be passed to {@link #renewed} when the renewal is acknowledged, not null
      */
     public Sending sending() {
         long now = clock.nanos();
@@ -73,25 +73,25 @@
     }
 
     /**
-     * Takes the acknowledgement of a renewal.
+     * Renews the lease after a renewal has been acknowledged.
      *
-     * @param sending when it was sent, not null
+     * @param start the time before the renewal was sent, not null
      */
-    public void renewed(Sending sending) {
+    public void renewed(Sending start) {
         renewed = true;
-        renewedAt = sending.nanos();
-        offsetMillis = sending.offsetMillis();
+        renewedAt = start.nanos();
+        offsetMillis = start.offsetMillis();
     }
 
-    /** Ends the lease at once; when it was last renewed is still known. */
+    /** Ends the lease at once, keeping the time of its last renewal. */
     public void release() {
         released = true;
     }
 
     /**
-     * Queries whether the lease holds now.
+     * Returns whether the lease is valid at the current time.
      *
-     * @return true if it does
+     * @return true if it is
      */
     public boolean isValid() {
         long now = clock.nanos();
@@ -102,11 +102,11 @@
     }
 
     /**
-     * Queries whether the last renewal is younger than a time, whatever became of the lease since.
+     * Returns whether the last renewal was sent within a time, even if the lease has expired or been released since.
      *
-     * <p>It is for limits far above any freeze or step of a clock. The longer of the times that both clocks show counts: after a
-     * freeze the steady clock shows too little, and a step back of the time of day leaves the steady one. A step ahead costs
-     * only its own length of the limit.
+     * <p>Intended for limits far above any freeze of the process or step of a clock. The longer of the times that the two clocks
+     * show is used: the monotonic clock may miss a freeze, and the time of day may be set back. If it is set forward, the limit is
+     * reached earlier by as much.
      *
      * @param limit the time, not null
      * @return true if it is
--- a/gateway/src/main/java/org/geraniumreach/gateway/adapter/LoadQueue.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/adapter/LoadQueue.java
@@ -12,17 +12,16 @@
 import org.geraniumreach.gateway.traffic.AdapterName;
 
 /**
- * The load requests of one target, in the order in which they are served.
+ * The queue of load requests of one target.
  *
- * <p>Intended for workloads in which more adapters are asked for than the weight store serves. Adapters whose requests can still meet
- * their objectives come first, by least time left; then those whose requests are late, first in, first out; then those that no request
- * waits for.
+ * <p>Intended for workloads in which more adapters are requested than the weight store can serve. Adapters that can be loaded before
+ * their deadlines come first, by earliest deadline; then those that will miss their deadlines, first in, first out; then those that no
+ * request waits for.
  *
  * <p>Invariant: a load request that is not renewed for {@link #LOAD_REQUEST_TTL} is dropped. Confined to the event loop.
  */
 final class LoadQueue {
 
-    /** Load requests that are not renewed within this time are dropped. */
     static final Duration LOAD_REQUEST_TTL = Duration.ofMillis(500);
 
     private final Map<AdapterName, LoadRequest> requests = new HashMap<>();
@@ -34,51 +33,52 @@
             return deadline.isPresent();
         }
 
-        boolean meetsDeadline(long loaded) {
-            return hasDeadline() && deadline.getAsLong() >= loaded;
+        boolean meetsDeadline(long loadedAt) {
+            return hasDeadline() && deadline.getAsLong() >= loadedAt;
         }
     }
 
     /**
-     * Asks for an adapter, or renews the request for it.
+     * Adds a load request for an adapter, or renews it.
      *
      * @param adapter the adapter
-     * @param lateAt when the request that waits for it misses its objective, empty if none waits
-     * @param now the time
+     * @param deadline when the waiting request misses its objective, empty if none waits
+     * @param now the current time, in nanoseconds
      */
-    void enqueue(AdapterName adapter, OptionalLong lateAt, long now) {
-        LoadRequest before = requests.get(adapter);
-        if (before == null) {
-            requests.put(adapter, new LoadRequest(nextSequence++, now, lateAt));
+    void enqueue(AdapterName adapter, OptionalLong deadline, long now) {
+        LoadRequest previous = requests.get(adapter);
+        if (previous == null) {
+            requests.put(adapter, new LoadRequest(nextSequence++, now, deadline));
             return;
         }
         requests.put(
-                adapter, new LoadRequest(before.sequence(), now, moreUrgentDeadline(before.deadline(), lateAt, now)));
+                adapter,
+                new LoadRequest(previous.sequence(), now, moreUrgentDeadline(previous.deadline(), deadline, now)));
     }
 
-    /** Of several requests the next to be late counts, among those that are not late yet. */
-    private static OptionalLong moreUrgentDeadline(OptionalLong one, OptionalLong other, long now) {
-        if (one.isEmpty() || other.isEmpty()) {
-            return one.isPresent() ? one : other;
+    /** Returns the earlier of two deadlines, unless it has passed and the other has not. */
+    private static OptionalLong moreUrgentDeadline(OptionalLong first, OptionalLong second, long now) {
+        if (first.isEmpty() || second.isEmpty()) {
+            return first.isPresent() ? first : second;
         }
-        long sooner = Math.min(one.getAsLong(), other.getAsLong());
-        return OptionalLong.of(sooner >= now ? sooner : Math.max(one.getAsLong(), other.getAsLong()));
+        long sooner = Math.min(first.getAsLong(), second.getAsLong());
+        return OptionalLong.of(sooner >= now ? sooner : Math.max(first.getAsLong(), second.getAsLong()));
     }
 
     /**
-     * Gets what is wanted.
+     * Returns the queued adapters after removing expired requests.
      *
-     * @param now the time
-     * @param load how long a load takes
-     * @return the adapters, the next to be loaded first
+     * @param now the current time, in nanoseconds
+     * @param loadTime the expected time of a load
+     * @return the adapters, most urgent first
      */
-    List<AdapterName> byUrgency(long now, Duration load) {
+    List<AdapterName> byUrgency(long now, Duration loadTime) {
         requests.values().removeIf(request -> now - request.renewedAt() > LOAD_REQUEST_TTL.toNanos());
-        long loaded = now + load.toNanos();
-        Comparator<LoadRequest> order = Comparator.comparing((LoadRequest request) -> !request.meetsDeadline(loaded))
+        long loadedAt = now + loadTime.toNanos();
+        Comparator<LoadRequest> order = Comparator.comparing((LoadRequest request) -> !request.meetsDeadline(loadedAt))
                 .thenComparing(request -> !request.hasDeadline())
                 .thenComparingLong(request ->
-                        request.meetsDeadline(loaded) ? request.deadline().getAsLong() : request.sequence());
+                        request.meetsDeadline(loadedAt) ? request.deadline().getAsLong() : request.sequence());
         List<AdapterName> adapters = new ArrayList<>(requests.keySet());
         adapters.sort(Comparator.comparing(requests::get, order));
         return adapters;
--- a/gateway/src/main/java/org/geraniumreach/gateway/adapter/OrderResult.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/adapter/OrderResult.java
@@ -1,19 +1,19 @@
 package org.geraniumreach.gateway.adapter;
 
-/** What came of an order. */
+/** The result of an order. */
 public enum OrderResult {
-    /** It is being carried out. */
+    /** The target has accepted the order and is executing it. */
     ACCEPTED,
-    /** What it asks for is so already. */
+    /** The target is in the requested state already. */
     ALREADY_SO,
-    /** The target has accepted another number of orders, or is carrying one out. */
+    /** The target has accepted another number of orders, or is executing another order. */
     CONFLICT,
-    /** A higher fence was seen there. */
+    /** The target has seen a higher fencing token. */
     FENCED,
-    /** Another target, or another life of it, has the address. */
+    /** The address belongs to another target or another incarnation of it. */
     ANOTHER_TARGET,
-    /** It was refused, and did nothing. */
+    /** The target has refused the order, which had no effect. */
     REFUSED,
-    /** There was no answer: it may have been accepted, or may be later. */
+    /** No answer was received: the order may have been accepted, or may still be. */
     UNKNOWN
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/adapter/RunningAdapters.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/adapter/RunningAdapters.java
@@ -8,13 +8,13 @@
 import org.geraniumreach.gateway.traffic.AdapterName;
 
 /**
- * The adapters that requests run for at one target, as each entry last reported.
+ * The adapters used by running requests at one target, as last reported by each entry.
  *
- * <p>Invariant: what an entry reported counts until its next report, and no longer than {@link #REPORT_LIFETIME}. Confined to the event loop.
+ * <p>Invariant: an entry's report is valid until its next one, and no longer than {@link #REPORT_LIFETIME}. Confined to the event loop.
  */
 final class RunningAdapters {
 
-    /** Two reports of an entry may be lost. */
+    /** Allows for two lost reports of an entry. */
     static final Duration REPORT_LIFETIME = UsageReports.RENEWAL_INTERVAL.multipliedBy(3);
 
     private final Map<String, EntryReport> byEntry = new HashMap<>();
@@ -31,7 +31,7 @@
 
     boolean contains(AdapterName adapter, long now) {
         return byEntry.values().stream()
-                .anyMatch(reported -> now - reported.reportedAt() < REPORT_LIFETIME.toNanos()
-                        && reported.running().contains(adapter));
+                .anyMatch(report -> now - report.reportedAt() < REPORT_LIFETIME.toNanos()
+                        && report.running().contains(adapter));
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/adapter/TargetOwnership.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/adapter/TargetOwnership.java
@@ -19,30 +19,30 @@
 import org.geraniumreach.model.table.Transaction;
 
 /**
- * Which entry may order which target.
+ * Tracks which entry owns each target, and claims targets for this entry.
  *
- * <p>Invariants: an entry orders a target only under a fence that this life of its process was given by the store, and only
- * while its lease holds. A target of another entry is taken over only once that entry's lease has been seen unchanged for the
- * lease and a {@link Lease#HANDOVER_GAP}, by a transaction that requires it to be unchanged still; by then the other has stopped by
- * itself. Confined to the event loop.
+ * <p>Invariants: an entry sends orders to a target only with a fencing token that the store has issued to the current incarnation of
+ * its process, and only while its lease is valid. A target of another entry is claimed only after that entry's lease has been
+ * observed unchanged for the lease time plus a {@link Lease#HANDOVER_GAP}, by a transaction that requires it to be still unchanged;
+ * by then the former owner has stopped sending orders. Confined to the event loop.
  */
 public final class TargetOwnership {
 
-    /** The table of this entry's and the others' rows. */
+    /** The table of rows that the entries share, such as the owners of targets. */
     public static final String TABLE = "fleet";
 
-    /** The table of leases; apart, so that renewals wake nobody who waits for news. */
+    /** The table of leases; separate, so that renewals do not complete the long polls of the fleet's table. */
     public static final String LEASES = "leases";
 
     private static final String HOLDER_KEY_PREFIX = "holder/";
 
-    /** The lead of the first in order, which spares the others a transaction that fails. */
+    /** Delay of a claim per rank, so that usually only the entry ranked first sends a transaction. */
     private static final Duration CLAIM_STAGGER = Duration.ofMillis(700);
 
-    /** An entry that is only restarted renews its lease within 2 s of its end, and finds what it had. */
+    /** A restarted entry renews its lease within 2 s, so within this time it keeps what it had. */
     static final Duration RESTART_GRACE = Duration.ofSeconds(4);
 
-    /** Rows of one transaction; the store takes a hundred. */
+    /** Targets claimed in one transaction; the store accepts 100 rows. */
     private static final int MAX_CLAIMS = 40;
 
     private final String self;
@@ -59,11 +59,11 @@
     private record ObservedLease(long version, OptionalLong releasedBy, long observedAt) {}
 
     /**
-     * Makes holdings without rows.
+     * Creates an ownership in which no owner is known.
      *
      * @param self this entry's instance, not null
-     * @param incarnation this life of its process
-     * @param lease its lease, not null
+     * @param incarnation the incarnation of this entry's process
+     * @param lease this entry's lease, not null
      * @param clock the clock, not null
      */
     public TargetOwnership(String self, long incarnation, Lease lease, MonotonicClock clock) {
@@ -74,7 +74,7 @@
     }
 
     /**
-     * Sets the capacities by which owners are selected.
+     * Sets the capacities by which entries are ranked as owners.
      *
      * @param newCapacity the capacities, not null
      */
@@ -83,79 +83,79 @@
     }
 
     /**
-     * Gets this entry's instance.
+     * Returns this entry's instance.
      *
-     * @return its name, not null
+     * @return the name of the instance, not null
      */
     public String self() {
         return self;
     }
 
     /**
-     * Queries whether a row of {@link #TABLE} is a holder's.
+     * Returns whether a row of {@link #TABLE} names the owner of a target.
      *
      * @param key the row's key, not null
-     * @return true if it is
+     * @return true if it does
      */
     public static boolean isHolderRow(String key) {
         return key.startsWith(HOLDER_KEY_PREFIX);
     }
 
     /**
-     * Takes a holder's row.
+     * Updates the owner of a target from its row.
      *
-     * @param key its key, not null
-     * @param row the row, or empty if it was removed
+     * @param key the row's key, not null
+     * @param row the row, or empty if it was removed, not null
      */
     public void put(String key, Optional<Row> row) {
         TargetId target = TargetId.of(key.substring(HOLDER_KEY_PREFIX.length()));
-        Optional<VersionedRow> held = row.flatMap(
+        Optional<VersionedRow> updated = row.flatMap(
                 present -> HolderRow.parse(present.value()).map(parsed -> new VersionedRow(parsed, present.version())));
-        VersionedRow known = holderRows.get(target);
-        if (held.isEmpty()) {
+        VersionedRow previous = holderRows.get(target);
+        if (updated.isEmpty()) {
             holderRows.remove(target);
-        } else if (known == null || known.version() < held.get().version()) {
-            holderRows.put(target, held.get());
+        } else if (previous == null || previous.version() < updated.get().version()) {
+            holderRows.put(target, updated.get());
         }
     }
 
     /**
-     * Takes a lease's row.
+     * Updates the observed lease of an entry from its row.
      *
-     * @param node the entry that it is of, not null
+     * @param node the entry, not null
      * @param version the row's version
-     * @param releasedBy the life of the entry's process that has said that it acts no more, empty if none has, not null
+     * @param releasedBy the incarnation of the entry's process that has released the lease, empty if none has, not null
      */
     public void seenLease(String node, long version, OptionalLong releasedBy) {
-        ObservedLease known = observedLeases.get(node);
-        if (known == null || known.version() != version) {
+        ObservedLease previous = observedLeases.get(node);
+        if (previous == null || previous.version() != version) {
             observedLeases.put(node, new ObservedLease(version, releasedBy, clock.nanos()));
         }
     }
 
     /**
-     * Finds the entry that holds a target.
+     * Returns the entry that owns a target according to the store.
      *
      * @param target the target, not null
-     * @return the entry's instance, or empty if nobody holds it
+     * @return the entry's instance, or empty if the target has no owner
      */
     public Optional<String> holder(TargetId target) {
         return Optional.ofNullable(holderRows.get(target))
-                .map(held -> held.row().node());
+                .map(holder -> holder.row().node());
     }
 
     /**
-     * Gets the fence under which this entry may order a target now.
+     * Returns the fencing token for this entry's orders to a target.
      *
      * @param target the target, not null
-     * @return the fence, or empty if it may not
+     * @return the fencing token, or empty if this entry may not send orders to the target
      */
     public OptionalLong fence(TargetId target) {
-        VersionedRow held = holderRows.get(target);
-        if (held == null || !isOwn(held.row()) || !lease.isValid()) {
+        VersionedRow holder = holderRows.get(target);
+        if (holder == null || !isOwn(holder.row()) || !lease.isValid()) {
             return OptionalLong.empty();
         }
-        return OptionalLong.of(held.version());
+        return OptionalLong.of(holder.version());
     }
 
     private boolean isOwn(HolderRow row) {
@@ -163,84 +163,85 @@
     }
 
     /**
-     * Queries whether a holder that is out of sight may have gone, so that leases are worth reading.
+     * Returns whether leases should be read because an owner cannot be reached and may have ended.
      *
      * @param targets the targets, not null
-     * @param visible tells whether an entry can be spoken to, not null
-     * @return true if one of the targets is held by an entry that is out of sight
+     * @param reachable whether an entry can be reached, not null
+     * @return true if one of the targets is owned by an entry that cannot be reached
      */
-    public boolean wantsLeases(List<TargetId> targets, Predicate<String> visible) {
+    public boolean wantsLeases(List<TargetId> targets, Predicate<String> reachable) {
         return targets.stream()
                 .map(holderRows::get)
-                .anyMatch(held -> held != null
-                        && !held.row().node().equals(self)
-                        && !visible.test(held.row().node()));
+                .anyMatch(holder -> holder != null
+                        && !holder.row().node().equals(self)
+                        && !reachable.test(holder.row().node()));
     }
 
     /**
-     * Chooses the targets to be taken over now.
+     * Chooses the targets that this entry claims now.
      *
      * @param targets the targets, not null
-     * @param entries the entries that are known, this one too, not null
-     * @param visible tells whether an entry can be spoken to, not null
-     * @return the transaction that takes them over, or empty if there are none
+     * @param entries the known entries including this one, not null
+     * @param reachable whether an entry can be reached, not null
+     * @return the transaction that claims them, or empty if there are none
      */
-    public Optional<Transaction> claim(List<TargetId> targets, List<String> entries, Predicate<String> visible) {
+    public Optional<Transaction> claim(List<TargetId> targets, List<String> entries, Predicate<String> reachable) {
         if (!lease.isValid()) {
             return Optional.empty();
         }
         long now = clock.nanos();
         claimableSince.keySet().retainAll(targets);
-        List<TargetId> due = new ArrayList<>();
+        List<TargetId> claimed = new ArrayList<>();
         for (TargetId target : targets) {
-            if (isClaimable(target, entries, visible, now) && due.size() < MAX_CLAIMS) {
-                due.add(target);
+            if (isClaimable(target, entries, reachable, now) && claimed.size() < MAX_CLAIMS) {
+                claimed.add(target);
             }
         }
-        return due.isEmpty() ? Optional.empty() : Optional.of(claimTransaction(due));
+        return claimed.isEmpty() ? Optional.empty() : Optional.of(claimTransaction(claimed));
     }
 
-    private boolean isClaimable(TargetId target, List<String> entries, Predicate<String> visible, long now) {
-        VersionedRow held = holderRows.get(target);
-        if (held != null && held.row().node().equals(self)) {
-            return !isOwn(held.row());
+    private boolean isClaimable(TargetId target, List<String> entries, Predicate<String> reachable, long now) {
+        VersionedRow holder = holderRows.get(target);
+        if (holder != null && holder.row().node().equals(self)) {
+            return !isOwn(holder.row());
         }
-        if (held != null && !isLeaseExpired(held.row(), now)) {
+        if (holder != null && !isLeaseExpired(holder.row(), now)) {
             claimableSince.remove(target);
             return false;
         }
         long since = claimableSince.computeIfAbsent(target, missing -> now);
         List<String> candidates = entries.stream()
-                .filter(entry -> entry.equals(self) || visible.test(entry))
+                .filter(entry -> entry.equals(self) || reachable.test(entry))
                 .toList();
         int rank = entriesByRank(target, candidates).indexOf(self);
         return now - since >= rank * CLAIM_STAGGER.toNanos();
     }
 
-    /** A row of a former life that said so late does not end the lease of the next. */
+    /** A release that was written late by a former incarnation does not end the lease of the next one. */
     private boolean isLeaseExpired(HolderRow holder, long now) {
-        ObservedLease seen = observedLeases.get(holder.node());
-        if (seen == null) {
+        ObservedLease observed = observedLeases.get(holder.node());
+        if (observed == null) {
             return false;
         }
-        boolean released = seen.releasedBy().isPresent() && seen.releasedBy().getAsLong() == holder.incarnation();
+        boolean released =
+                observed.releasedBy().isPresent() && observed.releasedBy().getAsLong() == holder.incarnation();
         Duration limit = released ? Lease.HANDOVER_GAP : Lease.DURATION.plus(Lease.HANDOVER_GAP);
-        return now - seen.observedAt() > limit.toNanos();
+        return now - observed.observedAt() > limit.toNanos();
     }
 
     /**
-     * Gets the other entries that have ended: their leases have not changed for a time, or were given up at their end.
+     * Returns the other entries that have ended: their leases have not changed for a time, or have been released.
      *
-     * @param limit the time, not null
-     * @return the versions of their leases by their instances, not null
+     * @param limit the time without a change after which an entry counts as ended, not null
+     * @return the versions of their leases by instance, not null
      */
     public Map<String, Long> endedFor(Duration limit) {
         long now = clock.nanos();
         Map<String, Long> ended = new HashMap<>();
-        observedLeases.forEach((node, seen) -> {
-            Duration needed = seen.releasedBy().isPresent() ? RESTART_GRACE : limit;
-            if (!node.equals(self) && now - seen.observedAt() > needed.toNanos()) {
-                ended.put(node, seen.version());
+        observedLeases.forEach((node, observed) -> {
+            Duration required = observed.releasedBy().isPresent() ? RESTART_GRACE : limit;
+            if (!node.equals(self) && now - observed.observedAt() > required.toNanos()) {
+                ended.put(node, observed.version());
             }
         });
         return ended;
@@ -253,21 +254,21 @@
                 .toList();
     }
 
-    private Transaction claimTransaction(List<TargetId> due) {
+    private Transaction claimTransaction(List<TargetId> targets) {
         Transaction transaction = Transaction.empty();
-        List<String> former = new ArrayList<>();
-        for (TargetId target : due) {
-            VersionedRow held = holderRows.get(target);
+        List<String> formerOwners = new ArrayList<>();
+        for (TargetId target : targets) {
+            VersionedRow holder = holderRows.get(target);
             RowKey key = RowKey.of(TABLE, HOLDER_KEY_PREFIX + target.value());
             transaction = transaction
-                    .withCondition(key, held == null ? Transaction.ABSENT : held.version())
+                    .withCondition(key, holder == null ? Transaction.ABSENT : holder.version())
                     .withWrite(key, new HolderRow(self, incarnation).toText());
-            boolean others = held != null && !held.row().node().equals(self);
-            if (others && !former.contains(held.row().node())) {
-                former.add(held.row().node());
+            boolean ownedByOther = holder != null && !holder.row().node().equals(self);
+            if (ownedByOther && !formerOwners.contains(holder.row().node())) {
+                formerOwners.add(holder.row().node());
                 transaction = transaction.withCondition(
-                        RowKey.of(LEASES, held.row().node()),
-                        observedLeases.get(held.row().node()).version());
+                        RowKey.of(LEASES, holder.row().node()),
+                        observedLeases.get(holder.row().node()).version());
             }
         }
         return transaction;
--- a/gateway/src/main/java/org/geraniumreach/gateway/adapter/TargetReport.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/adapter/TargetReport.java
@@ -4,13 +4,13 @@
 import java.util.Set;
 
 /**
- * A target's own report, which is some tenths of a second old.
+ * A report of a target on its state, which may be some tenths of a second old.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param acceptedOrders the orders accepted in this life
- * @param models the base models held, with the version of each adapter by its name
- * @param loading the adapters that are being loaded, by their names
+ * @param acceptedOrders the number of orders that this incarnation of the target has accepted
+ * @param models the loaded base models, with the versions of their loaded adapters by adapter name
+ * @param loading the names of the adapters that are being loaded
  */
 public record TargetReport(long acceptedOrders, Map<String, Map<String, Long>> models, Set<String> loading) {
 
--- a/gateway/src/main/java/org/geraniumreach/gateway/adapter/UsageReports.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/adapter/UsageReports.java
@@ -12,15 +12,14 @@
 import org.geraniumreach.gateway.traffic.AdapterName;
 
 /**
- * Decides when the owner of a target is told which adapters this entry's requests use there.
+ * Collects which adapters this entry's requests use at each target, and decides when to report them to the target's owner.
  *
- * <p>Intended for fleets in which each entry sends requests to most targets: a report is made when something changed, and otherwise
- * only to renew the last one. Invariant: between two reports of a target every request that began is counted once. Confined to the
- * event loop.
+ * <p>Intended for fleets in which each entry sends requests to most targets: a report is due after a change, and otherwise only to
+ * renew the last one. Invariant: each request is reported exactly once as started. Confined to the event loop.
  */
 public final class UsageReports {
 
-    /** How often {@link #due} is to be called. */
+    /** Interval at which {@link #due} is to be called. */
     public static final Duration CHECK_INTERVAL = Duration.ofMillis(200);
 
     static final Duration RENEWAL_INTERVAL = Duration.ofSeconds(1);
@@ -28,11 +27,11 @@
     private final Map<Target, Usage> usages = new HashMap<>();
 
     /**
-     * A report to a target's owner.
+     * A report to the owner of a target.
      *
      * @param target the target
-     * @param began the adapter of each request that began since the last report
-     * @param running the adapters that requests run for now
+     * @param began the adapter of each request that has started since the last report
+     * @param running the adapters used by running requests
      */
     public record Report(Target target, List<AdapterName> began, Set<AdapterName> running) {}
 
@@ -53,10 +52,10 @@
     }
 
     /**
-     * Records that a request was sent.
+     * Records a request that was sent to a target.
      *
-     * @param target where to, not null
-     * @param adapter its adapter, not null
+     * @param target the target, not null
+     * @param adapter the request's adapter, not null
      */
     public void began(Target target, AdapterName adapter) {
         Usage usage = usages.computeIfAbsent(target, missing -> new Usage());
@@ -65,10 +64,10 @@
     }
 
     /**
-     * Records that a request that was sent has ended.
+     * Records the end of a request that was sent to a target.
      *
-     * @param target where it was sent, not null
-     * @param adapter its adapter, not null
+     * @param target the target, not null
+     * @param adapter the request's adapter, not null
      */
     public void ended(Target target, AdapterName adapter) {
         Usage usage = usages.get(target);
@@ -78,7 +77,7 @@
     }
 
     /**
-     * Forgets a target that is gone.
+     * Discards the usage of a target that has ended.
      *
      * @param target the target, not null
      */
@@ -87,23 +86,23 @@
     }
 
     /**
-     * Gets the reports to be sent now, which count as sent.
+     * Returns the reports that are due and marks them as sent.
      *
-     * @param now the time
-     * @return the reports, one for each target at most, not null
+     * @param now the current time, in nanoseconds
+     * @return the reports, at most one per target, not null
      */
     public List<Report> due(long now) {
         List<Report> reports = new ArrayList<>();
-        Iterator<Map.Entry<Target, Usage>> all = usages.entrySet().iterator();
-        while (all.hasNext()) {
-            Map.Entry<Target, Usage> each = all.next();
-            Usage usage = each.getValue();
+        Iterator<Map.Entry<Target, Usage>> iterator = usages.entrySet().iterator();
+        while (iterator.hasNext()) {
+            Map.Entry<Target, Usage> entry = iterator.next();
+            Usage usage = entry.getValue();
             if (usage.isEmpty()) {
-                all.remove();
+                iterator.remove();
             } else if (usage.isDue(now)) {
                 usage.lastReported = Set.copyOf(usage.running.keySet());
                 usage.reportedAt = now;
-                reports.add(new Report(each.getKey(), List.copyOf(usage.started), usage.lastReported));
+                reports.add(new Report(entry.getKey(), List.copyOf(usage.started), usage.lastReported));
                 usage.started.clear();
             }
         }
--- a/gateway/src/main/java/org/geraniumreach/gateway/adapter/package-info.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/adapter/package-info.java
@@ -1,2 +1,2 @@
-/** Which adapters a target holds, who may order it, and the orders that change it. */
+/** Loading and unloading of adapters at targets, and the ownership that entitles one entry to do so. */
 package org.geraniumreach.gateway.adapter;
--- a/gateway/src/main/java/org/geraniumreach/gateway/capacity/EntryCapacity.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/capacity/EntryCapacity.java
@@ -3,24 +3,23 @@
 import org.geraniumreach.serving.routing.Rendezvous;
 
 /**
- * Tells how much processor time each entry has.
+ * Processor capacities of the entries.
  *
- * <p>Intended for fleets of unlike instances: duties that an entry has for others are given to those that can bear them. Confined to the event
- * loop.
+ * <p>Intended for fleets of unequal instances: tasks that one entry performs for all are assigned by capacity. Confined to the event loop.
  */
 @FunctionalInterface
 public interface EntryCapacity {
 
     /**
-     * Gets an entry's capacity.
+     * Returns an entry's capacity.
      *
-     * @param entry its instance, not null
-     * @return the capacity in processor cores, above 0; 1 for an entry that has not said
+     * @param entry the entry's instance, not null
+     * @return the capacity in processor cores, above 0; 1 for an entry that has not reported it
      */
     double of(String entry);
 
     /**
-     * Obtains capacities of entries that are alike.
+     * Returns capacities that are equal for all entries.
      *
      * @return the capacities, not null
      */
@@ -29,16 +28,16 @@
     }
 
     /**
-     * Ranks an entry for a duty by weighted rendezvous hashing: of many duties each entry is the first for a part in proportion to its capacity, and a
-     * change of one entry's capacity moves only its own.
+     * Ranks an entry for a task by weighted rendezvous hashing: each entry is ranked first for a share of the tasks in proportion to its
+     * capacity, and a change of one entry's capacity moves only tasks to or from that entry.
      *
-     * @param duty the duty's name, not null
+     * @param task the task's name, not null
      * @param entry the entry's instance, not null
-     * @return the rank; the lowest is the first choice
+     * @return the rank; the entry with the lowest is the first choice
      */
-    default double rank(String duty, String entry) {
+    default double rank(String task, String entry) {
         double range = 1L << Integer.SIZE;
-        double aboveLeast = (double) Rendezvous.hash(duty + ' ' + entry) - Integer.MIN_VALUE;
-        return -Math.log((range - aboveLeast - 0.5) / range) / of(entry);
+        double unsignedHash = (double) Rendezvous.hash(task + ' ' + entry) - Integer.MIN_VALUE;
+        return -Math.log((range - unsignedHash - 0.5) / range) / of(entry);
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/capacity/package-info.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/capacity/package-info.java
@@ -1,2 +1,2 @@
-/** How much work each entry can take beside the others. */
+/** Processor capacities of the entries, by which tasks are divided among them. */
 package org.geraniumreach.gateway.capacity;
--- a/gateway/src/main/java/org/geraniumreach/gateway/cold/ColdTargets.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/cold/ColdTargets.java
@@ -17,16 +17,17 @@
 import org.geraniumreach.model.MonotonicClock;
 
 /**
- * Limits what this entry sends to targets that have not warmed up, so that all entries together keep within what such a target bears.
+ * Limits the requests that this entry sends to targets that have not warmed up, so that all entries together keep to such a target's rate.
  *
- * <p>Intended for targets that come back together and crash if they get their usual load at once.
+ * <p>Intended for targets that restart together and crash under their usual load.
  *
- * <p>Invariants: in any {@link #WINDOW} this entry sends a cold target at most its part of the limit; sends from before the target became cold count,
- * and nothing is sent in the first window of a process, since its former life may have used the part up. Confined to the event loop.
+ * <p>Invariants: in any {@link #WINDOW} this entry sends a cold target at most its share of the limit, counting requests sent before the target
+ * became cold. A process sends cold targets nothing during its first window, since its former incarnation may have used up the share. Confined to
+ * the event loop.
  */
 public final class ColdTargets implements TargetRegistry.Listener {
 
-    /** A little more than the second that the limit is for, since requests take different times to arrive. */
+    /** Longer than the second that the limit applies to, since requests take different times to arrive. */
     static final Duration WINDOW = Duration.ofMillis(1_100);
 
     private final Function<String, Optional<ServiceDefinition>> findService;
@@ -38,10 +39,10 @@
     private final long createdAt;
 
     /**
-     * How far the requests to a cold target may go beyond its rate.
+     * The margin by which requests to a cold target may exceed its rate.
      *
-     * @param ratio the factor on the rate, not negative
-     * @param extra the requests besides, not negative
+     * @param ratio the factor applied to the rate, not negative
+     * @param extra the additional requests per second, not negative
      */
     public record Tolerance(double ratio, double extra) {
 
@@ -57,21 +58,21 @@
     }
 
     /**
-     * Creates a limit that knows no target.
+     * Creates a limiter without targets.
      *
-     * @param services finds a service by its name, not null
-     * @param tolerance how far requests may go beyond a cold target's rate, not null
+     * @param findService finds a service by its name, not null
+     * @param tolerance the margin over a cold target's rate, not null
      * @param division divides the limit among entries, not null
      * @param clock the clock, not null
-     * @param log takes decisions, not null
+     * @param log receives decisions, not null
      */
     public ColdTargets(
-            Function<String, Optional<ServiceDefinition>> services,
+            Function<String, Optional<ServiceDefinition>> findService,
             Tolerance tolerance,
             LimitDivision division,
             MonotonicClock clock,
             DecisionLog log) {
-        this.findService = Objects.requireNonNull(services, "services");
+        this.findService = Objects.requireNonNull(findService, "findService");
         this.tolerance = Objects.requireNonNull(tolerance, "tolerance");
         this.division = Objects.requireNonNull(division, "division");
         this.clock = Objects.requireNonNull(clock, "clock");
@@ -87,25 +88,25 @@
     @Override
     public void changed(Target target) {
         long now = clock.nanos();
-        Duration left = target.description().coldFor().orElseGet(() -> estimateColdTime(target));
-        if (left.isZero()) {
+        Duration remaining = target.description().coldFor().orElseGet(() -> estimateColdTime(target));
+        if (remaining.isZero()) {
             coldUntil.remove(target);
             return;
         }
-        if (coldUntil.put(target, now + left.toNanos()) == null) {
-            log.write(EventCode.TARGET_COLD, target.id().value(), Field.of("coldMillis", left.toMillis()));
+        if (coldUntil.put(target, now + remaining.toNanos()) == null) {
+            log.write(EventCode.TARGET_COLD, target.id().value(), Field.of("coldMillis", remaining.toMillis()));
         }
     }
 
-    /** A life that does not tell may have begun when it was first seen. */
+    /** An incarnation that does not report its cold time may have started when it was first seen. */
     private Duration estimateColdTime(Target target) {
         Duration coldStart = findService
                 .apply(target.description().service())
                 .map(ServiceDefinition::coldStart)
                 .orElse(ServiceDefinition.ColdStart.NONE)
                 .length();
-        Duration known = Duration.ofNanos(clock.nanos() - target.joinedAt());
-        return known.compareTo(coldStart) < 0 ? coldStart.minus(known) : Duration.ZERO;
+        Duration age = Duration.ofNanos(clock.nanos() - target.joinedAt());
+        return age.compareTo(coldStart) < 0 ? coldStart.minus(age) : Duration.ZERO;
     }
 
     @Override
@@ -114,7 +115,7 @@
     }
 
     /**
-     * Queries whether a target has not warmed up.
+     * Returns whether a target has not warmed up.
      *
      * @param target the target, not null
      * @return true if it is cold
@@ -125,21 +126,21 @@
     }
 
     /**
-     * Queries whether one more request may be sent to a target now.
+     * Returns whether another request may be sent to a target.
      *
      * @param target the target, not null
-     * @return true if it is warm or this entry's part is not used up
+     * @return true if the target is warm or this entry's share is not used up
      */
     public boolean mayBeSent(Target target) {
         if (!isCold(target)) {
             return true;
         }
         long now = clock.nanos();
-        boolean started = now - createdAt >= WINDOW.toNanos();
-        return started && target.sentWithin(WINDOW, now) < share(target).orElse(0);
+        boolean firstWindowOver = now - createdAt >= WINDOW.toNanos();
+        return firstWindowOver && target.sentWithin(WINDOW, now) < share(target).orElse(0);
     }
 
-    /** Without a configuration the rate is not known. */
+    /** Returns this entry's share, empty if the rate is unknown because the service is not configured. */
     private OptionalInt share(Target target) {
         Optional<ServiceDefinition> service =
                 findService.apply(target.description().service());
--- a/gateway/src/main/java/org/geraniumreach/gateway/cold/EqualDivision.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/cold/EqualDivision.java
@@ -8,14 +8,14 @@
 import org.geraniumreach.serving.routing.Rendezvous;
 
 /**
- * Gives each entry the same part, or, where there are more entries than requests, one request to some of them.
+ * Divides the limit equally among all entries, or, if there are more entries than requests, gives one request each to some of them.
  *
- * <p>Intended for requests that reach all entries alike. Invariant: the parts of the known entries leave room for {@link #UNKNOWN_ENTRIES_RESERVE} that have
- * been added since; an entry that does not know itself to be listed has no part. Confined to the event loop.
+ * <p>Intended for requests that are spread evenly over the entries. Invariant: a share each for {@link #UNKNOWN_ENTRIES_RESERVE} entries that may
+ * have been added is left unused; an entry that is not listed itself has no share. Confined to the event loop.
  */
 public final class EqualDivision implements LimitDivision {
 
-    /** Entries that may have been added without being known yet. */
+    /** Number of entries that may have been added without being known yet. */
     static final int UNKNOWN_ENTRIES_RESERVE = 3;
 
     private final String self;
@@ -25,7 +25,7 @@
      * Creates a division.
      *
      * @param self this entry's instance, not null
-     * @param entries gives the instances of all entries that may send, whether they can be reached or not, not null
+     * @param entries supplies the instances of all entries that may send requests, reachable or not, not null
      */
     public EqualDivision(String self, Supplier<? extends Collection<String>> entries) {
         this.self = Objects.requireNonNull(self, "self");
@@ -38,12 +38,13 @@
         if (!known.contains(self)) {
             return 0;
         }
-        int whole = limit / (known.size() + UNKNOWN_ENTRIES_RESERVE);
-        if (whole > 0) {
-            return whole;
+        int share = limit / (known.size() + UNKNOWN_ENTRIES_RESERVE);
+        if (share > 0) {
+            return share;
         }
-        long own = score(target, self);
-        long ahead = known.stream().filter(entry -> score(target, entry) < own).count();
+        long ownScore = score(target, self);
+        long ahead =
+                known.stream().filter(entry -> score(target, entry) < ownScore).count();
         return ahead < limit - UNKNOWN_ENTRIES_RESERVE ? 1 : 0;
     }
 
--- a/gateway/src/main/java/org/geraniumreach/gateway/cold/LimitDivision.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/cold/LimitDivision.java
@@ -3,16 +3,16 @@
 import org.geraniumreach.model.TargetId;
 
 /**
- * Divides the requests that a target may get in a window among the entries.
+ * Divides the limit on requests to a target within a window among the entries.
  *
- * <p>Contract: the parts of all entries add up to no more than the limit as long as all of them know the same entries. Confined to the event
+ * <p>Contract: the shares of all entries add up to no more than the limit as long as all of them know the same entries. Confined to the event
  * loop.
  */
 @FunctionalInterface
 public interface LimitDivision {
 
     /**
-     * Gets this entry's part.
+     * Returns this entry's share.
      *
      * @param target the target, not null
      * @param limit the requests that all entries together may send in a window, not negative
--- a/gateway/src/main/java/org/geraniumreach/gateway/cold/OwnerOnlyDivision.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/cold/OwnerOnlyDivision.java
@@ -6,10 +6,10 @@
 import org.geraniumreach.model.TargetId;
 
 /**
- * Gives all of the requests to the target's owner.
+ * Gives the whole limit to the target's owner.
  *
- * <p>Intended for fleets with few requests at each entry. Invariant: two entries never have a part of one target, since ownership is exclusive and
- * passes on only after a lease. Confined to the event loop.
+ * <p>Intended for fleets with few requests at each entry. Invariant: two entries never have a share of one target, since ownership is exclusive and
+ * changes only after the former owner's lease has expired or been released. Confined to the event loop.
  */
 public final class OwnerOnlyDivision implements LimitDivision {
 
@@ -18,10 +18,10 @@
     /**
      * Creates a division.
      *
-     * @param owned queries whether this entry owns a target now, not null
+     * @param isOwned whether this entry owns a target, not null
      */
-    public OwnerOnlyDivision(Predicate<TargetId> owned) {
-        this.isOwned = Objects.requireNonNull(owned, "owned");
+    public OwnerOnlyDivision(Predicate<TargetId> isOwned) {
+        this.isOwned = Objects.requireNonNull(isOwned, "isOwned");
     }
 
     @Override
--- a/gateway/src/main/java/org/geraniumreach/gateway/cold/package-info.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/cold/package-info.java
@@ -1,2 +1,2 @@
-/** Targets that have just started and may get few requests a second of all entries together. */
+/** Rate limits for targets that have just started, shared by all entries. */
 package org.geraniumreach.gateway.cold;
--- a/gateway/src/main/java/org/geraniumreach/gateway/evacuation/Evacuations.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/evacuation/Evacuations.java
@@ -17,18 +17,18 @@
 import org.geraniumreach.model.MonotonicClock;
 
 /**
- * The failure domains that the operator has evacuated.
+ * Tracks the failure domains that the operator has evacuated.
  *
- * <p>Intended for evacuations that are announced some seconds before they bind. Until then the domain is {@link Phase#EMPTYING}: its targets
- * serve the adapters that only they hold, while these are loaded elsewhere, so that the weight store is not asked for all of them at once.
- * Afterwards it is {@link Phase#EMPTY}, and nothing is sent there.
+ * <p>Intended for evacuations that take effect some seconds after they are requested. Until then the domain is {@link Phase#EMPTYING}: its targets
+ * still serve the adapters that no other target has loaded, while these are loaded elsewhere, so that they are not all fetched from the weight
+ * store at once. Afterwards it is {@link Phase#EMPTY}, and no requests are sent there.
  *
- * <p>Invariant: a domain is empty from {@link #DRAIN_FRACTION} of the limit after the last reading of the store that did not show its evacuation
- * yet; where there was no reading before, at once. Confined to the event loop.
+ * <p>Invariant: a domain reaches the last phase {@link #DRAIN_FRACTION} of the limit after the last read of the store that did not show its
+ * evacuation yet, or at once if there was no earlier read. Confined to the event loop.
  */
 public final class Evacuations {
 
-    /** Part of the limit that is used for emptying; the rest covers clock drift and requests on their way. */
+    /** Fraction of the limit for draining; the rest covers clock drift and requests in transit. */
     static final double DRAIN_FRACTION = 0.6;
 
     private final Duration drainTime;
@@ -36,22 +36,22 @@
     private final DecisionLog log;
     private final Map<FailureDomain, Long> drainedFrom = new HashMap<>();
 
-    /** What may still be sent to a failure domain. */
+    /** Which requests may be sent to a failure domain. */
     public enum Phase {
-        /** It is not evacuated. */
+        /** The domain is not evacuated. */
         IN_USE,
-        /** Its targets serve only what no target elsewhere can. */
+        /** Only requests that no target of another domain can serve. */
         EMPTYING,
-        /** Nothing may be sent there. */
+        /** No requests. */
         EMPTY
     }
 
     /**
-     * Creates evacuations with no domain evacuated.
+     * Creates a tracker with no domain evacuated.
      *
-     * @param limit after what time from the operator's request nothing may reach the domain's targets, not null
+     * @param limit the time from the operator's request after which no request may reach the domain's targets, not null
      * @param clock the clock, not null
-     * @param log takes decisions, not null
+     * @param log receives decisions, not null
      */
     public Evacuations(Duration limit, MonotonicClock clock, DecisionLog log) {
         Objects.requireNonNull(limit, "limit");
@@ -61,41 +61,43 @@
     }
 
     /**
-     * Takes what the operator has written.
+     * Starts and ends evacuations according to the operator's rows in the store.
      *
-     * @param news the news, not null
-     * @param readBefore the moment of the reading before, by the clock, in nanoseconds, empty if there was none, not null
+     * @param update the changed rows, or all of them, not null
+     * @param previousReadAt the time of the previous read by the clock, in nanoseconds, empty if there was none, not null
      */
-    public void onNews(StorePort.News<OperatorItem> news, OptionalLong readBefore) {
+    public void onNews(StorePort.News<OperatorItem> update, OptionalLong previousReadAt) {
         Set<FailureDomain> listed = new HashSet<>();
-        for (OperatorItem item : news.items()) {
+        for (OperatorItem item : update.items()) {
             if (item instanceof OperatorItem.Evacuation evacuation) {
                 listed.add(evacuation.domain());
-                start(evacuation.domain(), readBefore);
+                start(evacuation.domain(), previousReadAt);
             } else if (item instanceof OperatorItem.EvacuationEnded ended) {
                 listed.remove(ended.domain());
                 end(ended.domain());
             }
         }
-        if (news.whole()) {
+        if (update.whole()) {
             Set.copyOf(drainedFrom.keySet()).stream()
                     .filter(domain -> !listed.contains(domain))
                     .forEach(this::end);
         }
     }
 
-    private void start(FailureDomain domain, OptionalLong readBefore) {
+    private void start(FailureDomain domain, OptionalLong previousReadAt) {
         if (drainedFrom.containsKey(domain)) {
             return;
         }
         long now = clock.nanos();
-        long from = readBefore.isPresent() ? Math.max(now, readBefore.getAsLong() + drainTime.toNanos()) : now;
-        drainedFrom.put(domain, from);
+        long drainedAt =
+                previousReadAt.isPresent() ? Math.max(now, previousReadAt.getAsLong() + drainTime.toNanos()) : now;
+        drainedFrom.put(domain, drainedAt);
         log.write(
                 EventCode.DOMAIN_EVACUATED,
                 domain.value(),
-                Field.of("readingAgeMillis", readBefore.isPresent() ? millis(now - readBefore.getAsLong()) : -1),
-                Field.of("emptyInMillis", millis(from - now)));
+                Field.of(
+                        "readingAgeMillis", previousReadAt.isPresent() ? millis(now - previousReadAt.getAsLong()) : -1),
+                Field.of("emptyInMillis", millis(drainedAt - now)));
     }
 
     private static long millis(long nanos) {
@@ -109,16 +111,16 @@
     }
 
     /**
-     * Gets what may be sent to a failure domain now.
+     * Returns which requests may be sent to a failure domain.
      *
      * @param domain the domain, not null
      * @return the phase, not null
      */
     public Phase phase(FailureDomain domain) {
-        Long from = drainedFrom.get(domain);
-        if (from == null) {
+        Long drainedAt = drainedFrom.get(domain);
+        if (drainedAt == null) {
             return Phase.IN_USE;
         }
-        return clock.nanos() >= from ? Phase.EMPTY : Phase.EMPTYING;
+        return clock.nanos() >= drainedAt ? Phase.EMPTY : Phase.EMPTYING;
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/evacuation/package-info.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/evacuation/package-info.java
@@ -1,2 +1,2 @@
-/** Failure domains that the operator has emptied: from when on nothing may be sent to their targets. */
+/** Evacuation of failure domains by the operator, after which no requests may reach their targets. */
 package org.geraniumreach.gateway.evacuation;
--- a/gateway/src/main/java/org/geraniumreach/gateway/meter/DemandRate.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/meter/DemandRate.java
@@ -1,13 +1,13 @@
 package org.geraniumreach.gateway.meter;
 
 /**
- * The units a second that were asked for lately.
+ * Exponentially decaying average of the units requested per second.
  *
  * <p>Confined to the event loop.
  */
 public final class DemandRate {
 
-    /** An entry sees one or two requests a second of a small account; four seconds make five of them. */
+    /** Covers about five requests of a small account, which sends an entry one or two per second. */
     private static final double TIME_CONSTANT_NANOS = 4e9;
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -16,19 +16,19 @@
     private long updatedAt;
 
     /**
-     * Makes a rate of nothing.
+     * Creates a rate of zero.
      *
-     * @param now the time
+     * @param now the current time, in nanoseconds
      */
     public DemandRate(long now) {
         this.updatedAt = now;
     }
 
     /**
-     * Counts what was asked for.
+     * Adds requested units.
      *
-     * @param units how much
-     * @param now the time
+     * @param units the number of units
+     * @param now the current time, in nanoseconds
      */
     public void asked(double units, long now) {
         perSecond = at(now) + units * NANOS_PER_SECOND / TIME_CONSTANT_NANOS;
@@ -36,21 +36,21 @@
     }
 
     /**
-     * Gets the rate without the last units that were asked for.
+     * Returns the rate without the units added last.
      *
-     * @param units how much was asked for last
-     * @param now the time
-     * @return units a second, not below zero
+     * @param units the number of units added last
+     * @param now the current time, in nanoseconds
+     * @return units per second, not negative
      */
     public double without(double units, long now) {
         return Math.max(0, at(now) - units * NANOS_PER_SECOND / TIME_CONSTANT_NANOS);
     }
 
     /**
-     * Gets the rate.
+     * Returns the rate.
      *
-     * @param now the time
-     * @return units a second
+     * @param now the current time, in nanoseconds
+     * @return units per second
      */
     public double at(long now) {
         return perSecond * Math.exp(-(now - updatedAt) / TIME_CONSTANT_NANOS);
--- a/gateway/src/main/java/org/geraniumreach/gateway/meter/package-info.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/meter/package-info.java
@@ -1,2 +1,2 @@
-/** Rates of what was asked for lately. */
+/** Meters of recent demand. */
 package org.geraniumreach.gateway.meter;
--- a/gateway/src/main/java/org/geraniumreach/gateway/pacing/OwnerAdmission.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/pacing/OwnerAdmission.java
@@ -17,12 +17,11 @@
 import org.geraniumreach.model.TargetId;
 
 /**
- * Paces the prompts that all entries send to a target by its owner, which alone sees all of them.
+ * Paces the prompts that all entries send to a target through the target's owner.
  *
- * <p>Intended for many entries, each of which sends few requests to each target and cannot tell from its own what the target has to read.
+ * <p>Intended for many entries, each of which sends few requests to each target and cannot derive the target's load from them.
  *
- * <p>Invariant: an owner that is gone, not known, or does not answer in time holds nothing up: the prompt is sent at once. Confined to the event
- * loop.
+ * <p>Invariant: prompts are sent at once if the owner is unknown, cannot be reached or does not answer in time. Confined to the event loop.
  */
 public final class OwnerAdmission implements TargetAdmission, TargetRegistry.Listener {
 
@@ -42,12 +41,12 @@
     private record PendingRequest(Consumer<Decision> callback, Cancellable timeout) {}
 
     /**
-     * Creates an admission.
+     * Creates an admission without pending requests.
      *
-     * @param ownership who owns which target, not null
+     * @param ownership the owners of the targets, not null
      * @param registry the targets, not null
-     * @param tokensPerMilli tells how fast the targets of a service read, not null
-     * @param peers reaches the other entries, not null
+     * @param tokensPerMilli the prompt tokens that a target of a service reads per millisecond, not null
+     * @param peers sends requests to the other entries, not null
      * @param timers runs actions later, not null
      * @param clock the clock, not null
      */
@@ -67,21 +66,21 @@
     }
 
     @Override
-    public Cancellable admit(Target target, long promptTokens, Duration longestDelay, Consumer<Decision> decided) {
+    public Cancellable admit(Target target, long promptTokens, Duration maxDelay, Consumer<Decision> callback) {
         if (isOwned(target)) {
-            decided.accept(admitLocally(target, promptTokens, longestDelay));
+            callback.accept(admitLocally(target, promptTokens, maxDelay));
             return Cancellable.NOTHING;
         }
         long number = ++lastRequestNumber;
         Optional<String> owner = ownership.holder(target.id()).filter(entry -> !entry.equals(ownership.self()));
-        boolean asked = owner.isPresent()
-                && peers.requestAdmission(owner.get(), number, target.id(), promptTokens, longestDelay);
-        if (!asked) {
-            decided.accept(Decision.IMMEDIATE);
+        boolean sent =
+                owner.isPresent() && peers.requestAdmission(owner.get(), number, target.id(), promptTokens, maxDelay);
+        if (!sent) {
+            callback.accept(Decision.IMMEDIATE);
             return Cancellable.NOTHING;
         }
         Cancellable timeout = timers.after(ANSWER_TIMEOUT, () -> onAnswer(number, Decision.IMMEDIATE));
-        pendingRequests.put(number, new PendingRequest(decided, timeout));
+        pendingRequests.put(number, new PendingRequest(callback, timeout));
         return () -> cancel(number);
     }
 
@@ -96,32 +95,32 @@
         return ownership.fence(target.id()).isPresent();
     }
 
-    private Decision admitLocally(Target target, long promptTokens, Duration longestDelay) {
+    private Decision admitLocally(Target target, long promptTokens, Duration maxDelay) {
         double millis =
                 promptTokens / tokensPerMilli.applyAsDouble(target.description().service());
-        Duration reading = Duration.ofNanos((long) (millis * NANOS_PER_MILLI));
-        return pacers.computeIfAbsent(target, missing -> new PromptPacer()).admit(reading, longestDelay, clock.nanos());
+        Duration readingTime = Duration.ofNanos((long) (millis * NANOS_PER_MILLI));
+        return pacers.computeIfAbsent(target, missing -> new PromptPacer()).admit(readingTime, maxDelay, clock.nanos());
     }
 
     /**
-     * Decides for another entry.
+     * Decides on a prompt of another entry.
      *
      * @param id the target, not null
-     * @param promptTokens the prompt's tokens, not negative
-     * @param longestDelay the longest time that it may be held back, not null
-     * @return the decision, to send at once where this entry does not own the target, not null
+     * @param promptTokens the number of tokens of the prompt; a negative number counts as 0
+     * @param maxDelay the longest time that the prompt may be delayed, not null
+     * @return the decision; {@link Decision#IMMEDIATE} if this entry does not own the target, not null
      */
-    public Decision decide(TargetId id, long promptTokens, Duration longestDelay) {
+    public Decision decide(TargetId id, long promptTokens, Duration maxDelay) {
         return registry.find(id)
                 .filter(this::isOwned)
-                .map(target -> admitLocally(target, Math.max(0, promptTokens), longestDelay))
+                .map(target -> admitLocally(target, Math.max(0, promptTokens), maxDelay))
                 .orElse(Decision.IMMEDIATE);
     }
 
     /**
-     * Takes another entry's answer.
+     * Processes the answer of another entry; ignored if the request has timed out or been cancelled.
      *
-     * @param number the request's number
+     * @param number the number of the request
      * @param decision the decision, not null
      */
     public void onAnswer(long number, Decision decision) {
@@ -134,12 +133,12 @@
 
     @Override
     public void joined(Target target) {
-        // Its pacer begins with its first prompt.
+        // The pacer is created with the first prompt.
     }
 
     @Override
     public void changed(Target target) {
-        // A newer row says nothing of what it has to read.
+        // The pacer does not depend on the target's row.
     }
 
     @Override
--- a/gateway/src/main/java/org/geraniumreach/gateway/pacing/PromptPacer.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/pacing/PromptPacer.java
@@ -5,29 +5,29 @@
 import org.geraniumreach.gateway.pacing.TargetAdmission.Decision;
 
 /**
- * Spaces the prompts of all entries at one target (generic cell rate algorithm).
+ * Spaces the prompts of all entries at one target by the generic cell rate algorithm.
  *
- * <p>Intended for targets that read prompts between the tokens of running streams: prompts that come in a clump are read one after another, and all
- * streams there pause for as long. Invariant: in any span of time, the prompts admitted take at most {@link #READING_FRACTION} of it and
- * {@link #BURST} to read, besides the last one. Confined to the event loop.
+ * <p>Intended for targets that read prompts between the tokens of running streams: all streams pause while a burst of prompts is read. Invariant: in
+ * any span of time, all admitted prompts but the last one take at most {@link #READING_FRACTION} of the span and {@link #BURST} to read. Confined to
+ * the event loop.
  */
 final class PromptPacer {
 
-    /** Part of a target's time for reading; the rest is left to the tokens of its streams. */
+    /** Fraction of a target's time for reading prompts; the rest is left for generating tokens. */
     static final double READING_FRACTION = 0.8;
 
-    /** Reading time that may be sent at once; covers turns that come a little early because answers take different times. */
+    /** Reading time that may be sent early; covers the varying delays of the owner's answers. */
     static final Duration BURST = Duration.ofMillis(10);
 
     private long nextFreeAt = Long.MIN_VALUE;
 
-    Decision admit(Duration reading, Duration longestDelay, long now) {
+    Decision admit(Duration readingTime, Duration maxDelay, long now) {
         long start = Math.max(now, nextFreeAt);
         Duration delay = Duration.ofNanos(Math.max(0, start - now - BURST.toNanos()));
-        if (delay.compareTo(longestDelay) > 0) {
+        if (delay.compareTo(maxDelay) > 0) {
             return Decision.SATURATED;
         }
-        nextFreeAt = start + (long) (reading.toNanos() / READING_FRACTION);
+        nextFreeAt = start + (long) (readingTime.toNanos() / READING_FRACTION);
         return new Decision(true, delay);
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/pacing/TargetAdmission.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/pacing/TargetAdmission.java
@@ -10,34 +10,34 @@
 /**
  * Decides when a prompt may be sent to a target.
  *
- * <p>Contract: each decision is told once, at once or later, and never after a cancellation. Confined to the event loop.
+ * <p>Contract: the callback is called once, during the call or later, and never after a cancellation. Confined to the event loop.
  */
 @FunctionalInterface
 public interface TargetAdmission {
 
     /**
-     * Asks for a prompt's turn.
+     * Requests the admission of a prompt.
      *
-     * @param target where it is to be sent, not null
-     * @param promptTokens its tokens
-     * @param longestDelay the longest time that it may be held back, not null
-     * @param decided told of the decision, not null
-     * @return calls it off, not null
+     * @param target the target, not null
+     * @param promptTokens the number of tokens of the prompt
+     * @param maxDelay the longest time that the prompt may be delayed, not null
+     * @param callback receives the decision, not null
+     * @return a handle that cancels the request, not null
      */
-    Cancellable admit(Target target, long promptTokens, Duration longestDelay, Consumer<Decision> decided);
+    Cancellable admit(Target target, long promptTokens, Duration maxDelay, Consumer<Decision> callback);
 
     /**
-     * What was decided.
+     * A decision on a prompt.
      *
-     * @param admitted whether the prompt may be sent; if not, the target has too much to read
-     * @param delay how long it is to be held back, zero if it is not admitted
+     * @param admitted whether the prompt may be sent; if not, the target is saturated
+     * @param delay the time by which the prompt is to be delayed, zero if it is not admitted, not null
      */
     record Decision(boolean admitted, Duration delay) {
 
-        /** The prompt may be sent at once. */
+        /** The prompt may be sent without delay. */
         public static final Decision IMMEDIATE = new Decision(true, Duration.ZERO);
 
-        /** The prompt would be held back for too long. */
+        /** The prompt would be delayed for too long. */
         public static final Decision SATURATED = new Decision(false, Duration.ZERO);
 
         public Decision {
@@ -46,13 +46,13 @@
     }
 
     /**
-     * Obtains an admission by which each prompt may be sent at once.
+     * Returns an admission that admits all prompts without delay.
      *
      * @return the admission, not null
      */
     static TargetAdmission unpaced() {
-        return (target, promptTokens, longestDelay, decided) -> {
-            decided.accept(Decision.IMMEDIATE);
+        return (target, promptTokens, maxDelay, callback) -> {
+            callback.accept(Decision.IMMEDIATE);
             return Cancellable.NOTHING;
         };
     }
--- a/gateway/src/main/java/org/geraniumreach/gateway/pacing/TargetAdmissionPeers.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/pacing/TargetAdmissionPeers.java
@@ -5,7 +5,7 @@
 import org.geraniumreach.model.TargetId;
 
 /**
- * Reaches the entries that own targets.
+ * Sends admission requests to the entries that own targets.
  *
  * <p>Confined to the event loop.
  */
@@ -13,14 +13,14 @@
 public interface TargetAdmissionPeers {
 
     /**
-     * Asks for a prompt's turn. The answer comes to {@link OwnerAdmission#onAnswer}, or never.
+     * Requests the admission of a prompt. The answer, if any, is passed to {@link OwnerAdmission#onAnswer}.
      *
-     * @param entry the entry to be asked, not null
-     * @param number tells the requests of this entry apart
+     * @param entry the entry that owns the target, not null
+     * @param number the number of the request, unique at this entry
      * @param target the target, not null
-     * @param promptTokens the prompt's tokens
-     * @param longestDelay the longest time that it may be held back, not null
+     * @param promptTokens the number of tokens of the prompt
+     * @param maxDelay the longest time that the prompt may be delayed, not null
      * @return false if the entry cannot be reached
      */
-    boolean requestAdmission(String entry, long number, TargetId target, long promptTokens, Duration longestDelay);
+    boolean requestAdmission(String entry, long number, TargetId target, long promptTokens, Duration maxDelay);
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/pacing/package-info.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/pacing/package-info.java
@@ -1,2 +1,2 @@
-/** When prompts may be sent to a target, so that reading them does not hold up the streams that run there. */
+/** Pacing of the prompts sent to a target, so that reading them does not delay its running streams. */
 package org.geraniumreach.gateway.pacing;
--- a/gateway/src/main/java/org/geraniumreach/gateway/process/ProcessSettings.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/process/ProcessSettings.java
@@ -9,22 +9,22 @@
 import org.geraniumreach.model.FailureDomain;
 
 /**
- * What the platform tells an entry at its start.
+ * Settings that the platform passes to an entry at its start.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param instance the name of the instance that it runs on
- * @param failureDomain where that stands
- * @param callers where callers are listened to
- * @param readiness where questions for readiness are listened to
- * @param links where other entries are listened to
- * @param store the store's address
- * @param repeats how many second arrivals all entries together may cause
- * @param quotaTolerance how far all entries together may go beyond an account's rate
- * @param coldTolerance how far all entries together may go beyond a cold target's rate
- * @param evacuationLimit how long after the evacuation of a failure domain requests may still reach its targets
- * @param capacity the processor cores that the process has, a fraction if it has a share of one
- * @param drainLimit how long the process may go on after it is asked to end
+ * @param instance the name of the instance that the entry runs on, not empty, without spaces
+ * @param failureDomain the failure domain of the instance
+ * @param callers the address for requests of callers
+ * @param readiness the address for readiness probes
+ * @param links the address for connections of other entries
+ * @param store the address of the store
+ * @param repeats the limits on repeated requests of all entries together
+ * @param quotaTolerance the margin by which all entries together may exceed an account's rate
+ * @param coldTolerance the margin by which all entries together may exceed a cold target's rate
+ * @param evacuationLimit the time after the evacuation of a failure domain within which requests may still reach its targets
+ * @param capacity the processor cores of the process, above 0, fractions allowed
+ * @param drainLimit the longest time from the request to stop until the process ends
  */
 public record ProcessSettings(
         String instance,
@@ -59,11 +59,11 @@
     }
 
     /**
-     * How many second arrivals a service may get in a window.
+     * Limits on the repeated requests that a service may receive within a window.
      *
-     * @param ratio for each request
-     * @param extra besides
-     * @param window the window
+     * @param ratio the number of repetitions per request, not negative
+     * @param extra the additional repetitions, not negative
+     * @param window the length of the window
      */
     public record RepeatLimits(double ratio, double extra, Duration window) {
 
--- a/gateway/src/main/java/org/geraniumreach/gateway/process/package-info.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/process/package-info.java
@@ -1,2 +1,2 @@
-/** What a process is told at its start. */
+/** Settings of an entry's process. */
 package org.geraniumreach.gateway.process;
--- a/gateway/src/test/java/org/geraniumreach/gateway/adapter/TargetOwnershipTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/adapter/TargetOwnershipTest.java
@@ -26,72 +26,73 @@
 
     private final VirtualTime time = new VirtualTime();
     private final Lease lease = new Lease(time, time::wallMillis);
-    private final TargetOwnership holdings = new TargetOwnership("one", INCARNATION, lease, time);
+    private final TargetOwnership ownership = new TargetOwnership("one", INCARNATION, lease, time);
 
     private void renew() {
         lease.renewed(lease.sending());
     }
 
-    private void held(String node, long incarnation, long version) {
+    private void putHolder(String node, long incarnation, long version) {
         String text = new HolderRow(node, incarnation).toText();
-        holdings.put(KEY, Optional.of(new Row(RowKey.of(TargetOwnership.TABLE, KEY), version, text)));
+        ownership.put(KEY, Optional.of(new Row(RowKey.of(TargetOwnership.TABLE, KEY), version, text)));
     }
 
     private Optional<Transaction> claim() {
-        return holdings.claim(TARGETS, ENTRIES, entry -> false);
+        return ownership.claim(TARGETS, ENTRIES, entry -> false);
     }
 
     @Test
-    void anUnheldTargetIsClaimedOnlyIfItsRowIsStillAbsent() {
+    void aTargetWithoutOwnerIsClaimedOnlyIfItsRowIsStillAbsent() {
         renew();
         assertThat(claim().orElseThrow().conditions())
                 .containsExactly(new Transaction.Condition(RowKey.of(TargetOwnership.TABLE, KEY), Transaction.ABSENT));
     }
 
     @Test
-    void theRowsVersionIsTheFence() {
+    void theRowsVersionIsTheFencingToken() {
         renew();
-        held("one", INCARNATION, 41);
-        assertThat(holdings.fence(TARGET)).hasValue(41);
+        putHolder("one", INCARNATION, 41);
+        assertThat(ownership.fence(TARGET)).hasValue(41);
     }
 
-    // A target gets orders of two entries in turns if one takes over while the other still believes in its lease. The
-    // other stops by itself after the lease; its last order may take the time of a turn to arrive.
+    // A target would get orders of two entries if one claimed it while the other's lease is still valid. The former
+    // owner stops when its lease ends; its last order may take the length of the handover gap to arrive.
     @ParameterizedTest
     @CsvSource({"0, false", "8000, false", "11200, false", "11400, true"})
-    void anotherEntrysTargetIsTakenOverOnlyAfterItsLeaseAndATurn(long millis, boolean claimed) {
-        held("two", 1, 7);
-        holdings.seenLease("two", 3, OptionalLong.empty());
+    void anotherEntrysTargetIsClaimedOnlyAfterItsLeaseAndTheHandoverGap(long millis, boolean claimed) {
+        putHolder("two", 1, 7);
+        ownership.seenLease("two", 3, OptionalLong.empty());
         time.pass(Duration.ofMillis(millis));
         renew();
         assertThat(claim().isPresent()).isEqualTo(claimed);
     }
 
-    // Callers of a failure domain got 429 within their rate for 30 s after an entry had been replaced, since its share
-    // lay
-    // idle. One that said that it ends needs no such proof; one that is only restarted must find its share again.
+    // The unused share of an entry that has been replaced makes callers of its failure domain get 429 within their
+    // rate for 30 s. An entry that has released its lease counts as ended much sooner, but a restarted one must
+    // keep its share.
     @ParameterizedTest
     @CsvSource({"true, 3900, false", "true, 4100, true", "false, 4100, false", "false, 30100, true"})
-    void whatAnEntryHasIsFreeSoonAfterItSaidThatItEnds(boolean released, long millis, boolean ended) {
-        holdings.seenLease("two", 3, released ? OptionalLong.of(1) : OptionalLong.empty());
+    void anEntryThatReleasedItsLeaseCountsAsEndedSoon(boolean released, long millis, boolean ended) {
+        ownership.seenLease("two", 3, released ? OptionalLong.of(1) : OptionalLong.empty());
         time.pass(Duration.ofMillis(millis));
-        assertThat(holdings.endedFor(Duration.ofSeconds(30)).containsKey("two")).isEqualTo(ended);
+        assertThat(ownership.endedFor(Duration.ofSeconds(30)).containsKey("two"))
+                .isEqualTo(ended);
     }
 
     @Test
-    void anEntryThatRenewsAfterItSaidThatItEndsKeepsWhatItHas() {
-        holdings.seenLease("two", 3, OptionalLong.of(1));
+    void anEntryThatRenewsItsLeaseAfterReleasingItDoesNotCountAsEnded() {
+        ownership.seenLease("two", 3, OptionalLong.of(1));
         time.pass(Duration.ofSeconds(2));
-        holdings.seenLease("two", 4, OptionalLong.empty());
+        ownership.seenLease("two", 4, OptionalLong.empty());
         time.pass(Duration.ofSeconds(10));
-        assertThat(holdings.endedFor(Duration.ofSeconds(30))).isEmpty();
+        assertThat(ownership.endedFor(Duration.ofSeconds(30))).isEmpty();
     }
 
-    // A holder that renews at the last moment keeps its target: the taking over requires the lease as it was seen.
+    // An owner that renews its lease at the last moment keeps its target.
     @Test
-    void takingOverRequiresThatTheLeaseIsUnchanged() {
-        held("two", 1, 7);
-        holdings.seenLease("two", 3, OptionalLong.empty());
+    void aClaimRequiresThatTheLeaseIsUnchanged() {
+        putHolder("two", 1, 7);
+        ownership.seenLease("two", 3, OptionalLong.empty());
         time.pass(Duration.ofSeconds(12));
         renew();
         assertThat(claim().orElseThrow().conditions())
@@ -99,59 +100,59 @@
     }
 
     @Test
-    void aRenewedLeaseBeginsAnew() {
-        held("two", 1, 7);
-        holdings.seenLease("two", 3, OptionalLong.empty());
+    void aRenewedLeaseRestartsTheWaitingTime() {
+        putHolder("two", 1, 7);
+        ownership.seenLease("two", 3, OptionalLong.empty());
         time.pass(Duration.ofSeconds(10));
-        holdings.seenLease("two", 4, OptionalLong.empty());
+        ownership.seenLease("two", 4, OptionalLong.empty());
         time.pass(Duration.ofSeconds(10));
         renew();
         assertThat(claim()).isEmpty();
     }
 
-    // An entry that was asked to end says so, and its targets need wait for a turn only. A release that a former life
-    // of its process wrote, and that the store carries out late, does not end the next life's lease.
+    // Targets of an entry that has released its lease can be claimed after the handover gap. A release that the
+    // store applies late, written by a former incarnation, does not end the lease of the next one.
     @ParameterizedTest
     @CsvSource({"1, true", "9, false"})
-    void aReleaseCountsForTheLifeThatWroteIt(long releasedBy, boolean claimed) {
-        held("two", 1, 7);
-        holdings.seenLease("two", 3, OptionalLong.of(releasedBy));
+    void aReleaseCountsOnlyForTheIncarnationThatWroteIt(long releasedBy, boolean claimed) {
+        putHolder("two", 1, 7);
+        ownership.seenLease("two", 3, OptionalLong.of(releasedBy));
         time.pass(Lease.HANDOVER_GAP.plusMillis(100));
         renew();
         assertThat(claim().isPresent()).isEqualTo(claimed);
     }
 
     @Test
-    void aProcessThatComesBackTakesItsTargetsUpAtOnceUnderANewFence() {
+    void aRestartedProcessClaimsItsTargetsAtOnceWithANewFencingToken() {
         renew();
-        held("one", INCARNATION - 1, 7);
-        assertThat(holdings.fence(TARGET)).isEmpty();
+        putHolder("one", INCARNATION - 1, 7);
+        assertThat(ownership.fence(TARGET)).isEmpty();
         assertThat(claim()).isPresent();
     }
 
-    // A frozen holder wakes up and would order on, though another has taken its target over meanwhile. Its steady clock
-    // has stood still; the time of day has not.
+    // An owner that resumes after a freeze must not send orders, since another may have claimed its target. Its
+    // monotonic clock has stopped meanwhile; the time of day has not.
     @Test
-    void aHolderThatWasFrozenOrdersNothingUntilItHasRenewed() {
+    void anOwnerThatWasFrozenHasNoFencingTokenUntilItRenews() {
         renew();
-        held("one", INCARNATION, 41);
+        putHolder("one", INCARNATION, 41);
         time.stepWall(Duration.ofSeconds(6));
-        assertThat(holdings.fence(TARGET)).isEmpty();
+        assertThat(ownership.fence(TARGET)).isEmpty();
         renew();
-        assertThat(holdings.fence(TARGET)).hasValue(41);
+        assertThat(ownership.fence(TARGET)).hasValue(41);
     }
 
     @Test
-    void aHolderWithoutRenewalStops() {
+    void anOwnerThatDoesNotRenewLosesItsFencingToken() {
         renew();
-        held("one", INCARNATION, 41);
+        putHolder("one", INCARNATION, 41);
         time.pass(Lease.DURATION);
-        assertThat(holdings.fence(TARGET)).isEmpty();
+        assertThat(ownership.fence(TARGET)).isEmpty();
     }
 
     @ParameterizedTest
     @CsvSource({"''", "'one'", "'one two'", "'one 1 2'", "' 1'"})
-    void anUnreadableRowNamesNoHolder(String text) {
+    void aMalformedRowNamesNoOwner(String text) {
         assertThat(HolderRow.parse(text)).isEmpty();
     }
 }
--- a/gateway/src/test/java/org/geraniumreach/gateway/adapter/UsageReportsTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/adapter/UsageReportsTest.java
@@ -19,8 +19,8 @@
 class UsageReportsTest {
 
     private static final long CHECK = UsageReports.CHECK_INTERVAL.toNanos();
-    private static final AdapterName ONE = new AdapterName("base", "a1");
-    private static final AdapterName TWO = new AdapterName("base", "a2");
+    private static final AdapterName FIRST = new AdapterName("base", "a1");
+    private static final AdapterName SECOND = new AdapterName("base", "a2");
 
     private final UsageReports reports = new UsageReports();
     private final Target target = target();
@@ -42,30 +42,30 @@
     }
 
     @Test
-    void reportsEachBeginningOnceAndWhatRuns() {
-        reports.began(target, ONE);
-        reports.began(target, ONE);
-        reports.began(target, TWO);
-        reports.ended(target, TWO);
+    void reportsEachStartedRequestOnceAndTheRunningAdapters() {
+        reports.began(target, FIRST);
+        reports.began(target, FIRST);
+        reports.began(target, SECOND);
+        reports.ended(target, SECOND);
         assertThat(reports.due(0))
-                .containsExactly(new UsageReports.Report(target, List.of(ONE, ONE, TWO), Set.of(ONE)));
+                .containsExactly(new UsageReports.Report(target, List.of(FIRST, FIRST, SECOND), Set.of(FIRST)));
         assertThat(reports.due(CHECK)).isEmpty();
     }
 
-    /** Guards against slots that stay taken because the end of a request is not reported. */
+    /** Guards against slots that are never freed because the end of a request is not reported. */
     @Test
-    void reportsThatNothingRunsAnyMoreOnce() {
-        reports.began(target, ONE);
+    void reportsOnceThatNoRequestIsRunning() {
+        reports.began(target, FIRST);
         reports.due(0);
-        reports.ended(target, ONE);
+        reports.ended(target, FIRST);
         assertThat(reports.due(CHECK)).containsExactly(new UsageReports.Report(target, List.of(), Set.of()));
         assertThat(reports.due(100 * CHECK)).isEmpty();
     }
 
-    /** Guards against traffic between entries that grows with the requests that merely go on. */
+    /** Guards against traffic between entries that grows with the number of long requests. */
     @Test
-    void aLongRequestIsRenewedOnceASecond() {
-        reports.began(target, ONE);
+    void theReportOfALongRequestIsRenewedEverySecond() {
+        reports.began(target, FIRST);
         int count = 0;
         for (int check = 0; check < 50; check++) {
             count += reports.due(check * CHECK).size();
@@ -74,10 +74,10 @@
     }
 
     @Test
-    void aTargetThatIsGoneIsForgotten() {
-        reports.began(target, ONE);
+    void noReportIsDueForATargetThatHasEnded() {
+        reports.began(target, FIRST);
         reports.forget(target);
-        reports.ended(target, ONE);
+        reports.ended(target, FIRST);
         assertThat(reports.due(0)).isEmpty();
     }
 }
--- a/gateway/src/test/java/org/geraniumreach/gateway/capacity/EntryCapacityTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/capacity/EntryCapacityTest.java
@@ -12,39 +12,39 @@
 
 class EntryCapacityTest {
 
-    private static final int DUTIES = 4_000;
+    private static final int TASKS = 4_000;
     private static final List<String> ENTRIES =
             IntStream.range(0, 20).mapToObj(number -> "entry-" + number).toList();
 
-    private static String first(EntryCapacity capacity, String duty) {
+    private static String firstChoice(EntryCapacity capacity, String task) {
         return ENTRIES.stream()
-                .min(Comparator.comparingDouble(entry -> capacity.rank(duty, entry)))
+                .min(Comparator.comparingDouble(entry -> capacity.rank(task, entry)))
                 .orElseThrow();
     }
 
-    private static Map<String, Integer> duties(EntryCapacity capacity) {
-        Map<String, Integer> duties = new HashMap<>();
-        for (int duty = 0; duty < DUTIES; duty++) {
-            duties.merge(first(capacity, "duty" + duty), 1, Integer::sum);
+    private static Map<String, Integer> taskCounts(EntryCapacity capacity) {
+        Map<String, Integer> counts = new HashMap<>();
+        for (int task = 0; task < TASKS; task++) {
+            counts.merge(firstChoice(capacity, "duty" + task), 1, Integer::sum);
         }
-        return duties;
+        return counts;
     }
 
-    /** Guards against duties for all entries that are given to those that can hardly serve their own callers. */
+    /** Guards against assigning tasks for all entries to those with little capacity. */
     @Test
-    void entriesHaveDutiesInProportionToTheirCapacity() {
-        Map<String, Integer> duties = duties(entry -> entry.equals("entry-3") ? 5 : 1);
-        assertThat(duties.get("entry-3")).isBetween(DUTIES / 24 * 4, DUTIES / 24 * 6);
-        assertThat(duties.get("entry-4")).isBetween(DUTIES / 48, DUTIES / 12);
+    void tasksAreAssignedInProportionToCapacity() {
+        Map<String, Integer> counts = taskCounts(entry -> entry.equals("entry-3") ? 5 : 1);
+        assertThat(counts.get("entry-3")).isBetween(TASKS / 24 * 4, TASKS / 24 * 6);
+        assertThat(counts.get("entry-4")).isBetween(TASKS / 48, TASKS / 12);
     }
 
-    /** Guards against all duties moving because one entry's capacity changes. */
+    /** Guards against moving all tasks when one entry's capacity changes. */
     @Test
-    void aChangeOfOneEntrysCapacityMovesOnlyItsOwnDuties() {
-        EntryCapacity less = entry -> entry.equals("entry-3") ? 0.3 : 1;
-        for (int duty = 0; duty < DUTIES; duty++) {
-            String before = first(EntryCapacity.alike(), "duty" + duty);
-            String after = first(less, "duty" + duty);
+    void aLowerCapacityMovesOnlyTasksOfThatEntry() {
+        EntryCapacity reduced = entry -> entry.equals("entry-3") ? 0.3 : 1;
+        for (int task = 0; task < TASKS; task++) {
+            String before = firstChoice(EntryCapacity.alike(), "duty" + task);
+            String after = firstChoice(reduced, "duty" + task);
             assertThat(after.equals(before) || before.equals("entry-3")).isTrue();
         }
     }
--- a/gateway/src/test/java/org/geraniumreach/gateway/cold/ColdStartLimiterTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/cold/ColdStartLimiterTest.java
@@ -25,7 +25,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** Plays entries that send as much as they may to a target that has not warmed up. */
+/** Simulates entries that send as many requests as allowed to a target that has not warmed up. */
 class ColdStartLimiterTest {
 
     private static final TargetId ID = TargetId.of("t1");
@@ -51,7 +51,7 @@
                 Map.of());
     }
 
-    /** One life of an entry's process. */
+    /** One incarnation of an entry's process. */
     private final class Entry {
         private final String name;
         private final Set<String> known;
@@ -68,10 +68,10 @@
                     time,
                     (event, id, fields) -> {});
             registry.listen(cold);
-            tell(Duration.ofSeconds(30));
+            reportColdTime(Duration.ofSeconds(30));
         }
 
-        private void tell(Duration coldFor) {
+        private void reportColdTime(Duration coldFor) {
             registry.put(description(1, Optional.of(coldFor)));
         }
 
@@ -79,7 +79,7 @@
             return registry.find(ID).orElseThrow();
         }
 
-        private void sendAllThatItMay() {
+        private void sendAllAllowed() {
             while (cold.mayBeSent(target()) && sent.size() < 100_000) {
                 target().sent(0, time.nanos());
                 sent.add(time.nanos());
@@ -87,21 +87,21 @@
         }
     }
 
-    private int mostInASecond() {
-        int most = 0;
+    private int maxSentInASecond() {
+        int max = 0;
         int first = 0;
         for (int last = 0; last < sent.size(); last++) {
             while (sent.get(last) - sent.get(first) >= SECOND.toNanos()) {
                 first++;
             }
-            most = Math.max(most, last - first + 1);
+            max = Math.max(max, last - first + 1);
         }
-        return most;
+        return max;
     }
 
-    /** Guards against a cold target that gets more than it bears while entries are killed, frozen and added. */
+    /** Guards against overloading a cold target while entries are killed, paused and added. */
     @Property(tries = 200)
-    void allEntriesTogetherKeepToTheLimit(@ForAll long seed) {
+    void allEntriesTogetherStayWithinTheLimit(@ForAll long seed) {
         Random random = new Random(seed);
         Set<String> rows = new HashSet<>();
         int count = 1 + random.nextInt(60);
@@ -113,8 +113,8 @@
         for (int step = 0; step < 400; step++) {
             time.pass(Duration.ofMillis(1 + random.nextInt(60)));
             if (random.nextInt(20) == 0) {
-                int killed = random.nextInt(entries.size());
-                entries.set(killed, new Entry(entries.get(killed).name, new HashSet<>(rows)));
+                int restarted = random.nextInt(entries.size());
+                entries.set(restarted, new Entry(entries.get(restarted).name, new HashSet<>(rows)));
             }
             if (random.nextInt(100) == 0 && rows.size() < count + 3) {
                 rows.add("added" + rows.size());
@@ -124,72 +124,72 @@
                 entries.get(random.nextInt(entries.size())).known.addAll(rows);
             }
             boolean all = random.nextInt(4) == 0;
-            entries.stream().filter(entry -> all || random.nextInt(3) == 0).forEach(Entry::sendAllThatItMay);
+            entries.stream().filter(entry -> all || random.nextInt(3) == 0).forEach(Entry::sendAllAllowed);
         }
-        assertThat(mostInASecond()).isLessThanOrEqualTo(LIMIT);
+        assertThat(maxSentInASecond()).isLessThanOrEqualTo(LIMIT);
     }
 
-    /** Guards against cold targets that get next to nothing from a few entries or from very many. */
+    /** Guards against leaving the limit mostly unused with few or very many entries. */
     @ParameterizedTest
     @CsvSource({"1, 5", "4, 12", "6, 12", "20, 20", "21, 20", "340, 20"})
-    void entriesTogetherUseMostOfTheLimit(int count, int most) {
+    void entriesTogetherUseMostOfTheLimit(int count, int expected) {
         Set<String> rows = new HashSet<>();
         for (int number = 0; number < count; number++) {
             rows.add("entry" + number);
         }
         List<Entry> entries = rows.stream().map(name -> new Entry(name, rows)).toList();
         time.pass(ColdTargets.WINDOW);
-        entries.forEach(Entry::sendAllThatItMay);
-        assertThat(sent).hasSize(most);
+        entries.forEach(Entry::sendAllAllowed);
+        assertThat(sent).hasSize(expected);
     }
 
-    /** Guards against a restarted entry that spends its part again within the second. */
+    /** Guards against a restarted entry that uses its share a second time within the window. */
     @Test
     void aProcessThatHasJustStartedSendsNothing() {
         Entry entry = new Entry("entry", Set.of("entry"));
-        entry.sendAllThatItMay();
+        entry.sendAllAllowed();
         assertThat(sent).isEmpty();
     }
 
-    /** Guards against an entry that takes itself for the only one before it has read of the others. */
+    /** Guards against an entry that assumes it is the only one before it has read the others' rows. */
     @Test
     void anEntryThatDoesNotKnowTheOthersSendsNothing() {
         Entry entry = new Entry("entry", Set.of());
         time.pass(Duration.ofSeconds(5));
-        entry.sendAllThatItMay();
+        entry.sendAllAllowed();
         assertThat(sent).isEmpty();
     }
 
-    /** Guards against sends from before a target became cold again that are not counted. */
+    /** Guards against ignoring requests sent before a target became cold again. */
     @Test
-    void sendsFromBeforeATargetBecameColdCount() {
+    void requestsSentBeforeATargetBecameColdCount() {
         Entry entry = new Entry("entry", Set.of("entry"));
-        entry.tell(Duration.ZERO);
+        entry.reportColdTime(Duration.ZERO);
         time.pass(Duration.ofSeconds(5));
         for (int request = 0; request < 5; request++) {
             assertThat(entry.cold.mayBeSent(entry.target())).isTrue();
             entry.target().sent(0, time.nanos());
         }
-        entry.tell(Duration.ofSeconds(3));
-        entry.sendAllThatItMay();
+        entry.reportColdTime(Duration.ofSeconds(3));
+        entry.sendAllAllowed();
         assertThat(sent).isEmpty();
     }
 
     @Test
-    void aTargetIsWarmAfterItsTimeOrWhenItSaysSo() {
+    void aTargetIsWarmAfterItsColdTimeOrWhenItReportsSo() {
         Entry entry = new Entry("entry", Set.of("entry"));
-        entry.tell(Duration.ofMillis(500));
+        entry.reportColdTime(Duration.ofMillis(500));
         assertThat(entry.cold.isCold(entry.target())).isTrue();
         time.pass(Duration.ofMillis(501));
         assertThat(entry.cold.isCold(entry.target())).isFalse();
-        entry.tell(Duration.ofSeconds(2));
-        entry.tell(Duration.ZERO);
+        entry.reportColdTime(Duration.ofSeconds(2));
+        entry.reportColdTime(Duration.ZERO);
         assertThat(entry.cold.isCold(entry.target())).isFalse();
     }
 
-    /** Guards against a new target that does not tell whether it is cold and gets its usual load. */
+    /** Guards against sending the usual load to a new target that does not report its cold time. */
     @Test
-    void aNewTargetThatDoesNotSayIsTakenForCold() {
+    void aNewTargetThatDoesNotReportItsColdTimeIsCold() {
         Entry entry = new Entry("entry", Set.of("entry"));
         entry.registry.removed(ID);
         entry.registry.put(description(2, Optional.empty()));
@@ -198,9 +198,9 @@
         assertThat(entry.cold.isCold(entry.target())).isFalse();
     }
 
-    /** Guards against two entries that both take themselves for the owner's part. */
+    /** Guards against two entries that both use the whole limit. */
     @Test
-    void theOwnerAloneHasThePartWhereItIsNotDivided() {
+    void ownerOnlyDivisionGivesTheWholeLimitToTheOwner() {
         assertThat(new OwnerOnlyDivision(target -> true).share(ID, 17)).isEqualTo(17);
         assertThat(new OwnerOnlyDivision(target -> false).share(ID, 17)).isZero();
     }
--- a/gateway/src/test/java/org/geraniumreach/gateway/evacuation/EvacuationsTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/evacuation/EvacuationsTest.java
@@ -24,70 +24,70 @@
     private final VirtualTime time = new VirtualTime();
     private final Evacuations evacuations = new Evacuations(LIMIT, time, (event, id, fields) -> {});
 
-    private void take(boolean whole, OptionalLong readBefore, OperatorItem... items) {
-        evacuations.onNews(new StorePort.News<>(List.of(items), 1, whole), readBefore);
+    private void update(boolean whole, OptionalLong previousReadAt, OperatorItem... items) {
+        evacuations.onNews(new StorePort.News<>(List.of(items), 1, whole), previousReadAt);
     }
 
     private OptionalLong ago(Duration age) {
         return OptionalLong.of(time.nanos() - age.toNanos());
     }
 
-    /** Guards against requests that reach an evacuated domain because an entry learnt of the evacuation late. */
+    /** Guards against requests that reach an evacuated domain because an entry read the evacuation late. */
     @ParameterizedTest
     @CsvSource({"0", "500", "1600", "2900", "3500", "60000"})
-    void aDomainIsEmptyWellBeforeTheLimitHoweverLateItIsKnown(long readMillisAgo) {
-        take(false, ago(Duration.ofMillis(readMillisAgo)), new OperatorItem.Evacuation(NORTH));
+    void aDomainIsDrainedWellBeforeTheLimitHoweverLateTheEvacuationIsRead(long readMillisAgo) {
+        update(false, ago(Duration.ofMillis(readMillisAgo)), new OperatorItem.Evacuation(NORTH));
         Duration sinceRequest = Duration.ofMillis(readMillisAgo);
-        Duration left = LIMIT.minusMillis(1_500).minus(sinceRequest);
-        time.pass(left.isNegative() ? Duration.ZERO : left);
+        Duration remaining = LIMIT.minusMillis(1_500).minus(sinceRequest);
+        time.pass(remaining.isNegative() ? Duration.ZERO : remaining);
         assertThat(evacuations.phase(NORTH)).isEqualTo(Phase.EMPTY);
         assertThat(evacuations.phase(SOUTH)).isEqualTo(Phase.IN_USE);
     }
 
-    /** Guards against all adapters of a domain being fetched elsewhere at the same moment. */
+    /** Guards against fetching all adapters of a domain elsewhere at the same time. */
     @Test
-    void aDomainIsEmptiedOverTimeWhereTheEvacuationIsKnownEarly() {
-        take(false, ago(Duration.ofMillis(300)), new OperatorItem.Evacuation(NORTH));
+    void aDomainIsDrainedOverTimeIfTheEvacuationIsReadEarly() {
+        update(false, ago(Duration.ofMillis(300)), new OperatorItem.Evacuation(NORTH));
         assertThat(evacuations.phase(NORTH)).isEqualTo(Phase.EMPTYING);
     }
 
-    /** Guards against an entry that starts during an evacuation and takes it for a new one. */
+    /** Guards against an entry that starts during an evacuation and treats it as a new one. */
     @Test
-    void aDomainIsEmptyAtOnceForAnEntryThatStarts() {
-        take(true, OptionalLong.empty(), new OperatorItem.Evacuation(NORTH));
+    void aDomainIsDrainedAtOnceForAnEntryThatStarts() {
+        update(true, OptionalLong.empty(), new OperatorItem.Evacuation(NORTH));
         assertThat(evacuations.phase(NORTH)).isEqualTo(Phase.EMPTY);
     }
 
-    /** Guards against a domain that is used again because its row was written anew. */
+    /** Guards against using a domain again because its row was rewritten. */
     @Test
-    void aRowThatIsWrittenAgainDoesNotBeginTheEvacuationAnew() {
-        take(true, OptionalLong.empty(), new OperatorItem.Evacuation(NORTH));
-        take(false, ago(Duration.ZERO), new OperatorItem.Evacuation(NORTH));
+    void aRewrittenRowDoesNotRestartTheEvacuation() {
+        update(true, OptionalLong.empty(), new OperatorItem.Evacuation(NORTH));
+        update(false, ago(Duration.ZERO), new OperatorItem.Evacuation(NORTH));
         assertThat(evacuations.phase(NORTH)).isEqualTo(Phase.EMPTY);
     }
 
-    /** Guards against an evacuation that begins anew, or never ends, after the store has dropped its history. */
+    /** Guards against an evacuation that restarts, or never ends, after the store has dropped its history. */
     @Test
-    void aWholeReadingKeepsWhatItListsAndEndsWhatItDoesNot() {
-        take(true, OptionalLong.empty(), new OperatorItem.Evacuation(NORTH), new OperatorItem.Evacuation(SOUTH));
-        take(true, ago(Duration.ZERO), new OperatorItem.Evacuation(SOUTH));
+    void aCompleteReadKeepsListedEvacuationsAndEndsAllOthers() {
+        update(true, OptionalLong.empty(), new OperatorItem.Evacuation(NORTH), new OperatorItem.Evacuation(SOUTH));
+        update(true, ago(Duration.ZERO), new OperatorItem.Evacuation(SOUTH));
         assertThat(evacuations.phase(NORTH)).isEqualTo(Phase.IN_USE);
         assertThat(evacuations.phase(SOUTH)).isEqualTo(Phase.EMPTY);
     }
 
-    /** Guards against a domain that stays empty, or in use, where both changes are read together. */
+    /** Guards against applying the wrong one of two changes that are read together. */
     @Test
     void theLastOfSeveralChangesCounts() {
-        take(false, ago(LIMIT), new OperatorItem.Evacuation(NORTH), new OperatorItem.EvacuationEnded(NORTH));
+        update(false, ago(LIMIT), new OperatorItem.Evacuation(NORTH), new OperatorItem.EvacuationEnded(NORTH));
         assertThat(evacuations.phase(NORTH)).isEqualTo(Phase.IN_USE);
-        take(false, ago(LIMIT), new OperatorItem.EvacuationEnded(NORTH), new OperatorItem.Evacuation(NORTH));
+        update(false, ago(LIMIT), new OperatorItem.EvacuationEnded(NORTH), new OperatorItem.Evacuation(NORTH));
         assertThat(evacuations.phase(NORTH)).isEqualTo(Phase.EMPTY);
     }
 
     @Test
-    void newsOfOtherRowsEndNoEvacuation() {
-        take(true, OptionalLong.empty(), new OperatorItem.Evacuation(NORTH));
-        take(false, ago(Duration.ZERO), new OperatorItem.Unreadable("config", "no JSON"));
+    void otherRowsDoNotEndAnEvacuation() {
+        update(true, OptionalLong.empty(), new OperatorItem.Evacuation(NORTH));
+        update(false, ago(Duration.ZERO), new OperatorItem.Unreadable("config", "no JSON"));
         assertThat(evacuations.phase(NORTH)).isEqualTo(Phase.EMPTY);
     }
 }
--- a/gateway/src/test/java/org/geraniumreach/gateway/pacing/EngineModel.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/pacing/EngineModel.java
@@ -8,29 +8,29 @@
 import java.util.Iterator;
 import java.util.List;
 
-/** A model engine that batches continuously: in each step it reads a part of the prompts and makes a token of each stream. */
+/** Simulates an engine with continuous batching: each step reads some prompt tokens and generates one token of each stream. */
 final class EngineModel {
 
     private static final double STEP_MILLIS = 10.5;
-    private static final double MILLIS_FOR_EACH_STREAM = 0.00733;
+    private static final double MILLIS_PER_STREAM = 0.00733;
     static final double TOKENS_PER_MILLI = 19.2;
-    private static final int READ_IN_A_STEP = 2_048;
-    private static final int TOKENS_OF_AN_EVENT = 3;
+    private static final int PROMPT_TOKENS_PER_STEP = 2_048;
+    private static final int TOKENS_PER_EVENT = 3;
 
     private final Deque<Stream> reading = new ArrayDeque<>();
     private final List<Stream> running = new ArrayList<>();
     private double now;
 
-    /** One request, with what its caller sees. */
+    /** A request with the timing of its answer as seen by the caller. */
     static final class Stream {
         private final double arrivedAt;
         private final int promptTokens;
         private final int outputTokens;
         private double sentAt;
-        private int toRead;
-        private int made;
-        private double firstAt = -1;
-        private double lastAt;
+        private int unreadTokens;
+        private int generatedTokens;
+        private double firstEventAt = -1;
+        private double lastEventAt;
         private double longestPause;
 
         Stream(double arrivedAt, int promptTokens, int outputTokens) {
@@ -44,7 +44,7 @@
             return arrivedAt;
         }
 
-        Duration reading() {
+        Duration readingTime() {
             return Duration.ofNanos((long) (promptTokens / TOKENS_PER_MILLI * 1e6));
         }
 
@@ -52,40 +52,40 @@
             sentAt = millis;
         }
 
-        double untilFirst() {
-            return firstAt - arrivedAt;
+        double timeToFirstEvent() {
+            return firstEventAt - arrivedAt;
         }
 
         double longestPause() {
             return longestPause;
         }
 
-        private void token(double at) {
-            made++;
-            if (made % TOKENS_OF_AN_EVENT != 0 && made < outputTokens) {
+        private void generateToken(double at) {
+            generatedTokens++;
+            if (generatedTokens % TOKENS_PER_EVENT != 0 && generatedTokens < outputTokens) {
                 return;
             }
-            if (firstAt < 0) {
-                firstAt = at;
+            if (firstEventAt < 0) {
+                firstEventAt = at;
             } else {
-                longestPause = Math.max(longestPause, at - lastAt);
+                longestPause = Math.max(longestPause, at - lastEventAt);
             }
-            lastAt = at;
+            lastEventAt = at;
         }
     }
 
-    /** Runs all streams to their ends. */
+    /** Runs all streams to their end. */
     void run(List<Stream> streams) {
-        Deque<Stream> coming = new ArrayDeque<>(streams.stream()
+        Deque<Stream> arriving = new ArrayDeque<>(streams.stream()
                 .sorted(Comparator.comparingDouble(stream -> stream.sentAt))
                 .toList());
-        while (!coming.isEmpty() || !reading.isEmpty() || !running.isEmpty()) {
+        while (!arriving.isEmpty() || !reading.isEmpty() || !running.isEmpty()) {
             if (reading.isEmpty() && running.isEmpty()) {
-                now = Math.max(now, coming.peek().sentAt);
+                now = Math.max(now, arriving.peek().sentAt);
             }
-            while (!coming.isEmpty() && coming.peek().sentAt <= now) {
-                Stream next = coming.poll();
-                next.toRead = next.promptTokens;
+            while (!arriving.isEmpty() && arriving.peek().sentAt <= now) {
+                Stream next = arriving.poll();
+                next.unreadTokens = next.promptTokens;
                 reading.add(next);
             }
             step();
@@ -93,26 +93,26 @@
     }
 
     private void step() {
-        int budget = READ_IN_A_STEP;
-        List<Stream> read = new ArrayList<>();
+        int budget = PROMPT_TOKENS_PER_STEP;
+        List<Stream> finishedReading = new ArrayList<>();
         while (budget > 0 && !reading.isEmpty()) {
             Stream first = reading.peek();
-            int part = Math.min(budget, first.toRead);
-            first.toRead -= part;
-            budget -= part;
-            if (first.toRead == 0) {
-                read.add(reading.poll());
+            int tokens = Math.min(budget, first.unreadTokens);
+            first.unreadTokens -= tokens;
+            budget -= tokens;
+            if (first.unreadTokens == 0) {
+                finishedReading.add(reading.poll());
             }
         }
-        now += STEP_MILLIS + MILLIS_FOR_EACH_STREAM * running.size() + (READ_IN_A_STEP - budget) / TOKENS_PER_MILLI;
-        for (Iterator<Stream> each = running.iterator(); each.hasNext(); ) {
-            Stream stream = each.next();
-            stream.token(now);
-            if (stream.made >= stream.outputTokens) {
-                each.remove();
+        now += STEP_MILLIS + MILLIS_PER_STREAM * running.size() + (PROMPT_TOKENS_PER_STEP - budget) / TOKENS_PER_MILLI;
+        for (Iterator<Stream> iterator = running.iterator(); iterator.hasNext(); ) {
+            Stream stream = iterator.next();
+            stream.generateToken(now);
+            if (stream.generatedTokens >= stream.outputTokens) {
+                iterator.remove();
             }
         }
-        read.forEach(stream -> stream.made = 1);
-        running.addAll(read);
+        finishedReading.forEach(stream -> stream.generatedTokens = 1);
+        running.addAll(finishedReading);
     }
 }
--- a/gateway/src/test/java/org/geraniumreach/gateway/pacing/OwnerAdmissionTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/pacing/OwnerAdmissionTest.java
@@ -23,13 +23,13 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** Two entries, the first of which owns the target. */
+/** Uses two entries, of which the first owns the target. */
 class OwnerAdmissionTest {
 
     private static final TargetId ID = TargetId.of("t1");
-    private static final long PROMPT = 1_500;
-    private static final double SPEED = 20;
-    private static final Duration LONGEST = Duration.ofMillis(300);
+    private static final long PROMPT_TOKENS = 1_500;
+    private static final double TOKENS_PER_MILLI = 20;
+    private static final Duration MAX_DELAY = Duration.ofMillis(300);
     private static final Duration LINK_DELAY = Duration.ofMillis(2);
 
     private final VirtualTime time = new VirtualTime();
@@ -37,7 +37,7 @@
     private final Entry other = new Entry("two", 1);
     private final List<Decision> decisions = new ArrayList<>();
     private boolean linkOpen = true;
-    private boolean answers = true;
+    private boolean ownerAnswers = true;
 
     private static TargetDescription description(long startedAt) {
         return new TargetDescription(
@@ -61,18 +61,19 @@
             Lease lease = new Lease(time, time::wallMillis);
             lease.renewed(lease.sending());
             ownership = new TargetOwnership(name, incarnation, lease, time);
-            admission = new OwnerAdmission(ownership, registry, service -> SPEED, this::ask, time, time);
+            admission =
+                    new OwnerAdmission(ownership, registry, service -> TOKENS_PER_MILLI, this::sendToOwner, time, time);
             registry.listen(admission);
             registry.put(description(1));
         }
 
-        private boolean ask(String entry, long number, TargetId target, long promptTokens, Duration longestDelay) {
+        private boolean sendToOwner(String entry, long number, TargetId target, long promptTokens, Duration maxDelay) {
             if (!linkOpen) {
                 return false;
             }
-            if (answers) {
+            if (ownerAnswers) {
                 time.after(LINK_DELAY, () -> {
-                    Decision decision = owner.admission.decide(target, promptTokens, longestDelay);
+                    Decision decision = owner.admission.decide(target, promptTokens, maxDelay);
                     time.after(LINK_DELAY, () -> admission.onAnswer(number, decision));
                 });
             }
@@ -84,7 +85,7 @@
         }
 
         private Cancellable send() {
-            return admission.admit(target(), PROMPT, LONGEST, decisions::add);
+            return admission.admit(target(), PROMPT_TOKENS, MAX_DELAY, decisions::add);
         }
     }
 
@@ -98,9 +99,9 @@
         other.ownership.put(write.key().key(), Optional.of(row));
     }
 
-    /** Guards against clumps of prompts that no single entry sees. */
+    /** Guards against bursts of prompts that no single entry can detect. */
     @Test
-    void promptsOfAllEntriesAreSpacedTogether() {
+    void promptsOfAllEntriesArePacedTogether() {
         owner.send();
         other.send();
         other.send();
@@ -110,10 +111,10 @@
         assertThat(decisions.get(2).delay()).isGreaterThan(Duration.ofMillis(80));
     }
 
-    /** Guards against requests that hang because an owner is cut off, gone or frozen. */
+    /** Guards against requests that hang because the owner is unreachable, has ended or is frozen. */
     @Test
-    void whereNoOwnerAnswersAPromptIsSentSoon() {
-        answers = false;
+    void aPromptIsSentSoonIfTheOwnerDoesNotAnswer() {
+        ownerAnswers = false;
         other.send();
         time.pass(Duration.ofMillis(70));
         assertThat(decisions).containsExactly(Decision.IMMEDIATE);
@@ -122,26 +123,26 @@
         assertThat(decisions).containsExactly(Decision.IMMEDIATE, Decision.IMMEDIATE);
     }
 
-    /** Guards against a second decision for one request, after its time was up or its caller had gone. */
+    /** Guards against a second decision for a request after its timeout or cancellation. */
     @Test
-    void aLateAnswerOrOneAfterACancellationIsNotTold() {
+    void anAnswerAfterACancellationIsIgnored() {
         other.send().cancel();
         time.pass(Duration.ofSeconds(1));
         assertThat(decisions).isEmpty();
     }
 
     @Test
-    void anEntryThatDoesNotOwnTheTargetHoldsNothingBack() {
+    void anEntryThatDoesNotOwnTheTargetDelaysNoPrompt() {
         for (int prompt = 0; prompt < 20; prompt++) {
-            assertThat(other.admission.decide(ID, PROMPT, LONGEST)).isEqualTo(Decision.IMMEDIATE);
+            assertThat(other.admission.decide(ID, PROMPT_TOKENS, MAX_DELAY)).isEqualTo(Decision.IMMEDIATE);
         }
-        assertThat(owner.admission.decide(TargetId.of("unknown"), PROMPT, LONGEST))
+        assertThat(owner.admission.decide(TargetId.of("unknown"), PROMPT_TOKENS, MAX_DELAY))
                 .isEqualTo(Decision.IMMEDIATE);
     }
 
-    /** Guards against a target that starts anew and is taken to have its former life's prompts to read. */
+    /** Guards against counting prompts sent to a target's former incarnation. */
     @Test
-    void aNewLifeOfATargetBeginsWithNothingToRead() {
+    void aNewIncarnationOfATargetStartsWithoutPendingPrompts() {
         for (int prompt = 0; prompt < 6; prompt++) {
             owner.send();
         }
--- a/gateway/src/test/java/org/geraniumreach/gateway/pacing/PacedStreamsTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/pacing/PacedStreamsTest.java
@@ -10,17 +10,17 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** Plays prompts of many entries at one target, and checks what callers see of their streams. */
+/** Simulates prompts of many entries at one target, and checks the timing of the streams as seen by callers. */
 class PacedStreamsTest {
 
     private static final double NANOS_PER_MILLI = 1e6;
     private static final double OBJECTIVE_MILLIS = 800;
-    private static final double LONGEST_PAUSE_MILLIS = 300;
-    private static final Duration LONGEST_DELAY = Duration.ofMillis(520);
+    private static final double MAX_PAUSE_MILLIS = 300;
+    private static final Duration MAX_DELAY = Duration.ofMillis(520);
     private static final double MINUTE_MILLIS = 60_000;
     private static final int SEEDS = 10;
 
-    private record Seen(double latePart, double meanUntilFirst) {}
+    private record Result(double lateFraction, double meanTimeToFirstEvent) {}
 
     private static List<EngineModel.Stream> streams(double perSecond, Random random) {
         List<EngineModel.Stream> streams = new ArrayList<>();
@@ -34,10 +34,10 @@
         return streams;
     }
 
-    private static Seen play(double perSecond, boolean paced) {
+    private static Result simulate(double perSecond, boolean paced) {
         int late = 0;
         int count = 0;
-        double untilFirst = 0;
+        double timeToFirstEvent = 0;
         for (int seed = 0; seed < SEEDS; seed++) {
             List<EngineModel.Stream> streams = streams(perSecond, new Random(seed));
             if (paced) {
@@ -46,31 +46,31 @@
             new EngineModel().run(streams);
             for (EngineModel.Stream stream : streams) {
                 boolean inTime =
-                        stream.untilFirst() <= OBJECTIVE_MILLIS && stream.longestPause() <= LONGEST_PAUSE_MILLIS;
+                        stream.timeToFirstEvent() <= OBJECTIVE_MILLIS && stream.longestPause() <= MAX_PAUSE_MILLIS;
                 late += inTime ? 0 : 1;
-                untilFirst += stream.untilFirst();
+                timeToFirstEvent += stream.timeToFirstEvent();
                 count++;
             }
         }
-        return new Seen((double) late / count, untilFirst / count);
+        return new Result((double) late / count, timeToFirstEvent / count);
     }
 
     private static void pace(List<EngineModel.Stream> streams) {
         PromptPacer pacer = new PromptPacer();
         for (EngineModel.Stream stream : streams) {
             long now = (long) (stream.arrivedAt() * NANOS_PER_MILLI);
-            Duration delay = pacer.admit(stream.reading(), LONGEST_DELAY, now).delay();
+            Duration delay = pacer.admit(stream.readingTime(), MAX_DELAY, now).delay();
             stream.sendAt(stream.arrivedAt() + delay.toNanos() / NANOS_PER_MILLI);
         }
     }
 
-    /** Guards against streams that pause because prompts of many entries reach their target in a clump. */
+    /** Guards against streams that pause because prompts of many entries reach their target in a burst. */
     @ParameterizedTest
     @CsvSource({"4, 0.1", "6.5, 0.3", "8, 0.4"})
-    void pacingSparesStreamsTheirPausesAndNoCallerWaitsLongerForIt(double perSecond, double mostOfUnpaced) {
-        Seen unpaced = play(perSecond, false);
-        Seen paced = play(perSecond, true);
-        assertThat(paced.latePart()).isLessThan(mostOfUnpaced * unpaced.latePart());
-        assertThat(paced.meanUntilFirst()).isLessThan(1.05 * unpaced.meanUntilFirst());
+    void pacingReducesLateStreamsWithoutDelayingFirstEvents(double perSecond, double maxLateRatio) {
+        Result unpaced = simulate(perSecond, false);
+        Result paced = simulate(perSecond, true);
+        assertThat(paced.lateFraction()).isLessThan(maxLateRatio * unpaced.lateFraction());
+        assertThat(paced.meanTimeToFirstEvent()).isLessThan(1.05 * unpaced.meanTimeToFirstEvent());
     }
 }
--- a/gateway/src/test/java/org/geraniumreach/gateway/pacing/PromptPacerTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/pacing/PromptPacerTest.java
@@ -14,44 +14,44 @@
 
 class PromptPacerTest {
 
-    private static final Duration PROMPT = Duration.ofMillis(75);
-    private static final Duration LONGEST = Duration.ofMillis(300);
-    private static final Duration PAUSE = Duration.ofMillis(300);
+    private static final Duration READING_TIME = Duration.ofMillis(75);
+    private static final Duration MAX_DELAY = Duration.ofMillis(300);
+    private static final Duration MAX_SPAN = Duration.ofMillis(300);
 
-    /** Guards against streams that pause because prompts of several entries reach their target in a clump. */
+    /** Guards against streams that pause because prompts of several entries reach their target in a burst. */
     @Test
-    void aClumpOfPromptsIsSpread() {
+    void aBurstOfPromptsIsSpread() {
         PromptPacer pacer = new PromptPacer();
         List<Duration> delays = new ArrayList<>();
         for (int prompt = 0; prompt < 4; prompt++) {
-            delays.add(pacer.admit(PROMPT, LONGEST, 0).delay());
+            delays.add(pacer.admit(READING_TIME, MAX_DELAY, 0).delay());
         }
         assertThat(delays).extracting(Duration::toMillis).containsExactly(0L, 83L, 177L, 271L);
     }
 
-    /** Guards against prompts that are held back for longer than reading them elsewhere would take. */
+    /** Guards against delaying prompts for longer than another target would take to read them. */
     @Test
-    void aPromptThatWouldBeHeldBackForTooLongIsRefusedAndTakesNoTurn() {
+    void aPromptThatWouldBeDelayedTooLongIsRefusedAndUsesNoReadingTime() {
         PromptPacer pacer = new PromptPacer();
         for (int prompt = 0; prompt < 4; prompt++) {
-            assertThat(pacer.admit(PROMPT, LONGEST, 0).admitted()).isTrue();
+            assertThat(pacer.admit(READING_TIME, MAX_DELAY, 0).admitted()).isTrue();
         }
-        assertThat(pacer.admit(PROMPT, LONGEST, 0)).isEqualTo(Decision.SATURATED);
-        assertThat(pacer.admit(PROMPT, Duration.ofMillis(400), 0).delay().toMillis())
+        assertThat(pacer.admit(READING_TIME, MAX_DELAY, 0)).isEqualTo(Decision.SATURATED);
+        assertThat(pacer.admit(READING_TIME, Duration.ofMillis(400), 0).delay().toMillis())
                 .isEqualTo(365);
     }
 
     @Test
-    void aTargetThatHasNothingToReadTakesAPromptAtOnce() {
+    void anIdleTargetAdmitsAPromptAtOnce() {
         PromptPacer pacer = new PromptPacer();
-        pacer.admit(Duration.ofSeconds(10), LONGEST, 0);
-        assertThat(pacer.admit(PROMPT, LONGEST, Duration.ofSeconds(14).toNanos()))
+        pacer.admit(Duration.ofSeconds(10), MAX_DELAY, 0);
+        assertThat(pacer.admit(READING_TIME, MAX_DELAY, Duration.ofSeconds(14).toNanos()))
                 .isEqualTo(Decision.IMMEDIATE);
     }
 
-    /** Guards against a span in which a target has more to read than its streams can bear. */
+    /** Guards against a time span in which a target spends too much time reading prompts. */
     @Property(tries = 200)
-    void noSpanHasMoreReadingThanItsPartAndTheBurst(@ForAll long seed) {
+    void noTimeSpanExceedsTheReadingFractionAndTheBurst(@ForAll long seed) {
         Random random = new Random(seed);
         PromptPacer pacer = new PromptPacer();
         List<long[]> sent = new ArrayList<>();
@@ -59,14 +59,14 @@
         for (int prompt = 0; prompt < 300; prompt++) {
             now += random.nextInt(40) * 1_000_000L;
             Duration reading = Duration.ofMillis(1 + random.nextInt(200));
-            Decision decision = pacer.admit(reading, LONGEST, now);
+            Decision decision = pacer.admit(reading, MAX_DELAY, now);
             if (decision.admitted()) {
                 sent.add(new long[] {now + decision.delay().toNanos(), reading.toNanos()});
             }
         }
         for (int first = 0; first < sent.size(); first++) {
             long reading = 0;
-            for (int next = first; next < sent.size() && within(sent, first, next); next++) {
+            for (int next = first; next < sent.size() && isWithinMaxSpan(sent, first, next); next++) {
                 long before = reading;
                 reading += sent.get(next)[1];
                 long span = sent.get(next)[0] - sent.get(first)[0];
@@ -78,7 +78,7 @@
         }
     }
 
-    private static boolean within(List<long[]> sent, int first, int next) {
-        return sent.get(next)[0] - sent.get(first)[0] <= PAUSE.toNanos();
+    private static boolean isWithinMaxSpan(List<long[]> sent, int first, int next) {
+        return sent.get(next)[0] - sent.get(first)[0] <= MAX_SPAN.toNanos();
     }
 }
