--- a/gateway/src/main/java/org/geraniumreach/gateway/adapter/AdapterSlots.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/adapter/AdapterSlots.java
@@ -16,521 +16,526 @@
 import org.geraniumreach.gateway.traffic.AdapterName;
 
 /**
- * The adapter slots of one life of a target, as its owner tracks them.
+ * Tracks the adapter slots of one incarnation of a target for the entry that owns it, and chooses the calls to the target.
  *
- * <p>Invariants: the adapters that are loaded, loading, or may not be unloaded yet are never more than the slots, since an order
- * beyond them crashes the target; at most {@link #MOST_COMING} are coming; one call is under way at a time, so the number of
- * accepted orders that each order names is known, and an order that is carried out late finds another number and does
- * nothing. An order whose answer was lost is sent again unchanged before any other: whichever copy comes first is carried out,
- * and the others find another number. After {@link #MOST_COPIES}, or a conflict, nothing is ordered until a report has told
- * what is so. Confined to the event loop.
+ * <p>Invariants: the adapters that are loaded, loading or still unloading never exceed the slots, since an order beyond them
+ * crashes the target; at most {@link #MAX_CONCURRENT_LOADS} are loading; one call is in progress at a time. Each order therefore
+ * carries the exact number of orders accepted before it, and the target ignores an order that arrives after that number has
+ * changed. An order whose answer was lost is sent again unchanged before any other: the target executes the copy that arrives
+ * first and ignores the others. After {@link #MAX_SEND_ATTEMPTS} attempts or a conflict, no order is sent until a report has shown
+ * the state of the target. Confined to the event loop.
  */
 public final class AdapterSlots {
 
-    /** Adapters that a target fetches at the same time; it refuses more. */
-    static final int MOST_COMING = 4;
+    /** A target refuses to load more adapters than this at the same time. */
+    static final int MAX_CONCURRENT_LOADS = 4;
 
     /**
-     * Part of an undisturbed fetch's time after which it is polled first. Recent fetch times would feed back: they are measured by
-     * these polls, so one slow fetch would delay the polls of the next ones.
+     * Fraction of the base fetch time after which a fetch is first polled. Recent fetch times are not used because the polls
+     * measure them: one slow fetch would delay the polls of the next ones.
      */
-    private static final double FIRST_POLL_PART = 0.92;
+    private static final double FIRST_POLL_FRACTION = 0.92;
 
-    private static final Duration FIRST_POLL_WARM = Duration.ofMillis(24);
+    private static final Duration CACHED_FIRST_POLL_DELAY = Duration.ofMillis(24);
 
-    /** An order repeated to ask whether a load is done costs a thirtieth of a report and delays nobody. */
+    /** A poll repeats the order; it costs a thirtieth of a report and delays no other order. */
     private static final Duration POLL_INTERVAL = Duration.ofMillis(25);
 
-    /** A target that waits for runs to end before it carries an order out refuses all others meanwhile. */
-    private static final Duration WAITING_POLL_INTERVAL = Duration.ofMillis(40);
+    /** A target that defers an order until running requests end refuses all other orders meanwhile. */
+    private static final Duration DEFERRED_ORDER_POLL_INTERVAL = Duration.ofMillis(40);
 
-    /** Sendings of one order; a target that answers none of them is better asked for a report. */
-    private static final int MOST_COPIES = 3;
+    /** Attempts to send one order; a report is read if none of them is answered. */
+    private static final int MAX_SEND_ATTEMPTS = 3;
 
     private static final Duration MODEL_POLL_INTERVAL = Duration.ofMillis(200);
 
-    /** A report tells of a moment up to 0.2 s ago, so one read sooner may not know of the last order. */
+    /** A report is up to 0.2 s old, so one that is read sooner may not include the last order. */
     private static final Duration REPORT_LAG = Duration.ofMillis(300);
 
-    /** Entries report requests that began within {@link UsageReports#CHECK_INTERVAL}, so one that began earlier is known. */
-    private static final Duration IDLE_BEFORE_EVICTION = Duration.ofMillis(450);
+    /** Longer than {@link UsageReports#CHECK_INTERVAL}, so that every request started earlier has been reported. */
+    private static final Duration MIN_IDLE_BEFORE_EVICTION = Duration.ofMillis(450);
 
-    /** Adapters that a target is taken to keep at hand after they were evicted; taken for more, a fetch would not be counted as one. */
-    private static final int AT_HAND = 100;
+    /** Unloaded adapters assumed to be in the target's own memory; with a higher number some fetches would not be counted. */
+    private static final int MAX_CACHED_ADAPTERS = 100;
 
-    private static final Duration REFUSED_PAUSE = Duration.ofMillis(500);
+    private static final Duration REFUSAL_DELAY = Duration.ofMillis(500);
 
-    private final int places;
+    private final int slots;
     private final String model;
     private final Function<AdapterName, Long> newestVersion;
-    private final FetchWindow window;
+    private final FetchWindow fetchWindow;
     private final Listener listener;
-    private final Map<AdapterName, Long> fetchedSince = new HashMap<>();
+    private final Map<AdapterName, Long> fetchStartedAt = new HashMap<>();
     private final Map<AdapterName, Long> resident = new HashMap<>();
-    private final Map<AdapterName, Long> nextPoll = new HashMap<>();
-    private final Set<AdapterName> leaving = new HashSet<>();
-    private Optional<AdapterName> awaitingRuns = Optional.empty();
+    private final Map<AdapterName, Long> nextPollAt = new HashMap<>();
+    private final Set<AdapterName> unloading = new HashSet<>();
+    private Optional<AdapterName> deferredAdapter = Optional.empty();
     private final LoadQueue loadQueue = new LoadQueue();
-    private final AdapterFrequency uses = new AdapterFrequency();
+    private final AdapterUseFrequency frequency = new AdapterUseFrequency();
     private final RunningAdapters running = new RunningAdapters();
-    private final Deque<AdapterName> atHand = new ArrayDeque<>();
-    private boolean modelPresent;
-    private boolean modelComing;
-    private OptionalLong orders = OptionalLong.empty();
-    private long notBefore;
-    private boolean callUnderWay;
-    private Optional<Step.Send> unanswered = Optional.empty();
-    private int copies;
+    private final Deque<AdapterName> cachedAtTarget = new ArrayDeque<>();
+    private boolean modelLoaded;
+    private boolean modelLoading;
+    private OptionalLong acceptedOrders = OptionalLong.empty();
+    private long earliestCallAt;
+    private boolean callInProgress;
+    private Optional<Step.Send> unansweredOrder = Optional.empty();
+    private int sendAttempts;
 
     /**
-     * Whether an order from before the last report may still await runs at the target. A report does not tell; the same order sent
-     * again is accepted without being counted there. Counted here, it made a later order name a number yet to come: lost, and
-     * carried out when the number came, it loaded an adapter beyond the places. So the count is read anew after such an order,
-     * until the target has accepted a load, whose number it has checked.
+     * Whether the target may still defer an order from before the last report, which the report does not show. The target accepts
+     * a repetition of that order without counting it. Counted here, a later order would carry a number that is too high; if lost
+     * and executed once the number is reached, it would load an adapter beyond the slots. So the count is read again after such an
+     * order, until the target has accepted a load, which confirms the number.
      */
-    private boolean countDoubtful = true;
+    private boolean orderCountUncertain = true;
 
-    /** Is told of adapters that come and go. */
+    /** Receives changes of the adapters that a target holds. */
     public interface Listener {
 
         /**
-         * Tells that an adapter is there.
+         * Called when an adapter is loaded.
          *
          * @param adapter the adapter, not null
-         * @param version its version
+         * @param version the loaded version
          */
         void arrived(AdapterName adapter, long version);
 
         /**
-         * Tells that an adapter is not there any more, or will not be for requests that come now.
+         * Called when an adapter is unloaded or starts to be unloaded, so that it cannot serve new requests.
          *
          * @param adapter the adapter, not null
          */
         void leaves(AdapterName adapter);
 
-        /** Tells that the base model is there. */
+        /** Called when the base model is loaded. */
         void modelArrived();
     }
 
-    /** A call to be made. */
+    /** A call to the target. */
     public sealed interface Step {
 
         /**
-         * Send an order.
+         * Sends an order.
          *
-         * @param operation what to do
+         * @param operation the operation
          * @param adapter the adapter, empty for the base model
-         * @param expectedOrders the orders accepted before
+         * @param expectedOrders the number of orders accepted before this one
          */
         record Send(Order.Operation operation, Optional<AdapterName> adapter, long expectedOrders) implements Step {}
 
-        /** Read the report. */
-        record Report() implements Step {}
+        /** Reads the target's report. */
+        record ReadReport() implements Step {}
     }
 
     /**
-     * Makes the places of a target whose state is not known yet.
+     * Creates the slots of a target whose state is unknown.
      *
-     * @param places how many there are
+     * @param slots the number of slots, at least 1
      * @param model the base model, not null
-     * @param newestVersion tells an adapter's newest version, not null
-     * @param window limits the fetches of all targets that this entry holds, not null
-     * @param listener told of changes, not null
+     * @param newestVersion returns an adapter's newest version, not null
+     * @param fetchWindow limits the concurrent fetches of all targets that this entry owns, not null
+     * @param listener receives changes, not null
      */
     public AdapterSlots(
-            int places,
+            int slots,
             String model,
             Function<AdapterName, Long> newestVersion,
-            FetchWindow window,
+            FetchWindow fetchWindow,
             Listener listener) {
-        if (places < 1) {
-            throw new IllegalArgumentException("places below 1: " + places);
+        if (slots < 1) {
+            throw new IllegalArgumentException("slots below 1: " + slots);
         }
-        this.places = places;
+        this.slots = slots;
         this.model = Objects.requireNonNull(model, "model");
         this.newestVersion = Objects.requireNonNull(newestVersion, "newestVersion");
-        this.window = Objects.requireNonNull(window, "window");
+        this.fetchWindow = Objects.requireNonNull(fetchWindow, "fetchWindow");
         this.listener = Objects.requireNonNull(listener, "listener");
     }
 
     /**
-     * Asks for an adapter.
+     * Requests the load of an adapter, or notifies the listener if it is loaded already.
      *
      * @param adapter the adapter, not null
-     * @param lateAt when the request that waits for it misses its objective, empty if none waits, not null
-     * @param now the time
+     * @param deadline when the waiting request misses its objective, empty if none waits, not null
+     * @param now the current time, in nanoseconds
      */
-    public void enqueue(AdapterName adapter, OptionalLong lateAt, long now) {
-        uses.used(adapter, 1, now);
-        if (isPresent(adapter)) {
+    public void enqueue(AdapterName adapter, OptionalLong deadline, long now) {
+        frequency.recordUses(adapter, 1, now);
+        if (isLoaded(adapter)) {
             listener.arrived(adapter, resident.get(adapter));
             return;
         }
-        loadQueue.enqueue(adapter, lateAt, now);
+        loadQueue.enqueue(adapter, deadline, now);
     }
 
     /**
-     * Queries whether one more load request finds a slot before those that run have ended.
+     * Returns whether one more load request can get a slot without waiting for running requests to end.
      *
      * @param adapter the adapter, not null
-     * @param now the time
-     * @return true if it does, or if the adapter is there, coming or asked for already
+     * @param now the current time, in nanoseconds
+     * @return true if it can, or if the adapter is loaded, loading or queued already
      */
     public boolean hasSlotFor(AdapterName adapter, long now) {
-        boolean known = resident.containsKey(adapter) || nextPoll.containsKey(adapter) || loadQueue.contains(adapter);
-        return known || places - occupied() + evictable(now).count() > loadQueue.size();
+        boolean known = resident.containsKey(adapter) || nextPollAt.containsKey(adapter) || loadQueue.contains(adapter);
+        return known || slots - occupiedSlots() + evictionCandidates(now).count() > loadQueue.size();
     }
 
     /**
-     * Notes that requests for an adapter were sent to the target.
+     * Records requests for an adapter that were sent to the target.
      *
      * @param adapter the adapter, not null
-     * @param count how many
-     * @param now the time
+     * @param count the number of requests
+     * @param now the current time, in nanoseconds
      */
     public void used(AdapterName adapter, int count, long now) {
-        uses.used(adapter, count, now);
+        frequency.recordUses(adapter, count, now);
     }
 
     /**
-     * Takes an entry's report of the adapters that its requests run for.
+     * Replaces the adapters that an entry's running requests use.
      *
      * @param entry the entry, not null
      * @param adapters the adapters, not null
-     * @param now the time
+     * @param now the current time, in nanoseconds
      */
     public void running(String entry, Set<AdapterName> adapters, long now) {
-        running.reported(entry, adapters, now);
+        running.update(entry, adapters, now);
     }
 
     /**
-     * Gets how long nothing is to be done.
+     * Returns the time until the next call may be due.
      *
-     * @param now the time
-     * @return the time until the next call may be due, empty if that depends on other events than the passing of time, not null
+     * @param now the current time, in nanoseconds
+     * @return the time, empty if a call may be due already or depends on other events than time, not null
      */
     public Optional<Duration> untilNextCall(long now) {
-        boolean open =
-                orders.isEmpty() || !modelPresent || unanswered.isPresent() || !loadQueue.areAllIn(nextPoll.keySet());
-        if (open || callUnderWay) {
+        boolean mayBeDue = acceptedOrders.isEmpty()
+                || !modelLoaded
+                || unansweredOrder.isPresent()
+                || !loadQueue.isSubsetOf(nextPollAt.keySet());
+        if (mayBeDue || callInProgress) {
             return Optional.empty();
         }
-        Optional<Long> next = awaitingRuns.isPresent()
-                ? awaitingRuns.map(waiting -> nextPoll.getOrDefault(waiting, now))
-                : nextPoll.values().stream().min(Long::compare);
-        return next.map(at -> Duration.ofNanos(Math.max(0, Math.max(at, notBefore) - now)));
+        Optional<Long> next = deferredAdapter.isPresent()
+                ? deferredAdapter.map(adapter -> nextPollAt.getOrDefault(adapter, now))
+                : nextPollAt.values().stream().min(Long::compare);
+        return next.map(at -> Duration.ofNanos(Math.max(0, Math.max(at, earliestCallAt) - now)));
     }
 
-    private boolean isPresent(AdapterName adapter) {
+    private boolean isLoaded(AdapterName adapter) {
         Long version = resident.get(adapter);
-        return version != null && !leaving.contains(adapter) && version >= newestVersion.apply(adapter);
+        return version != null && !unloading.contains(adapter) && version >= newestVersion.apply(adapter);
     }
 
     /**
-     * Chooses the next call.
+     * Returns the next call, which is in progress from then on.
      *
-     * @param now the time
-     * @return the call, or empty if none is due
+     * @param now the current time, in nanoseconds
+     * @return the call, or empty if none is due or one is in progress
      */
     public Optional<Step> next(long now) {
-        if (callUnderWay || now < notBefore) {
+        if (callInProgress || now < earliestCallAt) {
             return Optional.empty();
         }
-        Optional<Step> step = orders.isEmpty() ? Optional.of(new Step.Report()) : nextOrder(now);
-        callUnderWay = step.isPresent();
-        return step;
+        Optional<Step> call = acceptedOrders.isEmpty() ? Optional.of(new Step.ReadReport()) : nextOrder(now);
+        callInProgress = call.isPresent();
+        return call;
     }
 
     private Optional<Step> nextOrder(long now) {
-        if (unanswered.isPresent()) {
-            return Optional.of(unanswered.get());
+        if (unansweredOrder.isPresent()) {
+            return Optional.of(unansweredOrder.get());
         }
-        if (!modelPresent) {
-            notBefore = now + MODEL_POLL_INTERVAL.toNanos();
-            return send(Order.Operation.LOAD, Optional.empty());
+        if (!modelLoaded) {
+            earliestCallAt = now + MODEL_POLL_INTERVAL.toNanos();
+            return orderCall(Order.Operation.LOAD, Optional.empty());
         }
-        if (awaitingRuns.isPresent()) {
-            return pollWaiting(now);
+        if (deferredAdapter.isPresent()) {
+            return pollDeferredOrder(now);
         }
-        Optional<AdapterName> due = nextPoll.entrySet().stream()
+        Optional<AdapterName> due = nextPollAt.entrySet().stream()
                 .filter(poll -> poll.getValue() <= now)
                 .map(Map.Entry::getKey)
                 .findFirst();
         if (due.isPresent()) {
-            return send(operation(due.get()), due);
+            return orderCall(pendingOperation(due.get()), due);
         }
         return nextLoadRequest(now);
     }
 
-    private Optional<Step> pollWaiting(long now) {
-        if (nextPoll.getOrDefault(awaitingRuns.get(), now) > now) {
+    private Optional<Step> pollDeferredOrder(long now) {
+        if (nextPollAt.getOrDefault(deferredAdapter.get(), now) > now) {
             return Optional.empty();
         }
-        return send(operation(awaitingRuns.get()), awaitingRuns);
+        return orderCall(pendingOperation(deferredAdapter.get()), deferredAdapter);
     }
 
-    private Order.Operation operation(AdapterName underWay) {
-        return leaving.contains(underWay) ? Order.Operation.UNLOAD : Order.Operation.LOAD;
+    private Order.Operation pendingOperation(AdapterName adapter) {
+        return unloading.contains(adapter) ? Order.Operation.UNLOAD : Order.Operation.LOAD;
     }
 
     private Optional<Step> nextLoadRequest(long now) {
-        if (loadQueue.isEmpty() || coming() >= MOST_COMING) {
+        if (loadQueue.isEmpty() || loadingCount() >= MAX_CONCURRENT_LOADS) {
             return Optional.empty();
         }
-        for (AdapterName adapter : loadQueue.inOrder(now, window.undisturbed().orElse(Duration.ZERO))) {
-            if (isPresent(adapter)) {
+        for (AdapterName adapter :
+                loadQueue.byUrgency(now, fetchWindow.baseFetchTime().orElse(Duration.ZERO))) {
+            if (isLoaded(adapter)) {
                 loadQueue.remove(adapter);
                 continue;
             }
-            // What the target has at hand does not wait for the weight store behind what it has not.
-            boolean mustWait = isFetch(adapter) && !window.isOpen();
-            if (nextPoll.containsKey(adapter) || mustWait) {
+            // Adapters in the target's own memory do not use the weight store, so they do not wait for it.
+            boolean mustWait = isFetch(adapter) && !fetchWindow.isOpen();
+            if (nextPollAt.containsKey(adapter) || mustWait) {
                 continue;
             }
-            if (resident.containsKey(adapter) || occupied() < places) {
-                return send(Order.Operation.LOAD, Optional.of(adapter));
+            if (resident.containsKey(adapter) || occupiedSlots() < slots) {
+                return orderCall(Order.Operation.LOAD, Optional.of(adapter));
             }
-            return victim(now).flatMap(idle -> send(Order.Operation.UNLOAD, Optional.of(idle)));
+            return evictionVictim(now).flatMap(idle -> orderCall(Order.Operation.UNLOAD, Optional.of(idle)));
         }
         return Optional.empty();
     }
 
     private boolean isFetch(AdapterName adapter) {
-        return !atHand.contains(adapter);
+        return !cachedAtTarget.contains(adapter);
     }
 
-    private long coming() {
-        return nextPoll.keySet().stream()
-                .filter(adapter -> !leaving.contains(adapter))
+    private long loadingCount() {
+        return nextPollAt.keySet().stream()
+                .filter(adapter -> !unloading.contains(adapter))
                 .count();
     }
 
-    private long occupied() {
+    private long occupiedSlots() {
         return resident.size()
-                + nextPoll.keySet().stream()
+                + nextPollAt.keySet().stream()
                         .filter(adapter -> !resident.containsKey(adapter))
                         .count();
     }
 
-    private Optional<AdapterName> victim(long now) {
-        if (!leaving.isEmpty()) {
+    private Optional<AdapterName> evictionVictim(long now) {
+        if (!unloading.isEmpty()) {
             return Optional.empty();
         }
-        return evictable(now).min((one, other) -> Double.compare(evictionRank(one, now), evictionRank(other, now)));
+        return evictionCandidates(now)
+                .min((first, second) -> Double.compare(evictionRank(first, now), evictionRank(second, now)));
     }
 
-    private Stream<AdapterName> evictable(long now) {
+    private Stream<AdapterName> evictionCandidates(long now) {
         return resident.keySet().stream()
-                .filter(adapter -> !loadQueue.contains(adapter) && !nextPoll.containsKey(adapter))
-                .filter(adapter -> uses.isIdle(adapter, now, IDLE_BEFORE_EVICTION.toNanos()))
+                .filter(adapter -> !loadQueue.contains(adapter) && !nextPollAt.containsKey(adapter))
+                .filter(adapter -> frequency.isIdle(adapter, now, MIN_IDLE_BEFORE_EVICTION.toNanos()))
                 .filter(adapter -> !running.contains(adapter, now));
     }
 
-    /** An outdated version serves nobody, so it goes first. */
+    /** Outdated versions serve no requests, so they are evicted first. */
     private double evictionRank(AdapterName adapter, long now) {
         boolean outdated = resident.get(adapter) < newestVersion.apply(adapter);
-        return outdated ? -1 : uses.score(adapter, now);
+        return outdated ? -1 : frequency.score(adapter, now);
     }
 
-    private Optional<Step> send(Order.Operation operation, Optional<AdapterName> adapter) {
-        return Optional.of(new Step.Send(operation, adapter, orders.getAsLong()));
+    private Optional<Step> orderCall(Order.Operation operation, Optional<AdapterName> adapter) {
+        return Optional.of(new Step.Send(operation, adapter, acceptedOrders.getAsLong()));
     }
 
     /**
-     * Takes the answer to an order.
+     * Processes the result of an order.
      *
      * @param sent the order, not null
-     * @param result its result, not null
-     * @param now the time
+     * @param result the result, not null
+     * @param now the current time, in nanoseconds
      */
     public void answered(Step.Send sent, OrderResult result, long now) {
-        callUnderWay = false;
-        copies++;
+        callInProgress = false;
+        sendAttempts++;
         if (result == OrderResult.UNKNOWN && mayRepeat(sent)) {
-            unanswered = Optional.of(sent);
+            unansweredOrder = Optional.of(sent);
             return;
         }
-        boolean wasUnanswered = unanswered.isPresent();
-        unanswered = Optional.empty();
-        copies = 0;
+        boolean wasUnanswered = unansweredOrder.isPresent();
+        unansweredOrder = Optional.empty();
+        sendAttempts = 0;
         switch (result) {
-            case ACCEPTED -> accepted(sent, now);
-            case ALREADY_SO -> alreadySo(sent, wasUnanswered, now);
-            case REFUSED, FENCED, ANOTHER_TARGET -> refused(sent, now);
-            default -> lostTrack(now);
+            case ACCEPTED -> onAccepted(sent, now);
+            case ALREADY_SO -> onAlreadyDone(sent, wasUnanswered, now);
+            case REFUSED, FENCED, ANOTHER_TARGET -> onRefused(sent, now);
+            default -> requireReport(now);
         }
     }
 
-    /** A load of the base model is asked for again in any case, and a look is no new order. */
+    /** Model loads are repeated in any case, and a poll is not a new order. */
     private boolean mayRepeat(Step.Send sent) {
-        boolean known =
-                sent.adapter().isEmpty() || nextPoll.containsKey(sent.adapter().get());
-        return !known && copies < MOST_COPIES;
+        boolean known = sent.adapter().isEmpty()
+                || nextPollAt.containsKey(sent.adapter().get());
+        return !known && sendAttempts < MAX_SEND_ATTEMPTS;
     }
 
-    private void accepted(Step.Send sent, long now) {
+    private void onAccepted(Step.Send sent, long now) {
         if (sent.adapter().isEmpty()) {
-            if (!modelComing) {
-                modelComing = true;
+            if (!modelLoading) {
+                modelLoading = true;
                 countOrder();
             }
             return;
         }
         AdapterName adapter = sent.adapter().get();
-        boolean repeated = nextPoll.containsKey(adapter);
-        boolean waits = sent.operation() == Order.Operation.UNLOAD || resident.containsKey(adapter);
-        if (!repeated && !(waits && countDoubtful)) {
+        boolean repeated = nextPollAt.containsKey(adapter);
+        boolean deferred = sent.operation() == Order.Operation.UNLOAD || resident.containsKey(adapter);
+        if (!repeated && !(deferred && orderCountUncertain)) {
             countOrder();
         }
-        countDoubtful &= waits || repeated;
-        if (waits) {
-            awaitingRuns = Optional.of(adapter);
+        orderCountUncertain &= deferred || repeated;
+        if (deferred) {
+            deferredAdapter = Optional.of(adapter);
         }
-        if (!waits && !repeated && isFetch(adapter)) {
-            fetchedSince.put(adapter, now);
-            window.began();
+        if (!deferred && !repeated && isFetch(adapter)) {
+            fetchStartedAt.put(adapter, now);
+            fetchWindow.onFetchStarted();
         }
-        nextPoll.put(adapter, now + untilPoll(adapter, waits, repeated));
-        if (sent.operation() == Order.Operation.UNLOAD && leaving.add(adapter)) {
+        nextPollAt.put(adapter, now + pollDelay(adapter, deferred, repeated));
+        if (sent.operation() == Order.Operation.UNLOAD && unloading.add(adapter)) {
             listener.leaves(adapter);
         }
     }
 
-    private long untilPoll(AdapterName adapter, boolean waits, boolean repeated) {
-        if (waits) {
-            return WAITING_POLL_INTERVAL.toNanos();
+    private long pollDelay(AdapterName adapter, boolean deferred, boolean repeated) {
+        if (deferred) {
+            return DEFERRED_ORDER_POLL_INTERVAL.toNanos();
         }
         if (repeated) {
             return POLL_INTERVAL.toNanos();
         }
         if (!isFetch(adapter)) {
-            return FIRST_POLL_WARM.toNanos();
+            return CACHED_FIRST_POLL_DELAY.toNanos();
         }
-        return window.undisturbed()
-                .map(time -> (long) (time.toNanos() * FIRST_POLL_PART))
+        return fetchWindow
+                .baseFetchTime()
+                .map(time -> (long) (time.toNanos() * FIRST_POLL_FRACTION))
                 .orElse(POLL_INTERVAL.toNanos());
     }
 
-    private void alreadySo(Step.Send sent, boolean wasUnanswered, long now) {
+    private void onAlreadyDone(Step.Send sent, boolean wasUnanswered, long now) {
         if (sent.adapter().isEmpty()) {
-            modelComing = false;
-            modelPresent = true;
+            modelLoading = false;
+            modelLoaded = true;
             listener.modelArrived();
             return;
         }
         AdapterName adapter = sent.adapter().get();
-        boolean repeated = nextPoll.remove(adapter) != null;
-        awaitingRuns = awaitingRuns.filter(waiting -> !waiting.equals(adapter));
+        boolean repeated = nextPollAt.remove(adapter) != null;
+        deferredAdapter = deferredAdapter.filter(deferred -> !deferred.equals(adapter));
         if (sent.operation() == Order.Operation.UNLOAD) {
             if (!repeated && resident.containsKey(adapter)) {
                 countOrder();
             }
-            leaving.remove(adapter);
+            unloading.remove(adapter);
             resident.remove(adapter);
-            keepAtHand(adapter);
+            addCachedAtTarget(adapter);
             listener.leaves(adapter);
-            if (countDoubtful) {
-                lostTrack(now);
+            if (orderCountUncertain) {
+                requireReport(now);
             }
             return;
         }
         if (wasUnanswered && !repeated && !resident.containsKey(adapter)) {
             countOrder();
         }
-        Long since = fetchedSince.remove(adapter);
-        if (since != null) {
-            window.ended(Duration.ofNanos(now - since));
+        Long startedAt = fetchStartedAt.remove(adapter);
+        if (startedAt != null) {
+            fetchWindow.onFetchEnded(Duration.ofNanos(now - startedAt));
         }
         long version = newestVersion.apply(adapter);
         boolean replaced = repeated && resident.containsKey(adapter);
         resident.put(adapter, version);
         loadQueue.remove(adapter);
-        uses.used(adapter, 0, now);
+        frequency.recordUses(adapter, 0, now);
         listener.arrived(adapter, version);
-        if (countDoubtful && replaced) {
-            lostTrack(now);
+        if (orderCountUncertain && replaced) {
+            requireReport(now);
         }
     }
 
     private void countOrder() {
-        orders = OptionalLong.of(orders.getAsLong() + 1);
+        acceptedOrders = OptionalLong.of(acceptedOrders.getAsLong() + 1);
     }
 
-    private void keepAtHand(AdapterName adapter) {
-        atHand.remove(adapter);
-        atHand.addLast(adapter);
-        if (atHand.size() > AT_HAND) {
-            atHand.removeFirst();
+    private void addCachedAtTarget(AdapterName adapter) {
+        cachedAtTarget.remove(adapter);
+        cachedAtTarget.addLast(adapter);
+        if (cachedAtTarget.size() > MAX_CACHED_ADAPTERS) {
+            cachedAtTarget.removeFirst();
         }
     }
 
-    private void refused(Step.Send sent, long now) {
+    private void onRefused(Step.Send sent, long now) {
         sent.adapter().ifPresent(loadQueue::remove);
-        notBefore = now + REFUSED_PAUSE.toNanos();
+        earliestCallAt = now + REFUSAL_DELAY.toNanos();
     }
 
-    private void lostTrack(long now) {
-        countDoubtful = true;
-        forgetFetches();
-        orders = OptionalLong.empty();
-        notBefore = now + REPORT_LAG.toNanos();
+    private void requireReport(long now) {
+        orderCountUncertain = true;
+        abandonFetches();
+        acceptedOrders = OptionalLong.empty();
+        earliestCallAt = now + REPORT_LAG.toNanos();
     }
 
-    private void forgetFetches() {
-        fetchedSince.keySet().forEach(adapter -> window.abandoned());
-        fetchedSince.clear();
+    private void abandonFetches() {
+        fetchStartedAt.keySet().forEach(adapter -> fetchWindow.onFetchAbandoned());
+        fetchStartedAt.clear();
     }
 
-    /** Ends the keeping: what is still fetched is looked after by the next holder. */
+    /** Stops tracking the fetches in progress, which the next owner of the target polls. */
     public void close() {
-        forgetFetches();
+        abandonFetches();
     }
 
     /**
-     * Takes a report.
+     * Replaces the tracked state with that of a report.
      *
      * @param report the report, not null
-     * @param now the time
+     * @param now the current time, in nanoseconds
      */
     public void reported(TargetReport report, long now) {
-        callUnderWay = false;
-        orders = OptionalLong.of(report.orders());
-        modelPresent = report.models().containsKey(model);
-        modelComing = false;
-        Map<AdapterName, Long> there = new HashMap<>();
+        callInProgress = false;
+        acceptedOrders = OptionalLong.of(report.acceptedOrders());
+        modelLoaded = report.models().containsKey(model);
+        modelLoading = false;
+        Map<AdapterName, Long> loaded = new HashMap<>();
         report.models()
                 .getOrDefault(model, Map.of())
-                .forEach((adapter, version) -> there.put(new AdapterName(model, adapter), version));
-        Set<AdapterName> gone = new HashSet<>(resident.keySet());
-        gone.removeAll(there.keySet());
+                .forEach((adapter, version) -> loaded.put(new AdapterName(model, adapter), version));
+        Set<AdapterName> removed = new HashSet<>(resident.keySet());
+        removed.removeAll(loaded.keySet());
         resident.clear();
-        resident.putAll(there);
-        leaving.clear();
-        awaitingRuns = Optional.empty();
-        nextPoll.clear();
-        report.coming()
-                .forEach(adapter -> nextPoll.put(new AdapterName(model, adapter), now + POLL_INTERVAL.toNanos()));
-        gone.forEach(listener::leaves);
-        there.forEach(listener::arrived);
+        resident.putAll(loaded);
+        unloading.clear();
+        deferredAdapter = Optional.empty();
+        nextPollAt.clear();
+        report.loading()
+                .forEach(adapter -> nextPollAt.put(new AdapterName(model, adapter), now + POLL_INTERVAL.toNanos()));
+        removed.forEach(listener::leaves);
+        loaded.forEach(listener::arrived);
     }
 
     /**
-     * Notes that there was no report.
+     * Schedules another attempt to read the report.
      *
-     * @param now the time
+     * @param now the current time, in nanoseconds
      */
     public void reportFailed(long now) {
-        callUnderWay = false;
-        notBefore = now + REFUSED_PAUSE.toNanos();
+        callInProgress = false;
+        earliestCallAt = now + REFUSAL_DELAY.toNanos();
     }
 
     /**
-     * Queries whether there is anything to look after.
+     * Returns whether calls to the target are still needed.
      *
-     * @return false if nothing is wanted, coming or leaving, and all is known
+     * @return false if nothing is queued, loading or unloading, and the state is known
      */
     public boolean isBusy() {
-        return orders.isEmpty() || !modelPresent || !loadQueue.isEmpty() || !nextPoll.isEmpty();
+        return acceptedOrders.isEmpty() || !modelLoaded || !loadQueue.isEmpty() || !nextPollAt.isEmpty();
     }
 
     public String model() {
--- a/gateway/src/main/java/org/geraniumreach/gateway/adapter/RunningAdapters.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/adapter/RunningAdapters.java
@@ -8,30 +8,30 @@
 import org.geraniumreach.gateway.traffic.AdapterName;
 
 /**
- * The adapters that requests run for at one target, as each entry last reported.
+ * The adapters used by running requests at one target, as last reported by each entry.
  *
- * <p>Invariant: what an entry reported counts until its next report, and no longer than {@link #LIFETIME}. Confined to the event loop.
+ * <p>Invariant: an entry's report is valid until its next one, and no longer than {@link #REPORT_LIFETIME}. Confined to the event loop.
  */
 final class RunningAdapters {
 
-    /** Two reports of an entry may be lost. */
-    static final Duration LIFETIME = UsageReports.RENEWAL_INTERVAL.multipliedBy(3);
+    /** Allows for two lost reports of an entry. */
+    static final Duration REPORT_LIFETIME = UsageReports.RENEWAL_INTERVAL.multipliedBy(3);
 
-    private final Map<String, Reported> byEntry = new HashMap<>();
+    private final Map<String, EntryReport> byEntry = new HashMap<>();
 
-    private record Reported(Set<AdapterName> running, long at) {}
+    private record EntryReport(Set<AdapterName> running, long reportedAt) {}
 
-    void reported(String entry, Set<AdapterName> running, long now) {
+    void update(String entry, Set<AdapterName> running, long now) {
         if (running.isEmpty()) {
             byEntry.remove(entry);
         } else {
-            byEntry.put(entry, new Reported(Set.copyOf(running), now));
+            byEntry.put(entry, new EntryReport(Set.copyOf(running), now));
         }
     }
 
     boolean contains(AdapterName adapter, long now) {
         return byEntry.values().stream()
-                .anyMatch(reported -> now - reported.at() < LIFETIME.toNanos()
-                        && reported.running().contains(adapter));
+                .anyMatch(report -> now - report.reportedAt() < REPORT_LIFETIME.toNanos()
+                        && report.running().contains(adapter));
     }
 }
