--- a/gateway/src/test/java/org/geraniumreach/gateway/request/ExchangeTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/request/ExchangeTest.java
@@ -29,7 +29,7 @@
     private final RequestWorld world = new RequestWorld();
 
     @Test
-    void aWholeAnswerIsPassedOnWithItsStatusAndHeaders() {
+    void aCompleteAnswerIsRelayedWithItsStatusAndHeaders() {
         world.route(RepeatRule.ONCE, 1).target("a");
         RecordedAnswer answer = world.send();
         world.targets().last().head(201, false);
@@ -41,10 +41,10 @@
         assertThat(answer.isWhole()).isTrue();
     }
 
-    // The caller of a booking gets 502. The target took the request and the connection broke; it may have booked. Sent
-    // elsewhere, the motor would have two tickets, so no other target sees it although one is free.
+    // The target may have made the booking before the connection broke. Sent to another target, the request could
+    // book twice, so the caller gets a 502 although another target is free.
     @Test
-    void aRequestThatMayRunOnceIsNotSentAgainAfterItsConnectionBroke() {
+    void aSingleRunRequestIsNotSentAgainAfterItsConnectionBroke() {
         world.route(RepeatRule.ONCE, 2).target("a").target("b");
         RecordedAnswer answer = world.send();
         world.targets().last().failed(true);
@@ -52,25 +52,24 @@
         assertThat(answer.status()).isEqualTo(502);
     }
 
-    // The caller gets its booking. The first target was full and said that it had not run the request, so the second
-    // may.
+    // The first target reports that it has not run the request, so the second may.
     @ParameterizedTest
     @EnumSource(
             value = NotExecuted.class,
             names = {"SHED", "ANOTHER_TARGET"})
-    void aRequestThatWasNotExecutedGoesToAnotherTarget(NotExecuted why) {
+    void aRequestThatWasNotExecutedGoesToAnotherTarget(NotExecuted reason) {
         world.route(RepeatRule.ONCE, 1).target("a").target("b");
         RecordedAnswer answer = world.send();
-        world.targets().last().notExecuted(why);
+        world.targets().last().notExecuted(reason);
         assertThat(world.targets().sent()).hasSize(2);
         world.targets().last().head(200, false);
         world.targets().last().end();
         assertThat(answer.isWhole()).isTrue();
     }
 
-    // The caller is told at once to come back, and that nothing ran: the only target was never reached.
+    // The only target was never reached, so the request cannot have run.
     @Test
-    void whatNeverReachedATargetIsRefusedAsNotRunWithATimeToComeBack() {
+    void aRequestThatReachedNoTargetIsRefusedAsNotRunWithARetryDelay() {
         world.route(RepeatRule.ONCE, 1).target("a");
         RecordedAnswer answer = world.send();
         world.targets().last().failed(false);
@@ -92,8 +91,7 @@
         assertThat(answer.status()).isEqualTo(200);
     }
 
-    // The caller gets the last target's own failure. Both targets that the route allows have run the request and
-    // failed.
+    // Both targets that the route allows ran the request and failed, so the caller gets the error of the last one.
     @Test
     void noMoreTargetsRunARequestThanItsRouteAllows() {
         world.route(RepeatRule.IDEMPOTENT, 2).target("a").target("b").target("c");
@@ -108,11 +106,10 @@
         assertThat(answer.text()).isEqualTo("no");
     }
 
-    // The caller sees one stream without a gap. The first target dies within the third event; the second goes on after
-    // the
-    // second event, the last one that was whole; the head stays the first target's.
+    // The first target fails within the third event. The second continues after the second event, the last complete
+    // one, under the head of the first.
     @Test
-    void aStreamThatMayBeResumedGoesOnAfterTheLastWholeEvent() {
+    void aResumableStreamContinuesAfterTheLastCompleteEvent() {
         world.route(RepeatRule.RESUMABLE_STREAM, 2).target("a").target("b");
         RecordedAnswer answer = world.send();
         world.targets().last().head(200, true);
@@ -129,9 +126,9 @@
         assertThat(answer.isWhole()).isTrue();
     }
 
-    // The caller sees its stream cut, not ended: the target died midway and the stream may run once only.
+    // The stream may run only once, so it is aborted instead of ended normally.
     @Test
-    void aStreamThatMayRunOnceIsCutWhenItsTargetDies() {
+    void aSingleRunStreamIsAbortedIfItsTargetFails() {
         world.route(RepeatRule.ONCE_STREAM, 2).target("a").target("b");
         RecordedAnswer answer = world.send();
         world.targets().last().head(200, true);
@@ -141,10 +138,10 @@
         assertThat(world.targets().sent()).hasSize(1);
     }
 
-    // The caller never sees an event twice: the second target repeats the last one, so its stream is not joined on.
+    // The second target repeats or skips an event, so its stream must not continue the answer.
     @ParameterizedTest
     @ValueSource(strings = {"id: 1\ndata: x\n\n", "id: 3\ndata: z\n\n"})
-    void anEventThatDoesNotFollowIsNotPassedOn(String event) {
+    void anEventOutOfSequenceIsNotRelayed(String event) {
         world.route(RepeatRule.RESUMABLE_STREAM, 2).target("a").target("b");
         RecordedAnswer answer = world.send();
         world.targets().last().head(200, true);
@@ -156,9 +153,9 @@
         assertThat(answer.isCut()).isTrue();
     }
 
-    // The caller of a stream gets its events from the second target: the first one took the request and went silent.
+    // The first target accepted the request and sent nothing, so the stream is started at the second.
     @Test
-    void aSilentTargetLosesAStreamThatMayBeResumed() {
+    void aResumableStreamMovesAwayFromASilentTarget() {
         world.route(RepeatRule.RESUMABLE_STREAM, 2).target("a").target("b");
         world.send();
         world.time().pass(ExchangeSettings.defaults().firstEventTimeout().plusMillis(1));
@@ -166,9 +163,8 @@
         assertThat(world.targets().open()).hasSize(1);
     }
 
-    // The target stops working as soon as the caller has gone, and nobody is answered.
     @Test
-    void theTargetIsCalledOffWhenTheCallerGoes() {
+    void theAttemptIsCancelledWhenTheCallerDisconnects() {
         world.route(RepeatRule.ONCE, 1).target("a");
         RecordedAnswer answer = new RecordedAnswer();
         Cancellable caller = world.receive(answer, RequestWorld.KEY, Optional.empty());
@@ -178,9 +174,9 @@
         assertThat(world.openExchanges()).isZero();
     }
 
-    // The caller gets its final answer at the route's time. The target has the request still, so "not run" is not said.
+    // The target still has the request at the timeout of the route, so "not run" must not be answered.
     @Test
-    void theRoutesTimeEndsARequestThatATargetHasAsUnknown() {
+    void aRequestAtATargetEndsAsUnknownAtTheTimeoutOfItsRoute() {
         world.route(RepeatRule.ONCE, 1).target("a");
         RecordedAnswer answer = world.send();
         world.time().pass(RequestWorld.TIMEOUT.plusMillis(1));
@@ -189,7 +185,7 @@
     }
 
     @Test
-    void anUnknownKeyIsRefusedWithoutATarget() {
+    void anUnknownKeyIsRefusedWithoutContactingATarget() {
         world.route(RepeatRule.ONCE, 1).target("a");
         RecordedAnswer answer = new RecordedAnswer();
         world.receive(answer, "another-key", Optional.empty());
@@ -197,16 +193,16 @@
         assertThat(world.targets().sent()).isEmpty();
     }
 
-    // The caller is told to come back, never that its route or key does not exist, by an entry that knows nothing yet.
+    // Without a configuration an entry must ask callers to retry, and never report an unknown route or key.
     @Test
-    void anEntryWithoutAConfigurationSaysNotNow() {
+    void anEntryWithoutAConfigurationAsksToRetry() {
         RecordedAnswer answer = world.send();
         world.time().pass(Duration.ofSeconds(1));
         assertThat(answer.status()).isEqualTo(503);
         assertThat(answer.header("Retry-After")).isNotEmpty();
     }
 
-    /** Guards against requests that wait for a slot at one target while another has one. */
+    /** Guards against requests that wait for a slot at one target while another has a free one. */
     @Test
     void aTargetThatDeclinesALoadIsPassedOverAtOnce() {
         world.route(RepeatRule.RESUMABLE_STREAM, 2);
@@ -219,9 +215,9 @@
         assertThat(world.adapters().wanted().get(0)).matches("[cd] a7");
     }
 
-    /** Guards against requests that are sent from target to target where all of them decline. */
+    /** Guards against requests that move from target to target if all of them decline the load. */
     @Test
-    void aRequestWaitsAtTheThirdTargetWhereTwoHaveDeclined() {
+    void aRequestWaitsAtTheThirdTargetAfterTwoDeclined() {
         world.route(RepeatRule.RESUMABLE_STREAM, 2);
         for (String name : List.of("a", "b", "c", "d")) {
             world.target(name, Map.of("base", Map.of()));
@@ -231,9 +227,9 @@
         assertThat(world.adapters().wanted()).hasSize(1);
     }
 
-    /** Guards against prompts that are sent to a target that has too much to read for them. */
+    /** Guards against prompts that are sent to a target whose admission refused them. */
     @Test
-    void aTargetThatHasTooMuchToReadIsPassedOver() {
+    void aSaturatedTargetIsPassedOver() {
         world.route(RepeatRule.RESUMABLE_STREAM, 2);
         for (String name : List.of("a", "b")) {
             world.target(name, Map.of("base", Map.of("a7", 1L)));
@@ -251,9 +247,9 @@
         assertThat(world.targets().last().target().id().value()).isEqualTo(asked.get(1));
     }
 
-    /** Guards against requests that are never sent because all targets have too much to read. */
+    /** Guards against requests that are never sent because all targets are saturated. */
     @Test
-    void aRequestIsSentWithoutATurnAfterThreeRefusals() {
+    void aRequestIsSentWithoutAdmissionAfterThreeRefusals() {
         world.route(RepeatRule.RESUMABLE_STREAM, 2).target("a", Map.of("base", Map.of("a7", 1L)));
         world.admitBy((target, promptTokens, longestDelay, decided) -> {
             decided.accept(Decision.SATURATED);
@@ -263,9 +259,9 @@
         assertThat(world.targets().sent()).hasSize(1);
     }
 
-    /** Guards against a request that reaches a target which left while the request was held back. */
+    /** Guards against a request that is sent to a target that left while the request was delayed. */
     @Test
-    void aTargetThatLeavesWhileARequestIsHeldBackGetsItNot() {
+    void aDelayedRequestIsNotSentToATargetThatHasLeft() {
         world.route(RepeatRule.RESUMABLE_STREAM, 2);
         for (String name : List.of("a", "b")) {
             world.target(name, Map.of("base", Map.of("a7", 1L)));
@@ -283,7 +279,7 @@
     }
 
     @Test
-    void aRequestWaitsForItsAdapterAndIsSentOnceItIsThere() {
+    void aRequestWaitsForItsAdapterAndIsSentOnceItIsLoaded() {
         world.route(RepeatRule.RESUMABLE_STREAM, 2).target("a", Map.of("base", Map.of()));
         world.send(Optional.of(generation()));
         assertThat(world.adapters().wanted()).contains("a a7");
@@ -297,9 +293,9 @@
         assertThat(world.targets().sent()).hasSize(1);
     }
 
-    // The caller is told to come back long before its time is up: the adapter has not come for three seconds.
+    // The load wait is limited to three seconds, well below the timeout of the request.
     @Test
-    void aRequestWhoseAdapterDoesNotComeIsRefusedWellBeforeItsTime() {
+    void aRequestWhoseAdapterIsNotLoadedIsRefusedWellBeforeItsTimeout() {
         world.route(RepeatRule.RESUMABLE_STREAM, 2).target("a", Map.of("base", Map.of()));
         RecordedAnswer answer = world.send(Optional.of(generation()));
         world.time().pass(Duration.ofSeconds(4));
@@ -307,10 +303,9 @@
         assertThat(answer.header("Retry-After")).isNotEmpty();
     }
 
-    // The caller of a rare adapter is served after a second: its only target was slow to load, and is asked on, since
-    // no other is there. Sent away it would come back to the same wait.
+    // The only target loads slowly. A refused caller would retry and wait for the same load.
     @Test
-    void aRequestWaitsOnForASlowLoadWhereNoOtherTargetIsLeft() {
+    void aRequestKeepsWaitingForASlowLoadIfNoOtherTargetExists() {
         world.route(RepeatRule.RESUMABLE_STREAM, 2).target("a", Map.of("base", Map.of()));
         RecordedAnswer answer = world.send(Optional.of(generation()));
         world.time().pass(Duration.ofMillis(1_200));
@@ -324,11 +319,10 @@
         assertThat(world.targets().sent()).hasSize(1);
     }
 
-    // A draft is cut off though another target could go on with it: its target crashes after five seconds, longer than
-    // a
-    // new request may wait for its adapter, and the adapter has to be loaded at the other target first.
+    // The target fails after five seconds, longer than a new request may wait for a load, and the adapter has to be
+    // loaded at the other target first. The stream must not be aborted meanwhile.
     @Test
-    void aStreamThatLosesItsTargetLateWaitsForItsAdapterElsewhere() {
+    void aStreamThatLosesItsTargetLateWaitsForALoadElsewhere() {
         world.route(RepeatRule.RESUMABLE_STREAM, 2)
                 .target("a", Map.of("base", Map.of("a7", 1L)))
                 .target("b", Map.of("base", Map.of()));
@@ -358,10 +352,11 @@
                 List.of(new GatewayRequest.PromptPart("p", 100)));
     }
 
-    // All entries were killed together and their callers reach them again before they have read configuration and
-    // targets. Refused, they came back a second later, and again; what they need is known after half a second.
+    // After a simultaneous restart of all entries, callers reach them before they have read configuration and
+    // targets. Refused callers would retry after a second, and repeatedly, although the entry is ready after half a
+    // second.
     @Test
-    void aRequestThatComesBeforeTheConfigurationIsKnownIsServedOnceItIs() {
+    void aRequestReceivedBeforeTheConfigurationIsServedOnceItIsKnown() {
         RecordedAnswer answer = world.send();
         world.time().pass(Duration.ofMillis(500));
         world.configure(RepeatRule.ONCE, 1).target("a").started();
@@ -372,23 +367,21 @@
         assertThat(answer.status()).isEqualTo(200);
     }
 
-    // The store is away while the entry starts, so nobody knows when it will have a configuration: callers are told
-    // soon to
-    // come back, and later ones at once.
+    // The store is unavailable during the startup, so the end of the wait is unknown: early callers are soon asked to
+    // retry, and later ones at once.
     @Test
-    void anEntryWhoseStartTakesLongRefusesAtOnce() {
-        RecordedAnswer early = world.send();
+    void anEntryWithALongStartupRefusesAtOnce() {
+        RecordedAnswer earlyAnswer = world.send();
         world.time().pass(Duration.ofSeconds(1));
-        assertThat(early.status()).isEqualTo(503);
-        assertThat(early.header("Retry-After")).isNotEmpty();
+        assertThat(earlyAnswer.status()).isEqualTo(503);
+        assertThat(earlyAnswer.header("Retry-After")).isNotEmpty();
         world.time().pass(Duration.ofSeconds(2));
-        RecordedAnswer late = world.send();
-        assertThat(late.status()).isEqualTo(503);
+        RecordedAnswer lateAnswer = world.send();
+        assertThat(lateAnswer.status()).isEqualTo(503);
     }
 
-    // Its caller went away while the request was held back, so no target may see it.
     @Test
-    void aRequestWhoseCallerLeavesBeforeTheStartIsNotSent() {
+    void aHeldRequestWhoseCallerDisconnectsIsNotSent() {
         RecordedAnswer answer = new RecordedAnswer();
         Cancellable received = world.receive(answer, RequestWorld.KEY, Optional.empty());
         received.cancel();
@@ -397,11 +390,10 @@
         assertThat(world.targets().sent()).isEmpty();
     }
 
-    // All entries have just started, and for half a second nobody may order targets. The caller's adapter is nowhere;
-    // its
-    // request waits and is served, instead of being refused with all others of that moment.
+    // For half a second after all entries have started, none of them may order loads. A request whose adapter is not
+    // resident waits instead of being refused.
     @Test
-    void aRequestWaitsForSomebodyWhoCanHaveItsAdapterLoaded() {
+    void aRequestWaitsForAnEntryThatCanLoadItsAdapter() {
         world.route(RepeatRule.ONCE_STREAM, 1).target("a", Map.of("base", Map.of()));
         world.targetsHeld(false);
         RecordedAnswer answer = world.send(Optional.of(generation()));
@@ -412,9 +404,9 @@
         assertThat(answer.isOver()).isFalse();
     }
 
-    // The store has been away for long, so nobody has the right to order targets; who waits is told soon.
+    // After a long store outage no entry may order loads, so waiting callers are soon asked to retry.
     @Test
-    void aRequestDoesNotWaitForLongWhereNobodyCanHaveItsAdapterLoaded() {
+    void aRequestIsRefusedSoonIfNoEntryCanLoadItsAdapter() {
         world.route(RepeatRule.ONCE_STREAM, 1).target("a", Map.of("base", Map.of()));
         world.targetsHeld(false);
         RecordedAnswer answer = world.send(Optional.of(generation()));
@@ -423,11 +415,10 @@
         assertThat(answer.header("Retry-After")).isNotEmpty();
     }
 
-    // Callers that wait for an adapter leave after two seconds, or four objectives, without having been told anything.
-    // Those whose
-    // adapter does not come are told before that when to come back. The objective of this route is 0.8 s.
+    // Callers abandon a silent request after two seconds or four objectives. If the adapter is not loaded, they are
+    // asked to retry before that. The objective of this route is 0.8 s.
     @Test
-    void whoWaitsForAnAdapterInVainIsToldBeforeHeLeaves() {
+    void aCallerIsAskedToRetryBeforeItAbandonsAWaitForALoad() {
         world.route(RepeatRule.ONCE_STREAM, 1).target("a", Map.of("base", Map.of()));
         RecordedAnswer answer = world.send(Optional.of(generation()));
         world.time().pass(Duration.ofMillis(2_500));
