--- a/gateway/src/main/java/org/geraniumreach/gateway/placement/TargetConditions.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/placement/TargetConditions.java
@@ -8,30 +8,30 @@
 import org.geraniumreach.model.FailureDomain;
 
 /**
- * What others than the target itself say of its use.
+ * Restrictions on the use of targets that do not come from the targets themselves.
  *
  * <p>The functions are called on the event loop.
  *
- * @param healthy whether it is not left out after failures; if all are, none is
- * @param orderable whether somebody can have adapters loaded there now
- * @param evacuation what may be sent to a failure domain
- * @param withinColdLimit whether one more request may be sent, as far as it must warm up
+ * @param healthy whether a target is not ejected after failures; ignored if all targets are ejected
+ * @param loadable whether an entry can order adapter loads at a target at the moment
+ * @param evacuationPhase the evacuation phase of a failure domain
+ * @param withinColdLimit whether a target that may be warming up can take one more request
  */
 public record TargetConditions(
         Predicate<Target> healthy,
-        Predicate<Target> orderable,
-        Function<FailureDomain, Evacuations.Phase> evacuation,
+        Predicate<Target> loadable,
+        Function<FailureDomain, Evacuations.Phase> evacuationPhase,
         Predicate<Target> withinColdLimit) {
 
     public TargetConditions {
         Objects.requireNonNull(healthy, "healthy");
-        Objects.requireNonNull(orderable, "orderable");
-        Objects.requireNonNull(evacuation, "evacuation");
+        Objects.requireNonNull(loadable, "loadable");
+        Objects.requireNonNull(evacuationPhase, "evacuationPhase");
         Objects.requireNonNull(withinColdLimit, "withinColdLimit");
     }
 
     /**
-     * Obtains conditions under which all targets may be used.
+     * Obtains conditions that restrict nothing.
      *
      * @return the conditions, not null
      */
@@ -43,15 +43,15 @@
         return phase(target) == Evacuations.Phase.EMPTY;
     }
 
-    boolean isStaying(Target target) {
+    boolean isInUse(Target target) {
         return phase(target) == Evacuations.Phase.IN_USE;
     }
 
     boolean canLoad(Target target) {
-        return isStaying(target) && orderable.test(target);
+        return isInUse(target) && loadable.test(target);
     }
 
     private Evacuations.Phase phase(Target target) {
-        return evacuation.apply(target.description().failureDomain());
+        return evacuationPhase.apply(target.description().failureDomain());
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/request/AnswerRelay.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/request/AnswerRelay.java
@@ -10,17 +10,18 @@
 import org.geraniumreach.model.MonotonicClock;
 
 /**
- * Passes the answers of one request's attempts on as one answer.
+ * Relays the answers of one request's attempts to the caller as a single answer.
  *
- * <p>Invariants: an answer that is no stream is passed on only when it is whole; of a stream only whole events are, each
- * number once and in order, under the head of the first target whose event was passed on. Confined to the event loop.
+ * <p>Invariants: an answer that is not a stream is relayed only once it is complete. Of a stream only complete events
+ * are relayed, each number once and in order, under the head of the first target whose event was relayed. Confined to
+ * the event loop.
  */
 final class AnswerRelay {
 
-    private static final int LARGEST_WHOLE_ANSWER = 16 * 1024 * 1024;
+    private static final int MAXIMUM_BUFFERED_BYTES = 16 * 1024 * 1024;
 
-    /** Streams begin with this number; one that begins later has lost its beginning. */
-    private static final long FIRST_EVENT = 1;
+    /** The number of the first event of a stream; a stream that begins with a higher number is missing events. */
+    private static final long FIRST_EVENT_NUMBER = 1;
 
     private final CallerAnswer answer;
     private final MonotonicClock clock;
@@ -28,61 +29,62 @@
     private EventSplitter splitter = new EventSplitter();
     private Optional<TargetAnswerHead> head = Optional.empty();
     private boolean begun;
-    private boolean attemptStreams;
-    private OptionalLong lastEvent;
+    private boolean attemptIsStream;
+    private OptionalLong lastEventNumber;
     private OptionalLong firstPartAt = OptionalLong.empty();
     private OptionalLong lastPartAt = OptionalLong.empty();
-    private long longestPause;
+    private long maximumPauseNanos;
 
-    AnswerRelay(CallerAnswer answer, OptionalLong lastEvent, MonotonicClock clock) {
+    AnswerRelay(CallerAnswer answer, OptionalLong lastEventNumber, MonotonicClock clock) {
         this.answer = answer;
-        this.lastEvent = lastEvent;
+        this.lastEventNumber = lastEventNumber;
         this.clock = clock;
     }
 
-    /** Takes the head of an attempt; false if the attempt cannot go on with what was sent. */
-    boolean head(TargetAnswerHead newHead) {
-        attemptStreams = newHead.isSuccess() && newHead.eventStream();
+    /** Handles the head of an attempt; returns false if the attempt cannot continue the answer sent so far. */
+    boolean onHead(TargetAnswerHead newHead) {
+        attemptIsStream = newHead.isSuccess() && newHead.eventStream();
         splitter = new EventSplitter();
         if (begun) {
-            return attemptStreams;
+            return attemptIsStream;
         }
         body.reset();
         head = Optional.of(newHead);
         return true;
     }
 
-    /** Takes a part of an attempt's body; false if the attempt cannot go on with what was sent. */
-    boolean part(byte[] part) {
-        if (!attemptStreams) {
+    /** Handles a part of an attempt's body; returns false if it cannot continue the answer sent so far. */
+    boolean onPart(byte[] part) {
+        if (!attemptIsStream) {
             body.writeBytes(part);
-            return body.size() <= LARGEST_WHOLE_ANSWER;
+            return body.size() <= MAXIMUM_BUFFERED_BYTES;
         }
-        for (EventSplitter.Event event : splitter.take(part)) {
-            if (!follows(event)) {
+        for (EventSplitter.Event event : splitter.split(part)) {
+            if (!acceptNextEvent(event)) {
                 return false;
             }
-            begin();
-            notePause();
+            beginIfNeeded();
+            recordPause();
             answer.part(event.bytes());
         }
         return true;
     }
 
-    private boolean follows(EventSplitter.Event event) {
+    private boolean acceptNextEvent(EventSplitter.Event event) {
         if (event.number().isEmpty()) {
             return true;
         }
         long number = event.number().getAsLong();
-        boolean follows = lastEvent.isPresent() ? number == lastEvent.getAsLong() + 1 : number <= FIRST_EVENT;
-        if (!follows) {
+        boolean isNext =
+                lastEventNumber.isPresent() ? number == lastEventNumber.getAsLong() + 1 : number <= FIRST_EVENT_NUMBER;
+        if (!isNext) {
             return false;
         }
-        lastEvent = OptionalLong.of(number);
+        lastEventNumber = OptionalLong.of(number);
         return true;
     }
 
-    private void begin() {
+    private void beginIfNeeded() {
         if (!begun) {
             begun = true;
             firstPartAt = OptionalLong.of(clock.nanos());
@@ -90,25 +92,25 @@
         }
     }
 
-    private void notePause() {
+    private void recordPause() {
         long now = clock.nanos();
         if (lastPartAt.isPresent()) {
-            longestPause = Math.max(longestPause, now - lastPartAt.getAsLong());
+            maximumPauseNanos = Math.max(maximumPauseNanos, now - lastPartAt.getAsLong());
         }
         lastPartAt = OptionalLong.of(now);
     }
 
-    Duration longestPause() {
-        return Duration.ofNanos(longestPause);
+    Duration maximumPause() {
+        return Duration.ofNanos(maximumPauseNanos);
     }
 
-    /** Queries whether the attempt that has just ended left nothing unfinished. */
-    boolean isWhole() {
-        return !attemptStreams || !splitter.hasRest();
+    /** Queries whether the attempt that has just ended left no incomplete event. */
+    boolean isComplete() {
+        return !attemptIsStream || !splitter.hasIncompleteEvent();
     }
 
-    /** Forgets what an attempt left unfinished. */
-    void attemptLost() {
+    /** Discards the incomplete data of a failed attempt. */
+    void discardAttempt() {
         if (!begun) {
             head = Optional.empty();
             body.reset();
@@ -116,10 +118,10 @@
         splitter = new EventSplitter();
     }
 
-    /** Ends the answer with what the last attempt has brought. */
+    /** Completes the answer with the result of the last attempt. */
     void finish() {
-        begin();
-        if (!attemptStreams && body.size() > 0) {
+        beginIfNeeded();
+        if (!attemptIsStream && body.size() > 0) {
             answer.part(body.toByteArray());
         }
         answer.end();
@@ -129,8 +131,8 @@
         return begun;
     }
 
-    /** Queries whether a target's own failure is at hand, of which nothing was passed on yet. */
-    boolean isServerFault() {
+    /** Queries whether the last attempt answered with a server error that was not relayed. */
+    boolean isServerErrorPending() {
         return !begun && head.isPresent() && head.get().isServerFault();
     }
 
@@ -138,16 +140,16 @@
         return head.map(TargetAnswerHead::status).orElse(0);
     }
 
-    /** Gets the number to resume after, empty if a run would start as the caller asked. */
-    OptionalLong resumeAfter() {
-        return begun ? lastEvent : OptionalLong.empty();
+    /** Gets the event number after which to resume, empty if the next attempt starts as the caller requested. */
+    OptionalLong resumeAfterNumber() {
+        return begun ? lastEventNumber : OptionalLong.empty();
     }
 
-    long lastEvent() {
-        return lastEvent.orElse(0);
+    long lastEventNumber() {
+        return lastEventNumber.orElse(0);
     }
 
-    Optional<Duration> firstPartAfter(long startedAt) {
+    Optional<Duration> timeToFirstPart(long startedAt) {
         return firstPartAt.isEmpty()
                 ? Optional.empty()
                 : Optional.of(Duration.ofNanos(firstPartAt.getAsLong() - startedAt));
--- a/gateway/src/main/java/org/geraniumreach/gateway/request/ExchangeLog.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/request/ExchangeLog.java
@@ -15,9 +15,9 @@
 import org.geraniumreach.model.ResultCode;
 
 /**
- * The lines of one exchange's decisions, with what decided them.
+ * Writes the decisions of one exchange to the log, with the values that led to them.
  *
- * <p>Immutable; confined to the event loop as the exchange is.
+ * <p>Immutable; confined to the event loop like the exchange.
  */
 final class ExchangeLog {
 
@@ -29,14 +29,14 @@
     private final String adapter;
 
     /**
-     * How far an exchange had come.
+     * The progress of an exchange.
      *
-     * @param admitted whether it was within its account's rate
-     * @param arrivals how often it was sent
-     * @param passed the time since its arrival
-     * @param waits how much of it was spent waiting, by cause
+     * @param admitted whether it was admitted under its account's rate
+     * @param sends the number of times that it was sent to a target
+     * @param elapsed the time since its receipt
+     * @param waits the time spent waiting, by cause
      */
-    record Progress(boolean admitted, int arrivals, Duration passed, Waits waits) {}
+    record Progress(boolean admitted, int sends, Duration elapsed, Waits waits) {}
 
     ExchangeLog(
             DecisionLog log,
@@ -55,7 +55,7 @@
                 .orElse("");
     }
 
-    void placed(PlacementDecision.Send send, Progress progress, double units) {
+    void logPlaced(PlacementDecision.Send send, Progress progress, double units) {
         Target target = send.target();
         log.write(
                 EventCode.REQUEST_PLACED,
@@ -65,39 +65,39 @@
                                 Field.of("target", target.id().value()),
                                 Field.of("reason", send.reason()),
                                 Field.of("adapter", adapter),
-                                Field.of("arrival", progress.arrivals()),
+                                Field.of("arrival", progress.sends()),
                                 Field.of("account", account),
                                 Field.of("units", units),
                                 Field.of("expectedWaitMillis", send.expectedWaitMillis()),
                                 Field.of("outstanding", target.outstanding()),
-                                Field.of("reported", target.reported()),
+                                Field.of("reported", target.reportedLoad()),
                                 Field.of(
                                         "reportAgeMillis",
                                         target.reportAge(clock.nanos())
                                                 .map(Duration::toMillis)
                                                 .orElse(-1L)),
-                                Field.of("waitedMillis", progress.passed().toMillis())));
+                                Field.of("waitedMillis", progress.elapsed().toMillis())));
     }
 
-    void notExecuted(Target target, NotExecuted why) {
+    void logNotExecuted(Target target, NotExecuted reason) {
         log.write(
                 EventCode.ATTEMPT_NOT_EXECUTED,
                 id,
                 Field.of("target", target.id().value()),
-                Field.of("reason", why));
+                Field.of("reason", reason));
     }
 
-    void attemptFailed(Target target, boolean mayHaveRun, String reason, long lastEvent) {
+    void logAttemptFailed(Target target, boolean mayHaveRun, String reason, long lastEventNumber) {
         log.write(
                 EventCode.ATTEMPT_FAILED,
                 id,
                 Field.of("target", target.id().value()),
                 Field.of("mayHaveRun", mayHaveRun),
                 Field.of("reason", reason),
-                Field.of("lastEvent", lastEvent));
+                Field.of("lastEvent", lastEventNumber));
     }
 
-    void ended(EventCode event, ResultCode code, String reason, Progress progress) {
+    void logEnded(EventCode event, ResultCode code, String reason, Progress progress) {
         log.write(
                 event,
                 id,
@@ -109,12 +109,11 @@
                                 Field.of("account", account),
                                 Field.of("service", service),
                                 Field.of("adapter", adapter),
-                                Field.of("arrivals", progress.arrivals()),
-                                Field.of("afterMillis", progress.passed().toMillis())));
+                                Field.of("arrivals", progress.sends()),
+                                Field.of("afterMillis", progress.elapsed().toMillis())));
     }
 
-    void callerGone(int arrivals, Duration passed) {
-        log.write(
-                EventCode.CALLER_GONE, id, Field.of("arrivals", arrivals), Field.of("afterMillis", passed.toMillis()));
+    void logCallerGone(int sends, Duration elapsed) {
+        log.write(EventCode.CALLER_GONE, id, Field.of("arrivals", sends), Field.of("afterMillis", elapsed.toMillis()));
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/request/LoadWait.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/request/LoadWait.java
@@ -11,66 +11,69 @@
 import org.geraniumreach.model.TargetId;
 
 /**
- * One request's wait for the load of its adapter: since when, and at which targets.
+ * Tracks how long one request has waited for its adapter to be loaded, and at which targets.
  *
- * <p>Invariant: the wait begins anew with each sending, so that a stream that has lost its target after seconds may wait as long as a
- * new one. Confined to the event loop.
+ * <p>Invariant: the wait restarts after each send, so that a stream that loses its target after seconds may wait as
+ * long as a new one. Confined to the event loop.
  */
 final class LoadWait {
 
-    /** Targets that may decline; beyond them, waiting at one is better than asking on. */
-    private static final int MOST_DECLINING = 2;
+    /** Number of targets that may decline; after that, waiting at one target is better than asking others. */
+    private static final int MAXIMUM_DECLINES = 2;
 
-    private final Duration longest;
-    private final Duration slowLoad;
-    private final Map<TargetId, Long> askedAt = new HashMap<>();
+    private final Duration maximumWait;
+    private final Duration slowLoadThreshold;
+    private final Map<TargetId, Long> requestedAt = new HashMap<>();
     private final Set<TargetId> declined = new HashSet<>();
-    private OptionalLong since = OptionalLong.empty();
+    private OptionalLong startedAt = OptionalLong.empty();
 
-    LoadWait(Duration longest, Duration slowLoad) {
-        this.longest = longest;
-        this.slowLoad = slowLoad;
+    LoadWait(Duration maximumWait, Duration slowLoadThreshold) {
+        this.maximumWait = maximumWait;
+        this.slowLoadThreshold = slowLoadThreshold;
     }
 
-    /** Begins the wait, if it has not begun; false if it has lasted too long. */
-    boolean goesOn(long now) {
-        if (since.isEmpty()) {
-            since = OptionalLong.of(now);
+    /** Starts the wait if it has not started; returns false if it has exceeded the maximum. */
+    boolean startOrContinue(long now) {
+        if (startedAt.isEmpty()) {
+            startedAt = OptionalLong.of(now);
         }
-        return now - since.getAsLong() < longest.toNanos();
+        return now - startedAt.getAsLong() < maximumWait.toNanos();
     }
 
-    void asked(TargetId target, long now) {
-        askedAt.putIfAbsent(target, now);
+    void recordRequest(TargetId target, long now) {
+        requestedAt.putIfAbsent(target, now);
     }
 
-    /** Notes which of the targets that were asked have declined. */
-    void noteDeclined(Predicate<TargetId> hasDeclined) {
-        askedAt.keySet().stream().filter(hasDeclined).forEach(declined::add);
+    /** Records which of the requested targets have declined. */
+    void recordDeclined(Predicate<TargetId> hasDeclined) {
+        requestedAt.keySet().stream().filter(hasDeclined).forEach(declined::add);
     }
 
     boolean mayBeDeclined() {
-        return declined.size() < MOST_DECLINING;
+        return declined.size() < MAXIMUM_DECLINES;
     }
 
-    void sent() {
-        since = OptionalLong.empty();
+    void reset() {
+        startedAt = OptionalLong.empty();
     }
 
-    /** Gets the targets that were asked and may still be in time with the load. */
-    Set<TargetId> loaders(long now) {
-        return asked(now, false);
+    /** Gets the requested targets that may still complete the load in time. */
+    Set<TargetId> loadingTargets(long now) {
+        return requestedTargets(now, false);
     }
 
-    /** Gets those that have declined, or whose owner may be unable to order; another target may load meanwhile. */
-    Set<TargetId> slowLoaders(long now) {
-        return asked(now, true);
+    /**
+     * Gets the targets that declined or are slow, perhaps because their owner cannot order; another may load
+     * meanwhile.
+     */
+    Set<TargetId> slowLoadingTargets(long now) {
+        return requestedTargets(now, true);
     }
 
-    private Set<TargetId> asked(long now, boolean slow) {
+    private Set<TargetId> requestedTargets(long now, boolean slow) {
         Set<TargetId> targets = new HashSet<>();
-        askedAt.forEach((target, at) -> {
-            boolean isSlow = declined.contains(target) || now - at >= slowLoad.toNanos();
+        requestedAt.forEach((target, at) -> {
+            boolean isSlow = declined.contains(target) || now - at >= slowLoadThreshold.toNanos();
             if (isSlow == slow) {
                 targets.add(target);
             }
--- a/gateway/src/main/java/org/geraniumreach/gateway/request/Arrival.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/request/ReceivedRequest.java
@@ -5,17 +5,17 @@
 import org.geraniumreach.gateway.port.CallerAnswer;
 
 /**
- * A request as it came in.
+ * A request together with its answer and time of receipt.
  *
  * <p>Immutable; the answer is confined to the event loop.
  *
  * @param request the request
- * @param answer where its answer goes
- * @param at when it came, in nanoseconds of the steady clock; its caller's time runs from then
+ * @param answer the answer to write to
+ * @param receivedAt the time of receipt by the monotonic clock, in nanoseconds, from which the caller's timeout runs
  */
-record Arrival(GatewayRequest request, CallerAnswer answer, long at) {
+record ReceivedRequest(GatewayRequest request, CallerAnswer answer, long receivedAt) {
 
-    Arrival {
+    ReceivedRequest {
         Objects.requireNonNull(request, "request");
         Objects.requireNonNull(answer, "answer");
     }
--- a/gateway/src/main/java/org/geraniumreach/gateway/request/RequestHandler.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/request/RequestHandler.java
@@ -18,56 +18,59 @@
 import org.geraniumreach.model.ResultCode;
 
 /**
- * Receives callers' requests: finds route and account, or refuses.
+ * Receives requests of callers, finds their route and client account, and starts an exchange or refuses them.
  *
- * <p>Invariant: an entry that knows no configuration yet says "not now" and never that something does not exist. Confined to
- * the event loop.
+ * <p>Invariant: an entry without a configuration asks callers to retry and never reports that something does not exist.
+ * Confined to the event loop.
  */
 public final class RequestHandler {
 
-    private static final Duration UNTIL_CONFIGURED = Duration.ofMillis(500);
+    private static final Duration UNCONFIGURED_RETRY_AFTER = Duration.ofMillis(500);
 
     private final ExchangeServices services;
     private final Supplier<Optional<TrafficConfiguration>> configuration;
-    private final DoubleSupplier draws;
-    private final Set<Exchange> open = new HashSet<>();
-    private final StartupQueue early;
-    private Optional<DrainRule> drain = Optional.empty();
+    private final DoubleSupplier serviceDraw;
+    private final Set<Exchange> openExchanges = new HashSet<>();
+    private final StartupQueue startupQueue;
+    private Optional<DrainRule> drainRule = Optional.empty();
 
     /**
-     * Makes a desk.
+     * Creates a handler.
      *
-     * @param services what exchanges share, not null
-     * @param configuration the configuration in force, not null
-     * @param draws numbers from 0 to below 1 by which a service is drawn, not null
+     * @param services the collaborators shared by all exchanges, not null
+     * @param configuration the current configuration, empty until one is known, not null
+     * @param serviceDraw random numbers from 0 inclusive to 1 exclusive for the weighted choice of a service, not null
      */
     public RequestHandler(
-            ExchangeServices services, Supplier<Optional<TrafficConfiguration>> configuration, DoubleSupplier draws) {
+            ExchangeServices services,
+            Supplier<Optional<TrafficConfiguration>> configuration,
+            DoubleSupplier serviceDraw) {
         this.services = Objects.requireNonNull(services, "services");
         this.configuration = Objects.requireNonNull(configuration, "configuration");
-        this.draws = Objects.requireNonNull(draws, "draws");
-        this.early = new StartupQueue(services.timers());
+        this.serviceDraw = Objects.requireNonNull(serviceDraw, "serviceDraw");
+        this.startupQueue = new StartupQueue(services.timers());
     }
 
     /**
      * Receives a request.
      *
      * @param request the request, not null
-     * @param answer where its answer goes, not null
-     * @return to be cancelled when the caller goes away, not null
+     * @param answer the answer to write to, not null
+     * @return the pending request, cancelled when the caller disconnects, not null
      */
     public Cancellable receive(GatewayRequest request, CallerAnswer answer) {
-        Arrival arrival = new Arrival(request, answer, services.clock().nanos());
-        if (early.isOver()) {
-            return take(arrival);
+        ReceivedRequest received =
+                new ReceivedRequest(request, answer, services.clock().nanos());
+        if (startupQueue.isEnded()) {
+            return handle(received);
         }
-        Replaceable replaceable = new Replaceable();
-        replaceable.current = early.hold(request.patience(), () -> replaceable.current = take(arrival));
+        ReplaceableCancellable replaceable = new ReplaceableCancellable();
+        replaceable.current = startupQueue.hold(request.callerTimeout(), () -> replaceable.current = handle(received));
         return replaceable;
     }
 
-    /** Cancels what a request has come to. */
-    private static final class Replaceable implements Cancellable {
+    /** Cancels the request in its current stage. */
+    private static final class ReplaceableCancellable implements Cancellable {
         private Cancellable current = Cancellable.NOTHING;
 
         @Override
@@ -76,62 +79,70 @@
         }
     }
 
-    /** Notes that the entry knows all that it needs to take requests. */
+    /** Called when the entry knows everything that it needs to handle requests. */
     public void started() {
-        early.end();
+        startupQueue.end();
     }
 
-    private Cancellable take(Arrival arrival) {
-        GatewayRequest request = arrival.request();
-        CallerAnswer answer = arrival.answer();
+    private Cancellable handle(ReceivedRequest received) {
+        GatewayRequest request = received.request();
+        CallerAnswer answer = received.answer();
         Optional<TrafficConfiguration> current = configuration.get();
         if (current.isEmpty()) {
             return refuse(
                     request,
                     answer,
-                    Refusal.until(ResultCode.NOT_FRESH, "no configuration is known yet", UNTIL_CONFIGURED));
+                    Refusal.withRetryAfter(
+                            ResultCode.NOT_FRESH, "no configuration is known yet", UNCONFIGURED_RETRY_AFTER));
         }
         Optional<Route> route = current.get().route(request.host(), request.path());
         if (route.isEmpty()) {
             return refuse(request, answer, Refusal.of(ResultCode.UNKNOWN_PATH, "no route"));
         }
         Optional<Account> account = request.key().flatMap(current.get()::accountOfKey);
-        boolean wantsKey = current.get().wantsKeys() && !route.get().open();
-        if (wantsKey && account.isEmpty()) {
+        boolean requiresKey = current.get().wantsKeys() && !route.get().open();
+        if (requiresKey && account.isEmpty()) {
             ResultCode code = request.key().isPresent() ? ResultCode.KEY_REFUSED : ResultCode.KEY_MISSING;
             return refuse(request, answer, Refusal.of(code, "a key of a client account is needed"));
         }
-        if (drain.isPresent()
-                && !drain.get()
-                        .takes(
-                                route.get().longest(request.patience()),
+        if (drainRule.isPresent()
+                && !drainRule
+                        .get()
+                        .admits(
+                                route.get().longest(request.callerTimeout()),
                                 services.clock().nanos())) {
             return refuse(
                     request,
                     answer,
-                    Refusal.until(ResultCode.DRAINING, "this entry ends before the request might", Duration.ZERO));
+                    Refusal.withRetryAfter(
+                            ResultCode.DRAINING, "this entry ends before the request might", Duration.ZERO));
         }
-        String service = route.get().service(draws.getAsDouble());
-        services.repeats().requested(service);
+        String service = route.get().service(serviceDraw.getAsDouble());
+        services.retryBudgets().recordRequest(service);
         Exchange exchange = new Exchange(
-                services, arrival, route.get(), service, wantsKey ? account : Optional.empty(), open::remove);
-        open.add(exchange);
+                services,
+                received,
+                route.get(),
+                service,
+                requiresKey ? account : Optional.empty(),
+                openExchanges::remove);
+        openExchanges.add(exchange);
         exchange.start();
-        return exchange::callerGone;
+        return exchange::onCallerGone;
     }
 
     /**
-     * Notes that the process is about to end.
+     * Starts draining because the process is about to exit.
      *
-     * @param length after what time, not null
+     * @param drainTime the time until the process exits, not null
      */
-    public void drain(Duration length) {
-        drain = Optional.of(DrainRule.of(services.clock().nanos(), length));
+    public void drain(Duration drainTime) {
+        drainRule = Optional.of(DrainRule.of(services.clock().nanos(), drainTime));
     }
 
-    /** Notes that the process ends as soon as the requests that it has taken are answered; those that still come are refused at once. */
+    /** Refuses all further requests, because the process exits once the admitted ones are answered. */
     public void close() {
-        drain = Optional.of(DrainRule.closed(services.clock().nanos()));
+        drainRule = Optional.of(DrainRule.closed(services.clock().nanos()));
     }
 
     private Cancellable refuse(GatewayRequest request, CallerAnswer answer, Refusal refusal) {
@@ -152,11 +163,11 @@
     }
 
     /**
-     * Gets the exchanges that have not ended.
+     * Gets the number of exchanges that have not ended.
      *
-     * @return how many
+     * @return the number
      */
     public int open() {
-        return open.size();
+        return openExchanges.size();
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/request/StartupQueue.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/request/StartupQueue.java
@@ -9,37 +9,37 @@
 import org.geraniumreach.gateway.port.Timers;
 
 /**
- * Holds back requests that come before the entry knows a configuration and targets.
+ * Holds requests that arrive before the entry knows a configuration and targets.
  *
- * <p>Intended for restarts of many entries at once, when all callers reach entries that will be ready in less time than it takes
- * a rejected caller to come back. Invariants: each request goes on once, at the latest after
- * {@link #LONGEST} or a part of its caller's time; nothing is held after the start, nor by an entry whose start takes longer than
- * {@link #START}, since it cannot tell when that will end. Confined to the event loop.
+ * <p>Intended for the simultaneous restart of many entries, when all callers reach entries that will be ready sooner
+ * than a refused caller retries. Invariants: each request is released once, at the latest after {@link #MAXIMUM_HOLD}
+ * or a fraction of its caller's timeout; nothing is held after the startup, nor once it has taken longer than
+ * {@link #MAXIMUM_STARTUP}, since its end cannot be predicted then. Confined to the event loop.
  */
 final class StartupQueue {
 
-    private static final Duration LONGEST = Duration.ofMillis(800);
+    private static final Duration MAXIMUM_HOLD = Duration.ofMillis(800);
 
-    private static final Duration START = Duration.ofSeconds(2);
+    private static final Duration MAXIMUM_STARTUP = Duration.ofSeconds(2);
 
-    private static final int PART_OF_PATIENCE = 3;
+    private static final int CALLER_TIMEOUT_DIVISOR = 3;
 
     private final Timers timers;
-    private final List<Held> held = new ArrayList<>();
-    private boolean over;
+    private final List<HeldRequest> held = new ArrayList<>();
+    private boolean ended;
 
-    /** One request, which goes on by itself or is cancelled before. */
-    private final class Held implements Cancellable {
-        private final Runnable goesOn;
+    /** A held request until it is released or cancelled. */
+    private final class HeldRequest implements Cancellable {
+        private final Runnable action;
         private Cancellable timer = Cancellable.NOTHING;
 
-        private Held(Runnable goesOn) {
-            this.goesOn = goesOn;
+        private HeldRequest(Runnable action) {
+            this.action = action;
         }
 
-        private void goOn() {
+        private void release() {
             cancel();
-            goesOn.run();
+            action.run();
         }
 
         @Override
@@ -51,25 +51,25 @@
 
     StartupQueue(Timers timers) {
         this.timers = Objects.requireNonNull(timers, "timers");
-        timers.after(START, this::end);
+        timers.after(MAXIMUM_STARTUP, this::end);
     }
 
-    boolean isOver() {
-        return over;
+    boolean isEnded() {
+        return ended;
     }
 
-    /** Holds a request back; it goes on when the start is over, or its time for waiting is. */
-    Cancellable hold(Duration patience, Runnable goesOn) {
-        Held added = new Held(goesOn);
+    /** Holds a request; the action runs when the startup or the holding time of the request ends. */
+    Cancellable hold(Duration callerTimeout, Runnable action) {
+        HeldRequest added = new HeldRequest(action);
         held.add(added);
-        Duration part = patience.dividedBy(PART_OF_PATIENCE);
-        added.timer = timers.after(part.compareTo(LONGEST) < 0 ? part : LONGEST, added::goOn);
+        Duration fraction = callerTimeout.dividedBy(CALLER_TIMEOUT_DIVISOR);
+        added.timer = timers.after(fraction.compareTo(MAXIMUM_HOLD) < 0 ? fraction : MAXIMUM_HOLD, added::release);
         return added;
     }
 
-    /** Lets all requests go on, the first that came first, and holds none from now on. */
+    /** Releases all requests in order of receipt and stops holding further ones. */
     void end() {
-        over = true;
-        List.copyOf(held).forEach(Held::goOn);
+        ended = true;
+        List.copyOf(held).forEach(HeldRequest::release);
     }
 }
