--- a/gateway/src/main/java/org/geraniumreach/gateway/port/TargetAnswerHead.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/port/TargetAnswerHead.java
@@ -16,9 +16,9 @@
  */
 public record TargetAnswerHead(int status, List<Header> headers, boolean eventStream) {
 
-    private static final int FIRST_SUCCESS = 200;
-    private static final int FIRST_REDIRECT = 300;
-    private static final int FIRST_SERVER_FAULT = 500;
+    private static final int MIN_SUCCESS_STATUS = 200;
+    private static final int MIN_REDIRECT_STATUS = 300;
+    private static final int MIN_SERVER_ERROR_STATUS = 500;
 
     public TargetAnswerHead {
         headers = List.copyOf(Objects.requireNonNull(headers, "headers"));
@@ -30,7 +30,7 @@
      * @return true for a status from 200 to 299
      */
     public boolean isSuccess() {
-        return status >= FIRST_SUCCESS && status < FIRST_REDIRECT;
+        return status >= MIN_SUCCESS_STATUS && status < MIN_REDIRECT_STATUS;
     }
 
     /**
@@ -39,6 +39,6 @@
      * @return true for a status from 500
      */
     public boolean isServerFault() {
-        return status >= FIRST_SERVER_FAULT;
+        return status >= MIN_SERVER_ERROR_STATUS;
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/quota/AccountBucket.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/quota/AccountBucket.java
@@ -16,20 +16,20 @@
  */
 final class AccountBucket {
 
-    private static final double NANOS = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
     /** A bucket begins half full: with one that is full, a process that is killed again and again would admit a burst each time. */
-    private static final double FIRST_FILL = 0.5;
+    private static final double INITIAL_FILL_RATIO = 0.5;
 
     /** Steady clocks drift, and requests arrive at their targets a little later than they were admitted. */
-    private static final double CAUTION = 0.99;
+    private static final double RATE_SAFETY_FACTOR = 0.99;
 
     private double level;
     private double capacity;
     private double debt;
-    private double perSecond;
+    private double unitsPerSecond;
     private long updatedAt;
-    private boolean begun;
+    private boolean initialized;
 
     AccountBucket(long now) {
         this.updatedAt = now;
@@ -37,11 +37,11 @@
 
     void resize(double newPerSecond, double newCapacity, double newDebt, long now) {
         advance(now);
-        if (!begun && newCapacity > 0) {
-            begun = true;
-            level = newCapacity * FIRST_FILL;
+        if (!initialized && newCapacity > 0) {
+            initialized = true;
+            level = newCapacity * INITIAL_FILL_RATIO;
         }
-        perSecond = newPerSecond * CAUTION;
+        unitsPerSecond = newPerSecond * RATE_SAFETY_FACTOR;
         capacity = newCapacity;
         debt = newDebt;
         level = Math.min(level, capacity);
@@ -49,7 +49,7 @@
 
     private void advance(long now) {
         if (now > updatedAt) {
-            level = Math.min(capacity, level + perSecond * ((now - updatedAt) / NANOS));
+            level = Math.min(capacity, level + unitsPerSecond * ((now - updatedAt) / NANOS_PER_SECOND));
             updatedAt = now;
         }
     }
@@ -59,21 +59,21 @@
      *
      * <p>Requests that wait are so served in their order, and none is passed by a smaller one for ever.
      */
-    Taking take(double units, long now, Duration longestWait) {
+    Reservation reserve(double units, long now, Duration longestWait) {
         advance(now);
-        if (capacity <= 0 || perSecond <= 0) {
-            return new Taking(false, Optional.empty());
+        if (capacity <= 0 || unitsPerSecond <= 0) {
+            return new Reservation(false, Optional.empty());
         }
         double needed = Math.max(0, Math.min(units, capacity) - debt);
         double missing = needed - level;
-        Duration delay = Duration.ofNanos((long) Math.ceil(Math.max(0, missing) / perSecond * NANOS));
+        Duration delay = Duration.ofNanos((long) Math.ceil(Math.max(0, missing) / unitsPerSecond * NANOS_PER_SECOND));
         boolean taken = delay.compareTo(longestWait) <= 0;
         if (taken) {
             level -= units;
         }
-        return new Taking(taken, Optional.of(delay));
+        return new Reservation(taken, Optional.of(delay));
     }
 
     /** Whether units were taken, and after what time they are there, empty if they never are. */
-    record Taking(boolean taken, Optional<Duration> delay) {}
+    record Reservation(boolean granted, Optional<Duration> delay) {}
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/quota/QuotaAdmission.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/quota/QuotaAdmission.java
@@ -29,24 +29,24 @@
 public final class QuotaAdmission {
 
     /** Holders asked for one request; beyond, the account is taken to be above its rate. */
-    private static final int MOST_ASKED = 2;
+    private static final int MAX_HOLDERS_ASKED = 2;
 
     /** An answer takes a few milliseconds; a holder that is stopped or cut off never answers. */
     private static final Duration ANSWER_TIMEOUT = Duration.ofMillis(150);
 
     /** Shares move, so a refusal is not believed for longer. */
-    private static final Duration LONGEST_REFUSAL = Duration.ofMillis(500);
+    private static final Duration MAX_REFUSAL_VALIDITY = Duration.ofMillis(500);
 
-    private static final int MOST_REFUSALS = 4_096;
+    private static final int REFUSAL_PURGE_THRESHOLD = 4_096;
 
     /** For so long after its creation, links to holders may still be on their way. */
-    private static final Duration STARTUP = Duration.ofSeconds(4);
+    private static final Duration STARTUP_PERIOD = Duration.ofSeconds(4);
 
     /** How long a request waits for a holder that can be reached and answers, in that time; callers leave a silent stream after two seconds. */
-    private static final Duration LONGEST_HOLDER_WAIT = Duration.ofMillis(1_500);
+    private static final Duration MAX_HOLDER_WAIT = Duration.ofMillis(1_500);
 
     /** Part of the caller's time for which it waits at the most. */
-    private static final double HOLDER_WAIT_PART = 0.6;
+    private static final double HOLDER_WAIT_RATIO = 0.6;
 
     private static final Duration HOLDER_RETRY_INTERVAL = Duration.ofMillis(60);
 
@@ -55,38 +55,38 @@
     private final Timers timers;
     private final MonotonicClock clock;
     private final Random random;
-    private final Map<Long, Pending> pending = new HashMap<>();
-    private final Map<Holder, Refused> refusals = new HashMap<>();
+    private final Map<Long, PendingRequest> pending = new HashMap<>();
+    private final Map<HolderKey, Refusal> refusals = new HashMap<>();
     private final long createdAt;
-    private long numbers;
+    private long lastRequestNumber;
 
-    private record Holder(String entry, AccountId account) {}
+    private record HolderKey(String entry, AccountId account) {}
 
     /**
      * A holder's refusal.
      *
-     * @param until until when it is not asked again
-     * @param comeBackAt when it said that it has units, empty if it did not say
-     * @param silent whether it did not answer at all
+     * @param validUntil until when it is not asked again
+     * @param retryAt when it said that it has units, empty if it did not say
+     * @param timedOut whether it did not answer at all
      */
-    private record Refused(long until, OptionalLong comeBackAt, boolean silent) {}
+    private record Refusal(long validUntil, OptionalLong retryAt, boolean timedOut) {}
 
     /** A request whose units are asked for. */
-    private final class Pending {
+    private final class PendingRequest {
         private final Account account;
         private final double units;
-        private final Duration longestWait;
-        private final Consumer<Quotas.Admission> decided;
+        private final Duration maxWait;
+        private final Consumer<Quotas.Admission> onDecision;
         private final long startedAt = clock.nanos();
-        private Deque<String> holders;
-        private Optional<Duration> comeBack;
+        private Deque<String> candidates;
+        private Optional<Duration> retryDelay;
         private Cancellable timeout = Cancellable.NOTHING;
         private long number;
-        private String asked = "";
-        private int count;
+        private String askedHolder = "";
+        private int askedCount;
         private boolean answered;
 
-        private Pending(
+        private PendingRequest(
                 Account account,
                 double units,
                 Duration longestWait,
@@ -95,48 +95,48 @@
                 Optional<Duration> comeBack) {
             this.account = account;
             this.units = units;
-            this.longestWait = longestWait;
-            this.decided = decided;
-            this.holders = holders;
-            this.comeBack = comeBack;
+            this.maxWait = longestWait;
+            this.onDecision = decided;
+            this.candidates = holders;
+            this.retryDelay = comeBack;
         }
 
         private void askNext() {
-            while (count < MOST_ASKED && !holders.isEmpty()) {
-                asked = holders.poll();
-                number = ++numbers;
-                if (peers.ask(asked, number, account.id(), units)) {
-                    count++;
+            while (askedCount < MAX_HOLDERS_ASKED && !candidates.isEmpty()) {
+                askedHolder = candidates.poll();
+                number = ++lastRequestNumber;
+                if (peers.ask(askedHolder, number, account.id(), units)) {
+                    askedCount++;
                     pending.put(number, this);
                     timeout = timers.after(ANSWER_TIMEOUT, this::onTimeout);
                     return;
                 }
             }
-            if (mayGetHolder()) {
-                timeout = timers.after(HOLDER_RETRY_INTERVAL, this::askAgain);
+            if (mayWaitForHolder()) {
+                timeout = timers.after(HOLDER_RETRY_INTERVAL, this::retry);
                 return;
             }
-            decided.accept(new Quotas.Admission(false, comeBack));
+            onDecision.accept(new Quotas.Admission(false, retryDelay));
         }
 
         /** Guards against refusals within the rate by an entry that has started, whose holders have started with it. */
-        private boolean mayGetHolder() {
+        private boolean mayWaitForHolder() {
             long now = clock.nanos();
             return !answered
-                    && now - createdAt < STARTUP.toNanos()
-                    && now - startedAt < longestWait.toNanos()
-                    && hasHolderThatHasNotRefused(account.id());
+                    && now - createdAt < STARTUP_PERIOD.toNanos()
+                    && now - startedAt < maxWait.toNanos()
+                    && hasHolderWithoutRefusal(account.id());
         }
 
-        private void askAgain() {
-            count = 0;
-            holders = holders(account.id());
+        private void retry() {
+            askedCount = 0;
+            candidates = candidates(account.id());
             askNext();
         }
 
         private void onTimeout() {
             pending.remove(number);
-            noteSilence(asked, account.id());
+            recordTimeout(askedHolder, account.id());
             askNext();
         }
 
@@ -144,11 +144,11 @@
             timeout.cancel();
             answered = true;
             if (answer.admitted()) {
-                decided.accept(answer);
+                onDecision.accept(answer);
                 return;
             }
-            refuse(asked, account.id(), answer.delay());
-            comeBack = sooner(comeBack, answer.delay());
+            recordRefusal(askedHolder, account.id(), answer.delay());
+            retryDelay = shorter(retryDelay, answer.delay());
             askNext();
         }
 
@@ -195,72 +195,74 @@
             }
             comeBack = own.delay();
         }
-        Optional<Duration> soonest = comeBack(account.id(), comeBack);
-        Pending request = new Pending(account, units, longestWait(patience), decided, holders(account.id()), soonest);
+        Optional<Duration> soonest = soonestRetryDelay(account.id(), comeBack);
+        PendingRequest request =
+                new PendingRequest(account, units, maxWait(patience), decided, candidates(account.id()), soonest);
         request.askNext();
         return request::cancel;
     }
 
-    private static Duration longestWait(Duration patience) {
-        Duration part = Duration.ofNanos((long) (patience.toNanos() * HOLDER_WAIT_PART));
-        return part.compareTo(LONGEST_HOLDER_WAIT) < 0 ? part : LONGEST_HOLDER_WAIT;
+    private static Duration maxWait(Duration patience) {
+        Duration part = Duration.ofNanos((long) (patience.toNanos() * HOLDER_WAIT_RATIO));
+        return part.compareTo(MAX_HOLDER_WAIT) < 0 ? part : MAX_HOLDER_WAIT;
     }
 
-    private boolean hasHolderThatHasNotRefused(AccountId account) {
+    private boolean hasHolderWithoutRefusal(AccountId account) {
         return quotas.otherHolders(account).stream()
-                .anyMatch(entry -> refusal(entry, account).map(Refused::silent).orElse(true));
+                .anyMatch(
+                        entry -> refusal(entry, account).map(Refusal::timedOut).orElse(true));
     }
 
-    private Deque<String> holders(AccountId account) {
+    private Deque<String> candidates(AccountId account) {
         List<String> holders = new ArrayList<>(quotas.otherHolders(account));
         holders.removeIf(entry -> refusal(entry, account).isPresent());
         Collections.shuffle(holders, random);
         return new ArrayDeque<>(holders);
     }
 
-    private Optional<Refused> refusal(String entry, AccountId account) {
-        return Optional.ofNullable(refusals.get(new Holder(entry, account)))
-                .filter(refused -> refused.until() > clock.nanos());
+    private Optional<Refusal> refusal(String entry, AccountId account) {
+        return Optional.ofNullable(refusals.get(new HolderKey(entry, account)))
+                .filter(refused -> refused.validUntil() > clock.nanos());
     }
 
     /** Holders that are not asked because they have refused said when they have units. */
-    private Optional<Duration> comeBack(AccountId account, Optional<Duration> own) {
+    private Optional<Duration> soonestRetryDelay(AccountId account, Optional<Duration> own) {
         long now = clock.nanos();
         Optional<Duration> soonest = own;
         for (String entry : quotas.otherHolders(account)) {
-            OptionalLong at = refusal(entry, account).map(Refused::comeBackAt).orElse(OptionalLong.empty());
+            OptionalLong at = refusal(entry, account).map(Refusal::retryAt).orElse(OptionalLong.empty());
             if (at.isPresent()) {
-                soonest = sooner(soonest, Optional.of(Duration.ofNanos(Math.max(0, at.getAsLong() - now))));
+                soonest = shorter(soonest, Optional.of(Duration.ofNanos(Math.max(0, at.getAsLong() - now))));
             }
         }
         return soonest;
     }
 
     /** In the first seconds, holders that start as well answer soon. */
-    private void noteSilence(String entry, AccountId account) {
+    private void recordTimeout(String entry, AccountId account) {
         long now = clock.nanos();
-        Duration believed = now - createdAt < STARTUP.toNanos() ? HOLDER_RETRY_INTERVAL : LONGEST_REFUSAL;
-        note(entry, account, new Refused(now + believed.toNanos(), OptionalLong.empty(), true));
+        Duration believed = now - createdAt < STARTUP_PERIOD.toNanos() ? HOLDER_RETRY_INTERVAL : MAX_REFUSAL_VALIDITY;
+        storeRefusal(entry, account, new Refusal(now + believed.toNanos(), OptionalLong.empty(), true));
     }
 
-    private void note(String entry, AccountId account, Refused refused) {
+    private void storeRefusal(String entry, AccountId account, Refusal refused) {
         long now = clock.nanos();
-        if (refusals.size() > MOST_REFUSALS) {
-            refusals.values().removeIf(each -> each.until() <= now);
+        if (refusals.size() > REFUSAL_PURGE_THRESHOLD) {
+            refusals.values().removeIf(each -> each.validUntil() <= now);
         }
-        refusals.put(new Holder(entry, account), refused);
+        refusals.put(new HolderKey(entry, account), refused);
     }
 
-    private void refuse(String entry, AccountId account, Optional<Duration> delay) {
+    private void recordRefusal(String entry, AccountId account, Optional<Duration> delay) {
         long now = clock.nanos();
         Duration believed =
-                delay.filter(told -> told.compareTo(LONGEST_REFUSAL) < 0).orElse(LONGEST_REFUSAL);
+                delay.filter(told -> told.compareTo(MAX_REFUSAL_VALIDITY) < 0).orElse(MAX_REFUSAL_VALIDITY);
         OptionalLong comeBackAt =
                 delay.isPresent() ? OptionalLong.of(now + delay.get().toNanos()) : OptionalLong.empty();
-        note(entry, account, new Refused(now + believed.toNanos(), comeBackAt, false));
+        storeRefusal(entry, account, new Refusal(now + believed.toNanos(), comeBackAt, false));
     }
 
-    private static Optional<Duration> sooner(Optional<Duration> one, Optional<Duration> other) {
+    private static Optional<Duration> shorter(Optional<Duration> one, Optional<Duration> other) {
         if (one.isEmpty() || other.isEmpty()) {
             return one.isPresent() ? one : other;
         }
@@ -274,7 +276,7 @@
      * @param answer the answer, not null
      */
     public void onAnswer(long number, Quotas.Admission answer) {
-        Pending request = pending.remove(number);
+        PendingRequest request = pending.remove(number);
         if (request != null) {
             request.onAnswer(answer);
         }
--- a/gateway/src/main/java/org/geraniumreach/gateway/quota/Quotas.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/quota/Quotas.java
@@ -27,40 +27,40 @@
  * What this entry may admit of each client account.
  *
  * <p>Invariants: an increase of a share counts once the store has acknowledged it, a decrease from before it is sent; a share
- * counts for {@link #PROOF} after the last renewal of this entry's lease, and others take it only {@link #ABANDONED} after they
+ * counts for {@link #SHARE_VALIDITY} after the last renewal of this entry's lease, and others take it only {@link #ABANDONED} after they
  * saw the lease unchanged, so no part is spent twice. Confined to the event loop.
  */
 public final class Quotas {
 
     /** Without a renewal for as long as this, shares are not spent; the store is away for 12 s at the longest so far. */
-    static final Duration PROOF = Duration.ofSeconds(25);
+    static final Duration SHARE_VALIDITY = Duration.ofSeconds(25);
 
     /** A share is taken from an entry whose lease has not changed for as long as this. */
     public static final Duration ABANDONED = Duration.ofSeconds(30);
 
     /** Part of the shortest objective for which a request may wait for units; the rest is left for its target. */
-    private static final double WAIT_PART = 0.4;
+    private static final double WAIT_RATIO = 0.4;
 
-    private static final String PREFIX = "share/";
+    private static final String KEY_PREFIX = "share/";
 
     private final String self;
     private final Lease lease;
     private final MonotonicClock clock;
-    private final Map<AccountId, State> states = new HashMap<>();
+    private final Map<AccountId, AccountState> states = new HashMap<>();
     private final Tolerance tolerance;
     private final DecisionLog log;
     private EntryCapacity entryCapacity = EntryCapacity.alike();
     private Map<AccountId, Account> accounts = Map.of();
-    private Duration longestWait = Duration.ZERO;
+    private Duration maxWait = Duration.ZERO;
 
-    private static final class State {
+    private static final class AccountState {
         private final AccountBucket bucket;
         private final DemandRate demand;
-        private ShareRow row = ShareRow.none();
+        private ShareRow row = ShareRow.empty();
         private long version;
         private int parts;
 
-        State(long now) {
+        AccountState(long now) {
             this.bucket = new AccountBucket(now);
             this.demand = new DemandRate(now);
         }
@@ -84,23 +84,23 @@
     public record Tolerance(double ratio, double units, Duration window) {
 
         /** Part of the tolerance that is given to the entries' buckets; what is left covers restarts and requests under way. */
-        private static final double GIVEN = 0.5;
+        private static final double BUCKET_RATIO = 0.5;
 
         /** Part of the tolerance that requests may be admitted beyond a bucket's level, in all entries together. */
-        private static final double DEBT = 0.25;
+        private static final double DEBT_RATIO = 0.25;
 
-        private static final double NANOS = 1e9;
+        private static final double NANOS_PER_SECOND = 1e9;
 
-        double givenTo(Account account) {
-            return GIVEN * of(account);
+        double extraBucketUnits(Account account) {
+            return BUCKET_RATIO * totalUnits(account);
         }
 
-        double debtOf(Account account) {
-            return DEBT * of(account);
+        double maxDebtUnits(Account account) {
+            return DEBT_RATIO * totalUnits(account);
         }
 
-        private double of(Account account) {
-            double inWindow = account.unitsPerSecond() * window.toNanos() / NANOS + account.burstUnits();
+        private double totalUnits(Account account) {
+            double inWindow = account.unitsPerSecond() * window.toNanos() / NANOS_PER_SECOND + account.burstUnits();
             return ratio * inWindow + units;
         }
     }
@@ -129,7 +129,7 @@
      * @return true if it is
      */
     public static boolean isShareRow(String key) {
-        return key.startsWith(PREFIX);
+        return key.startsWith(KEY_PREFIX);
     }
 
     /**
@@ -153,12 +153,12 @@
      */
     public void configure(Map<AccountId, Account> newAccounts, Duration shortestObjective) {
         accounts = Map.copyOf(newAccounts);
-        longestWait = Duration.ofNanos((long) (shortestObjective.toNanos() * WAIT_PART));
+        maxWait = Duration.ofNanos((long) (shortestObjective.toNanos() * WAIT_RATIO));
         accounts.keySet().forEach(this::resize);
     }
 
-    private State state(AccountId account) {
-        return states.computeIfAbsent(account, missing -> new State(clock.nanos()));
+    private AccountState state(AccountId account) {
+        return states.computeIfAbsent(account, missing -> new AccountState(clock.nanos()));
     }
 
     private void resize(AccountId id) {
@@ -166,10 +166,10 @@
         if (account == null) {
             return;
         }
-        State state = state(id);
-        double part = (double) state.parts / ShareRow.WHOLE;
-        double capacity = (account.burstUnits() + tolerance.givenTo(account)) * part;
-        double debt = tolerance.debtOf(account) * part;
+        AccountState state = state(id);
+        double part = (double) state.parts / ShareRow.TOTAL_PARTS;
+        double capacity = (account.burstUnits() + tolerance.extraBucketUnits(account)) * part;
+        double debt = tolerance.maxDebtUnits(account) * part;
         state.bucket.resize(account.unitsPerSecond() * part, capacity, debt, clock.nanos());
     }
 
@@ -180,15 +180,15 @@
      * @param row the row, or empty if it was removed
      */
     public void put(String key, Optional<Row> row) {
-        AccountId account = AccountId.of(key.substring(PREFIX.length()));
-        State state = state(account);
+        AccountId account = AccountId.of(key.substring(KEY_PREFIX.length()));
+        AccountState state = state(account);
         if (row.isPresent() && row.get().version() <= state.version) {
             return;
         }
-        state.row = row.flatMap(present -> ShareRow.parse(present.value())).orElse(ShareRow.none());
+        state.row = row.flatMap(present -> ShareRow.parse(present.value())).orElse(ShareRow.empty());
         state.version = row.map(Row::version).orElse(Transaction.ABSENT);
         int before = state.parts;
-        state.parts = state.row.of(self).parts();
+        state.parts = state.row.share(self).parts();
         resize(account);
         if (before != state.parts) {
             log.write(
@@ -196,7 +196,7 @@
                     account.value(),
                     Field.of("parts", state.parts),
                     Field.of("partsBefore", before),
-                    Field.of("free", state.row.free()),
+                    Field.of("free", state.row.freeParts()),
                     Field.of("rowVersion", state.version));
         }
     }
@@ -212,14 +212,14 @@
         if (!account.isLimited()) {
             return new Admission(true, Optional.of(Duration.ZERO));
         }
-        State state = state(account.id());
+        AccountState state = state(account.id());
         long now = clock.nanos();
         state.demand.asked(units, now);
-        if (!lease.wasRenewedWithin(PROOF)) {
+        if (!lease.wasRenewedWithin(SHARE_VALIDITY)) {
             return new Admission(false, Optional.empty());
         }
-        AccountBucket.Taking taking = state.bucket.take(units, now, longestWait);
-        return new Admission(taking.taken(), taking.delay());
+        AccountBucket.Reservation taking = state.bucket.reserve(units, now, maxWait);
+        return new Admission(taking.granted(), taking.delay());
     }
 
     /**
@@ -233,15 +233,15 @@
         Transaction transaction = Transaction.empty();
         for (Account account : accounts.values()) {
             if (account.isLimited()) {
-                transaction = withChange(transaction, account, entries, abandoned);
+                transaction = addChange(transaction, account, entries, abandoned);
             }
         }
         return transaction.writes().isEmpty() ? Optional.empty() : Optional.of(transaction);
     }
 
-    private Transaction withChange(
+    private Transaction addChange(
             Transaction transaction, Account account, Collection<String> entries, Map<String, Long> abandoned) {
-        State state = state(account.id());
+        AccountState state = state(account.id());
         ShareRow row = state.row;
         Transaction conditions = transaction;
         for (Map.Entry<String, Long> gone : abandoned.entrySet()) {
@@ -251,32 +251,33 @@
                         conditions.withCondition(RowKey.of(TargetOwnership.LEASES, gone.getKey()), gone.getValue());
             }
         }
-        Optional<ShareRow> change = change(row, account, state, entries);
+        Optional<ShareRow> change = proposeRow(row, account, state, entries);
         if (change.isEmpty()) {
             return transaction;
         }
-        state.parts = Math.min(state.parts, change.get().of(self).parts());
+        state.parts = Math.min(state.parts, change.get().share(self).parts());
         resize(account.id());
-        RowKey key = RowKey.of(TargetOwnership.TABLE, PREFIX + account.id().value());
+        RowKey key = RowKey.of(TargetOwnership.TABLE, KEY_PREFIX + account.id().value());
         return conditions
                 .withCondition(key, state.version)
                 .withWrite(key, change.get().toText());
     }
 
-    private Optional<ShareRow> change(ShareRow row, Account account, State state, Collection<String> entries) {
+    private Optional<ShareRow> proposeRow(
+            ShareRow row, Account account, AccountState state, Collection<String> entries) {
         if (ShareHolders.isHolder(account.id(), self, entries, entryCapacity)) {
             double demand = state.demand.at(clock.nanos()) / account.unitsPerSecond();
-            return SharePolicy.change(row, self, holders(row, entries), demand);
+            return SharePolicy.proposeRow(row, self, holderCount(row, entries), demand);
         }
         return row.shares().containsKey(self) ? Optional.of(row.without(self)) : Optional.empty();
     }
 
     /** An entry that is cut off from the others takes itself for the only one; the row tells how many there are besides. */
-    private int holders(ShareRow row, Collection<String> entries) {
+    private int holderCount(ShareRow row, Collection<String> entries) {
         int others = (int) row.shares().keySet().stream()
                 .filter(entry -> !entry.equals(self))
                 .count();
-        return Math.max(ShareHolders.count(entries.size()), others + 1);
+        return Math.max(ShareHolders.holderCount(entries.size()), others + 1);
     }
 
     /**
@@ -321,7 +322,7 @@
     /** Takes back what was given up by a change that the store refused. */
     public void changeRefused() {
         states.forEach((account, state) -> {
-            state.parts = state.row.of(self).parts();
+            state.parts = state.row.share(self).parts();
             resize(account);
         });
     }
--- a/gateway/src/main/java/org/geraniumreach/gateway/quota/ShareHolders.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/quota/ShareHolders.java
@@ -15,24 +15,24 @@
 final class ShareHolders {
 
     /** With two, the loss of one leaves half of the rate until its share is taken over. */
-    static final int MOST = 2;
+    static final int MAX_HOLDERS = 2;
 
     private ShareHolders() {}
 
-    static int count(int entries) {
-        return Math.min(MOST, Math.max(1, entries));
+    static int holderCount(int entries) {
+        return Math.min(MAX_HOLDERS, Math.max(1, entries));
     }
 
     static boolean isHolder(AccountId account, String self, Collection<String> entries, EntryCapacity capacity) {
         double own = capacity.rank(account.value(), self);
         long ahead = entries.stream()
                 .filter(entry -> !entry.equals(self))
-                .filter(entry -> isAhead(capacity.rank(account.value(), entry), entry, own, self))
+                .filter(entry -> ranksBefore(capacity.rank(account.value(), entry), entry, own, self))
                 .count();
-        return ahead < MOST;
+        return ahead < MAX_HOLDERS;
     }
 
-    private static boolean isAhead(double rank, String entry, double own, String self) {
+    private static boolean ranksBefore(double rank, String entry, double own, String self) {
         return rank == own ? entry.compareTo(self) < 0 : rank < own;
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/quota/ShareRow.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/quota/ShareRow.java
@@ -8,7 +8,7 @@
 /**
  * The stored row of one account: which entry has how many parts of its rate, and how many it wants.
  *
- * <p>Invariant: the parts are not negative and together at most {@link #WHOLE}. Immutable and safe for use by several
+ * <p>Invariant: the parts are not negative and together at most {@link #TOTAL_PARTS}. Immutable and safe for use by several
  * threads.
  *
  * @param shares the shares by the entries' instances
@@ -16,7 +16,7 @@
 public record ShareRow(Map<String, Share> shares) {
 
     /** The parts of a whole rate. */
-    public static final int WHOLE = 1_000;
+    public static final int TOTAL_PARTS = 1_000;
 
     /**
      * One entry's share.
@@ -27,15 +27,15 @@
     public record Share(int parts, int wanted) {
 
         public Share {
-            if (parts < 0 || parts > WHOLE || wanted < 0 || wanted > WHOLE) {
-                throw new IllegalArgumentException("parts outside 0 to " + WHOLE + ": " + parts + ", " + wanted);
+            if (parts < 0 || parts > TOTAL_PARTS || wanted < 0 || wanted > TOTAL_PARTS) {
+                throw new IllegalArgumentException("parts outside 0 to " + TOTAL_PARTS + ": " + parts + ", " + wanted);
             }
         }
     }
 
     public ShareRow {
         shares = Map.copyOf(shares);
-        if (shares.values().stream().mapToInt(Share::parts).sum() > WHOLE) {
+        if (shares.values().stream().mapToInt(Share::parts).sum() > TOTAL_PARTS) {
             throw new IllegalArgumentException("more than the whole is given out: " + shares);
         }
     }
@@ -45,7 +45,7 @@
      *
      * @return the row, not null
      */
-    public static ShareRow none() {
+    public static ShareRow empty() {
         return new ShareRow(Map.of());
     }
 
@@ -55,7 +55,7 @@
      * @param node the entry's instance, not null
      * @return the share, of no parts if it has none
      */
-    public Share of(String node) {
+    public Share share(String node) {
         return shares.getOrDefault(node, new Share(0, 0));
     }
 
@@ -64,8 +64,8 @@
      *
      * @return the parts
      */
-    public int free() {
-        return WHOLE - shares.values().stream().mapToInt(Share::parts).sum();
+    public int freeParts() {
+        return TOTAL_PARTS - shares.values().stream().mapToInt(Share::parts).sum();
     }
 
     /**
--- a/gateway/src/main/java/org/geraniumreach/gateway/store/FeedReader.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/store/FeedReader.java
@@ -19,7 +19,7 @@
  * Follows one table of the store: reads it, or takes the updates of another entry that does.
  *
  * <p>Intended for fleets in which many entries need the same rows. A few entries of each failure domain read the store and publish what
- * they find; the others read only while the latest update is older than {@link Pace#followLimit}.
+ * they find; the others read only while the latest update is older than {@link Pace#maxReadingAge}.
  *
  * <p>Invariants: at most one call is under way; rows are handed out in the order of their versions, each once, whoever read them; an
  * update that does not connect to what is known is not used, and the store is read instead; after a loss of history all is
@@ -30,25 +30,25 @@
  */
 public final class FeedReader<T> {
 
-    private static final Duration FIRST_PAUSE = Duration.ofMillis(120);
-    private static final Duration LONGEST_PAUSE = Duration.ofMillis(500);
+    private static final Duration INITIAL_RETRY_DELAY = Duration.ofMillis(120);
+    private static final Duration MAX_RETRY_DELAY = Duration.ofMillis(500);
 
     /** One reader that is turned away by the store is no loss for entries that hear from another. */
-    private static final Duration UNREACHABLE_CONFIRMATION = Duration.ofSeconds(1);
+    private static final Duration MIN_AGE_TO_TRUST_FAILURE = Duration.ofSeconds(1);
 
     private final StorePort.Table table;
     private final Function<StorePort.StoredRow, Optional<T>> decoder;
     private final Consumer<StorePort.News<T>> listener;
-    private final StoreAvailability watch;
-    private final Pace pace;
+    private final StoreAvailability availability;
+    private final Pace timing;
     private final Context context;
     private StorePort.Position position = StorePort.Position.beginning();
-    private Optional<Long> calledAfter = Optional.empty();
+    private Optional<Long> requestedAfter = Optional.empty();
     private OptionalLong readAt = OptionalLong.empty();
     private Cancellable call = Cancellable.NOTHING;
     private Cancellable timer = Cancellable.NOTHING;
-    private Duration pause = FIRST_PAUSE;
-    private boolean calling;
+    private Duration retryDelay = INITIAL_RETRY_DELAY;
+    private boolean callInFlight;
 
     /**
      * The times of a reader.
@@ -56,14 +56,14 @@
      * @param longPollWait how long the store may hold an answer back while there is nothing new
      * @param minimumInterval the time from one answer with changes to the next call
      * @param timeout how long nothing of an answer may come, beyond the long poll before its first part
-     * @param followLimit the age of the latest reading from which on an entry that is no reader reads itself
+     * @param maxReadingAge the age of the latest reading from which on an entry that is no reader reads itself
      */
-    public record Pace(Duration longPollWait, Duration minimumInterval, Duration timeout, Duration followLimit) {
+    public record Pace(Duration longPollWait, Duration minimumInterval, Duration timeout, Duration maxReadingAge) {
 
         public Pace {
-            if (followLimit.compareTo(longPollWait) <= 0) {
+            if (maxReadingAge.compareTo(longPollWait) <= 0) {
                 throw new IllegalArgumentException(
-                        "followLimit " + followLimit + " not above longPollWait " + longPollWait);
+                        "followLimit " + maxReadingAge + " not above longPollWait " + longPollWait);
             }
         }
     }
@@ -109,22 +109,22 @@
         this.table = Objects.requireNonNull(table, "table");
         this.decoder = Objects.requireNonNull(decoder, "decoder");
         this.listener = Objects.requireNonNull(listener, "listener");
-        this.watch = Objects.requireNonNull(watch, "watch");
-        this.pace = Objects.requireNonNull(pace, "pace");
+        this.availability = Objects.requireNonNull(watch, "watch");
+        this.timing = Objects.requireNonNull(pace, "pace");
         this.context = Objects.requireNonNull(context, "context");
     }
 
     /** Reads the store now, and goes on from there. */
     public void read() {
         timer.cancel();
-        calling = true;
-        calledAfter = position.version();
-        expectProgress(position.longPollWait().plus(pace.timeout()));
-        call = context.store().read(table, position, () -> expectProgress(pace.timeout()), this::onReply);
+        callInFlight = true;
+        requestedAfter = position.version();
+        restartTimeout(position.longPollWait().plus(timing.timeout()));
+        call = context.store().read(table, position, () -> restartTimeout(timing.timeout()), this::onReply);
     }
 
     /** Guards against a large table that is never read over a slow link because each reading is given up and made anew. */
-    private void expectProgress(Duration limit) {
+    private void restartTimeout(Duration limit) {
         timer.cancel();
         timer = context.timers().after(limit, () -> {
             call.cancel();
@@ -143,8 +143,8 @@
 
     private void onReply(StoreReply<StorePort.Page> reply) {
         timer.cancel();
-        calling = false;
-        watch.record(reply);
+        callInFlight = false;
+        availability.record(reply);
         if (reply instanceof StoreReply.Value<StorePort.Page> value) {
             onPage(value.value());
             return;
@@ -155,15 +155,17 @@
             return;
         }
         publishFailure(reply);
-        schedule(pause);
-        pause = pause.multipliedBy(2).compareTo(LONGEST_PAUSE) > 0 ? LONGEST_PAUSE : pause.multipliedBy(2);
+        schedule(retryDelay);
+        retryDelay = retryDelay.multipliedBy(2).compareTo(MAX_RETRY_DELAY) > 0
+                ? MAX_RETRY_DELAY
+                : retryDelay.multipliedBy(2);
     }
 
     private void onPage(StorePort.Page page) {
-        pause = FIRST_PAUSE;
+        retryDelay = INITIAL_RETRY_DELAY;
         publish(page);
-        boolean changed = accept(page);
-        scheduleNext(changed ? pace.minimumInterval() : Duration.ZERO);
+        boolean changed = applyPage(page);
+        scheduleNext(changed ? timing.minimumInterval() : Duration.ZERO);
     }
 
     /** Others cannot use a whole table in place of what has changed, but learn from its version that they miss something. */
@@ -171,10 +173,10 @@
         if (!context.relay().isReader()) {
             return;
         }
-        boolean connects = !page.whole() && calledAfter.isPresent();
+        boolean connects = !page.whole() && requestedAfter.isPresent();
         StorePort.Page shown =
                 connects ? page : new StorePort.Page(List.of(), page.version(), false, page.storeMillis());
-        long after = connects ? calledAfter.get() : page.version();
+        long after = connects ? requestedAfter.get() : page.version();
         context.relay().publish(new FeedUpdate.Changes(table, after, shown));
     }
 
@@ -188,7 +190,7 @@
         context.relay().publish(new FeedUpdate.Unreachable(table, reason));
     }
 
-    private boolean accept(StorePort.Page page) {
+    private boolean applyPage(StorePort.Page page) {
         long known = position.version().orElse(Long.MIN_VALUE);
         List<T> items = new ArrayList<>();
         for (StorePort.StoredRow row : page.rows()) {
@@ -197,12 +199,12 @@
             }
         }
         long reached = Math.max(known, page.version());
-        position = new StorePort.Position(Optional.of(reached), pace.longPollWait());
+        position = new StorePort.Position(Optional.of(reached), timing.longPollWait());
         boolean changed = page.whole() || !items.isEmpty();
         if (changed) {
             listener.accept(new StorePort.News<>(items, reached, page.whole()));
         }
-        long moment = context.storeClock().readAt(page.storeMillis());
+        long moment = context.storeClock().toLocalNanos(page.storeMillis());
         readAt = OptionalLong.of(Math.max(moment, readAt.orElse(moment)));
         return changed;
     }
@@ -232,26 +234,26 @@
             readUnlessReader();
             return;
         }
-        accept(changes.page());
-        if (isFresh(pace.followLimit())) {
-            watch.record(new StoreReply.Value<>(changes.page()));
+        applyPage(changes.page());
+        if (isFresh(timing.maxReadingAge())) {
+            availability.record(new StoreReply.Value<>(changes.page()));
         }
-        if (!calling && !context.relay().isReader()) {
+        if (!callInFlight && !context.relay().isReader()) {
             scheduleNext(Duration.ZERO);
         }
     }
 
     /** Known at the same time as by the reader, so that rows which lapse while the store is away are judged alike by all. */
     private void onUnreachable(FeedUpdate.Unreachable unreachable) {
-        if (context.relay().isReader() || isFresh(UNREACHABLE_CONFIRMATION)) {
+        if (context.relay().isReader() || isFresh(MIN_AGE_TO_TRUST_FAILURE)) {
             return;
         }
-        watch.record(new StoreReply.Unknown<>("told by a reader: " + unreachable.reason()));
+        availability.record(new StoreReply.Unknown<>("told by a reader: " + unreachable.reason()));
         readUnlessReader();
     }
 
     private void readUnlessReader() {
-        if (!calling && !context.relay().isReader()) {
+        if (!callInFlight && !context.relay().isReader()) {
             read();
         }
     }
@@ -261,12 +263,12 @@
     }
 
     private void scheduleNext(Duration delay) {
-        if (context.relay().isReader() || !isFresh(pace.followLimit())) {
+        if (context.relay().isReader() || !isFresh(timing.maxReadingAge())) {
             schedule(delay);
             return;
         }
         long age = context.clock().nanos() - readAt.getAsLong();
-        schedule(pace.followLimit().minusNanos(age));
+        schedule(timing.maxReadingAge().minusNanos(age));
     }
 
     private void schedule(Duration delay) {
--- a/gateway/src/main/java/org/geraniumreach/gateway/store/LeaseRenewer.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/store/LeaseRenewer.java
@@ -20,21 +20,21 @@
  */
 public final class LeaseRenewer {
 
-    private static final String RELEASED = "released ";
+    private static final String RELEASED_PREFIX = "released ";
 
     /** A quarter of the lease, so that three renewals may be lost. */
-    private static final Duration INTERVAL = Lease.DURATION.dividedBy(4);
+    private static final Duration RENEWAL_INTERVAL = Lease.DURATION.dividedBy(4);
 
-    private static final Duration AFTER_FAILURE = Duration.ofMillis(400);
-    private static final Duration ANSWER_LIMIT = Duration.ofMillis(1_500);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(400);
+    private static final Duration ANSWER_TIMEOUT = Duration.ofMillis(1_500);
 
     private final Lease lease;
     private final StorePort store;
     private final Timers timers;
-    private final StoreAvailability watch;
+    private final StoreAvailability availability;
     private final RowKey key;
-    private final String content;
-    private final Runnable renewed;
+    private final String incarnationText;
+    private final Runnable onRenewed;
     private Cancellable call = Cancellable.NOTHING;
     private Cancellable timer = Cancellable.NOTHING;
     private boolean released;
@@ -61,10 +61,10 @@
         this.lease = Objects.requireNonNull(lease, "lease");
         this.store = Objects.requireNonNull(store, "store");
         this.timers = Objects.requireNonNull(timers, "timers");
-        this.watch = Objects.requireNonNull(watch, "watch");
+        this.availability = Objects.requireNonNull(watch, "watch");
         this.key = RowKey.of(TargetOwnership.LEASES, instance);
-        this.content = Long.toString(incarnation);
-        this.renewed = Objects.requireNonNull(renewed, "renewed");
+        this.incarnationText = Long.toString(incarnation);
+        this.onRenewed = Objects.requireNonNull(renewed, "renewed");
     }
 
     /**
@@ -74,7 +74,7 @@
      * @return the life, or empty if the row says no such thing
      */
     public static OptionalLong released(String text) {
-        String life = text.startsWith(RELEASED) ? text.substring(RELEASED.length()) : "";
+        String life = text.startsWith(RELEASED_PREFIX) ? text.substring(RELEASED_PREFIX.length()) : "";
         return life.matches("-?\\d{1,18}") ? OptionalLong.of(Long.parseLong(life)) : OptionalLong.empty();
     }
 
@@ -84,26 +84,27 @@
             return;
         }
         Lease.Sending sending = lease.sending();
-        timer = timers.after(ANSWER_LIMIT, () -> {
+        timer = timers.after(ANSWER_TIMEOUT, () -> {
             call.cancel();
-            took(sending, new StoreReply.Unknown<>("no answer to a renewal"));
+            onRenewalReply(sending, new StoreReply.Unknown<>("no answer to a renewal"));
         });
-        call = store.commit(Transaction.empty().withWrite(key, content), reply -> took(sending, reply));
+        call = store.commit(
+                Transaction.empty().withWrite(key, incarnationText), reply -> onRenewalReply(sending, reply));
     }
 
-    private void took(Lease.Sending sending, StoreReply<StorePort.Decision> reply) {
+    private void onRenewalReply(Lease.Sending sending, StoreReply<StorePort.Decision> reply) {
         timer.cancel();
         if (released) {
             return;
         }
-        watch.record(reply);
+        availability.record(reply);
         if (reply instanceof StoreReply.Value<StorePort.Decision>) {
             lease.renewed(sending);
-            timer = timers.after(INTERVAL, this::renew);
-            renewed.run();
+            timer = timers.after(RENEWAL_INTERVAL, this::renew);
+            onRenewed.run();
             return;
         }
-        timer = timers.after(AFTER_FAILURE, this::renew);
+        timer = timers.after(RETRY_DELAY, this::renew);
     }
 
     /**
@@ -116,8 +117,8 @@
         lease.release();
         timer.cancel();
         call.cancel();
-        store.commit(Transaction.empty().withWrite(key, RELEASED + content), reply -> {
-            watch.record(reply);
+        store.commit(Transaction.empty().withWrite(key, RELEASED_PREFIX + incarnationText), reply -> {
+            availability.record(reply);
             told.run();
         });
     }
--- a/gateway/src/main/java/org/geraniumreach/gateway/store/ReaderSelection.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/store/ReaderSelection.java
@@ -14,9 +14,9 @@
 public final class ReaderSelection {
 
     /** With two, the loss of one is no gap for the others. */
-    static final int READERS = 2;
+    static final int READER_COUNT = 2;
 
-    private static final String DUTY = "reader";
+    private static final String RANK_SUBJECT = "reader";
 
     private ReaderSelection() {}
 
@@ -30,13 +30,14 @@
      */
     public static boolean isReader(String self, Collection<String> others, EntryCapacity capacity) {
         Objects.requireNonNull(others, "others");
-        long ahead =
-                others.stream().filter(other -> isAhead(other, self, capacity)).count();
-        return ahead < READERS;
+        long ahead = others.stream()
+                .filter(other -> ranksBefore(other, self, capacity))
+                .count();
+        return ahead < READER_COUNT;
     }
 
-    private static boolean isAhead(String one, String other, EntryCapacity capacity) {
-        int order = Double.compare(capacity.rank(DUTY, one), capacity.rank(DUTY, other));
+    private static boolean ranksBefore(String one, String other, EntryCapacity capacity) {
+        int order = Double.compare(capacity.rank(RANK_SUBJECT, one), capacity.rank(RANK_SUBJECT, other));
         return order == 0 ? one.compareTo(other) < 0 : order < 0;
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/store/StoreAvailability.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/store/StoreAvailability.java
@@ -22,8 +22,8 @@
     private final DecisionLog log;
     private final String subject;
     private final List<Listener> listeners = new ArrayList<>();
-    private boolean away;
-    private long awaySince;
+    private boolean unreachable;
+    private long unreachableSince;
 
     /** Is told of changes. */
     public interface Listener {
@@ -64,35 +64,35 @@
      */
     public void record(StoreReply<?> reply) {
         if (reply instanceof StoreReply.Unknown<?> unknown) {
-            lost(unknown.reason());
+            markUnreachable(unknown.reason());
         } else if (reply instanceof StoreReply.Refused<?> refused) {
-            lost(refused.reason());
+            markUnreachable(refused.reason());
         } else {
-            answered();
+            markReachable();
         }
     }
 
-    private void lost(String reason) {
-        if (away) {
+    private void markUnreachable(String reason) {
+        if (unreachable) {
             return;
         }
-        away = true;
-        awaySince = clock.nanos();
+        unreachable = true;
+        unreachableSince = clock.nanos();
         log.write(EventCode.PLATFORM_UNREACHABLE, subject, Field.of("reason", reason));
         listeners.forEach(Listener::lost);
     }
 
-    private void answered() {
-        if (!away) {
+    private void markReachable() {
+        if (!unreachable) {
             return;
         }
-        away = false;
-        long awayMillis = (clock.nanos() - awaySince) / NANOS_PER_MILLI;
+        unreachable = false;
+        long awayMillis = (clock.nanos() - unreachableSince) / NANOS_PER_MILLI;
         log.write(EventCode.PLATFORM_REACHABLE, subject, Field.of("awayMillis", awayMillis));
         listeners.forEach(Listener::answersAgain);
     }
 
-    public boolean isAway() {
-        return away;
+    public boolean isUnreachable() {
+        return unreachable;
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/store/StoreClock.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/store/StoreClock.java
@@ -15,12 +15,12 @@
 public final class StoreClock {
 
     private static final long NANOS_PER_MILLI = 1_000_000;
-    private static final Duration WINDOW = Duration.ofMinutes(1);
+    private static final Duration OFFSET_WINDOW = Duration.ofMinutes(1);
 
     private final MonotonicClock clock;
-    private long least = Long.MAX_VALUE;
-    private long leastBefore = Long.MAX_VALUE;
-    private long windowBegan;
+    private long minOffset = Long.MAX_VALUE;
+    private long previousMinOffset = Long.MAX_VALUE;
+    private long windowStart;
 
     /**
      * Makes a conversion that knows nothing yet.
@@ -29,7 +29,7 @@
      */
     public StoreClock(MonotonicClock clock) {
         this.clock = Objects.requireNonNull(clock, "clock");
-        this.windowBegan = clock.nanos();
+        this.windowStart = clock.nanos();
     }
 
     /**
@@ -38,15 +38,15 @@
      * @param storeMillis the store's clock at the reading
      * @return the moment by this process's clock, in nanoseconds, now at the latest
      */
-    public long readAt(long storeMillis) {
+    public long toLocalNanos(long storeMillis) {
         long now = clock.nanos();
-        if (now - windowBegan > WINDOW.toNanos()) {
-            leastBefore = least;
-            least = Long.MAX_VALUE;
-            windowBegan = now;
+        if (now - windowStart > OFFSET_WINDOW.toNanos()) {
+            previousMinOffset = minOffset;
+            minOffset = Long.MAX_VALUE;
+            windowStart = now;
         }
         long difference = now - storeMillis * NANOS_PER_MILLI;
-        least = Math.min(least, difference);
-        return storeMillis * NANOS_PER_MILLI + Math.min(least, leastBefore);
+        minOffset = Math.min(minOffset, difference);
+        return storeMillis * NANOS_PER_MILLI + Math.min(minOffset, previousMinOffset);
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/traffic/CallerLimits.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/traffic/CallerLimits.java
@@ -8,18 +8,18 @@
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param headerBytes the greatest size of a request's head
+ * @param maxHeaderBytes the greatest size of a request's head
  * @param bodyBytes the greatest size of a body
- * @param headTime how long a head may take to arrive
+ * @param headerTimeout how long a head may take to arrive
  * @param idleTime how long a connection may be without a request
  */
-public record CallerLimits(int headerBytes, int bodyBytes, Duration headTime, Duration idleTime) {
+public record CallerLimits(int maxHeaderBytes, int bodyBytes, Duration headerTimeout, Duration idleTime) {
 
     public CallerLimits {
-        Objects.requireNonNull(headTime, "headTime");
+        Objects.requireNonNull(headerTimeout, "headerTimeout");
         Objects.requireNonNull(idleTime, "idleTime");
-        if (headerBytes < 1 || bodyBytes < 0) {
-            throw new IllegalArgumentException("limits not above zero: " + headerBytes + ", " + bodyBytes);
+        if (maxHeaderBytes < 1 || bodyBytes < 0) {
+            throw new IllegalArgumentException("limits not above zero: " + maxHeaderBytes + ", " + bodyBytes);
         }
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/traffic/ServiceDefinition.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/traffic/ServiceDefinition.java
@@ -46,10 +46,10 @@
      * How a model engine holds models.
      *
      * @param adapterPlaces the adapters that fit beside the base model
-     * @param batch the requests that run together
+     * @param batchSize the requests that run together
      * @param models the base models
      */
-    public record Engine(int adapterPlaces, int batch, List<String> models) {
+    public record Engine(int adapterPlaces, int batchSize, List<String> models) {
 
         public Engine {
             models = List.copyOf(models);
--- a/gateway/src/main/java/org/geraniumreach/gateway/traffic/TrafficConfiguration.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/traffic/TrafficConfiguration.java
@@ -35,7 +35,7 @@
             List<ServiceDefinition> services) {
         this.version = version;
         this.limits = Objects.requireNonNull(limits, "limits");
-        this.routesByHost = byHost(routes);
+        this.routesByHost = groupByHost(routes);
         this.accountsByKey = Map.copyOf(accountsByKey);
         Map<AccountId, Account> byId = new HashMap<>();
         accounts.forEach(account -> byId.put(account.id(), account));
@@ -66,7 +66,7 @@
         return new TrafficConfiguration(version, limits, routes, accountsByKey, accounts, services);
     }
 
-    private static Map<String, List<Route>> byHost(List<Route> routes) {
+    private static Map<String, List<Route>> groupByHost(List<Route> routes) {
         Map<String, List<Route>> byHost = new HashMap<>();
         for (Route route : routes) {
             byHost.computeIfAbsent(route.host(), missing -> new ArrayList<>()).add(route);
--- a/gateway/src/test/java/org/geraniumreach/gateway/quota/QuotasTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/quota/QuotasTest.java
@@ -27,30 +27,31 @@
 
 class QuotasTest {
 
-    private static final AccountId ID = AccountId.of("acme");
-    private static final double RATE = 10_000;
-    private static final Account ACCOUNT = new Account(ID, RATE, RATE, true, 200, OptionalInt.empty());
+    private static final AccountId ACCOUNT_ID = AccountId.of("acme");
+    private static final double UNITS_PER_SECOND = 10_000;
+    private static final Account ACCOUNT =
+            new Account(ACCOUNT_ID, UNITS_PER_SECOND, UNITS_PER_SECOND, true, 200, OptionalInt.empty());
     private static final Quotas.Tolerance TOLERANCE = new Quotas.Tolerance(0.1, 11_000, Duration.ofSeconds(8));
-    private static final Duration OBJECTIVE = Duration.ofMillis(1_000);
-    private static final Duration WAIT = Duration.ofMillis(400);
-    private static final List<String> NAMES = List.of("entry0", "entry1", "entry2", "entry3");
+    private static final Duration LATENCY_OBJECTIVE = Duration.ofMillis(1_000);
+    private static final Duration MAX_WAIT = Duration.ofMillis(400);
+    private static final List<String> ENTRY_NAMES = List.of("entry0", "entry1", "entry2", "entry3");
 
     // An account gets more than its rate if two entries spend one part of it. Entries take and give parts as demand
     // moves,
     // transactions conflict, their answers are lost, and news come late. The oracle adds up what all entries admit.
     @Property(tries = 300)
-    void allEntriesTogetherKeepToRateBurstAndTolerance(@ForAll long seed) {
-        new World(seed).play();
+    void totalAdmissionStaysWithinRateBurstAndTolerance(@ForAll long seed) {
+        new EntrySimulation(seed).run();
     }
 
     // An entry that has been cut off from the store for long admits nothing, since others may take its share over.
     @Test
-    void anEntryWithoutRenewalSpendsNothing() {
-        World world = new World(1);
-        world.settle();
-        Entry entry = world.holder();
+    void entryWithExpiredLeaseAdmitsNothing() {
+        EntrySimulation world = new EntrySimulation(1);
+        world.distributeShares();
+        SimulatedEntry entry = world.firstHolder();
         assertThat(entry.quotas.admit(ACCOUNT, 10).admitted()).isTrue();
-        world.time.pass(Quotas.PROOF);
+        world.time.pass(Quotas.SHARE_VALIDITY);
         assertThat(entry.quotas.admit(ACCOUNT, 10).admitted()).isFalse();
     }
 
@@ -58,10 +59,10 @@
     // gave
     // up the lease on targets, and the shares counted as unproved with it.
     @Test
-    void anEntryThatDrainsStillSpendsItsShares() {
-        World world = new World(1);
-        world.settle();
-        Entry entry = world.holder();
+    void drainingEntryStillAdmitsFromItsShares() {
+        EntrySimulation world = new EntrySimulation(1);
+        world.distributeShares();
+        SimulatedEntry entry = world.firstHolder();
         entry.lease.release();
         assertThat(entry.quotas.admit(ACCOUNT, 10).admitted()).isTrue();
     }
@@ -70,45 +71,45 @@
     // together still show less than the limit.
     @ParameterizedTest
     @ValueSource(longs = {-2_400, 2_400})
-    void anEntryWhoseTimeOfDayJumpsStillSpendsItsShares(long stepMillis) {
-        World world = new World(1);
-        world.settle();
+    void wallClockJumpDoesNotStopAdmission(long stepMillis) {
+        EntrySimulation world = new EntrySimulation(1);
+        world.distributeShares();
         world.time.stepWall(Duration.ofMillis(stepMillis));
-        Entry entry = world.holder();
+        SimulatedEntry entry = world.firstHolder();
         assertThat(entry.quotas.admit(ACCOUNT, 10).admitted()).isTrue();
     }
 
     // Others may have taken the shares over while the process was frozen; its steady clock stood still meanwhile.
     @Test
-    void anEntryThatWasFrozenForLongSpendsNothing() {
-        World world = new World(1);
-        world.settle();
-        world.time.stepWall(Quotas.PROOF);
-        Entry entry = world.holder();
+    void entryFrozenBeyondItsLeaseAdmitsNothing() {
+        EntrySimulation world = new EntrySimulation(1);
+        world.distributeShares();
+        world.time.stepWall(Quotas.SHARE_VALIDITY);
+        SimulatedEntry entry = world.firstHolder();
         assertThat(entry.quotas.admit(ACCOUNT, 10).admitted()).isFalse();
     }
 
     // A booking's caller is told when its account has units again, not just to go away.
     @Test
-    void whatIsAboveTheRateIsToldWhenToComeBack() {
-        World world = new World(1);
-        world.settle();
-        Entry entry = world.holder();
+    void refusalAboveTheRateCarriesARetryDelay() {
+        EntrySimulation world = new EntrySimulation(1);
+        world.distributeShares();
+        SimulatedEntry entry = world.firstHolder();
         Quotas.Admission last = entry.quotas.admit(ACCOUNT, 1_000);
         while (last.admitted()) {
             last = entry.quotas.admit(ACCOUNT, 1_000);
         }
         assertThat(last.delay()).isPresent();
-        assertThat(last.delay().get()).isGreaterThan(WAIT).isLessThan(Duration.ofSeconds(5));
+        assertThat(last.delay().get()).isGreaterThan(MAX_WAIT).isLessThan(Duration.ofSeconds(5));
     }
 
     // An account asks for six times its rate, as it does for some seconds on a heavy day. Its requests that are
     // admitted had all
     // waited for 0.4 s, in a queue that stood at its longest for as long as that lasted, and were late for it.
     @Test
-    void whatIsAdmittedOfAnAccountFarAboveItsRateDoesNotWaitMuch() {
+    void admittedRequestsWaitOnlyBrieflyUnderOverload() {
         Overload overload = new Overload(Duration.ofMillis(100));
-        overload.play(Duration.ofSeconds(10));
+        overload.run(Duration.ofSeconds(10));
         assertThat(overload.longestWait).isLessThanOrEqualTo(Duration.ofMillis(40));
     }
 
@@ -116,18 +117,18 @@
     // the
     // parts that are admitted of each size must be alike within a half.
     @Test
-    void anAccountFarAboveItsRateHasItsLongPromptsServedToo() {
+    void longRequestsAreNotStarvedUnderOverload() {
         Overload overload = new Overload(Duration.ofMillis(100));
-        overload.play(Duration.ofSeconds(10));
-        double shortPart = (double) overload.shortAdmitted / overload.shortAsked;
-        double longPart = (double) overload.longAdmitted / overload.longAsked;
+        overload.run(Duration.ofSeconds(10));
+        double shortPart = (double) overload.shortAdmitted / overload.shortRequests;
+        double longPart = (double) overload.longAdmitted / overload.longRequests;
         assertThat(longPart).isGreaterThan(shortPart / 2);
     }
 
     /** An account that asks one entry, which has its whole rate, for six times that, half in prompts and half in short requests. */
     private static final class Overload {
-        private static final int SHORT = 200;
-        private static final int LONG = 2_000;
+        private static final int SHORT_REQUEST_UNITS = 200;
+        private static final int LONG_REQUEST_UNITS = 2_000;
 
         /** With as many units in long as in short requests, six times the rate is a request each 6 ms. */
         private static final long MEAN_GAP_NANOS = 6_000_000;
@@ -136,36 +137,36 @@
         private final VirtualTime time = new VirtualTime();
         private final Quotas quotas;
         private Duration longestWait = Duration.ZERO;
-        private int shortAsked;
+        private int shortRequests;
         private int shortAdmitted;
-        private int longAsked;
+        private int longRequests;
         private int longAdmitted;
 
         private Overload(Duration shortestObjective) {
             Lease lease = new Lease(time, time::wallMillis);
             lease.renewed(lease.sending());
             quotas = new Quotas("one", lease, TOLERANCE, time, (event, id, fields) -> {});
-            quotas.configure(Map.of(ID, ACCOUNT), shortestObjective);
-            ShareRow all = ShareRow.none().with("one", new ShareRow.Share(ShareRow.WHOLE, 0));
+            quotas.configure(Map.of(ACCOUNT_ID, ACCOUNT), shortestObjective);
+            ShareRow all = ShareRow.empty().with("one", new ShareRow.Share(ShareRow.TOTAL_PARTS, 0));
             RowKey key = RowKey.of(TargetOwnership.TABLE, "share/acme");
             quotas.put(key.key(), Optional.of(new Row(key, 1, all.toText())));
         }
 
-        private void play(Duration length) {
+        private void run(Duration length) {
             long end = time.nanos() + length.toNanos();
             while (time.nanos() < end) {
                 time.pass(Duration.ofNanos(random.nextLong(MEAN_GAP_NANOS * 2)));
-                if (random.nextInt(LONG + SHORT) < SHORT) {
-                    longAsked++;
-                    longAdmitted += ask(LONG) ? 1 : 0;
+                if (random.nextInt(LONG_REQUEST_UNITS + SHORT_REQUEST_UNITS) < SHORT_REQUEST_UNITS) {
+                    longRequests++;
+                    longAdmitted += admit(LONG_REQUEST_UNITS) ? 1 : 0;
                 } else {
-                    shortAsked++;
-                    shortAdmitted += ask(SHORT) ? 1 : 0;
+                    shortRequests++;
+                    shortAdmitted += admit(SHORT_REQUEST_UNITS) ? 1 : 0;
                 }
             }
         }
 
-        private boolean ask(int units) {
+        private boolean admit(int units) {
             Quotas.Admission admission = quotas.admit(ACCOUNT, units);
             if (admission.admitted() && admission.delay().orElseThrow().compareTo(longestWait) > 0) {
                 longestWait = admission.delay().get();
@@ -174,83 +175,84 @@
         }
     }
 
-    private static final class Entry {
+    private static final class SimulatedEntry {
         private final Lease lease;
         private final Quotas quotas;
-        private double demand;
+        private double unitsPerSecond;
 
-        private Entry(String name, VirtualTime time) {
+        private SimulatedEntry(String name, VirtualTime time) {
             this.lease = new Lease(time, time::wallMillis);
             this.quotas = new Quotas(name, lease, TOLERANCE, time, (event, id, fields) -> {});
-            this.quotas.configure(Map.of(ID, ACCOUNT), OBJECTIVE);
+            this.quotas.configure(Map.of(ACCOUNT_ID, ACCOUNT), LATENCY_OBJECTIVE);
         }
     }
 
     /** Entries and one stored row. */
-    private static final class World {
+    private static final class EntrySimulation {
         private final SplittableRandom random;
         private final VirtualTime time = new VirtualTime();
-        private final List<Entry> entries = new ArrayList<>();
-        private final Map<Long, Double> admitted = new HashMap<>();
+        private final List<SimulatedEntry> entries = new ArrayList<>();
+        private final Map<Long, Double> admittedUnitsByTime = new HashMap<>();
         private Optional<Row> row = Optional.empty();
-        private long version = 1;
+        private long lastVersion = 1;
 
-        private World(long seed) {
+        private EntrySimulation(long seed) {
             this.random = new SplittableRandom(seed);
             for (int number = 0; number < 4; number++) {
-                entries.add(new Entry("entry" + number, time));
+                entries.add(new SimulatedEntry("entry" + number, time));
             }
         }
 
         /** An entry that has a share. */
-        private Entry holder() {
+        private SimulatedEntry firstHolder() {
             return entries.stream()
-                    .filter(entry -> entry.quotas.hasShare(ID))
+                    .filter(entry -> entry.quotas.hasShare(ACCOUNT_ID))
                     .findFirst()
                     .orElseThrow();
         }
 
-        private void settle() {
+        private void distributeShares() {
             entries.forEach(entry -> entry.lease.renewed(entry.lease.sending()));
-            entries.forEach(entry -> change(entry, 2));
+            entries.forEach(entry -> updateShare(entry, 2));
         }
 
-        private void play() {
-            settle();
+        private void run() {
+            distributeShares();
             long begin = time.nanos();
             for (int step = 0; step < 400; step++) {
                 time.pass(Duration.ofMillis(50));
                 if (step % 20 == 0) {
-                    entries.forEach(entry -> entry.demand = random.nextInt(3) * RATE * random.nextDouble());
+                    entries.forEach(
+                            entry -> entry.unitsPerSecond = random.nextInt(3) * UNITS_PER_SECOND * random.nextDouble());
                 }
                 entries.forEach(entry -> entry.lease.renewed(entry.lease.sending()));
-                entries.forEach(this::ask);
-                change(entries.get(random.nextInt(entries.size())), random.nextInt(4));
+                entries.forEach(this::sendRequests);
+                updateShare(entries.get(random.nextInt(entries.size())), random.nextInt(4));
                 if (random.nextInt(3) == 0) {
-                    tell(entries.get(random.nextInt(entries.size())));
+                    deliverRow(entries.get(random.nextInt(entries.size())));
                 }
             }
-            check(begin);
+            assertWithinRate(begin);
         }
 
-        private void ask(Entry entry) {
-            double asked = entry.demand * 0.05;
+        private void sendRequests(SimulatedEntry entry) {
+            double asked = entry.unitsPerSecond * 0.05;
             while (asked > 0) {
                 double units = Math.min(asked, 200 + random.nextInt(3_000));
                 if (entry.quotas.admit(ACCOUNT, units).admitted()) {
-                    admitted.merge(time.nanos(), units, Double::sum);
+                    admittedUnitsByTime.merge(time.nanos(), units, Double::sum);
                 }
                 asked -= units;
             }
         }
 
-        private void tell(Entry entry) {
+        private void deliverRow(SimulatedEntry entry) {
             entry.quotas.put("share/acme", row);
         }
 
         /** Commits a change: the answer is lost (0), refused if outdated, or believed. */
-        private void change(Entry entry, int fate) {
-            Optional<Transaction> change = entry.quotas.change(NAMES, Map.of());
+        private void updateShare(SimulatedEntry entry, int fate) {
+            Optional<Transaction> change = entry.quotas.change(ENTRY_NAMES, Map.of());
             if (change.isEmpty()) {
                 return;
             }
@@ -258,28 +260,29 @@
             boolean fits = expected == row.map(Row::version).orElse(Transaction.ABSENT);
             if (fits) {
                 Transaction.Write write = change.get().writes().get(0);
-                row = Optional.of(new Row(write.key(), ++version, write.value().orElseThrow()));
+                row = Optional.of(
+                        new Row(write.key(), ++lastVersion, write.value().orElseThrow()));
                 assertThat(ShareRow.parse(row.get().value())).isPresent();
             }
             if (fate == 0) {
                 return;
             }
             if (fits) {
-                tell(entry);
+                deliverRow(entry);
             } else {
                 entry.quotas.changeRefused();
-                tell(entry);
+                deliverRow(entry);
             }
         }
 
-        private void check(long begin) {
+        private void assertWithinRate(long begin) {
             long window = Duration.ofSeconds(8).toNanos();
-            double allowed = (RATE * 8 + RATE) * 1.1 + 11_000;
+            double allowed = (UNITS_PER_SECOND * 8 + UNITS_PER_SECOND) * 1.1 + 11_000;
             for (long from = begin;
                     from <= time.nanos();
                     from += Duration.ofMillis(500).toNanos()) {
                 long start = from;
-                double sum = admitted.entrySet().stream()
+                double sum = admittedUnitsByTime.entrySet().stream()
                         .filter(each -> each.getKey() >= start && each.getKey() < start + window)
                         .mapToDouble(Map.Entry::getValue)
                         .sum();
--- a/gateway/src/test/java/org/geraniumreach/gateway/quota/ShareHoldersTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/quota/ShareHoldersTest.java
@@ -14,7 +14,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 4, 5, 33, 340})
-    void anAccountHasTwoHoldersAtMostOnWhichAllAgree(int count) {
+    void entriesAgreeOnAtMostTwoHolders(int count) {
         List<String> entries =
                 IntStream.range(0, count).mapToObj(number -> "entry-" + number).toList();
         long holders = entries.stream()
--- a/gateway/src/test/java/org/geraniumreach/gateway/store/FeedReaderTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/store/FeedReaderTest.java
@@ -20,24 +20,24 @@
 
 class FeedReaderTest {
 
-    private static final FeedReader.Pace PACE = new FeedReader.Pace(
+    private static final FeedReader.Pace TIMING = new FeedReader.Pace(
             Duration.ofSeconds(1), Duration.ofMillis(200), Duration.ofMillis(500), Duration.ofMillis(1_500));
     private static final StorePort.Table TABLE = StorePort.Table.TARGETS;
-    private static final long STORE_AHEAD_MILLIS = 77_000;
+    private static final long STORE_CLOCK_OFFSET_MILLIS = 77_000;
 
     private final VirtualTime time = new VirtualTime();
-    private final List<StorePort.Position> positions = new ArrayList<>();
+    private final List<StorePort.Position> requestedPositions = new ArrayList<>();
     private final List<Consumer<StoreReply<StorePort.Page>>> replies = new ArrayList<>();
-    private final List<String> items = new ArrayList<>();
+    private final List<String> receivedItems = new ArrayList<>();
     private final List<FeedUpdate> published = new ArrayList<>();
-    private final StoreAvailability watch = new StoreAvailability(time, (event, id, fields) -> {}, "");
+    private final StoreAvailability availability = new StoreAvailability(time, (event, id, fields) -> {}, "");
     private FeedReader<String> reader;
     private boolean isReader = true;
-    private Runnable progress = () -> {};
-    private int cancelled;
+    private Runnable onProgress = () -> {};
+    private int cancelledCalls;
 
     @BeforeEach
-    void begin() {
+    void startReader() {
         FeedRelay relay = new FeedRelay() {
             @Override
             public boolean isReader() {
@@ -52,10 +52,10 @@
         reader = new FeedReader<>(
                 TABLE,
                 StorePort.StoredRow::value,
-                changes -> items.addAll(changes.items()),
-                watch,
-                PACE,
-                new FeedReader.Context(new Store(), time, time, new StoreClock(time), relay));
+                changes -> receivedItems.addAll(changes.items()),
+                availability,
+                TIMING,
+                new FeedReader.Context(new RecordingStore(), time, time, new StoreClock(time), relay));
         reader.read();
     }
 
@@ -64,10 +64,10 @@
     }
 
     private long storeMillis() {
-        return time.nanos() / 1_000_000 + STORE_AHEAD_MILLIS;
+        return time.nanos() / 1_000_000 + STORE_CLOCK_OFFSET_MILLIS;
     }
 
-    private StoreReply<StorePort.Page> value(String item, long version) {
+    private StoreReply<StorePort.Page> replyWith(String item, long version) {
         return new StoreReply.Value<>(page(item, version, storeMillis()));
     }
 
@@ -76,81 +76,81 @@
                 List.of(new StorePort.StoredRow(item, version, Optional.of(item))), version, false, storeMillis);
     }
 
-    private StorePort.Page nothing(long version) {
+    private StorePort.Page emptyPage(long version) {
         return new StorePort.Page(List.of(), version, false, storeMillis());
     }
 
-    private void update(long after, StorePort.Page page) {
+    private void deliverUpdate(long after, StorePort.Page page) {
         reader.onUpdate(new FeedUpdate.Changes(TABLE, after, page));
     }
 
     /** An entry that has read everything up to version 7 and lets others read from then on. */
-    private void follow() {
+    private void becomeFollower() {
         isReader = false;
-        reply(value("a", 7));
+        reply(replyWith("a", 7));
     }
 
     @Test
-    void readsOnFromTheVersionThatItHas() {
-        reply(value("a", 7));
+    void continuesFromTheLastVersion() {
+        reply(replyWith("a", 7));
         time.pass(Duration.ofMillis(200));
-        assertThat(positions.get(1).version()).isEqualTo(Optional.of(7L));
-        assertThat(items).containsExactly("a");
+        assertThat(requestedPositions.get(1).version()).isEqualTo(Optional.of(7L));
+        assertThat(receivedItems).containsExactly("a");
     }
 
     /** Guards against a withdrawn key that goes on working because the store has dropped the change's history. */
     @Test
-    void readsAllAnewAfterALossOfHistory() {
-        reply(value("a", 7));
+    void rereadsTheTableAfterHistoryLoss() {
+        reply(replyWith("a", 7));
         time.pass(Duration.ofMillis(200));
         reply(new StoreReply.HistoryLost<>());
         time.pass(Duration.ZERO);
-        assertThat(positions.get(2).version()).isEmpty();
+        assertThat(requestedPositions.get(2).version()).isEmpty();
     }
 
     /** Guards against an entry that never knows a configuration which takes longer to read than a call may be silent. */
     @Test
-    void aReadingThatTakesLongIsNotGivenUpWhilePartsOfItCome() {
+    void progressRestartsTheTimeout() {
         for (int part = 0; part < 20; part++) {
             time.pass(Duration.ofMillis(400));
-            progress.run();
+            onProgress.run();
         }
-        assertThat(cancelled).isZero();
-        assertThat(positions).hasSize(1);
+        assertThat(cancelledCalls).isZero();
+        assertThat(requestedPositions).hasSize(1);
         time.pass(Duration.ofMillis(501));
-        assertThat(cancelled).isEqualTo(1);
+        assertThat(cancelledCalls).isEqualTo(1);
     }
 
     /** Guards against a change that is never heard of because the connection to the store has gone silent. */
     @Test
-    void givesUpACallThatIsSilentAndMakesItAnew() {
-        reply(value("a", 7));
+    void retriesACallThatTimesOut() {
+        reply(replyWith("a", 7));
         time.pass(Duration.ofMillis(200));
         time.pass(Duration.ofMillis(1_501));
-        assertThat(cancelled).isEqualTo(1);
-        assertThat(watch.isAway()).isTrue();
+        assertThat(cancelledCalls).isEqualTo(1);
+        assertThat(availability.isUnreachable()).isTrue();
         time.pass(Duration.ofMillis(600));
-        assertThat(positions).hasSize(3);
-        reply(value("b", 8));
-        assertThat(watch.isAway()).isFalse();
-        assertThat(items).containsExactly("a", "b");
+        assertThat(requestedPositions).hasSize(3);
+        reply(replyWith("b", 8));
+        assertThat(availability.isUnreachable()).isFalse();
+        assertThat(receivedItems).containsExactly("a", "b");
     }
 
     @Test
-    void asksRarelyWhileTheStoreRefuses() {
+    void backsOffWhileTheStoreRefuses() {
         for (int second = 0; second < 10; second++) {
             reply(new StoreReply.Refused<>("status 503"));
             time.pass(Duration.ofMillis(500));
         }
-        assertThat(positions.size()).isLessThanOrEqualTo(13);
+        assertThat(requestedPositions.size()).isLessThanOrEqualTo(13);
     }
 
     @Test
-    void aReaderPublishesWhatItFindsAndItsFailures() {
+    void readerPublishesChangesAndFailures() {
         reply(new StoreReply.Value<>(new StorePort.Page(
                 List.of(new StorePort.StoredRow("a", 3, Optional.of("a"))), 7, true, storeMillis())));
         time.pass(Duration.ofMillis(200));
-        reply(value("b", 8));
+        reply(replyWith("b", 8));
         time.pass(Duration.ofMillis(200));
         reply(new StoreReply.Refused<>("status 503"));
         assertThat(published).hasSize(3);
@@ -162,58 +162,58 @@
     }
 
     @Test
-    void anEntryThatIsNoReaderCallsNobodyWhileUpdatesCome() {
-        follow();
+    void followerDoesNotReadWhileUpdatesArrive() {
+        becomeFollower();
         for (int update = 0; update < 20; update++) {
             time.pass(Duration.ofMillis(700));
-            update(7 + update, page("u" + update, 8 + update, storeMillis()));
+            deliverUpdate(7 + update, page("u" + update, 8 + update, storeMillis()));
         }
-        assertThat(positions).hasSize(1);
+        assertThat(requestedPositions).hasSize(1);
         assertThat(published).isEmpty();
-        assertThat(items).hasSize(21).endsWith("u19");
+        assertThat(receivedItems).hasSize(21).endsWith("u19");
     }
 
     /** Guards against a change that is not heard of because the readers were killed, frozen or cut off. */
     @Test
-    void readsForItselfOnceTheLatestReadingIsOld() {
-        follow();
+    void followerReadsWhenTheLatestReadingIsTooOld() {
+        becomeFollower();
         time.pass(Duration.ofMillis(1_000));
-        update(7, nothing(7));
+        deliverUpdate(7, emptyPage(7));
         time.pass(Duration.ofMillis(1_499));
-        assertThat(positions).hasSize(1);
+        assertThat(requestedPositions).hasSize(1);
         time.pass(Duration.ofMillis(1));
-        assertThat(positions).hasSize(2);
-        assertThat(positions.get(1).version()).contains(7L);
+        assertThat(requestedPositions).hasSize(2);
+        assertThat(requestedPositions.get(1).version()).contains(7L);
     }
 
     /** Guards against old rows that are taken for current because a link held them up. */
     @Test
-    void anUpdateThatWasHeldUpDoesNotPutTheNextReadingOff() {
-        follow();
+    void delayedUpdateDoesNotPostponeTheNextReading() {
+        becomeFollower();
         long read = storeMillis();
         time.pass(Duration.ofMillis(1_400));
-        update(7, page("late", 8, read));
-        assertThat(items).containsExactly("a", "late");
+        deliverUpdate(7, page("late", 8, read));
+        assertThat(receivedItems).containsExactly("a", "late");
         time.pass(Duration.ofMillis(100));
-        assertThat(positions).hasSize(2);
+        assertThat(requestedPositions).hasSize(2);
     }
 
     /** Guards against a lost change: an update that does not connect to what is known is not used, but leads to a reading. */
     @Test
-    void readsTheStoreAfterAMissedUpdate() {
-        follow();
-        update(9, page("d", 10, storeMillis()));
-        assertThat(items).containsExactly("a");
-        assertThat(positions).hasSize(2);
-        assertThat(positions.get(1).version()).contains(7L);
+    void followerReadsAfterAMissedUpdate() {
+        becomeFollower();
+        deliverUpdate(9, page("d", 10, storeMillis()));
+        assertThat(receivedItems).containsExactly("a");
+        assertThat(requestedPositions).hasSize(2);
+        assertThat(requestedPositions.get(1).version()).contains(7L);
     }
 
     /** Guards against a row that goes back or counts twice because two readers are at different versions. */
     @Test
-    void takesEachRowOnceFromReadersThatOverlap() {
-        follow();
-        update(7, page("b", 9, storeMillis()));
-        update(7, page("old", 8, storeMillis()));
+    void appliesEachRowOnceWhenReadersOverlap() {
+        becomeFollower();
+        deliverUpdate(7, page("b", 9, storeMillis()));
+        deliverUpdate(7, page("old", 8, storeMillis()));
         StorePort.Page both = new StorePort.Page(
                 List.of(
                         new StorePort.StoredRow("b", 9, Optional.of("b")),
@@ -221,72 +221,72 @@
                 10,
                 false,
                 storeMillis());
-        update(8, both);
-        assertThat(items).containsExactly("a", "b", "c");
+        deliverUpdate(8, both);
+        assertThat(receivedItems).containsExactly("a", "b", "c");
     }
 
     /** Guards against rows that lapse while the store is away being believed by entries that have not noticed. */
     @Test
-    void aReadersFailureCountsAsALossOfTheStoreAndLeadsToAReading() {
-        follow();
+    void readerFailureMarksTheStoreUnreachableAndTriggersAReading() {
+        becomeFollower();
         time.pass(Duration.ofMillis(1_100));
         reader.onUpdate(new FeedUpdate.Unreachable(TABLE, "status 503"));
-        assertThat(watch.isAway()).isTrue();
-        assertThat(positions).hasSize(2);
-        reply(value("b", 8));
-        assertThat(watch.isAway()).isFalse();
+        assertThat(availability.isUnreachable()).isTrue();
+        assertThat(requestedPositions).hasSize(2);
+        reply(replyWith("b", 8));
+        assertThat(availability.isUnreachable()).isFalse();
     }
 
     /** Guards against needless calls because one of two readers is cut off from the store. */
     @Test
-    void oneReadersFailureIsNoLossWhileAnotherReads() {
-        follow();
+    void oneReadersFailureIsIgnoredWhileAnotherReads() {
+        becomeFollower();
         for (int update = 0; update < 20; update++) {
             time.pass(Duration.ofMillis(400));
-            update(7, nothing(7));
+            deliverUpdate(7, emptyPage(7));
             time.pass(Duration.ofMillis(300));
             reader.onUpdate(new FeedUpdate.Unreachable(TABLE, "status 503"));
         }
-        assertThat(watch.isAway()).isFalse();
-        assertThat(positions).hasSize(1);
+        assertThat(availability.isUnreachable()).isFalse();
+        assertThat(requestedPositions).hasSize(1);
     }
 
     @Test
-    void anEntryThatBecomesAReaderReadsOnByItself() {
-        follow();
+    void followerThatBecomesAReaderContinuesReading() {
+        becomeFollower();
         time.pass(Duration.ofMillis(500));
-        update(7, nothing(7));
+        deliverUpdate(7, emptyPage(7));
         isReader = true;
         time.pass(Duration.ofMillis(1_500));
-        reply(value("b", 8));
+        reply(replyWith("b", 8));
         time.pass(Duration.ofMillis(200));
-        assertThat(positions).hasSize(3);
+        assertThat(requestedPositions).hasSize(3);
         assertThat(published).hasSize(1);
     }
 
     /** Guards against readings that seem current for ever because this process stood still while the store's clock ran. */
     @ParameterizedTest
     @ValueSource(longs = {3_000, 30_000})
-    void aFreezeDoesNotMakeOldReadingsSeemCurrent(long frozenMillis) {
-        follow();
+    void processFreezeDoesNotMakeOldReadingsLookFresh(long frozenMillis) {
+        becomeFollower();
         time.pass(Duration.ofMillis(100));
-        update(7, new StorePort.Page(List.of(), 7, false, storeMillis() + frozenMillis));
+        deliverUpdate(7, new StorePort.Page(List.of(), 7, false, storeMillis() + frozenMillis));
         long held = storeMillis() + frozenMillis;
         time.pass(Duration.ofMillis(1_400));
-        update(7, new StorePort.Page(List.of(), 7, false, held));
+        deliverUpdate(7, new StorePort.Page(List.of(), 7, false, held));
         time.pass(Duration.ofMillis(100));
-        assertThat(positions).hasSize(2);
+        assertThat(requestedPositions).hasSize(2);
     }
 
-    private final class Store implements StorePort {
+    private final class RecordingStore implements StorePort {
 
         @Override
         public Cancellable read(Table table, Position position, Runnable progressed, Consumer<StoreReply<Page>> reply) {
-            progress = progressed;
+            onProgress = progressed;
             assertThat(table).isEqualTo(TABLE);
-            positions.add(position);
+            requestedPositions.add(position);
             replies.add(reply);
-            return () -> cancelled++;
+            return () -> cancelledCalls++;
         }
 
         @Override
--- a/gateway/src/test/java/org/geraniumreach/gateway/store/ReaderSelectionTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/store/ReaderSelectionTest.java
@@ -29,13 +29,13 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 8, 57, 340})
-    void aDomainHasTwoReadersHoweverManyEntriesItHas(int count) {
+    void failureDomainHasAtMostTwoReaders(int count) {
         assertThat(readers(entries(count))).hasSize(Math.min(2, count));
     }
 
     /** Guards against entries that all change their reader when one of them goes. */
     @Test
-    void onlyTheLostReaderIsReplaced() {
+    void lossOfAReaderReplacesOnlyThatReader() {
         List<String> entries = new ArrayList<>(entries(9));
         List<String> before = readers(entries);
         entries.remove(before.get(0));
@@ -44,14 +44,14 @@
 
     /** Guards against nobody reading when links are missing: who sees nobody reads. */
     @Test
-    void anEntryWithoutLinksReads() {
+    void entryWithoutLinksIsAReader() {
         assertThat(ReaderSelection.isReader("entry-1", List.of(), EntryCapacity.alike()))
                 .isTrue();
     }
 
     /** Guards against readers that cannot pass on what they read because their processors or links are the weakest. */
     @Test
-    void entriesOfTheGreatestCapacityReadMostOften() {
+    void entriesWithTheHighestCapacityAreReaders() {
         List<String> entries = entries(12);
         EntryCapacity capacity = entry -> entry.equals("entry-1") || entry.equals("entry-2") ? 1_000 : 1;
         List<String> readers = entries.stream()
--- a/gateway/src/test/java/org/geraniumreach/gateway/testing/FakeTargets.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/testing/FakeTargets.java
@@ -24,7 +24,7 @@
 
     private static final TargetLoad NO_LOAD = new TargetLoad(Optional.empty());
 
-    private final List<Sent> sent = new ArrayList<>();
+    private final List<Sent> sentRequests = new ArrayList<>();
 
     /** A request at a target. */
     public static final class Sent {
@@ -32,7 +32,7 @@
         private final Envelope envelope;
         private final TargetAnswerListener listener;
         private boolean cancelled;
-        private boolean over;
+        private boolean ended;
 
         private Sent(Target target, Envelope envelope, TargetAnswerListener listener) {
             this.target = target;
@@ -53,11 +53,11 @@
         }
 
         public boolean isOpen() {
-            return !cancelled && !over;
+            return !cancelled && !ended;
         }
 
         public void notExecuted(TargetAnswerListener.NotExecuted why) {
-            over = true;
+            ended = true;
             listener.notExecuted(why, NO_LOAD);
         }
 
@@ -73,12 +73,12 @@
         }
 
         public void end() {
-            over = true;
+            ended = true;
             listener.end();
         }
 
         public void failed(boolean mayHaveRun) {
-            over = true;
+            ended = true;
             listener.failed(mayHaveRun, "a test's failure");
         }
     }
@@ -91,7 +91,7 @@
             Duration longestIdle,
             TargetAnswerListener listener) {
         Sent added = new Sent(target, envelope, listener);
-        sent.add(added);
+        sentRequests.add(added);
         return () -> added.cancelled = true;
     }
 
@@ -106,14 +106,14 @@
     }
 
     public List<Sent> sent() {
-        return sent;
+        return sentRequests;
     }
 
     public Sent last() {
-        return sent.get(sent.size() - 1);
+        return sentRequests.get(sentRequests.size() - 1);
     }
 
     public List<Sent> open() {
-        return sent.stream().filter(Sent::isOpen).toList();
+        return sentRequests.stream().filter(Sent::isOpen).toList();
     }
 }
--- a/gateway/src/test/java/org/geraniumreach/gateway/testing/RecordedAnswer.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/testing/RecordedAnswer.java
@@ -13,12 +13,12 @@
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private int status;
     private List<Header> headers = List.of();
-    private int ends;
-    private int heads;
+    private int endCount;
+    private int headCount;
 
     @Override
     public void head(int newStatus, List<Header> newHeaders) {
-        heads++;
+        headCount++;
         status = newStatus;
         headers = newHeaders;
     }
@@ -30,40 +30,40 @@
 
     @Override
     public void end() {
-        ends++;
+        endCount++;
     }
 
     @Override
     public void abort() {
-        ends += ABORTED;
+        endCount += ABORT_COUNT;
     }
 
     /** Counts for as many ends as no test reaches. */
-    private static final int ABORTED = 1_000;
+    private static final int ABORT_COUNT = 1_000;
 
     public int status() {
         return status;
     }
 
     public int heads() {
-        return heads;
+        return headCount;
     }
 
     public boolean isWhole() {
-        return ends == 1;
+        return endCount == 1;
     }
 
     public boolean isCut() {
-        return ends == ABORTED;
+        return endCount == ABORT_COUNT;
     }
 
     public boolean isOver() {
-        return ends > 0;
+        return endCount > 0;
     }
 
     /** The number of final words; more than one is a fault. */
     public int finalWords() {
-        return ends >= ABORTED ? ends - ABORTED + 1 : ends;
+        return endCount >= ABORT_COUNT ? endCount - ABORT_COUNT + 1 : endCount;
     }
 
     public String text() {
--- a/gateway/src/test/java/org/geraniumreach/gateway/testing/RequestWorld.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/testing/RequestWorld.java
@@ -53,20 +53,20 @@
     public static final String HOST = "bookings.example";
     public static final String KEY = "a-key";
     public static final Duration TIMEOUT = Duration.ofSeconds(10);
-    private static final int SLOTS = 8;
-    private static final int RETRIES = 100;
+    private static final int SLOTS_PER_TARGET = 8;
+    private static final int RETRY_LIMIT = 100;
 
     private final VirtualTime time = new VirtualTime();
     private final FakeTargets targets = new FakeTargets();
     private final TargetRegistry registry = new TargetRegistry(time);
-    private final Adapters adapters = new Adapters();
+    private final FakeAdapterLoader adapters = new FakeAdapterLoader();
     private final List<OutcomeListener.Outcome> outcomes = new ArrayList<>();
     private final Lease lease = new Lease(time, time::wallMillis);
     private final Quotas quotas = new Quotas(
             "one", lease, new Quotas.Tolerance(0, 0, Duration.ofSeconds(1)), time, (event, id, fields) -> {});
     private final TargetHealth health = TargetHealth.create(EjectionRules.standard(), time, new SplittableRandom(1));
     private Optional<TrafficConfiguration> configuration = Optional.empty();
-    private final RequestHandler desk;
+    private final RequestHandler handler;
     private final Evacuations evacuations = new Evacuations(Duration.ofSeconds(5), time, (event, id, fields) -> {});
     private final ColdTargets cold = new ColdTargets(
             name -> configuration.flatMap(current -> current.service(name)),
@@ -76,17 +76,17 @@
             (event, id, fields) -> {});
     private ServiceDefinition.ColdStart coldStart = ServiceDefinition.ColdStart.NONE;
     private TargetAdmission admission = TargetAdmission.unpaced();
-    private int numbers;
-    private boolean held = true;
+    private int requestCount;
+    private boolean targetsHeld = true;
 
     /** Adapters that a test loads. */
-    public static final class Adapters implements AdapterLoader {
-        private final List<String> wanted = new ArrayList<>();
-        private final List<Runnable> waiting = new ArrayList<>();
+    public static final class FakeAdapterLoader implements AdapterLoader {
+        private final List<String> enqueuedLoads = new ArrayList<>();
+        private final List<Runnable> waiters = new ArrayList<>();
         private final Set<TargetId> declining = new HashSet<>();
         private final Set<TargetId> declined = new HashSet<>();
-        private long named;
-        private long required;
+        private long namedVersion;
+        private long requiredVersion;
 
         @Override
         public void enqueue(Target target, AdapterName adapter, Optional<Duration> untilLate, boolean mayDecline) {
@@ -95,7 +95,7 @@
                 wake();
                 return;
             }
-            wanted.add(target.id().value() + ' ' + adapter.adapter());
+            enqueuedLoads.add(target.id().value() + ' ' + adapter.adapter());
         }
 
         @Override
@@ -122,31 +122,31 @@
 
         @Override
         public Cancellable await(AdapterName adapter, Runnable changed) {
-            waiting.add(changed);
-            return () -> waiting.remove(changed);
+            waiters.add(changed);
+            return () -> waiters.remove(changed);
         }
 
         @Override
         public long namedVersion(AdapterName adapter) {
-            return named;
+            return namedVersion;
         }
 
         @Override
         public long requiredVersion(AdapterName adapter) {
-            return required;
+            return requiredVersion;
         }
 
         public List<String> wanted() {
-            return wanted;
+            return enqueuedLoads;
         }
 
-        public void name(long newest, long least) {
-            named = newest;
-            required = least;
+        public void setVersions(long newest, long least) {
+            namedVersion = newest;
+            requiredVersion = least;
         }
 
         public void wake() {
-            List.copyOf(waiting).forEach(Runnable::run);
+            List.copyOf(waiters).forEach(Runnable::run);
         }
     }
 
@@ -154,12 +154,15 @@
         Placement placement = new Placement(
                 registry,
                 new TargetConditions(
-                        target -> health.admits(target.id()), target -> held, evacuations::phase, cold::mayBeSent),
+                        target -> health.admits(target.id()),
+                        target -> targetsHeld,
+                        evacuations::phase,
+                        cold::mayBeSent),
                 () -> 1,
                 FailureDomain.of("here"),
                 PlacementSettings.defaults(),
                 time);
-        this.desk = new RequestHandler(
+        this.handler = new RequestHandler(
                 new ExchangeServices(
                         placement,
                         registry,
@@ -168,7 +171,7 @@
                         new QuotaAdmission(quotas, (entry, number, account, units) -> false, time, time, new Random(1)),
                         (target, promptTokens, longestDelay, decided) ->
                                 admission.admit(target, promptTokens, longestDelay, decided),
-                        new RepeatBudgets(() -> RetryBudget.create(time, 1, 0, RETRIES)),
+                        new RepeatBudgets(() -> RetryBudget.create(time, 1, 0, RETRY_LIMIT)),
                         health,
                         time,
                         time,
@@ -220,7 +223,7 @@
                 "service",
                 new InetSocketAddress("127.0.0.1", 1),
                 FailureDomain.of("here"),
-                SLOTS,
+                SLOTS_PER_TARGET,
                 false,
                 Optional.of(Duration.ZERO),
                 models));
@@ -240,10 +243,10 @@
     }
 
     public Cancellable receive(RecordedAnswer answer, String key, Optional<GatewayRequest.Generation> generation) {
-        numbers++;
-        return desk.receive(
+        requestCount++;
+        return handler.receive(
                 new GatewayRequest(
-                        "request-" + numbers,
+                        "request-" + requestCount,
                         "POST",
                         "/book",
                         HOST,
@@ -259,17 +262,17 @@
 
     /** Sets whether somebody can have adapters loaded. */
     public void targetsHeld(boolean now) {
-        held = now;
+        targetsHeld = now;
     }
 
     /** Lets requests be taken; until then the entry is starting. */
     public RequestWorld started() {
-        desk.started();
+        handler.started();
         return this;
     }
 
     public void drain(Duration length) {
-        desk.drain(length);
+        handler.drain(length);
     }
 
     public void admitBy(TargetAdmission newAdmission) {
@@ -277,7 +280,7 @@
     }
 
     public void close() {
-        desk.close();
+        handler.close();
     }
 
     public VirtualTime time() {
@@ -292,7 +295,7 @@
         return registry;
     }
 
-    public Adapters adapters() {
+    public FakeAdapterLoader adapters() {
         return adapters;
     }
 
@@ -301,6 +304,6 @@
     }
 
     public int openExchanges() {
-        return desk.open();
+        return handler.open();
     }
 }
--- a/gateway/src/test/java/org/geraniumreach/gateway/testing/VirtualTime.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/testing/VirtualTime.java
@@ -11,23 +11,23 @@
 /** A clock and timers that move only when a test says so. */
 public final class VirtualTime implements MonotonicClock, Timers {
 
-    private static final long BEGIN = 1_000_000_000_000L;
+    private static final long START_NANOS = 1_000_000_000_000L;
 
-    private final PriorityQueue<Due> due =
-            new PriorityQueue<>(Comparator.comparingLong((Due each) -> each.at).thenComparingLong(each -> each.number));
-    private long now = BEGIN;
+    private final PriorityQueue<ScheduledAction> scheduled = new PriorityQueue<>(
+            Comparator.comparingLong((ScheduledAction each) -> each.at).thenComparingLong(each -> each.sequence));
+    private long now = START_NANOS;
     private long wallOffsetMillis;
-    private long numbers;
+    private long nextSequence;
 
-    private static final class Due {
+    private static final class ScheduledAction {
         private final long at;
-        private final long number;
+        private final long sequence;
         private final Runnable action;
         private boolean cancelled;
 
-        private Due(long at, long number, Runnable action) {
+        private ScheduledAction(long at, long number, Runnable action) {
             this.at = at;
-            this.number = number;
+            this.sequence = number;
             this.action = action;
         }
     }
@@ -48,16 +48,16 @@
 
     @Override
     public Cancellable after(Duration delay, Runnable action) {
-        Due added = new Due(now + Math.max(0, delay.toNanos()), numbers++, action);
-        due.add(added);
+        ScheduledAction added = new ScheduledAction(now + Math.max(0, delay.toNanos()), nextSequence++, action);
+        scheduled.add(added);
         return () -> added.cancelled = true;
     }
 
     /** Passes time, running what comes due on the way. */
     public void pass(Duration time) {
         long until = now + time.toNanos();
-        while (!due.isEmpty() && due.peek().at <= until) {
-            Due next = due.poll();
+        while (!scheduled.isEmpty() && scheduled.peek().at <= until) {
+            ScheduledAction next = scheduled.poll();
             now = Math.max(now, next.at);
             if (!next.cancelled) {
                 next.action.run();
