--- a/gateway/src/main/java/org/geraniumreach/gateway/store/LeaseRenewer.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/store/LeaseRenewer.java
@@ -14,111 +14,113 @@
 import org.geraniumreach.model.table.Transaction;
 
 /**
- * Renews this entry's lease.
+ * Renews this entry's lease periodically, and releases it on request.
+ *
  *
  * <p>Confined to the event loop.
  */
 public final class LeaseRenewer {
 
-    private static final String RELEASED = "released ";
+    private static final String RELEASED_PREFIX = "released ";
 
-    /** A quarter of the lease, so that three renewals may be lost. */
-    private static final Duration INTERVAL = Lease.DURATION.dividedBy(4);
+    /** A quarter of the lease duration, so that three renewals may be lost. */
+    private static final Duration RENEWAL_INTERVAL = Lease.DURATION.dividedBy(4);
 
-    private static final Duration AFTER_FAILURE = Duration.ofMillis(400);
-    private static final Duration ANSWER_LIMIT = Duration.ofMillis(1_500);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(400);
+    private static final Duration ANSWER_TIMEOUT = Duration.ofMillis(1_500);
 
     private final Lease lease;
     private final StorePort store;
     private final Timers timers;
-    private final StoreAvailability watch;
+    private final StoreAvailability availability;
     private final RowKey key;
-    private final String content;
-    private final Runnable renewed;
+    private final String incarnationText;
+    private final Runnable onRenewed;
     private Cancellable call = Cancellable.NOTHING;
     private Cancellable timer = Cancellable.NOTHING;
     private boolean released;
 
     /**
-     * Makes a keeper that has not begun.
+     * Creates a renewer that has not started.
      *
      * @param lease the lease, not null
      * @param store the store, not null
-     * @param timers runs actions later, not null
-     * @param watch told of what came of calls, not null
+     * @param timers schedules renewals and timeouts, not null
+     * @param availability records the results of calls, not null
      * @param instance this entry's instance, not null
-     * @param incarnation this life of its process
-     * @param renewed run after each renewal, not null
+     * @param incarnation the incarnation of this entry's process
+     * @param onRenewed run after each renewal, not null
      */
     public LeaseRenewer(
             Lease lease,
             StorePort store,
             Timers timers,
-            StoreAvailability watch,
+            StoreAvailability availability,
             String instance,
             long incarnation,
-            Runnable renewed) {
+            Runnable onRenewed) {
         this.lease = Objects.requireNonNull(lease, "lease");
         this.store = Objects.requireNonNull(store, "store");
         this.timers = Objects.requireNonNull(timers, "timers");
-        this.watch = Objects.requireNonNull(watch, "watch");
+        this.availability = Objects.requireNonNull(availability, "availability");
         this.key = RowKey.of(TargetOwnership.LEASES, instance);
-        this.content = Long.toString(incarnation);
-        this.renewed = Objects.requireNonNull(renewed, "renewed");
+        this.incarnationText = Long.toString(incarnation);
+        this.onRenewed = Objects.requireNonNull(onRenewed, "onRenewed");
     }
 
     /**
-     * Reads from a lease's row which life of its entry's process has said that it acts no more.
+     * Parses the incarnation that has released a lease from the lease's row.
      *
      * @param text the row's text, not null
-     * @return the life, or empty if the row says no such thing
+     * @return the incarnation, or empty if the lease has not been released
      */
     public static OptionalLong released(String text) {
-        String life = text.startsWith(RELEASED) ? text.substring(RELEASED.length()) : "";
-        return life.matches("-?\\d{1,18}") ? OptionalLong.of(Long.parseLong(life)) : OptionalLong.empty();
+        String incarnation = text.startsWith(RELEASED_PREFIX) ? text.substring(RELEASED_PREFIX.length()) : "";
+        return incarnation.matches("-?\\d{1,18}") ? OptionalLong.of(Long.parseLong(incarnation)) : OptionalLong.empty();
     }
 
-    /** Renews the lease now, and from now on. */
+    /** Renews the lease now and periodically from then on, until it is released. */
     public void renew() {
         if (released) {
             return;
         }
         Lease.Sending sending = lease.sending();
-        timer = timers.after(ANSWER_LIMIT, () -> {
+        timer = timers.after(ANSWER_TIMEOUT, () -> {
             call.cancel();
-            took(sending, new StoreReply.Unknown<>("no answer to a renewal"));
+            onRenewalReply(sending, new StoreReply.Unknown<>("no answer to a renewal"));
         });
-        call = store.commit(Transaction.empty().withWrite(key, content), reply -> took(sending, reply));
+        call = store.commit(
+                Transaction.empty().withWrite(key, incarnationText), reply -> onRenewalReply(sending, reply));
     }
 
-    private void took(Lease.Sending sending, StoreReply<StorePort.Decision> reply) {
+    private void onRenewalReply(Lease.Sending sending, StoreReply<StorePort.Decision> reply) {
         timer.cancel();
         if (released) {
             return;
         }
-        watch.record(reply);
+        availability.record(reply);
         if (reply instanceof StoreReply.Value<StorePort.Decision>) {
             lease.renewed(sending);
-            timer = timers.after(INTERVAL, this::renew);
-            renewed.run();
+            timer = timers.after(RENEWAL_INTERVAL, this::renew);
+            onRenewed.run();
             return;
         }
-        timer = timers.after(AFTER_FAILURE, this::renew);
+        timer = timers.after(RETRY_DELAY, this::renew);
     }
 
     /**
-     * Ends the lease, and says so, so that others need not wait it out.
+     * Releases the lease and records this in the store, so that other entries need not wait until it expires.
      *
-     * @param told run once the store has answered, not null
+     * @param onReply run once the call of the store has ended, not null
      */
-    public void release(Runnable told) {
+    public void release(Runnable onReply) {
         released = true;
         lease.release();
         timer.cancel();
         call.cancel();
-        store.commit(Transaction.empty().withWrite(key, RELEASED + content), reply -> {
-            watch.record(reply);
-            told.run();
+        store.commit(Transaction.empty().withWrite(key, RELEASED_PREFIX + incarnationText), reply -> {
+            availability.record(reply);
+            onReply.run();
         });
     }
 }
