--- a/serving/src/main/java/org/geraniumreach/serving/admission/Admission.java
+++ b/serving/src/main/java/org/geraniumreach/serving/admission/AdmissionController.java
@@ -9,7 +9,7 @@
  * <p>Contract: implementations are stateless and safe for use by several threads.
  */
 @FunctionalInterface
-public interface Admission {
+public interface AdmissionController {
 
     /**
      * Decides.
@@ -22,26 +22,26 @@
     /**
      * What is known of a request's way at a target.
      *
-     * @param deadlineLeft what is left of its deadline
+     * @param timeToDeadline what is left of its deadline
      * @param tokensAhead the tokens to be worked off before its turn
      * @param tokensPerSecond the rate at which the target works, 0 if not known
      * @param loadWait how long its adapter is still to be waited for
-     * @param ownTokens the tokens that it needs itself
-     * @param ownTokensPerSecond the rate at which one request runs, 0 if not known
+     * @param requestTokens the tokens that it needs itself
+     * @param requestTokensPerSecond the rate at which one request runs, 0 if not known
      */
     record Estimate(
-            Duration deadlineLeft,
+            Duration timeToDeadline,
             long tokensAhead,
             double tokensPerSecond,
             Duration loadWait,
-            long ownTokens,
-            double ownTokensPerSecond) {
+            long requestTokens,
+            double requestTokensPerSecond) {
 
         public Estimate {
-            Objects.requireNonNull(deadlineLeft, "deadlineLeft");
+            Objects.requireNonNull(timeToDeadline, "timeToDeadline");
             Objects.requireNonNull(loadWait, "loadWait");
-            if (tokensAhead < 0 || ownTokens < 0) {
-                throw new IllegalArgumentException("negative tokens: " + tokensAhead + ", " + ownTokens);
+            if (tokensAhead < 0 || requestTokens < 0) {
+                throw new IllegalArgumentException("negative tokens: " + tokensAhead + ", " + requestTokens);
             }
         }
 
@@ -56,7 +56,7 @@
         }
 
         double runSeconds() {
-            return ownTokensPerSecond > 0 ? ownTokens / ownTokensPerSecond : 0;
+            return requestTokensPerSecond > 0 ? requestTokens / requestTokensPerSecond : 0;
         }
     }
 
--- a/serving/src/main/java/org/geraniumreach/serving/prefix/DecayingPrefixDirectory.java
+++ b/serving/src/main/java/org/geraniumreach/serving/prefix/DecayingPrefixDirectory.java
@@ -22,14 +22,14 @@
 
     private static final int SHARDS = 16;
     private static final float LOAD_FACTOR = 0.75f;
-    private static final double LEAST_CONFIDENCE = 0.1;
-    private static final double FIRST_CONFIDENCE = 0.8;
-    private static final double AFTER_MISS = 0.5;
+    private static final double MINIMUM_CONFIDENCE = 0.1;
+    private static final double INITIAL_CONFIDENCE = 0.8;
+    private static final double CONFIDENCE_FACTOR_AFTER_MISS = 0.5;
 
     private final MonotonicClock clock;
     private final double halfLifeNanos;
     private final Shard[] shards = new Shard[SHARDS];
-    private final Map<TargetId, Long> forgottenAt = new ConcurrentHashMap<>();
+    private final Map<TargetId, Long> invalidatedNanos = new ConcurrentHashMap<>();
 
     private DecayingPrefixDirectory(MonotonicClock clock, Duration halfLife, int capacity) {
         this.clock = Objects.requireNonNull(clock, "clock");
@@ -57,7 +57,7 @@
         return new DecayingPrefixDirectory(clock, halfLife, capacity);
     }
 
-    private record Entry(TargetId target, double confidence, long atNanos) {}
+    private record Entry(TargetId target, double confidence, long updatedNanos) {}
 
     private static final class Shard extends LinkedHashMap<PrefixDigest, Entry> {
         private static final long serialVersionUID = 1L;
@@ -76,20 +76,20 @@
     }
 
     @Override
-    public Optional<PrefixBelief> find(PrefixDigest prefix) {
+    public Optional<PrefixLocation> find(PrefixDigest prefix) {
         Shard shard = shardOf(prefix);
         Entry entry;
         synchronized (shard) {
             entry = shard.get(prefix);
         }
-        if (entry == null || isForgotten(entry)) {
+        if (entry == null || isInvalidated(entry)) {
             return Optional.empty();
         }
-        double confidence = faded(entry);
-        if (confidence < LEAST_CONFIDENCE) {
+        double confidence = decayedConfidence(entry);
+        if (confidence < MINIMUM_CONFIDENCE) {
             return Optional.empty();
         }
-        return Optional.of(new PrefixBelief(entry.target, confidence));
+        return Optional.of(new PrefixLocation(entry.target, confidence));
     }
 
     @Override
@@ -109,24 +109,24 @@
         if (hit) {
             return 1;
         }
-        if (known == null || !known.target.equals(target) || isForgotten(known)) {
-            return FIRST_CONFIDENCE;
+        if (known == null || !known.target.equals(target) || isInvalidated(known)) {
+            return INITIAL_CONFIDENCE;
         }
-        return known.confidence * AFTER_MISS;
+        return known.confidence * CONFIDENCE_FACTOR_AFTER_MISS;
     }
 
     @Override
     public void forget(TargetId target) {
-        forgottenAt.put(target, clock.nanos());
+        invalidatedNanos.put(target, clock.nanos());
     }
 
-    private boolean isForgotten(Entry entry) {
-        Long at = forgottenAt.get(entry.target);
-        return at != null && entry.atNanos - at <= 0;
+    private boolean isInvalidated(Entry entry) {
+        Long at = invalidatedNanos.get(entry.target);
+        return at != null && entry.updatedNanos - at <= 0;
     }
 
-    private double faded(Entry entry) {
-        return entry.confidence * Math.pow(0.5, (clock.nanos() - entry.atNanos) / halfLifeNanos);
+    private double decayedConfidence(Entry entry) {
+        return entry.confidence * Math.pow(0.5, (clock.nanos() - entry.updatedNanos) / halfLifeNanos);
     }
 
     private Shard shardOf(PrefixDigest prefix) {
--- a/serving/src/main/java/org/geraniumreach/serving/prefix/NoPrefixDirectory.java
+++ b/serving/src/main/java/org/geraniumreach/serving/prefix/NoOpPrefixDirectory.java
@@ -5,11 +5,11 @@
 import org.geraniumreach.model.TargetId;
 
 /** The baseline that believes nothing; stateless and safe for use by several threads. */
-enum NoPrefixDirectory implements PrefixDirectory {
+enum NoOpPrefixDirectory implements PrefixDirectory {
     INSTANCE;
 
     @Override
-    public Optional<PrefixBelief> find(PrefixDigest prefix) {
+    public Optional<PrefixLocation> find(PrefixDigest prefix) {
         return Optional.empty();
     }
 
--- a/serving/src/main/java/org/geraniumreach/serving/prefix/PrefixDirectory.java
+++ b/serving/src/main/java/org/geraniumreach/serving/prefix/PrefixDirectory.java
@@ -18,7 +18,7 @@
      * @param prefix the prefix, not null
      * @return the belief, or empty if there is none worth having
      */
-    Optional<PrefixBelief> find(PrefixDigest prefix);
+    Optional<PrefixLocation> find(PrefixDigest prefix);
 
     /**
      * Tells that a request with a prefix ended.
@@ -42,6 +42,6 @@
      * @return the directory, not null
      */
     static PrefixDirectory none() {
-        return NoPrefixDirectory.INSTANCE;
+        return NoOpPrefixDirectory.INSTANCE;
     }
 }
--- a/serving/src/main/java/org/geraniumreach/serving/prefix/PrefixBelief.java
+++ b/serving/src/main/java/org/geraniumreach/serving/prefix/PrefixLocation.java
@@ -12,9 +12,9 @@
  * @param target the target
  * @param confidence how sure that is, 0 to 1
  */
-public record PrefixBelief(TargetId target, double confidence) {
+public record PrefixLocation(TargetId target, double confidence) {
 
-    public PrefixBelief {
+    public PrefixLocation {
         Objects.requireNonNull(target, "target");
         if (!(confidence >= 0 && confidence <= 1)) {
             throw new IllegalArgumentException("confidence outside 0 to 1: " + confidence);
--- a/serving/src/main/java/org/geraniumreach/serving/queue/AccountLine.java
+++ b/serving/src/main/java/org/geraniumreach/serving/queue/AccountQueue.java
@@ -18,9 +18,9 @@
  *
  * @param <T> the payload's type
  */
-final class AccountLine<T> {
+final class AccountQueue<T> {
 
-    private final Map<Optional<AdapterReference>, Deque<Item<T>>> lines = new LinkedHashMap<>();
+    private final Map<Optional<AdapterReference>, Deque<Item<T>>> itemsByAdapter = new LinkedHashMap<>();
     private double virtualTime;
     private boolean active;
     private long waitingTokens;
@@ -37,7 +37,7 @@
     }
 
     void add(QueuedRequest<T> request, long arrival) {
-        lines.computeIfAbsent(request.adapter(), adapter -> new ArrayDeque<>()).add(new Item<>(request, arrival));
+        itemsByAdapter.computeIfAbsent(request.adapter(), adapter -> new ArrayDeque<>()).add(new Item<>(request, arrival));
         waitingTokens += request.tokens();
     }
 
@@ -50,7 +50,7 @@
      */
     boolean activate(Readiness ready, double virtualNow) {
         boolean hasReady = false;
-        for (Optional<AdapterReference> adapter : lines.keySet()) {
+        for (Optional<AdapterReference> adapter : itemsByAdapter.keySet()) {
             if (isReady(adapter, ready)) {
                 hasReady = true;
                 break;
@@ -63,8 +63,8 @@
         return hasReady;
     }
 
-    boolean hasReadyIn(Batch batch, Readiness ready) {
-        for (Optional<AdapterReference> adapter : lines.keySet()) {
+    boolean hasReadyInBatch(RunningBatch batch, Readiness ready) {
+        for (Optional<AdapterReference> adapter : itemsByAdapter.keySet()) {
             if (isReady(adapter, ready) && adapter.map(batch::count).orElse(1) > 0) {
                 return true;
             }
@@ -80,11 +80,11 @@
      * @param passedOverAtMost how many later requests may run before a ready one
      * @return the request
      */
-    QueuedRequest<T> take(Readiness ready, Batch batch, int passedOverAtMost) {
-        long latest = latestAllowed(ready, passedOverAtMost);
+    QueuedRequest<T> take(Readiness ready, RunningBatch batch, int passedOverAtMost) {
+        long latest = latestEligibleArrival(ready, passedOverAtMost);
         Item<T> chosen = null;
         int chosenRunning = 0;
-        for (Map.Entry<Optional<AdapterReference>, Deque<Item<T>>> line : lines.entrySet()) {
+        for (Map.Entry<Optional<AdapterReference>, Deque<Item<T>>> line : itemsByAdapter.entrySet()) {
             Item<T> head = line.getValue().peekFirst();
             if (head.arrival > latest || !isReady(line.getKey(), ready)) {
                 continue;
@@ -99,7 +99,7 @@
             }
         }
         remove(chosen.request.attempt());
-        countPassedOver(chosen.arrival, ready);
+        incrementPassedOver(chosen.arrival, ready);
         return chosen.request;
     }
 
@@ -107,9 +107,9 @@
      * An adapter that is always in the batch would let its requests run before all others of the account for ever. A ready
      * request that was passed over often enough lets none that came after it go first.
      */
-    private long latestAllowed(Readiness ready, int passedOverAtMost) {
+    private long latestEligibleArrival(Readiness ready, int passedOverAtMost) {
         long latest = Long.MAX_VALUE;
-        for (Map.Entry<Optional<AdapterReference>, Deque<Item<T>>> line : lines.entrySet()) {
+        for (Map.Entry<Optional<AdapterReference>, Deque<Item<T>>> line : itemsByAdapter.entrySet()) {
             if (!isReady(line.getKey(), ready)) {
                 continue;
             }
@@ -123,8 +123,8 @@
         return latest;
     }
 
-    private void countPassedOver(long arrival, Readiness ready) {
-        for (Map.Entry<Optional<AdapterReference>, Deque<Item<T>>> line : lines.entrySet()) {
+    private void incrementPassedOver(long arrival, Readiness ready) {
+        for (Map.Entry<Optional<AdapterReference>, Deque<Item<T>>> line : itemsByAdapter.entrySet()) {
             if (!isReady(line.getKey(), ready)) {
                 continue;
             }
@@ -138,7 +138,7 @@
     }
 
     Optional<QueuedRequest<T>> remove(AttemptId attempt) {
-        for (Iterator<Deque<Item<T>>> each = lines.values().iterator(); each.hasNext(); ) {
+        for (Iterator<Deque<Item<T>>> each = itemsByAdapter.values().iterator(); each.hasNext(); ) {
             Deque<Item<T>> line = each.next();
             for (Iterator<Item<T>> items = line.iterator(); items.hasNext(); ) {
                 QueuedRequest<T> request = items.next().request;
@@ -159,7 +159,7 @@
         return adapter.isEmpty() || ready.isReady(adapter.get());
     }
 
-    void advance(double charge) {
+    void addCharge(double charge) {
         virtualTime += charge;
     }
 
@@ -172,7 +172,7 @@
     }
 
     boolean isEmpty() {
-        return lines.isEmpty();
+        return itemsByAdapter.isEmpty();
     }
 
     long waitingTokens() {
--- a/serving/src/main/java/org/geraniumreach/serving/queue/ConcurrencyLimit.java
+++ b/serving/src/main/java/org/geraniumreach/serving/queue/ConcurrencyLimit.java
@@ -15,7 +15,7 @@
      * @param nanosPerToken how long it ran for each token generated
      * @param running the requests that ran beside it, itself included
      */
-    void sample(double nanosPerToken, int running);
+    void onSample(double nanosPerToken, int running);
 
     /**
      * Obtains the baseline, a limit that stays.
@@ -34,7 +34,7 @@
             }
 
             @Override
-            public void sample(double nanosPerToken, int running) {}
+            public void onSample(double nanosPerToken, int running) {}
         };
     }
 }
--- a/serving/src/main/java/org/geraniumreach/serving/queue/FairOrder.java
+++ b/serving/src/main/java/org/geraniumreach/serving/queue/FairScheduler.java
@@ -17,41 +17,41 @@
  *
  * @param <T> the payload's type
  */
-final class FairOrder<T> implements RequestOrder<T> {
+final class FairScheduler<T> implements RequestScheduler<T> {
 
     private final QueueWeights weights;
-    private final Map<AccountId, AccountLine<T>> lines = new HashMap<>();
-    private final Map<AttemptId, AccountId> accounts = new HashMap<>();
+    private final Map<AccountId, AccountQueue<T>> accountQueues = new HashMap<>();
+    private final Map<AttemptId, AccountId> accountByAttempt = new HashMap<>();
     private long arrivals;
     private double virtualNow;
 
-    FairOrder(QueueWeights weights) {
+    FairScheduler(QueueWeights weights) {
         this.weights = weights;
     }
 
     @Override
     public void add(QueuedRequest<T> request) {
-        accounts.put(request.attempt(), request.account());
-        lines.computeIfAbsent(request.account(), account -> new AccountLine<>()).add(request, ++arrivals);
+        accountByAttempt.put(request.attempt(), request.account());
+        accountQueues.computeIfAbsent(request.account(), account -> new AccountQueue<>()).add(request, ++arrivals);
     }
 
     @Override
-    public Optional<QueuedRequest<T>> next(Readiness ready, Batch batch) {
-        AccountLine<T> least = leastAdvanced(ready);
+    public Optional<QueuedRequest<T>> next(Readiness ready, RunningBatch batch) {
+        AccountQueue<T> least = leastAdvanced(ready);
         if (least == null) {
             return Optional.empty();
         }
-        AccountLine<T> chosen = withinSlack(least, ready, batch);
+        AccountQueue<T> chosen = chooseWithinSlack(least, ready, batch);
         virtualNow = Math.max(virtualNow, least.virtualTime());
         QueuedRequest<T> request = chosen.take(ready, batch, weights.passedOverAtMost());
-        chosen.advance(weights.charge(request.tokens(), request.priority()));
-        accounts.remove(request.attempt());
+        chosen.addCharge(weights.charge(request.tokens(), request.priority()));
+        accountByAttempt.remove(request.attempt());
         return Optional.of(request);
     }
 
-    private AccountLine<T> leastAdvanced(Readiness ready) {
-        AccountLine<T> least = null;
-        for (AccountLine<T> line : lines.values()) {
+    private AccountQueue<T> leastAdvanced(Readiness ready) {
+        AccountQueue<T> least = null;
+        for (AccountQueue<T> line : accountQueues.values()) {
             if (!line.activate(ready, virtualNow)) {
                 continue;
             }
@@ -62,15 +62,15 @@
         return least;
     }
 
-    private AccountLine<T> withinSlack(AccountLine<T> least, Readiness ready, Batch batch) {
-        if (weights.accountSlackTokens() == 0 || least.hasReadyIn(batch, ready)) {
+    private AccountQueue<T> chooseWithinSlack(AccountQueue<T> least, Readiness ready, RunningBatch batch) {
+        if (weights.accountSlackTokens() == 0 || least.hasReadyInBatch(batch, ready)) {
             return least;
         }
         double limit = least.virtualTime() + weights.accountSlackTokens();
-        AccountLine<T> best = least;
-        for (AccountLine<T> line : lines.values()) {
+        AccountQueue<T> best = least;
+        for (AccountQueue<T> line : accountQueues.values()) {
             boolean better = best == least || line.virtualTime() < best.virtualTime();
-            if (line.isActive() && line.virtualTime() <= limit && better && line.hasReadyIn(batch, ready)) {
+            if (line.isActive() && line.virtualTime() <= limit && better && line.hasReadyInBatch(batch, ready)) {
                 best = line;
             }
         }
@@ -79,8 +79,8 @@
 
     @Override
     public Optional<QueuedRequest<T>> remove(AttemptId attempt) {
-        AccountId account = accounts.remove(attempt);
-        return account == null ? Optional.empty() : lines.get(account).remove(attempt);
+        AccountId account = accountByAttempt.remove(attempt);
+        return account == null ? Optional.empty() : accountQueues.get(account).remove(attempt);
     }
 
     /*
@@ -88,17 +88,17 @@
      * end early would get less than its share.
      */
     @Override
-    public void finished(QueuedRequest<T> request, long tokensUsed) {
-        AccountLine<T> line = lines.get(request.account());
+    public void onFinished(QueuedRequest<T> request, long tokensUsed) {
+        AccountQueue<T> line = accountQueues.get(request.account());
         if (line != null) {
-            line.advance(weights.charge(tokensUsed - request.tokens(), request.priority()));
-            forgetIfIdle(request.account(), line);
+            line.addCharge(weights.charge(tokensUsed - request.tokens(), request.priority()));
+            removeIfIdle(request.account(), line);
         }
     }
 
-    private void forgetIfIdle(AccountId account, AccountLine<T> line) {
+    private void removeIfIdle(AccountId account, AccountQueue<T> line) {
         if (line.isEmpty() && line.virtualTime() <= virtualNow) {
-            lines.remove(account);
+            accountQueues.remove(account);
         }
     }
 
@@ -107,7 +107,7 @@
         long all = 0;
         long waitingAccounts = 0;
         long own = 0;
-        for (Map.Entry<AccountId, AccountLine<T>> entry : lines.entrySet()) {
+        for (Map.Entry<AccountId, AccountQueue<T>> entry : accountQueues.entrySet()) {
             long tokens = entry.getValue().waitingTokens();
             all += tokens;
             waitingAccounts += tokens > 0 ? 1 : 0;
--- a/serving/src/main/java/org/geraniumreach/serving/queue/FirstComeOrder.java
+++ b/serving/src/main/java/org/geraniumreach/serving/queue/FirstComeScheduler.java
@@ -14,7 +14,7 @@
  *
  * @param <T> the payload's type
  */
-final class FirstComeOrder<T> implements RequestOrder<T> {
+final class FirstComeScheduler<T> implements RequestScheduler<T> {
 
     private final Map<AttemptId, QueuedRequest<T>> waiting = new LinkedHashMap<>();
     private long waitingTokens;
@@ -26,7 +26,7 @@
     }
 
     @Override
-    public Optional<QueuedRequest<T>> next(Readiness ready, Batch batch) {
+    public Optional<QueuedRequest<T>> next(Readiness ready, RunningBatch batch) {
         for (Iterator<QueuedRequest<T>> each = waiting.values().iterator(); each.hasNext(); ) {
             QueuedRequest<T> request = each.next();
             if (request.adapter().map(ready::isReady).orElse(true)) {
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public void finished(QueuedRequest<T> request, long tokensUsed) {}
+    public void onFinished(QueuedRequest<T> request, long tokensUsed) {}
 
     @Override
     public long tokensAhead(QueuedRequest<T> request) {
--- a/serving/src/main/java/org/geraniumreach/serving/queue/GradientLimit.java
+++ b/serving/src/main/java/org/geraniumreach/serving/queue/GradientLimit.java
@@ -13,25 +13,25 @@
 
     private static final double LIMIT_SMOOTHING = 0.2;
     private static final double LATENCY_SMOOTHING = 0.1;
-    private static final double LEAST_GRADIENT = 0.5;
-    private static final int FIRST_PROBE_AFTER = 100;
-    private static final int PROBE_AFTER_AT_MOST = 1600;
-    private static final int LEAST_PROBE = 20;
+    private static final double MINIMUM_GRADIENT = 0.5;
+    private static final int FIRST_PROBE_INTERVAL_SAMPLES = 100;
+    private static final int MAXIMUM_PROBE_INTERVAL_SAMPLES = 1600;
+    private static final int MINIMUM_PROBE_SAMPLES = 20;
 
-    private final int least;
-    private final int greatest;
+    private final int minimumLimit;
+    private final int maximumLimit;
     private final double tolerance;
     private double limit;
-    private double latency;
-    private double leastLatency = Double.MAX_VALUE;
-    private int probeAfter = FIRST_PROBE_AFTER;
-    private int untilProbe = FIRST_PROBE_AFTER;
-    private int probeLeft;
-    private int probeLength;
+    private double smoothedLatency;
+    private double baseLatency = Double.MAX_VALUE;
+    private int probeInterval = FIRST_PROBE_INTERVAL_SAMPLES;
+    private int samplesUntilProbe = FIRST_PROBE_INTERVAL_SAMPLES;
+    private int probeSamplesLeft;
+    private int probeSamples;
 
     private GradientLimit(int least, int first, int greatest, double tolerance) {
-        this.least = least;
-        this.greatest = greatest;
+        this.minimumLimit = least;
+        this.maximumLimit = greatest;
         this.tolerance = tolerance;
         this.limit = first;
     }
@@ -57,47 +57,47 @@
 
     @Override
     public synchronized int limit() {
-        return probeLeft > 0 ? Math.max(least, (int) (limit / 2)) : (int) limit;
+        return probeSamplesLeft > 0 ? Math.max(minimumLimit, (int) (limit / 2)) : (int) limit;
     }
 
     @Override
-    public synchronized void sample(double nanosPerToken, int running) {
+    public synchronized void onSample(double nanosPerToken, int running) {
         if (!(nanosPerToken > 0)) {
             return;
         }
-        latency = latency == 0 ? nanosPerToken : latency + LATENCY_SMOOTHING * (nanosPerToken - latency);
-        if (probeLeft > 0) {
-            probe();
+        smoothedLatency = smoothedLatency == 0 ? nanosPerToken : smoothedLatency + LATENCY_SMOOTHING * (nanosPerToken - smoothedLatency);
+        if (probeSamplesLeft > 0) {
+            onProbeSample();
             return;
         }
-        leastLatency = Math.min(leastLatency, latency);
+        baseLatency = Math.min(baseLatency, smoothedLatency);
         adjust(running);
-        if (--untilProbe == 0) {
-            probeLength = Math.max(LEAST_PROBE, 2 * (int) limit);
-            probeLeft = probeLength;
+        if (--samplesUntilProbe == 0) {
+            probeSamples = Math.max(MINIMUM_PROBE_SAMPLES, 2 * (int) limit);
+            probeSamplesLeft = probeSamples;
         }
     }
 
-    private void probe() {
-        probeLeft--;
-        if (probeLeft == probeLength / 2) {
-            latency = 0;
+    private void onProbeSample() {
+        probeSamplesLeft--;
+        if (probeSamplesLeft == probeSamples / 2) {
+            smoothedLatency = 0;
         }
-        if (probeLeft == 0) {
-            leastLatency = latency;
-            latency = 0;
-            probeAfter = Math.min(PROBE_AFTER_AT_MOST, 2 * probeAfter);
-            untilProbe = probeAfter;
+        if (probeSamplesLeft == 0) {
+            baseLatency = smoothedLatency;
+            smoothedLatency = 0;
+            probeInterval = Math.min(MAXIMUM_PROBE_INTERVAL_SAMPLES, 2 * probeInterval);
+            samplesUntilProbe = probeInterval;
         }
     }
 
     private void adjust(int running) {
-        double gradient = Math.max(LEAST_GRADIENT, Math.min(1, tolerance * leastLatency / latency));
+        double gradient = Math.max(MINIMUM_GRADIENT, Math.min(1, tolerance * baseLatency / smoothedLatency));
         double wanted = limit * gradient + Math.sqrt(limit);
         if (wanted > limit && 2 * running < limit) {
             return;
         }
         double next = limit + LIMIT_SMOOTHING * (wanted - limit);
-        limit = Math.max(least, Math.min(greatest, next));
+        limit = Math.max(minimumLimit, Math.min(maximumLimit, next));
     }
 }
--- a/serving/src/main/java/org/geraniumreach/serving/queue/QueuePolicy.java
+++ b/serving/src/main/java/org/geraniumreach/serving/queue/QueuePolicy.java
@@ -7,10 +7,10 @@
     /** Fair over client accounts, by tokens. */
     FAIR;
 
-    <T> RequestOrder<T> order(QueueWeights weights) {
+    <T> RequestScheduler<T> createScheduler(QueueWeights weights) {
         return switch (this) {
-            case FIRST_COME -> new FirstComeOrder<>();
-            case FAIR -> new FairOrder<>(weights);
+            case FIRST_COME -> new FirstComeScheduler<>();
+            case FAIR -> new FairScheduler<>(weights);
         };
     }
 }
--- a/serving/src/main/java/org/geraniumreach/serving/queue/QueueWeights.java
+++ b/serving/src/main/java/org/geraniumreach/serving/queue/QueueWeights.java
@@ -13,7 +13,7 @@
 public record QueueWeights(int passedOverAtMost, long accountSlackTokens, double priorityStep) {
 
     private static final int DEFAULT_PRIORITY = 5;
-    private static final double DEFAULT_STEP = 1.25;
+    private static final double DEFAULT_PRIORITY_STEP = 1.25;
 
     public QueueWeights {
         if (passedOverAtMost < 0 || accountSlackTokens < 0) {
@@ -30,7 +30,7 @@
      * @return the weights, not null
      */
     public static QueueWeights fullBatches() {
-        return new QueueWeights(16, 2048, DEFAULT_STEP);
+        return new QueueWeights(16, 2048, DEFAULT_PRIORITY_STEP);
     }
 
     /**
@@ -39,7 +39,7 @@
      * @return the weights, not null
      */
     public static QueueWeights worstAccountFirst() {
-        return new QueueWeights(16, 512, DEFAULT_STEP);
+        return new QueueWeights(16, 512, DEFAULT_PRIORITY_STEP);
     }
 
     /**
--- a/serving/src/main/java/org/geraniumreach/serving/queue/RequestQueue.java
+++ b/serving/src/main/java/org/geraniumreach/serving/queue/RequestQueue.java
@@ -21,16 +21,16 @@
  */
 public final class RequestQueue<T> {
 
-    private final RequestOrder<T> order;
+    private final RequestScheduler<T> scheduler;
     private final ConcurrencyLimit concurrency;
     private final MonotonicClock clock;
     private final Map<AttemptId, QueuedRequest<T>> waiting = new HashMap<>();
-    private final Map<AttemptId, Running<T>> running = new HashMap<>();
-    private final Batch batch = new Batch();
+    private final Map<AttemptId, RunningRequest<T>> running = new HashMap<>();
+    private final RunningBatch batch = new RunningBatch();
     private long waitingTokens;
 
-    private RequestQueue(RequestOrder<T> order, ConcurrencyLimit concurrency, MonotonicClock clock) {
-        this.order = order;
+    private RequestQueue(RequestScheduler<T> order, ConcurrencyLimit concurrency, MonotonicClock clock) {
+        this.scheduler = order;
         this.concurrency = Objects.requireNonNull(concurrency, "concurrency");
         this.clock = Objects.requireNonNull(clock, "clock");
     }
@@ -47,10 +47,10 @@
      */
     public static <T> RequestQueue<T> create(
             QueuePolicy policy, QueueWeights weights, ConcurrencyLimit concurrency, MonotonicClock clock) {
-        return new RequestQueue<>(policy.order(weights), concurrency, clock);
+        return new RequestQueue<>(policy.createScheduler(weights), concurrency, clock);
     }
 
-    private record Running<T>(QueuedRequest<T> request, long startedAt) {}
+    private record RunningRequest<T>(QueuedRequest<T> request, long startedNanos) {}
 
     /**
      * Puts a request in.
@@ -63,7 +63,7 @@
             return false;
         }
         waitingTokens += request.tokens();
-        order.add(request);
+        scheduler.add(request);
         return true;
     }
 
@@ -77,7 +77,7 @@
         if (running.size() >= concurrency.limit()) {
             return Optional.empty();
         }
-        Optional<QueuedRequest<T>> next = order.next(ready, batch);
+        Optional<QueuedRequest<T>> next = scheduler.next(ready, batch);
         next.ifPresent(this::start);
         return next;
     }
@@ -86,7 +86,7 @@
         waiting.remove(request.attempt());
         waitingTokens -= request.tokens();
         request.adapter().ifPresent(batch::add);
-        running.put(request.attempt(), new Running<>(request, clock.nanos()));
+        running.put(request.attempt(), new RunningRequest<>(request, clock.nanos()));
     }
 
     /**
@@ -101,7 +101,7 @@
             return Optional.empty();
         }
         waitingTokens -= request.tokens();
-        return order.remove(attempt);
+        return scheduler.remove(attempt);
     }
 
     /**
@@ -128,16 +128,16 @@
      * @param generatedTokens the tokens generated, from which the target's latency is learnt; 0 if it failed
      */
     public synchronized void finished(AttemptId attempt, long tokensUsed, long generatedTokens) {
-        Running<T> ended = running.get(attempt);
+        RunningRequest<T> ended = running.get(attempt);
         if (ended == null) {
             return;
         }
         if (generatedTokens > 0) {
-            concurrency.sample((double) (clock.nanos() - ended.startedAt) / generatedTokens, running.size());
+            concurrency.onSample((double) (clock.nanos() - ended.startedNanos) / generatedTokens, running.size());
         }
         running.remove(attempt);
         ended.request.adapter().ifPresent(batch::remove);
-        order.finished(ended.request, tokensUsed);
+        scheduler.onFinished(ended.request, tokensUsed);
     }
 
     /**
@@ -147,7 +147,7 @@
      * @return the tokens
      */
     public synchronized long tokensAhead(QueuedRequest<T> request) {
-        return order.tokensAhead(request);
+        return scheduler.tokensAhead(request);
     }
 
     public synchronized int waiting() {
@@ -167,8 +167,8 @@
      *
      * @return the number
      */
-    public synchronized int runningAdapters() {
-        return batch.adapters();
+    public synchronized int runningAdapterCount() {
+        return batch.adapterCount();
     }
 
     public int concurrencyLimit() {
--- a/serving/src/main/java/org/geraniumreach/serving/queue/RequestOrder.java
+++ b/serving/src/main/java/org/geraniumreach/serving/queue/RequestScheduler.java
@@ -12,7 +12,7 @@
  *
  * @param <T> the payload's type
  */
-interface RequestOrder<T> {
+interface RequestScheduler<T> {
 
     void add(QueuedRequest<T> request);
 
@@ -23,7 +23,7 @@
      * @param batch what is running
      * @return the request, or empty if none is ready
      */
-    Optional<QueuedRequest<T>> next(Readiness ready, Batch batch);
+    Optional<QueuedRequest<T>> next(Readiness ready, RunningBatch batch);
 
     Optional<QueuedRequest<T>> remove(AttemptId attempt);
 
@@ -33,7 +33,7 @@
      * @param request the request
      * @param tokensUsed what it really cost
      */
-    void finished(QueuedRequest<T> request, long tokensUsed);
+    void onFinished(QueuedRequest<T> request, long tokensUsed);
 
     /**
      * Estimates the tokens to be worked off before a new request of an account would run.
--- a/serving/src/main/java/org/geraniumreach/serving/queue/Batch.java
+++ b/serving/src/main/java/org/geraniumreach/serving/queue/RunningBatch.java
@@ -6,7 +6,7 @@
 import org.geraniumreach.model.AdapterReference;
 
 /** The adapters of the requests that a target is running; confined to the lock of the queue that owns it. */
-final class Batch {
+final class RunningBatch {
 
     private final Map<AdapterReference, Integer> running = new HashMap<>();
 
@@ -22,7 +22,7 @@
         return running.getOrDefault(adapter, 0);
     }
 
-    int adapters() {
+    int adapterCount() {
         return running.size();
     }
 }
--- a/serving/src/main/java/org/geraniumreach/serving/residency/WaitingAdapter.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/AwaitedAdapter.java
@@ -13,21 +13,21 @@
  *
  * @param adapter the adapter
  * @param waiters the requests that wait for it
- * @param work the tokens that these need
- * @param oldestNanos how long the first of them has waited
- * @param totalNanos how long all of them together have waited
- * @param accounts how many of them are each client account's
+ * @param tokens the tokens that these need
+ * @param longestWaitNanos how long the first of them has waited
+ * @param totalWaitNanos how long all of them together have waited
+ * @param waitersByAccount how many of them are each client account's
  */
-public record WaitingAdapter(
+public record AwaitedAdapter(
         AdapterReference adapter,
         int waiters,
-        long work,
-        long oldestNanos,
-        long totalNanos,
-        Map<AccountId, Integer> accounts) {
+        long tokens,
+        long longestWaitNanos,
+        long totalWaitNanos,
+        Map<AccountId, Integer> waitersByAccount) {
 
-    public WaitingAdapter {
+    public AwaitedAdapter {
         Objects.requireNonNull(adapter, "adapter");
-        accounts = Map.copyOf(accounts);
+        waitersByAccount = Map.copyOf(waitersByAccount);
     }
 }
--- a/serving/src/main/java/org/geraniumreach/serving/residency/SlotView.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/EvictionCandidate.java
@@ -14,9 +14,9 @@
  * @param idleNanos the time since it was last used
  * @param loadNanos what loading it again is expected to take
  */
-public record SlotView(AdapterReference adapter, double uses, long idleNanos, long loadNanos) {
+public record EvictionCandidate(AdapterReference adapter, double uses, long idleNanos, long loadNanos) {
 
-    public SlotView {
+    public EvictionCandidate {
         Objects.requireNonNull(adapter, "adapter");
     }
 }
--- a/serving/src/main/java/org/geraniumreach/serving/residency/EvictionPolicy.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/EvictionPolicy.java
@@ -5,14 +5,14 @@
     /** The longest unused. */
     LEAST_RECENTLY_USED {
         @Override
-        double worth(SlotView slot) {
+        double retentionValue(EvictionCandidate slot) {
             return -slot.idleNanos();
         }
     },
     /** The one whose loss costs least: by how often it is used, how lately, and how long it takes to load again. */
     LEAST_WORTH {
         @Override
-        double worth(SlotView slot) {
+        double retentionValue(EvictionCandidate slot) {
             return slot.uses() * slot.loadNanos();
         }
     };
@@ -23,5 +23,5 @@
      * @param slot the slot
      * @return its worth
      */
-    abstract double worth(SlotView slot);
+    abstract double retentionValue(EvictionCandidate slot);
 }
--- a/serving/src/main/java/org/geraniumreach/serving/residency/FleetLoads.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/FleetLoads.java
@@ -17,15 +17,15 @@
 public final class FleetLoads {
 
     private final MonotonicClock clock;
-    private final long validNanos;
-    private final Map<TargetId, News> companions = new ConcurrentHashMap<>();
+    private final long reportValidNanos;
+    private final Map<TargetId, LoadReport> reports = new ConcurrentHashMap<>();
 
     private FleetLoads(MonotonicClock clock, Duration validFor) {
         this.clock = Objects.requireNonNull(clock, "clock");
-        this.validNanos = validFor.toNanos();
+        this.reportValidNanos = validFor.toNanos();
     }
 
-    private record News(int inTransit, int waiting, long waitingWork, long atNanos) {}
+    private record LoadReport(int loadsInProgress, int waitingLoads, long waitingWorkNanos, long receivedNanos) {}
 
     /**
      * Makes one that knows of no companion.
@@ -50,7 +50,7 @@
      * @param waitingWork how urgent these are, as {@link Residency#waitingWork} tells
      */
     public void news(TargetId target, int inTransit, int waiting, long waitingWork) {
-        companions.put(target, new News(inTransit, waiting, waitingWork, clock.nanos()));
+        reports.put(target, new LoadReport(inTransit, waiting, waitingWork, clock.nanos()));
     }
 
     /**
@@ -58,8 +58,8 @@
      *
      * @param target its target, not null
      */
-    public void forget(TargetId target) {
-        companions.remove(target);
+    public void remove(TargetId target) {
+        reports.remove(target);
     }
 
     /**
@@ -67,11 +67,11 @@
      *
      * @return the number
      */
-    public int inTransit() {
+    public int loadsInProgress() {
         long now = clock.nanos();
         int sum = 0;
-        for (News news : companions.values()) {
-            sum += now - news.atNanos <= validNanos ? news.inTransit : 0;
+        for (LoadReport news : reports.values()) {
+            sum += now - news.receivedNanos <= reportValidNanos ? news.loadsInProgress : 0;
         }
         return sum;
     }
@@ -82,12 +82,12 @@
      * @param waitingWork the urgency to compare with
      * @return the number
      */
-    int moreUrgent(long waitingWork) {
+    int countMoreUrgent(long waitingWork) {
         long now = clock.nanos();
         int count = 0;
-        for (News news : companions.values()) {
-            boolean counts = now - news.atNanos <= validNanos && news.waiting > 0 && news.inTransit == 0;
-            count += counts && news.waitingWork > waitingWork ? 1 : 0;
+        for (LoadReport news : reports.values()) {
+            boolean counts = now - news.receivedNanos <= reportValidNanos && news.waitingLoads > 0 && news.loadsInProgress == 0;
+            count += counts && news.waitingWorkNanos > waitingWork ? 1 : 0;
         }
         return count;
     }
--- a/serving/src/main/java/org/geraniumreach/serving/residency/LoadPolicy.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/LoadPolicy.java
@@ -7,22 +7,22 @@
     /** The one that was waited for first. */
     FIRST_COME {
         @Override
-        LoadChoice choice() {
-            return LoadChoice.by(Comparator.comparingLong(WaitingAdapter::oldestNanos));
+        LoadScheduler createScheduler() {
+            return LoadScheduler.mostUrgentFirst(Comparator.comparingLong(AwaitedAdapter::longestWaitNanos));
         }
     },
     /** The one whose waiters have waited longest together: many waiters go first, and no single one waits for ever. */
     WAITING_WORK {
         @Override
-        LoadChoice choice() {
-            return LoadChoice.by(Comparator.comparingLong(WaitingAdapter::totalNanos));
+        LoadScheduler createScheduler() {
+            return LoadScheduler.mostUrgentFirst(Comparator.comparingLong(AwaitedAdapter::totalWaitNanos));
         }
     },
     /** Fair over client accounts; for the account whose turn it is, as by waiting work. */
     FAIR {
         @Override
-        LoadChoice choice() {
-            return LoadChoice.fair();
+        LoadScheduler createScheduler() {
+            return LoadScheduler.fair();
         }
     };
 
@@ -31,5 +31,5 @@
      *
      * @return the choice
      */
-    abstract LoadChoice choice();
+    abstract LoadScheduler createScheduler();
 }
--- a/serving/src/main/java/org/geraniumreach/serving/residency/LoadChoice.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/LoadScheduler.java
@@ -15,22 +15,22 @@
  *
  * <p>Contract: answers one of the adapters given if there are any. Confined to the lock of its residency.
  */
-interface LoadChoice {
+interface LoadScheduler {
 
-    Optional<WaitingAdapter> next(List<WaitingAdapter> wanted);
+    Optional<AwaitedAdapter> next(List<AwaitedAdapter> wanted);
 
     /**
      * Tells that a load begins.
      *
      * @param adapter what is loaded
      */
-    default void started(WaitingAdapter adapter) {}
+    default void onStarted(AwaitedAdapter adapter) {}
 
-    static LoadChoice by(Comparator<WaitingAdapter> urgency) {
+    static LoadScheduler mostUrgentFirst(Comparator<AwaitedAdapter> urgency) {
         return wanted -> wanted.stream().max(urgency);
     }
 
-    static LoadChoice fair() {
+    static LoadScheduler fair() {
         return new Fair();
     }
 
@@ -42,27 +42,27 @@
      * time instead, which advances by its part in each load; the one that is least far on chooses next, and an account
      * that wanted nothing for a while saves nothing up.
      */
-    final class Fair implements LoadChoice {
+    final class Fair implements LoadScheduler {
 
         private final Map<AccountId, Double> virtualTimes = new HashMap<>();
         private Set<AccountId> active = new HashSet<>();
         private double virtualNow;
 
         @Override
-        public Optional<WaitingAdapter> next(List<WaitingAdapter> wanted) {
+        public Optional<AwaitedAdapter> next(List<AwaitedAdapter> wanted) {
             activate(wanted);
             Optional<AccountId> least = active.stream()
                     .min(Comparator.<AccountId>comparingDouble(virtualTimes::get)
                             .thenComparing(Comparator.naturalOrder()));
             least.ifPresent(account -> virtualNow = Math.max(virtualNow, virtualTimes.get(account)));
             return least.flatMap(account -> wanted.stream()
-                    .filter(adapter -> adapter.accounts().containsKey(account))
-                    .max(Comparator.comparingLong(WaitingAdapter::totalNanos)));
+                    .filter(adapter -> adapter.waitersByAccount().containsKey(account))
+                    .max(Comparator.comparingLong(AwaitedAdapter::totalWaitNanos)));
         }
 
-        private void activate(List<WaitingAdapter> wanted) {
+        private void activate(List<AwaitedAdapter> wanted) {
             Set<AccountId> now = new HashSet<>();
-            wanted.forEach(adapter -> now.addAll(adapter.accounts().keySet()));
+            wanted.forEach(adapter -> now.addAll(adapter.waitersByAccount().keySet()));
             for (AccountId account : now) {
                 if (!active.contains(account)) {
                     virtualTimes.merge(account, virtualNow, Math::max);
@@ -73,8 +73,8 @@
         }
 
         @Override
-        public void started(WaitingAdapter adapter) {
-            adapter.accounts().forEach((account, waiters) -> {
+        public void onStarted(AwaitedAdapter adapter) {
+            adapter.waitersByAccount().forEach((account, waiters) -> {
                 double part = (double) waiters / adapter.waiters();
                 virtualTimes.computeIfPresent(account, (key, time) -> time + part);
             });
--- a/serving/src/main/java/org/geraniumreach/serving/residency/Pin.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/Pin.java
@@ -12,13 +12,13 @@
 
     private final Residency residency;
     private final AdapterReference adapter;
-    private final long epoch;
+    private final long engineEpoch;
     private boolean released;
 
     Pin(Residency residency, AdapterReference adapter, long epoch) {
         this.residency = residency;
         this.adapter = adapter;
-        this.epoch = epoch;
+        this.engineEpoch = epoch;
     }
 
     public AdapterReference adapter() {
@@ -32,7 +32,7 @@
                 return;
             }
             released = true;
-            residency.unpin(adapter, epoch);
+            residency.unpin(adapter, engineEpoch);
         }
     }
 }
--- a/serving/src/main/java/org/geraniumreach/serving/residency/Residency.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/Residency.java
@@ -25,32 +25,32 @@
  */
 public final class Residency {
 
-    private static final AccountId ONLY_ACCOUNT = AccountId.of("only");
-    private static final int REMEMBERED_PER_SLOT = 64;
-    private static final double SMOOTHING = 0.2;
+    private static final AccountId SINGLE_ACCOUNT = AccountId.of("only");
+    private static final int USE_COUNTS_PER_SLOT = 64;
+    private static final double LOAD_TIME_SMOOTHING = 0.2;
 
     private final ResidencySettings settings;
-    private final FleetLoads fleet;
+    private final FleetLoads fleetLoads;
     private final MonotonicClock clock;
     private final Map<AdapterReference, Slot> slots = new HashMap<>();
-    private final Map<AdapterReference, Transit> transits = new HashMap<>();
-    private final Waiters waiters = new Waiters();
-    private final UseCounts uses;
-    private final LoadChoice loadChoice;
-    private final LoadFailures failures;
-    private double loadNanos;
+    private final Map<AdapterReference, LoadInProgress> loadsInProgress = new HashMap<>();
+    private final WaitingRequests waitingRequests = new WaitingRequests();
+    private final UseCounts useCounts;
+    private final LoadScheduler loadScheduler;
+    private final LoadBackoff loadBackoff;
+    private double expectedLoadNanos;
     private long engineIncarnation;
-    private long epoch;
-    private long orders;
+    private long engineEpoch;
+    private long lastCommandNumber;
 
     private Residency(ResidencySettings settings, FleetLoads fleet, MonotonicClock clock) {
         this.settings = Objects.requireNonNull(settings, "settings");
-        this.fleet = Objects.requireNonNull(fleet, "fleet");
+        this.fleetLoads = Objects.requireNonNull(fleet, "fleet");
         this.clock = Objects.requireNonNull(clock, "clock");
-        this.uses = new UseCounts(settings.usesHalfLife().toNanos(), REMEMBERED_PER_SLOT * settings.slots());
-        this.loadChoice = settings.loading().choice();
-        this.failures = new LoadFailures(settings.firstBackoff(), settings.longestBackoff());
-        this.loadNanos = settings.expectedLoad().toNanos();
+        this.useCounts = new UseCounts(settings.usesHalfLife().toNanos(), USE_COUNTS_PER_SLOT * settings.slots());
+        this.loadScheduler = settings.loading().createScheduler();
+        this.loadBackoff = new LoadBackoff(settings.firstBackoff(), settings.longestBackoff());
+        this.expectedLoadNanos = settings.expectedLoad().toNanos();
     }
 
     /**
@@ -65,7 +65,7 @@
         return new Residency(settings, fleet, clock);
     }
 
-    private record Transit(LoadOrder order, long startedAt) {}
+    private record LoadInProgress(LoadOrder command, long startedNanos) {}
 
     /**
      * Takes a request in, for a fleet that serves one client account.
@@ -77,7 +77,7 @@
      * @throws IllegalArgumentException if the attempt was taken in already
      */
     public Answer request(AttemptId attempt, AdapterReference adapter, long work) {
-        return request(attempt, ONLY_ACCOUNT, adapter, work);
+        return request(attempt, SINGLE_ACCOUNT, adapter, work);
     }
 
     /**
@@ -93,14 +93,14 @@
     public synchronized Answer request(AttemptId attempt, AccountId account, AdapterReference adapter, long work) {
         long now = clock.nanos();
         boolean ready = isReady(adapter);
-        Optional<Duration> backoff = failures.backoffLeft(adapter, now);
+        Optional<Duration> backoff = loadBackoff.remainingBackoff(adapter, now);
         if (!ready && backoff.isPresent()) {
             return new Answer(Answer.State.REFUSED, backoff.get());
         }
-        if (!waiters.add(attempt, account, adapter, work, now)) {
+        if (!waitingRequests.add(attempt, account, adapter, work, now)) {
             throw new IllegalArgumentException("attempt taken in already: " + attempt);
         }
-        uses.used(adapter, now);
+        useCounts.recordUse(adapter, now);
         if (ready) {
             return new Answer(Answer.State.READY, Duration.ZERO);
         }
@@ -108,16 +108,16 @@
     }
 
     private Duration expectedWait(AdapterReference adapter, long now) {
-        Transit transit = transits.get(adapter);
+        LoadInProgress transit = loadsInProgress.get(adapter);
         if (transit != null) {
-            return Duration.ofNanos((long) Math.max(0, loadNanos - (now - transit.startedAt)));
+            return Duration.ofNanos((long) Math.max(0, expectedLoadNanos - (now - transit.startedNanos)));
         }
         int ahead = 0;
-        for (AdapterReference other : waiters.adapters()) {
+        for (AdapterReference other : waitingRequests.adapters()) {
             ahead += isReady(other) || other.equals(adapter) ? 0 : 1;
         }
         double rounds = 1 + (double) ahead / settings.loadsAtOnce();
-        return Duration.ofNanos((long) (rounds * loadNanos));
+        return Duration.ofNanos((long) (rounds * expectedLoadNanos));
     }
 
     /**
@@ -142,13 +142,13 @@
         if (!isReady(adapter)) {
             return Optional.empty();
         }
-        waiters.remove(attempt);
+        waitingRequests.remove(attempt);
         slots.get(adapter).pin(clock.nanos());
-        return Optional.of(new Pin(this, adapter, epoch));
+        return Optional.of(new Pin(this, adapter, engineEpoch));
     }
 
     synchronized void unpin(AdapterReference adapter, long pinEpoch) {
-        if (pinEpoch == epoch) {
+        if (pinEpoch == engineEpoch) {
             slots.get(adapter).unpin(clock.nanos());
         }
     }
@@ -160,7 +160,7 @@
      * @return false if it is not waiting
      */
     public synchronized boolean withdraw(AttemptId attempt) {
-        return waiters.remove(attempt);
+        return waitingRequests.remove(attempt);
     }
 
     /**
@@ -169,23 +169,23 @@
      * @return the orders, not null
      */
     public synchronized List<LoadOrder> orders() {
-        if (!mayLoadAny()) {
+        if (!canStartLoads()) {
             return List.of();
         }
         long now = clock.nanos();
         List<LoadOrder> started = new ArrayList<>();
-        List<WaitingAdapter> wanted = wanted(now);
+        List<AwaitedAdapter> wanted = adaptersToLoad(now);
         if (wanted.isEmpty()) {
-            slots.values().forEach(Slot::keep);
+            slots.values().forEach(Slot::cancelRetirement);
             return started;
         }
-        while (transits.size() < settings.loadsAtOnce()) {
-            Optional<WaitingAdapter> next = loadChoice.next(wanted);
-            Optional<LoadOrder> order = next.filter(this::mayLoad).flatMap(adapter -> order(adapter, now));
+        while (loadsInProgress.size() < settings.loadsAtOnce()) {
+            Optional<AwaitedAdapter> next = loadScheduler.next(wanted);
+            Optional<LoadOrder> order = next.filter(this::isWithinFleetLimit).flatMap(adapter -> createCommand(adapter, now));
             if (order.isEmpty()) {
                 break;
             }
-            loadChoice.started(next.get());
+            loadScheduler.onStarted(next.get());
             wanted.remove(next.get());
             started.add(order.get());
         }
@@ -193,18 +193,18 @@
     }
 
     /* Saves the look at all that wait, which grows with them, when it would end in no load. */
-    private boolean mayLoadAny() {
-        if (transits.size() >= settings.loadsAtOnce()) {
+    private boolean canStartLoads() {
+        if (loadsInProgress.size() >= settings.loadsAtOnce()) {
             return false;
         }
-        return transits.isEmpty() || transits.size() + fleet.inTransit() < settings.loadsFleetWide();
+        return loadsInProgress.isEmpty() || loadsInProgress.size() + fleetLoads.loadsInProgress() < settings.loadsFleetWide();
     }
 
-    private List<WaitingAdapter> wanted(long now) {
-        List<WaitingAdapter> wanted = new ArrayList<>();
-        for (AdapterReference adapter : waiters.adapters()) {
-            if (!slots.containsKey(adapter) && !transits.containsKey(adapter)) {
-                wanted.add(waiters.view(adapter, now));
+    private List<AwaitedAdapter> adaptersToLoad(long now) {
+        List<AwaitedAdapter> wanted = new ArrayList<>();
+        for (AdapterReference adapter : waitingRequests.adapters()) {
+            if (!slots.containsKey(adapter) && !loadsInProgress.containsKey(adapter)) {
+                wanted.add(waitingRequests.summarize(adapter, now));
             }
         }
         return wanted;
@@ -214,37 +214,37 @@
      * Beyond the fleet's limit each load slows all others. The companions with the most urgent loads go first; one that has
      * waited out its patience goes in any case, since news may be lost and a limit that nobody frees would stop all loads.
      */
-    private boolean mayLoad(WaitingAdapter next) {
-        if (next.oldestNanos() >= settings.patience().toNanos() && transits.isEmpty()) {
+    private boolean isWithinFleetLimit(AwaitedAdapter next) {
+        if (next.longestWaitNanos() >= settings.patience().toNanos() && loadsInProgress.isEmpty()) {
             return true;
         }
-        int others = fleet.inTransit() + fleet.moreUrgent(next.totalNanos());
-        return transits.size() + others < settings.loadsFleetWide();
+        int others = fleetLoads.loadsInProgress() + fleetLoads.countMoreUrgent(next.totalWaitNanos());
+        return loadsInProgress.size() + others < settings.loadsFleetWide();
     }
 
-    private Optional<LoadOrder> order(WaitingAdapter next, long now) {
+    private Optional<LoadOrder> createCommand(AwaitedAdapter next, long now) {
         Optional<AdapterReference> victim = Optional.empty();
-        if (slots.size() + transits.size() >= settings.slots()) {
-            victim = victim(now);
+        if (slots.size() + loadsInProgress.size() >= settings.slots()) {
+            victim = chooseVictim(now);
             if (victim.isEmpty()) {
-                retireOneFor(next, now);
+                retireSlotFor(next, now);
                 return Optional.empty();
             }
             slots.remove(victim.get());
         }
-        LoadOrder order = new LoadOrder(++orders, next.adapter(), victim);
-        transits.put(next.adapter(), new Transit(order, now));
+        LoadOrder order = new LoadOrder(++lastCommandNumber, next.adapter(), victim);
+        loadsInProgress.put(next.adapter(), new LoadInProgress(order, now));
         return Optional.of(order);
     }
 
-    private Optional<AdapterReference> victim(long now) {
+    private Optional<AdapterReference> chooseVictim(long now) {
         Slot worst = null;
         double worstWorth = 0;
         for (Slot slot : slots.values()) {
-            if (slot.isPinned() || !slot.isRetiring() && waiters.has(slot.adapter())) {
+            if (slot.isPinned() || !slot.isRetiring() && waitingRequests.hasAny(slot.adapter())) {
                 continue;
             }
-            double worth = slot.isRetiring() ? Double.NEGATIVE_INFINITY : worth(slot, now);
+            double worth = slot.isRetiring() ? Double.NEGATIVE_INFINITY : retentionValue(slot, now);
             if (worst == null || worth < worstWorth) {
                 worst = slot;
                 worstWorth = worth;
@@ -253,18 +253,18 @@
         return Optional.ofNullable(worst).map(Slot::adapter);
     }
 
-    private double worth(Slot slot, long now) {
+    private double retentionValue(Slot slot, long now) {
         return settings.eviction()
-                .worth(new SlotView(
-                        slot.adapter(), uses.uses(slot.adapter(), now), now - slot.usedAt(), (long) loadNanos));
+                .retentionValue(new EvictionCandidate(
+                        slot.adapter(), useCounts.uses(slot.adapter(), now), now - slot.lastUsedNanos(), (long) expectedLoadNanos));
     }
 
     /*
      * When every slot is in use throughout, requests on other adapters would wait for ever. The slot worth least then takes
      * no new requests, and is evicted when the last that runs there has ended; none is cut off.
      */
-    private void retireOneFor(WaitingAdapter next, long now) {
-        if (next.oldestNanos() < settings.patience().toNanos()) {
+    private void retireSlotFor(AwaitedAdapter next, long now) {
+        if (next.longestWaitNanos() < settings.patience().toNanos()) {
             return;
         }
         Slot worst = null;
@@ -272,7 +272,7 @@
             if (slot.isRetiring()) {
                 return;
             }
-            if (worst == null || worth(slot, now) < worth(worst, now)) {
+            if (worst == null || retentionValue(slot, now) < retentionValue(worst, now)) {
                 worst = slot;
             }
         }
@@ -288,13 +288,13 @@
      * @return false if it is from before the engine's restart, and nothing changed
      */
     public synchronized boolean loaded(LoadOrder order) {
-        Transit transit = takeTransit(order);
+        LoadInProgress transit = removeLoadInProgress(order);
         if (transit == null) {
             return false;
         }
         long now = clock.nanos();
-        loadNanos += SMOOTHING * (now - transit.startedAt - loadNanos);
-        failures.succeeded(order.adapter());
+        expectedLoadNanos += LOAD_TIME_SMOOTHING * (now - transit.startedNanos - expectedLoadNanos);
+        loadBackoff.onSucceeded(order.adapter());
         slots.put(order.adapter(), new Slot(order.adapter(), now));
         return true;
     }
@@ -306,19 +306,19 @@
      * @return the requests that waited for it, which are taken out and must be told, not null
      */
     public synchronized List<AttemptId> failed(LoadOrder order) {
-        if (takeTransit(order) == null) {
+        if (removeLoadInProgress(order) == null) {
             return List.of();
         }
-        failures.failed(order.adapter(), clock.nanos());
-        return waiters.removeAll(order.adapter());
+        loadBackoff.onFailed(order.adapter(), clock.nanos());
+        return waitingRequests.removeAll(order.adapter());
     }
 
-    private Transit takeTransit(LoadOrder order) {
-        Transit transit = transits.get(order.adapter());
-        if (transit == null || transit.order.number() != order.number()) {
+    private LoadInProgress removeLoadInProgress(LoadOrder order) {
+        LoadInProgress transit = loadsInProgress.get(order.adapter());
+        if (transit == null || transit.command.number() != order.number()) {
             return null;
         }
-        return transits.remove(order.adapter());
+        return loadsInProgress.remove(order.adapter());
     }
 
     /**
@@ -333,15 +333,15 @@
         boolean restarted = incarnation != engineIncarnation;
         if (restarted) {
             engineIncarnation = incarnation;
-            epoch++;
+            engineEpoch++;
             slots.clear();
-            transits.clear();
+            loadsInProgress.clear();
         }
         long now = clock.nanos();
         slots.values()
                 .removeIf(slot ->
-                        !held.contains(slot.adapter()) && !slot.isPinned() && slot.loadedAt() - askedAtNanos < 0);
-        if (transits.isEmpty()) {
+                        !held.contains(slot.adapter()) && !slot.isPinned() && slot.loadedNanos() - askedAtNanos < 0);
+        if (loadsInProgress.isEmpty()) {
             for (AdapterReference adapter : held) {
                 if (slots.size() < settings.slots()) {
                     slots.computeIfAbsent(adapter, key -> new Slot(key, now));
@@ -361,8 +361,8 @@
      * @return the adapters, not null
      */
     public synchronized Set<AdapterReference> loading() {
-        Set<AdapterReference> loading = new HashSet<>(transits.keySet());
-        for (AdapterReference adapter : waiters.adapters()) {
+        Set<AdapterReference> loading = new HashSet<>(loadsInProgress.keySet());
+        for (AdapterReference adapter : waitingRequests.adapters()) {
             if (!slots.containsKey(adapter)) {
                 loading.add(adapter);
             }
@@ -371,7 +371,7 @@
     }
 
     public synchronized int inTransit() {
-        return transits.size();
+        return loadsInProgress.size();
     }
 
     /**
@@ -381,8 +381,8 @@
      */
     public synchronized long waitingWork() {
         long most = 0;
-        for (WaitingAdapter adapter : wanted(clock.nanos())) {
-            most = Math.max(most, adapter.totalNanos());
+        for (AwaitedAdapter adapter : adaptersToLoad(clock.nanos())) {
+            most = Math.max(most, adapter.totalWaitNanos());
         }
         return most;
     }
@@ -393,6 +393,6 @@
      * @return the number
      */
     public synchronized int waiting() {
-        return wanted(clock.nanos()).size();
+        return adaptersToLoad(clock.nanos()).size();
     }
 }
--- a/serving/src/main/java/org/geraniumreach/serving/residency/ResidencySettings.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/ResidencySettings.java
@@ -31,7 +31,7 @@
         Duration firstBackoff,
         Duration longestBackoff) {
 
-    private static final int LOADS_FLEET_WIDE = 4;
+    private static final int DEFAULT_LOADS_FLEET_WIDE = 4;
 
     public ResidencySettings {
         Objects.requireNonNull(eviction, "eviction");
@@ -64,7 +64,7 @@
                 EvictionPolicy.LEAST_WORTH,
                 LoadPolicy.FAIR,
                 2,
-                LOADS_FLEET_WIDE,
+                DEFAULT_LOADS_FLEET_WIDE,
                 Duration.ofMillis(250),
                 Duration.ofMinutes(5),
                 Duration.ofSeconds(2),
--- a/serving/src/main/java/org/geraniumreach/serving/residency/Slot.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/Slot.java
@@ -6,41 +6,41 @@
 final class Slot {
 
     private final AdapterReference adapter;
-    private final long loadedAt;
-    private long usedAt;
-    private int pins;
+    private final long loadedNanos;
+    private long lastUsedNanos;
+    private int pinCount;
     private boolean retiring;
 
     Slot(AdapterReference adapter, long now) {
         this.adapter = adapter;
-        this.loadedAt = now;
-        this.usedAt = now;
+        this.loadedNanos = now;
+        this.lastUsedNanos = now;
     }
 
     AdapterReference adapter() {
         return adapter;
     }
 
-    long loadedAt() {
-        return loadedAt;
+    long loadedNanos() {
+        return loadedNanos;
     }
 
     void pin(long now) {
-        pins++;
-        usedAt = now;
+        pinCount++;
+        lastUsedNanos = now;
     }
 
     void unpin(long now) {
-        pins--;
-        usedAt = now;
+        pinCount--;
+        lastUsedNanos = now;
     }
 
     boolean isPinned() {
-        return pins > 0;
+        return pinCount > 0;
     }
 
-    long usedAt() {
-        return usedAt;
+    long lastUsedNanos() {
+        return lastUsedNanos;
     }
 
     /** Lets the slot run out: it takes no new pins, and is evicted once the last is released. */
@@ -48,7 +48,7 @@
         retiring = true;
     }
 
-    void keep() {
+    void cancelRetirement() {
         retiring = false;
     }
 
--- a/serving/src/main/java/org/geraniumreach/serving/residency/UseCounts.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/UseCounts.java
@@ -16,7 +16,7 @@
     private static final float LOAD_FACTOR = 0.75f;
 
     private final double halfLifeNanos;
-    private final Map<AdapterReference, Count> counts;
+    private final Map<AdapterReference, DecayedCount> counts;
 
     UseCounts(long halfLifeNanos, int capacity) {
         this.halfLifeNanos = halfLifeNanos;
@@ -24,20 +24,20 @@
             private static final long serialVersionUID = 1L;
 
             @Override
-            protected boolean removeEldestEntry(Map.Entry<AdapterReference, Count> eldest) {
+            protected boolean removeEldestEntry(Map.Entry<AdapterReference, DecayedCount> eldest) {
                 return size() > capacity;
             }
         };
     }
 
-    private record Count(double uses, long atNanos) {}
+    private record DecayedCount(double uses, long updatedNanos) {}
 
-    void used(AdapterReference adapter, long now) {
-        counts.put(adapter, new Count(1 + uses(adapter, now), now));
+    void recordUse(AdapterReference adapter, long now) {
+        counts.put(adapter, new DecayedCount(1 + uses(adapter, now), now));
     }
 
     double uses(AdapterReference adapter, long now) {
-        Count count = counts.get(adapter);
-        return count == null ? 0 : count.uses * Math.pow(0.5, (now - count.atNanos) / halfLifeNanos);
+        DecayedCount count = counts.get(adapter);
+        return count == null ? 0 : count.uses * Math.pow(0.5, (now - count.updatedNanos) / halfLifeNanos);
     }
 }
--- a/serving/src/main/java/org/geraniumreach/serving/retry/Backoff.java
+++ b/serving/src/main/java/org/geraniumreach/serving/retry/Backoff.java
@@ -10,15 +10,15 @@
  * safe for use by several threads if the random source is.
  *
  * @param first the bound before the first retry
- * @param greatest the bound that is not exceeded
+ * @param maximum the bound that is not exceeded
  */
-public record Backoff(Duration first, Duration greatest) {
+public record Backoff(Duration first, Duration maximum) {
 
     private static final int MAXIMUM_DOUBLINGS = 20;
 
     public Backoff {
-        if (first.isNegative() || greatest.compareTo(first) < 0) {
-            throw new IllegalArgumentException("not a range of delays: " + first + " to " + greatest);
+        if (first.isNegative() || maximum.compareTo(first) < 0) {
+            throw new IllegalArgumentException("not a range of delays: " + first + " to " + maximum);
         }
     }
 
@@ -34,7 +34,7 @@
             throw new IllegalArgumentException("failures below 1: " + failures);
         }
         long doubled = first.toNanos() << Math.min(failures - 1, MAXIMUM_DOUBLINGS);
-        long bound = Math.min(greatest.toNanos(), doubled);
+        long bound = Math.min(maximum.toNanos(), doubled);
         return Duration.ofNanos(random.nextLong(bound + 1));
     }
 }
--- a/serving/src/main/java/org/geraniumreach/serving/retry/RetryBudget.java
+++ b/serving/src/main/java/org/geraniumreach/serving/retry/RetryBudget.java
@@ -18,17 +18,17 @@
     private final MonotonicClock clock;
     private final double ratio;
     private final double floorPerSecond;
-    private final double size;
+    private final double capacity;
     private double tokens;
-    private long refilledAt;
+    private long refilledNanos;
 
     private RetryBudget(MonotonicClock clock, double ratio, double floorPerSecond, double size) {
         this.clock = Objects.requireNonNull(clock, "clock");
         this.ratio = ratio;
         this.floorPerSecond = floorPerSecond;
-        this.size = size;
+        this.capacity = size;
         this.tokens = size;
-        this.refilledAt = clock.nanos();
+        this.refilledNanos = clock.nanos();
     }
 
     /**
@@ -55,7 +55,7 @@
 
     /** Tells that a request succeeded. */
     public synchronized void succeeded() {
-        tokens = Math.min(size, tokens + ratio);
+        tokens = Math.min(capacity, tokens + ratio);
     }
 
     /**
@@ -65,8 +65,8 @@
      */
     public synchronized boolean tryRetry() {
         long now = clock.nanos();
-        tokens = Math.min(size, tokens + floorPerSecond * (now - refilledAt) / NANOS_PER_SECOND);
-        refilledAt = now;
+        tokens = Math.min(capacity, tokens + floorPerSecond * (now - refilledNanos) / NANOS_PER_SECOND);
+        refilledNanos = now;
         if (tokens < 1) {
             return false;
         }
--- a/serving/src/main/java/org/geraniumreach/serving/retry/RetryPolicy.java
+++ b/serving/src/main/java/org/geraniumreach/serving/retry/RetryPolicy.java
@@ -29,19 +29,19 @@
      *
      * @param repeatable whether it may run more than once
      * @param ran whether the try ran
-     * @param answerBegun whether the caller has been sent a part of the answer
+     * @param responseStarted whether the caller has been sent a part of the answer
      * @param failures the tries that have failed, this one included
-     * @param deadlineLeft what is left of the deadline
+     * @param timeToDeadline what is left of the deadline
      */
-    record Failure(boolean repeatable, Ran ran, boolean answerBegun, int failures, Duration deadlineLeft) {
+    record Failure(boolean repeatable, Ran ran, boolean responseStarted, int failures, Duration timeToDeadline) {
 
         public Failure {
             Objects.requireNonNull(ran, "ran");
-            Objects.requireNonNull(deadlineLeft, "deadlineLeft");
+            Objects.requireNonNull(timeToDeadline, "timeToDeadline");
         }
 
-        private boolean isSafe() {
-            return ran == Ran.NO || repeatable && !answerBegun;
+        private boolean isSafeToRetry() {
+            return ran == Ran.NO || repeatable && !responseStarted;
         }
     }
 
@@ -68,11 +68,11 @@
             throw new IllegalArgumentException("maximumTries below 1: " + maximumTries);
         }
         return failure -> {
-            if (!failure.isSafe() || failure.failures() >= maximumTries) {
+            if (!failure.isSafeToRetry() || failure.failures() >= maximumTries) {
                 return Optional.empty();
             }
             Duration delay = backoff.delay(failure.failures(), random);
-            if (delay.compareTo(failure.deadlineLeft()) >= 0 || !budget.tryRetry()) {
+            if (delay.compareTo(failure.timeToDeadline()) >= 0 || !budget.tryRetry()) {
                 return Optional.empty();
             }
             return Optional.of(delay);
--- a/serving/src/main/java/org/geraniumreach/serving/retry/TargetHealth.java
+++ b/serving/src/main/java/org/geraniumreach/serving/retry/TargetHealth.java
@@ -22,8 +22,8 @@
     private final EjectionRules rules;
     private final MonotonicClock clock;
     private final RandomGenerator random;
-    private final Map<TargetId, Health> targets = new ConcurrentHashMap<>();
-    private final AtomicInteger ejected = new AtomicInteger();
+    private final Map<TargetId, TargetRecord> targets = new ConcurrentHashMap<>();
+    private final AtomicInteger ejectedCount = new AtomicInteger();
 
     private TargetHealth(EjectionRules rules, MonotonicClock clock, RandomGenerator random) {
         this.rules = Objects.requireNonNull(rules, "rules");
@@ -53,17 +53,17 @@
     private enum State {
         HEALTHY,
         EJECTED,
-        RETURNING
+        RECOVERING
     }
 
-    private static final class Health {
+    private static final class TargetRecord {
         private State state = State.HEALTHY;
-        private long since;
+        private long stateSinceNanos;
         private long ejectionNanos;
-        private int consecutive;
+        private int consecutiveFailures;
         private int requests;
         private int failures;
-        private long windowStart;
+        private long windowStartNanos;
     }
 
     /**
@@ -72,7 +72,7 @@
      * @param target the target, not null
      */
     public void add(TargetId target) {
-        targets.computeIfAbsent(target, id -> new Health());
+        targets.computeIfAbsent(target, id -> new TargetRecord());
     }
 
     /**
@@ -81,13 +81,13 @@
      * @param target the target, not null
      */
     public void forget(TargetId target) {
-        Health gone = targets.remove(target);
+        TargetRecord gone = targets.remove(target);
         if (gone == null) {
             return;
         }
         synchronized (gone) {
             if (gone.state == State.EJECTED) {
-                ejected.decrementAndGet();
+                ejectedCount.decrementAndGet();
             }
             gone.state = State.HEALTHY;
         }
@@ -100,33 +100,33 @@
      * @return true if it may
      */
     public boolean admits(TargetId target) {
-        Health health = targets.get(target);
+        TargetRecord health = targets.get(target);
         if (health == null) {
             return true;
         }
         synchronized (health) {
-            advance(health);
+            endElapsedEjection(health);
             return switch (health.state) {
                 case HEALTHY -> true;
                 case EJECTED -> false;
-                case RETURNING -> random.nextDouble() < returningShare(health);
+                case RECOVERING -> random.nextDouble() < recoveringShare(health);
             };
         }
     }
 
-    private void advance(Health health) {
+    private void endElapsedEjection(TargetRecord health) {
         long now = clock.nanos();
-        if (health.state == State.EJECTED && now - health.since >= health.ejectionNanos) {
-            health.state = State.RETURNING;
-            health.since += health.ejectionNanos;
+        if (health.state == State.EJECTED && now - health.stateSinceNanos >= health.ejectionNanos) {
+            health.state = State.RECOVERING;
+            health.stateSinceNanos += health.ejectionNanos;
             clearCounts(health, now);
-            ejected.decrementAndGet();
+            ejectedCount.decrementAndGet();
         }
     }
 
-    private double returningShare(Health health) {
+    private double recoveringShare(TargetRecord health) {
         double progress =
-                (double) (clock.nanos() - health.since) / rules.letBack().toNanos();
+                (double) (clock.nanos() - health.stateSinceNanos) / rules.letBack().toNanos();
         return rules.firstShare() + (1 - rules.firstShare()) * Math.min(1, progress);
     }
 
@@ -137,12 +137,12 @@
      * @return RESTORED if the target is healthy again
      */
     public Change succeeded(TargetId target) {
-        Health health = targets.computeIfAbsent(target, id -> new Health());
+        TargetRecord health = targets.computeIfAbsent(target, id -> new TargetRecord());
         synchronized (health) {
-            advance(health);
-            count(health, false);
-            boolean back = health.state == State.RETURNING
-                    && clock.nanos() - health.since >= rules.letBack().toNanos();
+            endElapsedEjection(health);
+            recordResult(health, false);
+            boolean back = health.state == State.RECOVERING
+                    && clock.nanos() - health.stateSinceNanos >= rules.letBack().toNanos();
             if (!back) {
                 return Change.NONE;
             }
@@ -159,11 +159,11 @@
      * @return EJECTED if the target is now left out
      */
     public Change failed(TargetId target) {
-        Health health = targets.computeIfAbsent(target, id -> new Health());
+        TargetRecord health = targets.computeIfAbsent(target, id -> new TargetRecord());
         synchronized (health) {
-            advance(health);
-            count(health, true);
-            if (health.state == State.EJECTED || !isEvidence(health) || !reserveEjection()) {
+            endElapsedEjection(health);
+            recordResult(health, true);
+            if (health.state == State.EJECTED || !shouldEject(health) || !reserveEjection()) {
                 return Change.NONE;
             }
             eject(health);
@@ -171,27 +171,27 @@
         }
     }
 
-    private void count(Health health, boolean failure) {
+    private void recordResult(TargetRecord health, boolean failure) {
         long now = clock.nanos();
-        if (now - health.windowStart >= rules.window().toNanos()) {
-            int consecutive = health.consecutive;
+        if (now - health.windowStartNanos >= rules.window().toNanos()) {
+            int consecutive = health.consecutiveFailures;
             clearCounts(health, now);
-            health.consecutive = consecutive;
+            health.consecutiveFailures = consecutive;
         }
         health.requests++;
         health.failures += failure ? 1 : 0;
-        health.consecutive = failure ? health.consecutive + 1 : 0;
+        health.consecutiveFailures = failure ? health.consecutiveFailures + 1 : 0;
     }
 
-    private static void clearCounts(Health health, long now) {
-        health.windowStart = now;
+    private static void clearCounts(TargetRecord health, long now) {
+        health.windowStartNanos = now;
         health.requests = 0;
         health.failures = 0;
-        health.consecutive = 0;
+        health.consecutiveFailures = 0;
     }
 
-    private boolean isEvidence(Health health) {
-        if (health.state == State.RETURNING || health.consecutive >= rules.consecutiveFailures()) {
+    private boolean shouldEject(TargetRecord health) {
+        if (health.state == State.RECOVERING || health.consecutiveFailures >= rules.consecutiveFailures()) {
             return true;
         }
         return health.requests >= rules.leastRequests() && health.failures >= rules.errorRate() * health.requests;
@@ -203,15 +203,15 @@
      */
     private boolean reserveEjection() {
         int allowed = (int) (rules.greatestEjectedShare() * targets.size());
-        int before = ejected.getAndUpdate(count -> count < allowed ? count + 1 : count);
+        int before = ejectedCount.getAndUpdate(count -> count < allowed ? count + 1 : count);
         return before < allowed;
     }
 
-    private void eject(Health health) {
+    private void eject(TargetRecord health) {
         long longest = rules.longestEjection().toNanos();
         long first = rules.firstEjection().toNanos();
         health.ejectionNanos = health.ejectionNanos == 0 ? first : Math.min(longest, 2 * health.ejectionNanos);
         health.state = State.EJECTED;
-        health.since = clock.nanos();
+        health.stateSinceNanos = clock.nanos();
     }
 }
--- a/serving/src/main/java/org/geraniumreach/serving/routing/AffinityRouter.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/AffinityRouter.java
@@ -4,7 +4,7 @@
 import java.util.random.RandomGenerator;
 
 import org.geraniumreach.model.AdapterReference;
-import org.geraniumreach.serving.prefix.PrefixBelief;
+import org.geraniumreach.serving.prefix.PrefixLocation;
 import org.geraniumreach.serving.prefix.PrefixDirectory;
 
 /**
@@ -17,8 +17,8 @@
  */
 final class AffinityRouter implements Router {
 
-    private static final int ORDER_LENGTH = 8;
-    private static final TrackedTarget[] NOBODY = {};
+    private static final int CACHED_ORDER_LENGTH = 8;
+    private static final TrackedTarget[] NO_TARGETS = {};
 
     private final RouteCandidates candidates;
     private final FleetView fleet;
@@ -26,8 +26,8 @@
     private final RandomGenerator random;
     private final RoutingWeights weights;
     private final RouteCost cost;
-    private final HomeOrders orders;
-    private final ReplicaAllowance allowance;
+    private final RendezvousOrderCache orderCache;
+    private final ReplicaLimit replicaLimit;
 
     AffinityRouter(
             RouteCandidates candidates, PrefixDirectory prefixes, RouterSettings settings, RandomGenerator random) {
@@ -37,8 +37,8 @@
         this.random = random;
         this.weights = settings.weights();
         this.cost = new RouteCost(settings);
-        this.orders = new HomeOrders(ORDER_LENGTH, settings.rememberedAdapters());
-        this.allowance = new ReplicaAllowance(fleet, weights.replicaFill(), settings.rememberedAdapters());
+        this.orderCache = new RendezvousOrderCache(CACHED_ORDER_LENGTH, settings.rememberedAdapters());
+        this.replicaLimit = new ReplicaLimit(fleet, weights.replicaFill(), settings.rememberedAdapters());
     }
 
     @Override
@@ -58,8 +58,8 @@
         private final RouteRequest request;
         private final FleetView.Members members;
         private final TrackedTarget[] holders;
-        private final RouteCost.Loads loads;
-        private final Optional<PrefixBelief> belief;
+        private final RouteCost.LoadContext loadContext;
+        private final Optional<PrefixLocation> prefixLocation;
         private TrackedTarget best;
         private double bestCost = Double.MAX_VALUE;
         private Route.Reason reason = Route.Reason.LOAD;
@@ -67,33 +67,33 @@
         private Search(RouteRequest request, FleetView.Members members) {
             this.request = request;
             this.members = members;
-            this.belief = request.prefix().flatMap(prefixes::find);
-            this.holders = request.adapter().map(fleet::holders).orElse(NOBODY);
-            this.loads = new RouteCost.Loads(request.adapter(), fleet.loadsInTransit(), holders.length);
+            this.prefixLocation = request.prefix().flatMap(prefixes::find);
+            this.holders = request.adapter().map(fleet::holders).orElse(NO_TARGETS);
+            this.loadContext = new RouteCost.LoadContext(request.adapter(), fleet.pendingLoads(), holders.length);
         }
 
         private void run() {
-            belief.map(found -> fleet.tracked(found.target())).ifPresent(this::considerIfMember);
-            request.adapter().ifPresent(this::aroundAdapter);
+            prefixLocation.map(found -> fleet.tracked(found.target())).ifPresent(this::considerForPrefix);
+            request.adapter().ifPresent(this::considerForAdapter);
             if (best == null || request.adapter().isEmpty()) {
-                amongTwo();
+                considerTwoRandom();
             }
         }
 
-        private void aroundAdapter(AdapterReference adapter) {
-            ReplicaAllowance.Totals totals = allowance.totals(request.offering());
-            int allowed = allowance.count(adapter, totals);
-            HomeOrders.Order order = orders.of(adapter, members);
-            considerHolders(usedHolders(adapter, order, allowed));
-            if (holders.length < allowed || isToBeLeft(totals)) {
+        private void considerForAdapter(AdapterReference adapter) {
+            ReplicaLimit.LoadTotals totals = replicaLimit.totals(request.offering());
+            int allowed = replicaLimit.allowedHolders(adapter, totals);
+            RendezvousOrderCache.Order order = orderCache.get(adapter, members);
+            considerHolders(eligibleHolders(adapter, order, allowed));
+            if (holders.length < allowed || needsAlternatives(totals)) {
                 considerHomes(adapter, order, Math.max(allowed, weights.homes()));
             }
-            if (isToBeLeft(totals)) {
-                amongTwo();
+            if (needsAlternatives(totals)) {
+                considerTwoRandom();
             }
         }
 
-        private boolean isToBeLeft(ReplicaAllowance.Totals totals) {
+        private boolean needsAlternatives(ReplicaLimit.LoadTotals totals) {
             return best == null || cost.isCrowded(best, totals.meanRelativeLoad());
         }
 
@@ -102,7 +102,7 @@
          * order that is remembered mostly tells; with it, an adapter that nearly all targets hold costs no more than one
          * that a few hold.
          */
-        private TrackedTarget[] usedHolders(AdapterReference adapter, HomeOrders.Order order, int allowed) {
+        private TrackedTarget[] eligibleHolders(AdapterReference adapter, RendezvousOrderCache.Order order, int allowed) {
             if (holders.length <= allowed) {
                 return holders;
             }
@@ -113,7 +113,7 @@
                     used[count++] = target;
                 }
             }
-            return count == allowed ? used : Rendezvous.first(order.key(), holders, allowed);
+            return count == allowed ? used : Rendezvous.topRanked(order.keyHash(), holders, allowed);
         }
 
         private void considerHolders(TrackedTarget[] used) {
@@ -128,23 +128,23 @@
             }
         }
 
-        private void considerIfMember(TrackedTarget target) {
+        private void considerForPrefix(TrackedTarget target) {
             if (target.offering().equals(request.offering())) {
                 consider(target, Route.Reason.PREFIX);
             }
         }
 
-        private void considerHomes(AdapterReference adapter, HomeOrders.Order order, int count) {
+        private void considerHomes(AdapterReference adapter, RendezvousOrderCache.Order order, int count) {
             int left = count;
             for (TrackedTarget home : order.targets()) {
                 if (left > 0 && candidates.allows(request, home)) {
                     left--;
-                    consider(home, reasonAt(home, adapter));
+                    consider(home, homeReason(home, adapter));
                 }
             }
         }
 
-        private Route.Reason reasonAt(TrackedTarget home, AdapterReference adapter) {
+        private Route.Reason homeReason(TrackedTarget home, AdapterReference adapter) {
             if (home.report().resident().contains(adapter)) {
                 return Route.Reason.RESIDENT;
             }
@@ -154,7 +154,7 @@
             return holders.length == 0 ? Route.Reason.HOME : Route.Reason.REPLICA;
         }
 
-        private void amongTwo() {
+        private void considerTwoRandom() {
             TrackedTarget[] all = members.targets();
             int first = random.nextInt(all.length);
             consider(all[first], Route.Reason.LOAD);
@@ -168,7 +168,7 @@
             if (target == best || !candidates.allows(request, target)) {
                 return;
             }
-            double total = cost.of(target, loads) - prefixSaving(target);
+            double total = cost.totalNanos(target, loadContext) - prefixSaving(target);
             if (total < bestCost) {
                 best = target;
                 bestCost = total;
@@ -177,7 +177,7 @@
         }
 
         private double prefixSaving(TrackedTarget target) {
-            return belief.filter(found -> found.target().equals(target.target()))
+            return prefixLocation.filter(found -> found.target().equals(target.target()))
                     .map(found -> found.confidence() * weights.prefixTime().toNanos())
                     .orElse(0.0);
         }
@@ -186,7 +186,7 @@
             if (best == null) {
                 return Optional.empty();
             }
-            return Optional.of(RouteCandidates.route(best, reason, Math.max(0, cost.waitNanos(best, loads))));
+            return Optional.of(RouteCandidates.route(best, reason, Math.max(0, cost.waitNanos(best, loadContext))));
         }
     }
 }
--- a/serving/src/main/java/org/geraniumreach/serving/routing/DemandMeter.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/DemandMeter.java
@@ -19,7 +19,7 @@
 
     private final double halfLifeNanos;
     private final Shard[] shards = new Shard[SHARDS];
-    private Count total = new Count(0, 0);
+    private DecayedCount total = new DecayedCount(0, 0);
 
     DemandMeter(long halfLifeNanos, int capacity) {
         this.halfLifeNanos = halfLifeNanos;
@@ -28,9 +28,9 @@
         }
     }
 
-    private record Count(double requests, long atNanos) {}
+    private record DecayedCount(double requests, long updatedNanos) {}
 
-    private static final class Shard extends LinkedHashMap<AdapterReference, Count> {
+    private static final class Shard extends LinkedHashMap<AdapterReference, DecayedCount> {
         private static final long serialVersionUID = 1L;
         private final int capacity;
 
@@ -40,7 +40,7 @@
         }
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<AdapterReference, Count> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<AdapterReference, DecayedCount> eldest) {
             return size() > capacity;
         }
     }
@@ -52,22 +52,22 @@
      * @param now the time
      * @return the adapter's part of the requests, this one included, 0 to 1
      */
-    double count(AdapterReference adapter, long now) {
+    double recordRequest(AdapterReference adapter, long now) {
         Shard shard = shards[Math.floorMod(adapter.hashCode(), SHARDS)];
         double requests;
         synchronized (shard) {
-            requests = 1 + faded(shard.get(adapter), now);
-            shard.put(adapter, new Count(requests, now));
+            requests = 1 + decayed(shard.get(adapter), now);
+            shard.put(adapter, new DecayedCount(requests, now));
         }
-        return Math.min(1, requests / countTotal(now));
+        return Math.min(1, requests / recordTotal(now));
     }
 
-    private synchronized double countTotal(long now) {
-        total = new Count(1 + faded(total, now), now);
+    private synchronized double recordTotal(long now) {
+        total = new DecayedCount(1 + decayed(total, now), now);
         return total.requests;
     }
 
-    private double faded(Count count, long now) {
-        return count == null ? 0 : count.requests * Math.pow(0.5, (now - count.atNanos) / halfLifeNanos);
+    private double decayed(DecayedCount count, long now) {
+        return count == null ? 0 : count.requests * Math.pow(0.5, (now - count.updatedNanos) / halfLifeNanos);
     }
 }
--- a/serving/src/main/java/org/geraniumreach/serving/routing/FleetView.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/FleetView.java
@@ -32,8 +32,8 @@
     private final Map<TargetId, TrackedTarget> targets = new ConcurrentHashMap<>();
     private final Map<Offering, Members> members = new ConcurrentHashMap<>();
     private final Map<AdapterReference, TrackedTarget[]> holders = new ConcurrentHashMap<>();
-    private final AtomicInteger loadsInTransit = new AtomicInteger();
-    private final Object membership = new Object();
+    private final AtomicInteger pendingLoads = new AtomicInteger();
+    private final Object membershipLock = new Object();
     private long generation;
 
     private FleetView(MonotonicClock clock) {
@@ -62,7 +62,7 @@
     public void join(Target record, InstanceId instance) {
         TrackedTarget tracked =
                 new TrackedTarget(record.id(), instance, record.failureDomain(), Offering.of(record), record.slots());
-        synchronized (membership) {
+        synchronized (membershipLock) {
             leave(record.id());
             targets.put(record.id(), tracked);
             refreshMembers(tracked.offering());
@@ -75,13 +75,13 @@
      * @param target the target, not null
      */
     public void leave(TargetId target) {
-        synchronized (membership) {
+        synchronized (membershipLock) {
             TrackedTarget gone = targets.remove(target);
             if (gone == null) {
                 return;
             }
             synchronized (gone) {
-                forget(gone, gone.report());
+                removeReported(gone, gone.report());
             }
             refreshMembers(gone.offering());
         }
@@ -108,14 +108,14 @@
                 return true;
             }
         }
-        synchronized (membership) {
+        synchronized (membershipLock) {
             refreshMembers(tracked.offering());
         }
         return true;
     }
 
     private void updateHolders(TrackedTarget tracked, TrackedTarget.Change change) {
-        loadsInTransit.addAndGet(
+        pendingLoads.addAndGet(
                 change.after().loading().size() - change.before().loading().size());
         if (change.before().resident() == change.after().resident()) {
             return;
@@ -132,9 +132,9 @@
         }
     }
 
-    private void forget(TrackedTarget gone, TrackedTarget.Report last) {
+    private void removeReported(TrackedTarget gone, TrackedTarget.Report last) {
         last.resident().forEach(adapter -> removeHolder(adapter, gone));
-        loadsInTransit.addAndGet(-last.loading().size());
+        pendingLoads.addAndGet(-last.loading().size());
     }
 
     private void addHolder(AdapterReference adapter, TrackedTarget tracked) {
@@ -169,7 +169,7 @@
      */
     public Sending sent(TargetId target) {
         TrackedTarget tracked = targets.get(target);
-        return tracked == null ? Sending.toNobody() : Sending.to(tracked);
+        return tracked == null ? Sending.untracked() : Sending.to(tracked);
     }
 
     /**
@@ -202,8 +202,8 @@
      *
      * @return the number, not negative
      */
-    public int loadsInTransit() {
-        return Math.max(0, loadsInTransit.get());
+    public int pendingLoads() {
+        return Math.max(0, pendingLoads.get());
     }
 
     Members members(Offering offering) {
--- a/serving/src/main/java/org/geraniumreach/serving/routing/PlainHashingRouter.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/PlainHashingRouter.java
@@ -9,28 +9,28 @@
  */
 final class PlainHashingRouter implements Router {
 
-    private static final int HOME_ONLY = 1;
+    private static final int CACHED_ORDER_LENGTH = 1;
 
     private final RouteCandidates candidates;
-    private final HomeOrders orders;
+    private final RendezvousOrderCache orderCache;
 
     PlainHashingRouter(RouteCandidates candidates, RouterSettings settings) {
         this.candidates = candidates;
-        this.orders = new HomeOrders(HOME_ONLY, settings.rememberedAdapters());
+        this.orderCache = new RendezvousOrderCache(CACHED_ORDER_LENGTH, settings.rememberedAdapters());
     }
 
     @Override
     public Optional<Route> route(RouteRequest request) {
-        return candidates.choose(request, members -> home(request, members).or(() -> candidates
+        return candidates.choose(request, members -> routeToHome(request, members).or(() -> candidates
                 .leastLoaded(request, members)
                 .map(target -> RouteCandidates.route(target, Route.Reason.LOAD, 0))));
     }
 
-    private Optional<Route> home(RouteRequest request, FleetView.Members members) {
+    private Optional<Route> routeToHome(RouteRequest request, FleetView.Members members) {
         if (request.adapter().isEmpty() || members.targets().length == 0) {
             return Optional.empty();
         }
-        TrackedTarget home = orders.of(request.adapter().get(), members).targets()[0];
+        TrackedTarget home = orderCache.get(request.adapter().get(), members).targets()[0];
         if (!candidates.allows(request, home) || home.relativeLoad() >= 1) {
             return Optional.empty();
         }
--- a/serving/src/main/java/org/geraniumreach/serving/routing/RandomRouter.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/RandomRouter.java
@@ -17,7 +17,7 @@
     @Override
     public Optional<Route> route(RouteRequest request) {
         return candidates.choose(request, members -> {
-            TrackedTarget[] allowed = candidates.allowed(request, members);
+            TrackedTarget[] allowed = candidates.allowedTargets(request, members);
             if (allowed.length == 0) {
                 return Optional.empty();
             }
--- a/serving/src/main/java/org/geraniumreach/serving/routing/Rendezvous.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/Rendezvous.java
@@ -40,7 +40,7 @@
      * @param count how many are wanted
      * @return the first targets, best first, at most {@code count}
      */
-    static TrackedTarget[] first(int key, TrackedTarget[] members, int count) {
+    static TrackedTarget[] topRanked(int key, TrackedTarget[] members, int count) {
         int wanted = Math.min(count, members.length);
         TrackedTarget[] best = new TrackedTarget[wanted];
         int[] scores = new int[wanted];
--- a/serving/src/main/java/org/geraniumreach/serving/routing/HomeOrders.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/RendezvousOrderCache.java
@@ -12,7 +12,7 @@
  * kept, the longest unused go first. Safe for use by several threads: adapters are spread over shards, each under its own
  * lock.
  */
-final class HomeOrders {
+final class RendezvousOrderCache {
 
     private static final int SHARDS = 16;
     private static final float LOAD_FACTOR = 0.75f;
@@ -20,7 +20,7 @@
     private final int length;
     private final Shard[] shards = new Shard[SHARDS];
 
-    HomeOrders(int length, int capacity) {
+    RendezvousOrderCache(int length, int capacity) {
         this.length = length;
         for (int index = 0; index < SHARDS; index++) {
             shards[index] = new Shard(Math.max(1, capacity / SHARDS));
@@ -31,10 +31,10 @@
      * An adapter's order.
      *
      * @param generation the generation of the members that it was worked out from
-     * @param key the adapter's hash
+     * @param keyHash the adapter's hash
      * @param targets the first targets, best first; shared, and not to be changed
      */
-    record Order(long generation, int key, TrackedTarget[] targets) {}
+    record Order(long generation, int keyHash, TrackedTarget[] targets) {}
 
     private static final class Shard extends LinkedHashMap<AdapterReference, Order> {
         private static final long serialVersionUID = 1L;
@@ -59,15 +59,15 @@
      * @param members the members
      * @return the order
      */
-    Order of(AdapterReference adapter, FleetView.Members members) {
+    Order get(AdapterReference adapter, FleetView.Members members) {
         Shard shard = shards[Math.floorMod(adapter.hashCode(), SHARDS)];
         synchronized (shard) {
             Order known = shard.get(adapter);
             if (known != null && known.generation == members.generation()) {
                 return known;
             }
-            int key = known != null ? known.key : Rendezvous.hash(adapter);
-            Order order = new Order(members.generation(), key, Rendezvous.first(key, members.targets(), length));
+            int key = known != null ? known.keyHash : Rendezvous.hash(adapter);
+            Order order = new Order(members.generation(), key, Rendezvous.topRanked(key, members.targets(), length));
             shard.put(adapter, order);
             return order;
         }
--- a/serving/src/main/java/org/geraniumreach/serving/routing/ReplicaAllowance.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/ReplicaLimit.java
@@ -13,24 +13,24 @@
  * and takes a slot from another adapter, which then has to be loaded again, until the weight store is all that anybody
  * waits for. Safe for use by several threads.
  */
-final class ReplicaAllowance {
+final class ReplicaLimit {
 
-    private static final Duration HALF_LIFE = Duration.ofSeconds(60);
+    private static final Duration DEMAND_HALF_LIFE = Duration.ofSeconds(60);
     private static final long TOTALS_VALID_NANOS = Duration.ofMillis(100).toNanos();
 
     private final FleetView fleet;
-    private final double fill;
+    private final double replicaFill;
     private final DemandMeter demand;
-    private final Map<Offering, Totals> totals = new ConcurrentHashMap<>();
+    private final Map<Offering, LoadTotals> totalsByOffering = new ConcurrentHashMap<>();
 
-    ReplicaAllowance(FleetView fleet, double fill, int rememberedAdapters) {
+    ReplicaLimit(FleetView fleet, double fill, int rememberedAdapters) {
         this.fleet = fleet;
-        this.fill = fill;
-        this.demand = new DemandMeter(HALF_LIFE.toNanos(), rememberedAdapters);
+        this.replicaFill = fill;
+        this.demand = new DemandMeter(DEMAND_HALF_LIFE.toNanos(), rememberedAdapters);
     }
 
     /** The load and limits of all targets of an offering together. */
-    record Totals(long atNanos, double load, double limit, int targets) {
+    record LoadTotals(long computedNanos, double load, double limit, int targets) {
 
         double meanRelativeLoad() {
             return limit == 0 ? 0 : load / limit;
@@ -44,31 +44,31 @@
      * @param sums the totals of its offering
      * @return the number, at least 1
      */
-    int count(AdapterReference adapter, Totals sums) {
-        double part = demand.count(adapter, fleet.nowNanos());
+    int allowedHolders(AdapterReference adapter, LoadTotals sums) {
+        double part = demand.recordRequest(adapter, fleet.nowNanos());
         if (sums.targets == 0 || sums.limit == 0) {
             return 1;
         }
         double running = part * Math.min(sums.load, sums.limit);
-        double perTarget = fill * sums.limit / sums.targets;
+        double perTarget = replicaFill * sums.limit / sums.targets;
         return Math.max(1, (int) Math.ceil(running / perTarget));
     }
 
-    Totals totals(Offering offering) {
-        Totals known = totals.get(offering);
+    LoadTotals totals(Offering offering) {
+        LoadTotals known = totalsByOffering.get(offering);
         long now = fleet.nowNanos();
-        if (known != null && now - known.atNanos < TOTALS_VALID_NANOS) {
+        if (known != null && now - known.computedNanos < TOTALS_VALID_NANOS) {
             return known;
         }
         double load = 0;
         double limit = 0;
         TrackedTarget[] targets = fleet.members(offering).targets();
         for (TrackedTarget target : targets) {
-            load += target.relativeLoad() * target.limit();
-            limit += target.limit();
+            load += target.relativeLoad() * target.concurrencyLimit();
+            limit += target.concurrencyLimit();
         }
-        Totals fresh = new Totals(now, load, limit, targets.length);
-        totals.put(offering, fresh);
+        LoadTotals fresh = new LoadTotals(now, load, limit, targets.length);
+        totalsByOffering.put(offering, fresh);
         return fresh;
     }
 }
--- a/serving/src/main/java/org/geraniumreach/serving/routing/RouteCandidates.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/RouteCandidates.java
@@ -43,7 +43,7 @@
         return !target.isDraining() && !request.excluded().contains(target.target()) && filter.admits(target.target());
     }
 
-    TrackedTarget[] allowed(RouteRequest request, FleetView.Members members) {
+    TrackedTarget[] allowedTargets(RouteRequest request, FleetView.Members members) {
         TrackedTarget[] targets = members.targets();
         TrackedTarget[] allowed = new TrackedTarget[targets.length];
         int count = 0;
--- a/serving/src/main/java/org/geraniumreach/serving/routing/RouteCost.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/RouteCost.java
@@ -13,18 +13,18 @@
 
     private final RouterSettings settings;
     private final RoutingWeights weights;
-    private final double loadTime;
-    private final double serviceTime;
+    private final double loadTimeNanos;
+    private final double serviceTimeNanos;
 
     RouteCost(RouterSettings settings) {
         this.settings = settings;
         this.weights = settings.weights();
-        this.loadTime = weights.loadTime().toNanos();
-        this.serviceTime = weights.serviceTime().toNanos();
+        this.loadTimeNanos = weights.loadTime().toNanos();
+        this.serviceTimeNanos = weights.serviceTime().toNanos();
     }
 
     /** The loads that matter to a request. */
-    record Loads(Optional<AdapterReference> adapter, int inTransit, int holders) {}
+    record LoadContext(Optional<AdapterReference> adapter, int pendingLoads, int holders) {}
 
     /**
      * Works out the cost, to the request and to others.
@@ -33,11 +33,11 @@
      * @param loads the loads that matter
      * @return the cost in nanoseconds
      */
-    double of(TrackedTarget target, Loads loads) {
+    double totalNanos(TrackedTarget target, LoadContext loads) {
         return waitNanos(target, loads)
                 + crowdingNanos(target)
                 + displacementNanos(target, loads)
-                + distanceNanos(target);
+                + crossDomainNanos(target);
     }
 
     /**
@@ -47,7 +47,7 @@
      * @param loads the loads that matter
      * @return the wait in nanoseconds
      */
-    double waitNanos(TrackedTarget target, Loads loads) {
+    double waitNanos(TrackedTarget target, LoadContext loads) {
         return Math.max(queueNanos(target), loadNanos(target, loads));
     }
 
@@ -60,10 +60,10 @@
     }
 
     private double queueNanos(TrackedTarget target) {
-        return serviceTime * Math.max(0, target.relativeLoad() - 1);
+        return serviceTimeNanos * Math.max(0, target.relativeLoad() - 1);
     }
 
-    private double loadNanos(TrackedTarget target, Loads loads) {
+    private double loadNanos(TrackedTarget target, LoadContext loads) {
         if (loads.adapter().isEmpty()) {
             return 0;
         }
@@ -72,24 +72,24 @@
             return 0;
         }
         double load = Math.max(
-                loadTime * Math.max(1, (loads.inTransit() + 1.0) / weights.loadsAtFullSpeed()),
-                1e9 * (loads.inTransit() + 1) / weights.storeLoadsPerSecond());
+                loadTimeNanos * Math.max(1, (loads.pendingLoads() + 1.0) / weights.loadsAtFullSpeed()),
+                1e9 * (loads.pendingLoads() + 1) / weights.storeLoadsPerSecond());
         return report.loading().contains(loads.adapter().get()) ? load / 2 : load;
     }
 
-    private double displacementNanos(TrackedTarget target, Loads loads) {
+    private double displacementNanos(TrackedTarget target, LoadContext loads) {
         if (loads.adapter().isEmpty() || loads.holders() == 0) {
             return 0;
         }
         boolean there = target.report().resident().contains(loads.adapter().get());
-        return there ? 0 : weights.replicaCost() * loadTime;
+        return there ? 0 : weights.replicaCost() * loadTimeNanos;
     }
 
     private double crowdingNanos(TrackedTarget target) {
-        return weights.crowding() * serviceTime * target.relativeLoad();
+        return weights.crowding() * serviceTimeNanos * target.relativeLoad();
     }
 
-    private double distanceNanos(TrackedTarget target) {
+    private double crossDomainNanos(TrackedTarget target) {
         boolean near = settings.failureDomain()
                 .map(domain -> domain.equals(target.failureDomain()))
                 .orElse(true);
--- a/serving/src/main/java/org/geraniumreach/serving/routing/Sending.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/Sending.java
@@ -24,11 +24,11 @@
     }
 
     static Sending to(TrackedTarget target) {
-        target.sent();
+        target.onSent();
         return new Sending(Optional.of(target));
     }
 
-    static Sending toNobody() {
+    static Sending untracked() {
         return new Sending(Optional.empty());
     }
 
@@ -38,16 +38,16 @@
             return;
         }
         state = State.ACCEPTED;
-        target.ifPresent(TrackedTarget::accepted);
+        target.ifPresent(TrackedTarget::onAccepted);
     }
 
     /** Tells that the request has ended in whatever way. */
     public synchronized void ended() {
         if (state == State.SENT) {
-            target.ifPresent(TrackedTarget::endedUnaccepted);
+            target.ifPresent(TrackedTarget::onEndedUnaccepted);
         }
         if (state == State.ACCEPTED) {
-            target.ifPresent(TrackedTarget::endedAccepted);
+            target.ifPresent(TrackedTarget::onEndedAccepted);
         }
         state = State.ENDED;
     }
--- a/serving/src/main/java/org/geraniumreach/serving/routing/TrackedTarget.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/TrackedTarget.java
@@ -18,7 +18,7 @@
  */
 final class TrackedTarget {
 
-    private static final Report NONE = new Report(-1, 0, 0, 0, 0, 0, 0, Set.of(), Set.of(), false, 0, 0);
+    private static final Report NO_REPORT = new Report(-1, 0, 0, 0, 0, 0, 0, Set.of(), Set.of(), false, 0, 0);
 
     private final TargetId target;
     private final InstanceId instance;
@@ -27,8 +27,8 @@
     private final int slots;
     private final int hash;
     private final AtomicInteger unaccepted = new AtomicInteger();
-    private final AtomicInteger sinceReport = new AtomicInteger();
-    private volatile Report report = NONE;
+    private final AtomicInteger acceptedSinceReport = new AtomicInteger();
+    private volatile Report report = NO_REPORT;
 
     TrackedTarget(TargetId target, InstanceId instance, FailureDomain failureDomain, Offering offering, int slots) {
         this.target = target;
@@ -52,7 +52,7 @@
             Set<AdapterReference> loading,
             boolean draining,
             double tokensPerSecond,
-            long atNanos) {}
+            long receivedNanos) {}
 
     /** Residency before and after a change. */
     record Change(Report before, Report after) {}
@@ -66,7 +66,7 @@
      */
     synchronized Change apply(TargetStatus status, long nowNanos) {
         Report before = report;
-        if (before != NONE && status.sequence() <= before.sequence && !status.complete()) {
+        if (before != NO_REPORT && status.sequence() <= before.sequence && !status.complete()) {
             return null;
         }
         Report after = new Report(
@@ -83,7 +83,7 @@
                 status.tokensPerSecond(),
                 nowNanos);
         report = after;
-        sinceReport.set(0);
+        acceptedSinceReport.set(0);
         return new Change(before, after);
     }
 
@@ -111,14 +111,14 @@
                 instance,
                 failureDomain,
                 offering,
-                now == NONE ? slots : now.slots,
+                now == NO_REPORT ? slots : now.slots,
                 now.running,
                 now.queued,
-                unaccepted.get() + sinceReport.get(),
+                unaccepted.get() + acceptedSinceReport.get(),
                 Math.max(1, now.concurrencyLimit),
                 now.resident,
                 now.loading,
-                now == NONE ? Long.MAX_VALUE : nowNanos - now.atNanos,
+                now == NO_REPORT ? Long.MAX_VALUE : nowNanos - now.receivedNanos,
                 now.draining);
     }
 
@@ -144,11 +144,11 @@
 
     double relativeLoad() {
         Report now = report;
-        int load = now.running + now.queued + unaccepted.get() + sinceReport.get();
+        int load = now.running + now.queued + unaccepted.get() + acceptedSinceReport.get();
         return Math.max(0.0, load) / Math.max(1, now.concurrencyLimit);
     }
 
-    int limit() {
+    int concurrencyLimit() {
         return Math.max(1, report.concurrencyLimit);
     }
 
@@ -160,20 +160,20 @@
         return report;
     }
 
-    void sent() {
+    void onSent() {
         unaccepted.incrementAndGet();
     }
 
-    void accepted() {
+    void onAccepted() {
         unaccepted.decrementAndGet();
-        sinceReport.incrementAndGet();
+        acceptedSinceReport.incrementAndGet();
     }
 
-    void endedUnaccepted() {
+    void onEndedUnaccepted() {
         unaccepted.decrementAndGet();
     }
 
-    void endedAccepted() {
-        sinceReport.decrementAndGet();
+    void onEndedAccepted() {
+        acceptedSinceReport.decrementAndGet();
     }
 }
--- a/serving/src/test/java/org/geraniumreach/serving/admission/AdmissionPolicyTest.java
+++ b/serving/src/test/java/org/geraniumreach/serving/admission/AdmissionPolicyTest.java
@@ -9,8 +9,8 @@
 
 class AdmissionPolicyTest {
 
-    private static Admission.Estimate estimate(long deadlineMillis, long ahead, double rate, long loadMillis) {
-        return new Admission.Estimate(
+    private static AdmissionController.Estimate estimate(long deadlineMillis, long ahead, double rate, long loadMillis) {
+        return new AdmissionController.Estimate(
                 Duration.ofMillis(deadlineMillis), ahead, rate, Duration.ofMillis(loadMillis), 100, 100);
     }
 
@@ -27,9 +27,9 @@
         "500, 0, 1000, 0, false, 100",
         "0, 0, 1000, 0, false, 100"
     })
-    void deadlineThatCannotBeMetIsRefusedWithATimeToComeBack(
+    void requestThatCannotMeetItsDeadlineIsRefusedWithARetryDelay(
             long deadline, long ahead, double rate, long load, boolean admitted, long retryMillis) {
-        Admission.Decision decision = AdmissionPolicy.DEADLINE.decide(estimate(deadline, ahead, rate, load));
+        AdmissionController.Decision decision = AdmissionPolicy.DEADLINE.decide(estimate(deadline, ahead, rate, load));
         assertThat(decision.isAdmitted()).isEqualTo(admitted);
         assertThat(decision.retryAfter()).isEqualTo(Duration.ofMillis(retryMillis));
     }
--- a/serving/src/test/java/org/geraniumreach/serving/prefix/DecayingPrefixDirectoryTest.java
+++ b/serving/src/test/java/org/geraniumreach/serving/prefix/DecayingPrefixDirectoryTest.java
@@ -26,11 +26,11 @@
     }
 
     private double confidence(int number) {
-        return directory.find(digest(number)).map(PrefixBelief::confidence).orElse(0.0);
+        return directory.find(digest(number)).map(PrefixLocation::confidence).orElse(0.0);
     }
 
     @Test
-    void beliefFadesAndIsForgotten() {
+    void confidenceDecaysUntilTheLocationIsDropped() {
         directory.ended(digest(1), HERE, true);
         assertThat(confidence(1)).isEqualTo(1);
         clock.advance(HALF_LIFE);
@@ -44,7 +44,7 @@
      * turns. Each miss halves the belief, so balance outweighs it after a few turns.
      */
     @Test
-    void missesLowerTheBeliefAndAHitRestoresIt() {
+    void missesLowerTheConfidenceAndAHitRestoresIt() {
         directory.ended(digest(1), HERE, false);
         double before = confidence(1);
         for (int miss = 0; miss < 2; miss++) {
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void targetThatRestartedHoldsNoPrefixButNewOnes() {
+    void invalidatedTargetKeepsOnlyNewerLocations() {
         directory.ended(digest(1), HERE, true);
         directory.ended(digest(2), THERE, true);
         directory.forget(HERE);
@@ -65,11 +65,11 @@
         assertThat(directory.find(digest(2))).isPresent();
         clock.advance(Duration.ofMillis(1));
         directory.ended(digest(1), HERE, false);
-        assertThat(directory.find(digest(1))).map(PrefixBelief::target).contains(HERE);
+        assertThat(directory.find(digest(1))).map(PrefixLocation::target).contains(HERE);
     }
 
     @Test
-    void beliefsAreBounded() {
+    void locationsAreBoundedByTheCapacity() {
         IntStream.range(0, 10_000).forEach(number -> directory.ended(digest(number), HERE, true));
         long kept = IntStream.range(0, 10_000)
                 .filter(number -> directory.find(digest(number)).isPresent())
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void oneTextUnderTwoAdaptersIsTwoPrefixes() {
+    void sameTextUnderTwoAdaptersHasTwoDigests() {
         byte[] text = {1, 2, 3};
         assertThat(PrefixDigest.of(ADAPTER, text))
                 .isNotEqualTo(PrefixDigest.of(AdapterReference.of("adapter", "2"), text));
--- a/serving/src/test/java/org/geraniumreach/serving/queue/FairOrderTest.java
+++ b/serving/src/test/java/org/geraniumreach/serving/queue/FairSchedulerTest.java
@@ -15,17 +15,17 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.data.Offset.offset;
 
-class FairOrderTest {
+class FairSchedulerTest {
 
     private static final int MAXIMUM_TOKENS = 100;
 
-    private final Map<String, Long> served = new HashMap<>();
-    private final Batch batch = new Batch();
-    private int attempts;
+    private final Map<String, Long> servedTokens = new HashMap<>();
+    private final RunningBatch batch = new RunningBatch();
+    private int attemptCount;
 
     private QueuedRequest<String> request(String account, String adapter, long tokens, int priority) {
         return new QueuedRequest<>(
-                AttemptId.of("attempt-" + ++attempts),
+                AttemptId.of("attempt-" + ++attemptCount),
                 AccountId.of(account),
                 Optional.of(AdapterReference.of(adapter, "1")),
                 tokens,
@@ -34,9 +34,9 @@
                 account);
     }
 
-    private QueuedRequest<String> next(FairOrder<String> order) {
+    private QueuedRequest<String> next(FairScheduler<String> order) {
         QueuedRequest<String> next = order.next(adapter -> true, batch).orElseThrow();
-        served.merge(next.payload(), next.tokens(), Long::sum);
+        servedTokens.merge(next.payload(), next.tokens(), Long::sum);
         return next;
     }
 
@@ -46,8 +46,8 @@
      */
     @ParameterizedTest
     @CsvSource({"0, 1", "0, 2", "500, 3", "2048, 4"})
-    void accountsWithWorkThroughoutStayWithinOneChargeAndTheSlack(long slack, long seed) {
-        FairOrder<String> order = new FairOrder<>(new QueueWeights(4, slack, 1.25));
+    void backloggedAccountsDifferByAtMostOneChargeEachPlusTheSlack(long slack, long seed) {
+        FairScheduler<String> order = new FairScheduler<>(new QueueWeights(4, slack, 1.25));
         SplittableRandom random = new SplittableRandom(seed);
         for (int index = 0; index < 1200; index++) {
             String account = index % 6 == 0 ? "quiet" : "flood";
@@ -56,7 +56,7 @@
         for (int taken = 0; taken < 300; taken++) {
             QueuedRequest<String> request = next(order);
             batch.add(request.adapter().orElseThrow());
-            long apart = served.getOrDefault("flood", 0L) - served.getOrDefault("quiet", 0L);
+            long apart = servedTokens.getOrDefault("flood", 0L) - servedTokens.getOrDefault("quiet", 0L);
             assertThat(Math.abs(apart)).isLessThanOrEqualTo(2 * MAXIMUM_TOKENS + slack);
         }
     }
@@ -66,8 +66,8 @@
      * time up to now it would have saved its idle time up.
      */
     @Test
-    void idleAccountSavesNothingUp() {
-        FairOrder<String> order = new FairOrder<>(QueueWeights.worstAccountFirst());
+    void idleAccountAccumulatesNoCredit() {
+        FairScheduler<String> order = new FairScheduler<>(QueueWeights.worstAccountFirst());
         order.add(request("late", "adapter", 1, 5));
         next(order);
         for (int index = 0; index < 100; index++) {
@@ -76,19 +76,19 @@
         for (int taken = 0; taken < 50; taken++) {
             next(order);
         }
-        served.clear();
+        servedTokens.clear();
         for (int index = 0; index < 50; index++) {
             order.add(request("late", "adapter", 10, 5));
         }
         for (int taken = 0; taken < 20; taken++) {
             next(order);
         }
-        assertThat(served.get("steady")).isBetween(90L, 110L);
+        assertThat(servedTokens.get("steady")).isBetween(90L, 110L);
     }
 
     @Test
-    void tokensChargedButNotUsedAreGivenBack() {
-        FairOrder<String> order = new FairOrder<>(QueueWeights.worstAccountFirst());
+    void unusedTokensAreRefunded() {
+        FairScheduler<String> order = new FairScheduler<>(QueueWeights.worstAccountFirst());
         for (int index = 0; index < 200; index++) {
             order.add(request("brief", "adapter", 100, 5));
             order.add(request("whole", "adapter", 100, 5));
@@ -97,15 +97,15 @@
         for (int taken = 0; taken < 200; taken++) {
             QueuedRequest<String> request = next(order);
             int tokens = request.payload().equals("brief") ? 25 : 100;
-            order.finished(request, tokens);
+            order.onFinished(request, tokens);
             used.merge(request.payload(), tokens, Integer::sum);
         }
         assertThat(used.get("brief")).isCloseTo(used.get("whole"), offset(200));
     }
 
     @Test
-    void higherPriorityGetsMoreAndLowerIsNotStarved() {
-        FairOrder<String> order = new FairOrder<>(new QueueWeights(4, 0, 1.25));
+    void higherPriorityGetsMoreWithoutStarvingTheLower() {
+        FairScheduler<String> order = new FairScheduler<>(new QueueWeights(4, 0, 1.25));
         for (int index = 0; index < 400; index++) {
             order.add(request("first", "adapter", 10, 9));
             order.add(request("last", "adapter", 10, 0));
@@ -113,12 +113,12 @@
         for (int taken = 0; taken < 400; taken++) {
             next(order);
         }
-        assertThat((double) served.get("first") / served.get("last")).isBetween(6.5, 8.5);
+        assertThat((double) servedTokens.get("first") / servedTokens.get("last")).isBetween(6.5, 8.5);
     }
 
     @Test
-    void withinAnAccountTheAdapterInTheBatchGoesFirst() {
-        FairOrder<String> order = new FairOrder<>(QueueWeights.fullBatches());
+    void withinAnAccountAdaptersInTheRunningBatchGoFirst() {
+        FairScheduler<String> order = new FairScheduler<>(QueueWeights.fullBatches());
         order.add(request("account", "other", 10, 5));
         order.add(request("account", "running", 10, 5));
         batch.add(AdapterReference.of("running", "1"));
@@ -126,8 +126,8 @@
     }
 
     @Test
-    void tokensAheadOfAQuietAccountDisregardAnotherAccountsFlood() {
-        FairOrder<String> order = new FairOrder<>(QueueWeights.worstAccountFirst());
+    void tokensAheadOfAQuietAccountExcludeAnotherAccountsBacklog() {
+        FairScheduler<String> order = new FairScheduler<>(QueueWeights.worstAccountFirst());
         for (int index = 0; index < 100; index++) {
             order.add(request("flood", "adapter", 100, 5));
         }
--- a/serving/src/test/java/org/geraniumreach/serving/queue/GradientLimitTest.java
+++ b/serving/src/test/java/org/geraniumreach/serving/queue/GradientLimitTest.java
@@ -17,19 +17,19 @@
 
     @ParameterizedTest
     @CsvSource({"8, 4", "32, 4", "32, 120", "64, 16"})
-    void limitSettlesAboveTheCapacityAndWellBelowTwiceIt(int capacity, int first) {
+    void limitConvergesBetweenTheCapacityAndTwiceTheCapacity(int capacity, int first) {
         GradientLimit limit = GradientLimit.create(1, first, 256, 1.5);
         for (int sample = 0; sample < SAMPLES; sample++) {
-            limit.sample(nanosPerToken(limit.limit(), capacity), limit.limit());
+            limit.onSample(nanosPerToken(limit.limit(), capacity), limit.limit());
         }
         assertThat(limit.limit()).isBetween((int) (0.9 * capacity), 2 * capacity);
     }
 
     @Test
-    void limitDoesNotGrowWhileLittleOfItIsUsed() {
+    void limitDoesNotGrowWhileMostOfItIsUnused() {
         GradientLimit limit = GradientLimit.create(1, 8, 256, 1.5);
         for (int sample = 0; sample < SAMPLES; sample++) {
-            limit.sample(10e6, 2);
+            limit.onSample(10e6, 2);
         }
         assertThat(limit.limit()).isEqualTo(8);
     }
@@ -37,9 +37,9 @@
     @Test
     void limitFallsWhenLatencyRises() {
         GradientLimit limit = GradientLimit.create(1, 100, 256, 1.5);
-        limit.sample(10e6, 100);
+        limit.onSample(10e6, 100);
         for (int sample = 0; sample < 100; sample++) {
-            limit.sample(100e6, limit.limit());
+            limit.onSample(100e6, limit.limit());
         }
         assertThat(limit.limit()).isLessThan(10);
     }
--- a/serving/src/test/java/org/geraniumreach/serving/queue/RequestQueuePropertyTest.java
+++ b/serving/src/test/java/org/geraniumreach/serving/queue/RequestQueuePropertyTest.java
@@ -29,7 +29,7 @@
  */
 class RequestQueuePropertyTest {
 
-    private static final int LIMIT = 4;
+    private static final int CONCURRENCY_LIMIT = 4;
     private static final int ADAPTERS = 5;
     private static final int ACCOUNTS = 3;
     private static final int PASSED_OVER_AT_MOST = 3;
@@ -39,8 +39,8 @@
         TAKE,
         FINISH,
         REMOVE,
-        TOGGLE,
-        TICK
+        TOGGLE_READY,
+        EXPIRE
     }
 
     private record Step(Kind kind, int choice) {}
@@ -56,8 +56,8 @@
                 Kind.FINISH,
                 Kind.FINISH,
                 Kind.REMOVE,
-                Kind.TOGGLE,
-                Kind.TICK);
+                Kind.TOGGLE_READY,
+                Kind.EXPIRE);
         return Combinators.combine(kinds, Arbitraries.integers().between(0, 999))
                 .as(Step::new)
                 .list()
@@ -66,34 +66,34 @@
     }
 
     @Property(seed = "21", tries = 300)
-    void nothingIsLostOrRunTwiceAndNobodyIsPassedOverBeyondTheBound(@ForAll("steps") List<Step> steps) {
-        Oracle oracle = new Oracle(QueuePolicy.FAIR);
+    void fairQueueRunsEachRequestOnceAndBoundsHowOftenItIsPassedOver(@ForAll("steps") List<Step> steps) {
+        Model oracle = new Model(QueuePolicy.FAIR);
         steps.forEach(oracle::apply);
         oracle.finish();
     }
 
     @Property(seed = "22", tries = 100)
-    void firstComeLosesNothingAndPassesNobodyOver(@ForAll("steps") List<Step> steps) {
-        Oracle oracle = new Oracle(QueuePolicy.FIRST_COME);
+    void firstComeQueueRunsEachRequestOnceInOrderOfArrival(@ForAll("steps") List<Step> steps) {
+        Model oracle = new Model(QueuePolicy.FIRST_COME);
         steps.forEach(oracle::apply);
         oracle.finish();
     }
 
     /** What must be, beside what is. */
-    private static final class Oracle {
+    private static final class Model {
         private final ManualClock clock = new ManualClock();
-        private final int bound;
+        private final int passedOverBound;
         private final RequestQueue<Integer> queue;
         private final List<QueuedRequest<Integer>> waiting = new ArrayList<>();
         private final List<QueuedRequest<Integer>> running = new ArrayList<>();
-        private final Map<AttemptId, Integer> passedOver = new HashMap<>();
-        private final Set<AdapterReference> ready = new HashSet<>();
+        private final Map<AttemptId, Integer> passedOverCounts = new HashMap<>();
+        private final Set<AdapterReference> readyAdapters = new HashSet<>();
         private int arrivals;
 
-        private Oracle(QueuePolicy policy) {
-            bound = policy == QueuePolicy.FAIR ? PASSED_OVER_AT_MOST : 0;
+        private Model(QueuePolicy policy) {
+            passedOverBound = policy == QueuePolicy.FAIR ? PASSED_OVER_AT_MOST : 0;
             queue = RequestQueue.create(
-                    policy, new QueueWeights(PASSED_OVER_AT_MOST, 50, 1.25), ConcurrencyLimit.fixed(LIMIT), clock);
+                    policy, new QueueWeights(PASSED_OVER_AT_MOST, 50, 1.25), ConcurrencyLimit.fixed(CONCURRENCY_LIMIT), clock);
         }
 
         private void apply(Step step) {
@@ -102,7 +102,7 @@
                 case TAKE -> take();
                 case FINISH -> finish(step.choice());
                 case REMOVE -> remove(step.choice());
-                case TOGGLE -> toggle(step.choice());
+                case TOGGLE_READY -> toggleReady(step.choice());
                 default -> expire(step.choice());
             }
             checkCounts();
@@ -129,27 +129,27 @@
         }
 
         private boolean isReady(QueuedRequest<Integer> request) {
-            return request.adapter().map(ready::contains).orElse(true);
+            return request.adapter().map(readyAdapters::contains).orElse(true);
         }
 
         private boolean take() {
-            Optional<QueuedRequest<Integer>> taken = queue.take(ready::contains);
-            boolean possible = running.size() < LIMIT && waiting.stream().anyMatch(this::isReady);
+            Optional<QueuedRequest<Integer>> taken = queue.take(readyAdapters::contains);
+            boolean possible = running.size() < CONCURRENCY_LIMIT && waiting.stream().anyMatch(this::isReady);
             assertThat(taken.isPresent()).as("work conserving").isEqualTo(possible);
-            taken.ifPresent(this::started);
+            taken.ifPresent(this::onStarted);
             return taken.isPresent();
         }
 
-        private void started(QueuedRequest<Integer> request) {
+        private void onStarted(QueuedRequest<Integer> request) {
             assertThat(waiting.remove(request)).as("was waiting").isTrue();
             assertThat(isReady(request)).isTrue();
             running.add(request);
             for (QueuedRequest<Integer> other : waiting) {
                 boolean passed = other.account().equals(request.account()) && other.payload() < request.payload();
                 if (passed && isReady(other)) {
-                    assertThat(passedOver.merge(other.attempt(), 1, Integer::sum))
+                    assertThat(passedOverCounts.merge(other.attempt(), 1, Integer::sum))
                             .as("passed over")
-                            .isLessThanOrEqualTo(bound);
+                            .isLessThanOrEqualTo(passedOverBound);
                 }
             }
         }
@@ -170,10 +170,10 @@
             }
         }
 
-        private void toggle(int choice) {
+        private void toggleReady(int choice) {
             AdapterReference adapter = adapter(choice % ADAPTERS);
-            if (!ready.remove(adapter)) {
-                ready.add(adapter);
+            if (!readyAdapters.remove(adapter)) {
+                readyAdapters.add(adapter);
             }
         }
 
@@ -194,7 +194,7 @@
 
         private void finish() {
             for (int number = 0; number < ADAPTERS; number++) {
-                ready.add(adapter(number));
+                readyAdapters.add(adapter(number));
             }
             while (!waiting.isEmpty()) {
                 while (take()) {
--- a/serving/src/test/java/org/geraniumreach/serving/residency/ResidencyPropertyTest.java
+++ b/serving/src/test/java/org/geraniumreach/serving/residency/ResidencyPropertyTest.java
@@ -31,17 +31,17 @@
 
     private static final int SLOTS = 3;
     private static final int ADAPTERS = 6;
-    private static final int ROUNDS_TO_FINISH = 400;
+    private static final int MAXIMUM_ROUNDS_TO_FINISH = 400;
 
     private enum Kind {
         REQUEST,
         PIN,
         RELEASE,
-        ORDERS,
+        START_LOADS,
         LOADED,
         FAILED,
-        WITHDRAW,
-        TICK,
+        CANCEL,
+        ADVANCE_CLOCK,
         RESTART,
         SYNCHRONISE
     }
@@ -54,11 +54,11 @@
                 Tuple.of(12, Arbitraries.just(Kind.REQUEST)),
                 Tuple.of(8, Arbitraries.just(Kind.PIN)),
                 Tuple.of(5, Arbitraries.just(Kind.RELEASE)),
-                Tuple.of(8, Arbitraries.just(Kind.ORDERS)),
+                Tuple.of(8, Arbitraries.just(Kind.START_LOADS)),
                 Tuple.of(7, Arbitraries.just(Kind.LOADED)),
                 Tuple.of(1, Arbitraries.just(Kind.FAILED)),
-                Tuple.of(2, Arbitraries.just(Kind.WITHDRAW)),
-                Tuple.of(4, Arbitraries.just(Kind.TICK)),
+                Tuple.of(2, Arbitraries.just(Kind.CANCEL)),
+                Tuple.of(4, Arbitraries.just(Kind.ADVANCE_CLOCK)),
                 Tuple.of(1, Arbitraries.just(Kind.RESTART)),
                 Tuple.of(1, Arbitraries.just(Kind.SYNCHRONISE)));
         return Combinators.combine(kinds, Arbitraries.integers().between(0, 999))
@@ -69,25 +69,25 @@
     }
 
     @Property(seed = "11", tries = 400)
-    void pinsHoldAndSlotsSufficeAndEachRequestIsToldOnce(@ForAll("steps") List<Step> steps) {
-        Oracle oracle = new Oracle();
+    void pinnedAdaptersStaySlotsAreNotExceededAndEachRequestGetsOneResult(@ForAll("steps") List<Step> steps) {
+        Model oracle = new Model();
         steps.forEach(oracle::apply);
         oracle.finish();
     }
 
     /** What must be, beside what is. */
-    private static final class Oracle {
+    private static final class Model {
         private final ManualClock clock = new ManualClock();
         private final Residency residency = Residency.create(
                 ResidencySettings.standard(SLOTS), FleetLoads.create(clock, Duration.ofSeconds(1)), clock);
         private final Set<AdapterReference> held = new HashSet<>();
         private final Map<AttemptId, AdapterReference> waiting = new HashMap<>();
         private final List<Pin> pins = new ArrayList<>();
-        private final List<LoadOrder> orders = new ArrayList<>();
+        private final List<LoadOrder> commands = new ArrayList<>();
         private long incarnation = 1;
-        private int attempts;
+        private int attemptCount;
 
-        private Oracle() {
+        private Model() {
             residency.synchronise(incarnation, held, clock.nanos());
         }
 
@@ -96,12 +96,12 @@
                 case REQUEST -> request(step.choice() % ADAPTERS);
                 case PIN -> pin(step.choice());
                 case RELEASE -> choose(pins, step.choice()).forEach(this::release);
-                case ORDERS -> takeOrders();
-                case LOADED -> choose(orders, step.choice()).forEach(this::loaded);
-                case FAILED -> choose(orders, step.choice()).forEach(this::failed);
-                case WITHDRAW -> choose(new ArrayList<>(waiting.keySet()), step.choice())
-                        .forEach(this::withdraw);
-                case TICK -> clock.advance(Duration.ofMillis(step.choice()));
+                case START_LOADS -> startLoads();
+                case LOADED -> choose(commands, step.choice()).forEach(this::completeLoad);
+                case FAILED -> choose(commands, step.choice()).forEach(this::failLoad);
+                case CANCEL -> choose(new ArrayList<>(waiting.keySet()), step.choice())
+                        .forEach(this::cancel);
+                case ADVANCE_CLOCK -> clock.advance(Duration.ofMillis(step.choice()));
                 case RESTART -> restart();
                 default -> residency.synchronise(incarnation, held, clock.nanos());
             }
@@ -113,10 +113,10 @@
         }
 
         private void request(int adapter) {
-            AttemptId attempt = AttemptId.of("attempt-" + ++attempts);
+            AttemptId attempt = AttemptId.of("attempt-" + ++attemptCount);
             AdapterReference reference = AdapterReference.of("adapter-" + adapter, "1");
             if (residency
-                            .request(attempt, AccountId.of("account-" + attempts % 2), reference, 100)
+                            .request(attempt, AccountId.of("account-" + attemptCount % 2), reference, 100)
                             .state()
                     != Answer.State.REFUSED) {
                 waiting.put(attempt, reference);
@@ -139,42 +139,42 @@
             pins.remove(pin);
         }
 
-        private void takeOrders() {
+        private void startLoads() {
             for (LoadOrder order : residency.orders()) {
                 order.evicted().ifPresent(evicted -> {
                     assertThat(pins).as("pins of the evicted").noneMatch(pin -> pin.adapter()
                             .equals(evicted));
                     assertThat(held.remove(evicted)).as("evicted was held").isTrue();
                 });
-                assertThat(orders).as("loads of one adapter").noneMatch(other -> other.adapter()
+                assertThat(commands).as("loads of one adapter").noneMatch(other -> other.adapter()
                         .equals(order.adapter()));
-                orders.add(order);
+                commands.add(order);
             }
         }
 
-        private void loaded(LoadOrder order) {
-            orders.remove(order);
+        private void completeLoad(LoadOrder order) {
+            commands.remove(order);
             held.add(order.adapter());
             assertThat(residency.loaded(order)).isTrue();
             assertThat(residency.loaded(order)).as("told twice").isFalse();
         }
 
-        private void failed(LoadOrder order) {
-            orders.remove(order);
+        private void failLoad(LoadOrder order) {
+            commands.remove(order);
             for (AttemptId attempt : residency.failed(order)) {
                 assertThat(waiting.remove(attempt)).as("told once").isEqualTo(order.adapter());
             }
             assertThat(waiting.values()).as("waiters not told").doesNotContain(order.adapter());
         }
 
-        private void withdraw(AttemptId attempt) {
+        private void cancel(AttemptId attempt) {
             assertThat(residency.withdraw(attempt)).isTrue();
             waiting.remove(attempt);
         }
 
         private void restart() {
-            List<LoadOrder> before = List.copyOf(orders);
-            orders.clear();
+            List<LoadOrder> before = List.copyOf(commands);
+            commands.clear();
             held.clear();
             residency.synchronise(++incarnation, held, clock.nanos());
             pins.forEach(Pin::release);
@@ -185,17 +185,17 @@
 
         private void checkSlots() {
             assertThat(residency.resident()).isEqualTo(held);
-            assertThat(held.size() + orders.size()).as("slots used").isLessThanOrEqualTo(SLOTS);
+            assertThat(held.size() + commands.size()).as("slots used").isLessThanOrEqualTo(SLOTS);
         }
 
         /* Whoever still waits gets its adapter in the end, if requests end and loads succeed. */
         private void finish() {
-            for (int round = 0; round < ROUNDS_TO_FINISH && !waiting.isEmpty(); round++) {
+            for (int round = 0; round < MAXIMUM_ROUNDS_TO_FINISH && !waiting.isEmpty(); round++) {
                 clock.advance(Duration.ofMillis(500));
                 List.copyOf(pins).forEach(this::release);
-                takeOrders();
-                List.copyOf(orders).forEach(this::loaded);
-                for (int index = 0; index < attempts && !waiting.isEmpty(); index++) {
+                startLoads();
+                List.copyOf(commands).forEach(this::completeLoad);
+                for (int index = 0; index < attemptCount && !waiting.isEmpty(); index++) {
                     pin(index);
                 }
                 checkSlots();
--- a/serving/src/test/java/org/geraniumreach/serving/residency/ResidencyTest.java
+++ b/serving/src/test/java/org/geraniumreach/serving/residency/ResidencyTest.java
@@ -21,17 +21,17 @@
     private static final AdapterReference COLD = AdapterReference.of("cold", "1");
 
     private final ManualClock clock = new ManualClock();
-    private final FleetLoads fleet = FleetLoads.create(clock, Duration.ofSeconds(1));
-    private int attempts;
+    private final FleetLoads fleetLoads = FleetLoads.create(clock, Duration.ofSeconds(1));
+    private int attemptCount;
 
     private Residency residency(int slots) {
-        Residency residency = Residency.create(ResidencySettings.standard(slots), fleet, clock);
+        Residency residency = Residency.create(ResidencySettings.standard(slots), fleetLoads, clock);
         residency.synchronise(1, Set.of(), clock.nanos());
         return residency;
     }
 
     private AttemptId request(Residency residency, AdapterReference adapter) {
-        AttemptId attempt = AttemptId.of("attempt-" + ++attempts);
+        AttemptId attempt = AttemptId.of("attempt-" + ++attemptCount);
         residency.request(attempt, adapter, 1);
         return attempt;
     }
@@ -47,7 +47,7 @@
      * ends, the next has begun, so the slot is never free. After the patience the slot takes no new request, and runs out.
      */
     @Test
-    void slotInUseThroughoutRunsOutForOneThatWaitedLong() {
+    void busySlotIsRetiredForARequestThatWaitedLongerThanItsPatience() {
         Residency residency = residency(1);
         load(residency, HOT);
         Pin running = residency.pin(request(residency, HOT), HOT).orElseThrow();
@@ -65,7 +65,7 @@
      * away; unless the slot is kept on, nobody wants the load that would end this, and it takes no request again.
      */
     @Test
-    void slotThatRunsOutIsKeptWhenNobodyWaitsForItAnyMore() {
+    void retiringSlotIsKeptWhenTheWaitingRequestIsCancelled() {
         Residency residency = residency(1);
         load(residency, HOT);
         residency.pin(request(residency, HOT), HOT).orElseThrow();
@@ -82,7 +82,7 @@
      * recency alone it would push the hot one out, by frequency the wave's own go first.
      */
     @Test
-    void waveOfColdAdaptersLeavesTheHotOneIn() {
+    void burstOfColdAdaptersDoesNotEvictTheHotOne() {
         Residency residency = residency(2);
         for (int use = 0; use < 10; use++) {
             load(residency, HOT);
@@ -96,8 +96,8 @@
 
     @ParameterizedTest
     @EnumSource(LoadPolicy.class)
-    void oneLoadServesAllWhoWaitForTheAdapter(LoadPolicy policy) {
-        Residency residency = Residency.create(ResidencySettings.standard(4).withLoading(policy), fleet, clock);
+    void requestsForTheSameAdapterShareOneLoad(LoadPolicy policy) {
+        Residency residency = Residency.create(ResidencySettings.standard(4).withLoading(policy), fleetLoads, clock);
         request(residency, COLD);
         request(residency, COLD);
         assertThat(residency.orders()).hasSize(1);
@@ -109,9 +109,9 @@
      * until they are done; and if their news stops coming, it goes on.
      */
     @Test
-    void loadsWaitWhileTheFleetIsAtItsLimitAndNewsIsFresh() {
+    void loadsWaitWhileFreshReportsShowTheFleetAtItsLimit() {
         Residency residency = residency(4);
-        fleet.news(TargetId.of("other"), ResidencySettings.standard(4).loadsFleetWide(), 0, 0);
+        fleetLoads.news(TargetId.of("other"), ResidencySettings.standard(4).loadsFleetWide(), 0, 0);
         request(residency, COLD);
         assertThat(residency.orders()).isEmpty();
         clock.advance(Duration.ofMillis(1500));
@@ -123,7 +123,7 @@
      * caller's; by waiting work all of these are loaded first. Fair over accounts, the caller's is the first or second.
      */
     @Test
-    void accountWithOneColdAdapterIsNotHeldBackByAnothersMany() {
+    void accountWithOneColdAdapterIsNotStarvedByAnAccountWithMany() {
         Residency residency = residency(8);
         for (int cold = 0; cold < 20; cold++) {
             for (int waiter = 0; waiter < 5; waiter++) {
@@ -137,11 +137,11 @@
     }
 
     @Test
-    void loadOfOneThatWaitedOutItsPatienceStartsAboveTheFleetsLimit() {
+    void loadStartsAboveTheFleetLimitOnceItsPatienceIsExceeded() {
         Residency residency = residency(4);
         request(residency, COLD);
         clock.advance(Duration.ofSeconds(2));
-        fleet.news(TargetId.of("other"), 100, 0, 0);
+        fleetLoads.news(TargetId.of("other"), 100, 0, 0);
         assertThat(residency.orders()).hasSize(1);
     }
 
@@ -150,7 +150,7 @@
      * at once, and requests that follow are refused until the backoff is over, which doubles.
      */
     @Test
-    void requestsAreRefusedForAWhileAfterAFailedLoad() {
+    void requestsAreRefusedDuringTheBackoffAfterAFailedLoad() {
         Residency residency = residency(2);
         for (long expected = 500; expected <= 2000; expected *= 2) {
             AttemptId attempt = request(residency, COLD);
--- a/serving/src/test/java/org/geraniumreach/serving/retry/RetryBudgetPropertyTest.java
+++ b/serving/src/test/java/org/geraniumreach/serving/retry/RetryBudgetPropertyTest.java
@@ -16,17 +16,17 @@
 
     private static final double RATIO = 0.2;
     private static final double FLOOR_PER_SECOND = 2;
-    private static final double SIZE = 10;
-    private static final int MANY = 10_000;
+    private static final double CAPACITY = 10;
+    private static final int MAXIMUM_RETRIES = 10_000;
 
     /*
      * Callers see all targets fail when only one failure domain is lost. Every failed request is sent again at once, and the
      * targets that are left break under twice their load. Retries stay within what successes and time have earned.
      */
     @Property(seed = "41", tries = 500)
-    void retriesStayWithinWhatSuccessesAndTimeEarn(@ForAll @Size(max = 400) List<@IntRange(max = 9) Integer> steps) {
+    void retriesNeverExceedTheBudgetEarnedBySuccessesAndTime(@ForAll @Size(max = 400) List<@IntRange(max = 9) Integer> steps) {
         ManualClock clock = new ManualClock();
-        RetryBudget budget = RetryBudget.create(clock, RATIO, FLOOR_PER_SECOND, SIZE);
+        RetryBudget budget = RetryBudget.create(clock, RATIO, FLOOR_PER_SECOND, CAPACITY);
         int successes = 0;
         int retries = 0;
         for (int step : steps) {
@@ -38,21 +38,21 @@
             } else if (budget.tryRetry()) {
                 retries++;
             }
-            double earned = RATIO * successes + FLOOR_PER_SECOND * clock.nanos() / 1e9 + SIZE;
+            double earned = RATIO * successes + FLOOR_PER_SECOND * clock.nanos() / 1e9 + CAPACITY;
             assertThat((double) retries).isLessThanOrEqualTo(earned + 1e-6);
         }
     }
 
     @Property(seed = "42", tries = 50)
-    void someRetriesAreGrantedWhenNothingSucceeds(@ForAll @IntRange(min = 1, max = 60) int seconds) {
+    void floorRateIsGrantedWhenNothingSucceeds(@ForAll @IntRange(min = 1, max = 60) int seconds) {
         ManualClock clock = new ManualClock();
-        RetryBudget budget = RetryBudget.create(clock, RATIO, FLOOR_PER_SECOND, SIZE);
+        RetryBudget budget = RetryBudget.create(clock, RATIO, FLOOR_PER_SECOND, CAPACITY);
         int retries = 0;
         for (int second = 0; second < seconds; second++) {
             clock.advance(Duration.ofSeconds(1));
-            retries += burst(budget);
+            retries += retryUntilDenied(budget);
         }
-        assertThat(retries).isBetween((int) (FLOOR_PER_SECOND * seconds), (int) (FLOOR_PER_SECOND * seconds + SIZE));
+        assertThat(retries).isBetween((int) (FLOOR_PER_SECOND * seconds), (int) (FLOOR_PER_SECOND * seconds + CAPACITY));
     }
 
     /*
@@ -60,19 +60,19 @@
      * bound on what is saved up, the retries of a whole hour come at once.
      */
     @Test
-    void retriesOfAQuietHourAreNotSavedUp() {
+    void unusedRetriesDoNotAccumulateBeyondTheCapacity() {
         ManualClock clock = new ManualClock();
-        RetryBudget budget = RetryBudget.create(clock, RATIO, FLOOR_PER_SECOND, SIZE);
+        RetryBudget budget = RetryBudget.create(clock, RATIO, FLOOR_PER_SECOND, CAPACITY);
         for (int success = 0; success < 100_000; success++) {
             budget.succeeded();
         }
         clock.advance(Duration.ofHours(1));
-        assertThat(burst(budget)).isEqualTo((int) SIZE);
+        assertThat(retryUntilDenied(budget)).isEqualTo((int) CAPACITY);
     }
 
-    private static int burst(RetryBudget budget) {
+    private static int retryUntilDenied(RetryBudget budget) {
         int retries = 0;
-        while (retries < MANY && budget.tryRetry()) {
+        while (retries < MAXIMUM_RETRIES && budget.tryRetry()) {
             retries++;
         }
         return retries;
--- a/serving/src/test/java/org/geraniumreach/serving/retry/RetryPolicyTest.java
+++ b/serving/src/test/java/org/geraniumreach/serving/retry/RetryPolicyTest.java
@@ -27,7 +27,7 @@
         "false, YES, false, 1, false",
         "true, NO, false, 3, false"
     })
-    void onlyRepeatableRequestsOrThoseNotRunAreTriedAgain(
+    void onlyRepeatableRequestsOrThoseThatDidNotRunAreRetried(
             boolean repeatable, Ran ran, boolean begun, int failures, boolean expected) {
         RetryPolicy policy = RetryPolicy.budgeted(
                 RetryBudget.create(new ManualClock(), 0.1, 1, 10),
@@ -40,7 +40,7 @@
 
     @ParameterizedTest
     @CsvSource({"1, 10", "2, 20", "4, 80", "5, 100", "60, 100"})
-    void delaysAreSpreadUpToABoundThatDoubles(int failures, long bound) {
+    void delaysAreSpreadUpToABoundThatDoublesWithEachFailure(int failures, long bound) {
         Backoff backoff = new Backoff(Duration.ofMillis(10), Duration.ofMillis(100));
         Random random = new Random(1);
         long longest = 0;
--- a/serving/src/test/java/org/geraniumreach/serving/retry/TargetHealthTest.java
+++ b/serving/src/test/java/org/geraniumreach/serving/retry/TargetHealthTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void failuresInARowEjectAndFewerDoNot() {
+    void consecutiveFailuresEjectOnlyAtTheThreshold() {
         IntStream.range(1, RULES.consecutiveFailures())
                 .forEach(failure -> assertThat(health.failed(id(0))).isEqualTo(TargetHealth.Change.NONE));
         assertThat(health.admits(id(0))).isTrue();
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void errorRateEjectsWithoutFailuresInARow() {
+    void errorRateEjectsWithoutConsecutiveFailures() {
         for (int request = 0; request < RULES.leastRequests(); request += 2) {
             health.succeeded(id(0));
             health.failed(id(0));
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void failuresOfLongAgoDoNotCount() {
+    void failuresOutsideTheWindowDoNotCount() {
         for (int request = 0; request < 5 * RULES.leastRequests(); request++) {
             health.succeeded(id(0));
             health.succeeded(id(0));
@@ -77,7 +77,7 @@
      * ejected again. Its share rises with time instead, and a failure meanwhile ejects it for twice as long.
      */
     @Test
-    void targetIsLetBackByDegrees() {
+    void shareOfARecoveringTargetRisesGradually() {
         eject(0);
         clock.advance(RULES.firstEjection());
         assertThat(admitted(0)).isBetween(50, 150);
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void failureWhileReturningEjectsForTwiceAsLong() {
+    void failureDuringRecoveryDoublesTheEjectionTime() {
         eject(0);
         clock.advance(RULES.firstEjection());
         assertThat(health.failed(id(0))).isEqualTo(TargetHealth.Change.EJECTED);
@@ -104,7 +104,7 @@
      * at once, and all are ejected. Half of them always stay in.
      */
     @Property(seed = "51", tries = 200)
-    void halfOfTheTargetsStayIn(@ForAll @Size(max = 300) List<@IntRange(max = 99) Integer> steps) {
+    void atMostHalfOfTheTargetsAreEjected(@ForAll @Size(max = 300) List<@IntRange(max = 99) Integer> steps) {
         ManualClock time = new ManualClock();
         TargetHealth all = health(time);
         for (int step : steps) {
--- a/serving/src/test/java/org/geraniumreach/serving/routing/AffinityRouterTest.java
+++ b/serving/src/test/java/org/geraniumreach/serving/routing/AffinityRouterTest.java
@@ -28,7 +28,7 @@
 
 class AffinityRouterTest {
 
-    private static final int LIMIT = 10;
+    private static final int CONCURRENCY_LIMIT = 10;
     private static final AdapterReference ADAPTER = AdapterReference.of("adapter", "1");
 
     private final ManualClock clock = new ManualClock();
@@ -57,7 +57,7 @@
     private void report(int number, int load, Set<AdapterReference> resident, Set<AdapterReference> loading) {
         long sequence = sequences.merge(id(number), 1L, Long::sum);
         fleet.apply(new TargetStatus(
-                id(number), sequence, 1, load, 0, 0, LIMIT, 8, true, resident, Set.of(), loading, false, 0));
+                id(number), sequence, 1, load, 0, 0, CONCURRENCY_LIMIT, 8, true, resident, Set.of(), loading, false, 0));
     }
 
     private Router router() {
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void entriesThatLearntOfTheTargetsInAnotherOrderAgreeOnTheHome() {
+    void homeDoesNotDependOnTheOrderInWhichTargetsJoin() {
         FleetView other = FleetView.create(clock);
         joinAll(16);
         for (int number = 15; number >= 0; number--) {
@@ -93,7 +93,7 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 7, 15})
-    void lossOfATargetMovesOnlyItsOwnAdapters(int lost) {
+    void removingATargetMovesOnlyItsOwnAdapters(int lost) {
         joinAll(16);
         Map<Integer, TargetId> before = new HashMap<>();
         IntStream.range(0, 300).forEach(adapter -> before.put(adapter, home(fleet, adapter)));
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void residentTargetIsTakenAlthoughItIsNotTheHome() {
+    void targetWithResidentAdapterIsChosenOverTheHome() {
         joinAll(16);
         report(5, 3, ADAPTER);
         assertThat(router().route(request(ADAPTER))).map(Route::target).contains(id(5));
@@ -127,7 +127,7 @@
      */
     @ParameterizedTest
     @CsvSource({"8, 0, RESIDENT", "30, 0, REPLICA", "12, 60, RESIDENT"})
-    void waitingIsWeighedAgainstALoad(int load, int loadsElsewhere, Route.Reason expected) {
+    void replicaIsUsedOnlyWhenALoadIsFasterThanWaiting(int load, int loadsElsewhere, Route.Reason expected) {
         joinAll(16);
         report(5, load, ADAPTER);
         Set<AdapterReference> loading = new HashSet<>();
@@ -141,12 +141,12 @@
      * sees it fill up.
      */
     @Test
-    void ownSendsCountBeforeTheTargetReportsThem() {
+    void sentRequestsCountBeforeTheTargetReportsThem() {
         joinAll(16);
         report(5, 0, ADAPTER);
         Router router = router();
         Set<TargetId> used = new HashSet<>();
-        for (int sent = 0; sent < 4 * LIMIT; sent++) {
+        for (int sent = 0; sent < 4 * CONCURRENCY_LIMIT; sent++) {
             Route route = router.route(request(ADAPTER)).orElseThrow();
             used.add(route.target());
             fleet.sent(route.target());
@@ -171,7 +171,7 @@
 
     @ParameterizedTest
     @CsvSource({"4, 4, true", "9, 4, false"})
-    void ownFailureDomainIsPreferredOnlyWhenItPays(int nearLoad, int farLoad, boolean near) {
+    void ownFailureDomainIsPreferredUnlessItsTargetIsMoreLoaded(int nearLoad, int farLoad, boolean near) {
         joinAll(2);
         report(0, nearLoad, ADAPTER);
         report(1, farLoad, ADAPTER);
@@ -184,7 +184,7 @@
 
     @ParameterizedTest
     @CsvSource({"4, true", "20, false"})
-    void conversationReturnsToItsPrefixUnlessThatCostsMore(int load, boolean returns) {
+    void conversationReturnsToItsCachedPrefixUnlessThatTargetIsTooLoaded(int load, boolean returns) {
         joinAll(2);
         report(0, load, ADAPTER);
         report(1, 3, ADAPTER);
@@ -199,7 +199,7 @@
 
     @ParameterizedTest
     @CsvSource({"2, true", "3, false"})
-    void hopsAreBounded(int tried, boolean found) {
+    void noRouteIsFoundOnceTheHopLimitIsReached(int tried, boolean found) {
         joinAll(16);
         Set<TargetId> excluded = new HashSet<>();
         IntStream.range(0, tried).forEach(number -> excluded.add(id(number)));
--- a/serving/src/test/java/org/geraniumreach/serving/routing/FleetViewPropertyTest.java
+++ b/serving/src/test/java/org/geraniumreach/serving/routing/FleetViewPropertyTest.java
@@ -80,13 +80,13 @@
     }
 
     @Property(seed = "31", tries = 300)
-    void viewFollowsTheTargetsAndRoutersKeepTheirRules(@ForAll("steps") List<Step> steps) {
-        Oracle oracle = new Oracle();
+    void viewMatchesReportsAndRoutersChooseOnlyAllowedTargets(@ForAll("steps") List<Step> steps) {
+        Model oracle = new Model();
         steps.forEach(oracle::apply);
     }
 
     /** A target as it really is. */
-    private static final class Real {
+    private static final class ActualTarget {
         private final Set<AdapterReference> resident = new HashSet<>();
         private Set<AdapterReference> reported = new HashSet<>();
         private final List<Sending> unaccepted = new ArrayList<>();
@@ -98,10 +98,10 @@
     }
 
     /** What must be, beside what is. */
-    private static final class Oracle {
+    private static final class Model {
         private final ManualClock clock = new ManualClock();
         private final FleetView fleet = FleetView.create(clock);
-        private final Map<Integer, Real> targets = new HashMap<>();
+        private final Map<Integer, ActualTarget> targets = new HashMap<>();
         private final TargetFilter filter = target -> !target.equals(id(0));
 
         private static TargetId id(int number) {
@@ -109,7 +109,7 @@
         }
 
         private void apply(Step step) {
-            Real real = targets.get(step.target());
+            ActualTarget real = targets.get(step.target());
             if (step.kind() == Kind.JOIN) {
                 join(step.target());
             } else if (real != null) {
@@ -123,10 +123,10 @@
             Target record =
                     new Target(id(number), FailureDomain.of("domain"), Optional.of("model"), Optional.empty(), 4, true);
             fleet.join(record, InstanceId.of("instance-" + number));
-            targets.put(number, new Real());
+            targets.put(number, new ActualTarget());
         }
 
-        private void apply(Step step, Real real) {
+        private void apply(Step step, ActualTarget real) {
             AdapterReference adapter = AdapterReference.of("adapter-" + step.choice() % ADAPTERS, "1");
             switch (step.kind()) {
                 case LEAVE -> leave(step.target());
@@ -146,16 +146,16 @@
             targets.remove(number);
         }
 
-        private static void restart(Real real) {
+        private static void restart(ActualTarget real) {
             real.incarnation++;
             real.resident.clear();
         }
 
-        private static void drain(Real real) {
+        private static void drain(ActualTarget real) {
             real.draining = !real.draining;
         }
 
-        private static void accept(Real real) {
+        private static void accept(ActualTarget real) {
             if (!real.unaccepted.isEmpty()) {
                 Sending sending = real.unaccepted.remove(0);
                 sending.accepted();
@@ -163,7 +163,7 @@
             }
         }
 
-        private static void end(Real real, int choice) {
+        private static void end(ActualTarget real, int choice) {
             List<Sending> from = choice % 2 == 0 ? real.accepted : real.unaccepted;
             if (!from.isEmpty()) {
                 Sending sending = from.remove(choice % from.size());
@@ -173,7 +173,7 @@
             }
         }
 
-        private void report(Step step, Real real) {
+        private void report(Step step, ActualTarget real) {
             boolean complete = step.choice() % 3 == 0 || real.sequence == 0;
             boolean restarted = real.reportedIncarnation != real.incarnation;
             Set<AdapterReference> added = new HashSet<>(real.resident);
