--- a/serving/src/main/java/org/geraniumreach/serving/admission/AdmissionController.java
+++ b/serving/src/main/java/org/geraniumreach/serving/admission/AdmissionController.java
@@ -4,7 +4,7 @@
 import java.util.Objects;
 
 /**
- * Decides at once whether a request is taken in or refused; it is never held back.
+ * Decides whether a request is admitted or refused, without waiting.
  *
  * <p>Contract: implementations are stateless and safe for use by several threads.
  */
@@ -12,22 +12,22 @@
 public interface AdmissionController {
 
     /**
-     * Decides.
+     * Decides whether to admit a request.
      *
-     * @param estimate what is known of the request's way, not null
+     * @param estimate the estimate for the request, not null
      * @return the decision, not null
      */
     Decision decide(Estimate estimate);
 
     /**
-     * What is known of a request's way at a target.
+     * The estimated work and waiting time of a request at a target.
      *
-     * @param timeToDeadline what is left of its deadline
-     * @param tokensAhead the tokens to be worked off before its turn
-     * @param tokensPerSecond the rate at which the target works, 0 if not known
-     * @param loadWait how long its adapter is still to be waited for
-     * @param requestTokens the tokens that it needs itself
-     * @param requestTokensPerSecond the rate at which one request runs, 0 if not known
+     * @param timeToDeadline the time until the request's deadline
+     * @param tokensAhead the tokens to be processed before the request
+     * @param tokensPerSecond the target's throughput, 0 if unknown
+     * @param loadWait the time until its adapter is loaded
+     * @param requestTokens the tokens that the request itself needs
+     * @param requestTokensPerSecond the throughput of a single request, 0 if unknown
      */
     record Estimate(
             Duration timeToDeadline,
@@ -46,13 +46,13 @@
         }
 
         /**
-         * Works out how long the request waits before it runs.
+         * Computes the waiting time before the request runs.
          *
          * @return the wait in seconds
          */
         double waitSeconds() {
-            double queue = tokensPerSecond > 0 ? tokensAhead / tokensPerSecond : 0;
-            return Math.max(queue, loadWait.toNanos() / 1e9);
+            double queueSeconds = tokensPerSecond > 0 ? tokensAhead / tokensPerSecond : 0;
+            return Math.max(queueSeconds, loadWait.toNanos() / 1e9);
         }
 
         double runSeconds() {
@@ -63,15 +63,15 @@
     /**
      * The decision on a request.
      *
-     * @param isAdmitted whether it is taken in
-     * @param retryAfter when to come back, if it is not
+     * @param isAdmitted whether the request is admitted
+     * @param retryAfter the delay after which to retry if refused, zero if admitted
      */
     record Decision(boolean isAdmitted, Duration retryAfter) {
 
         private static final Decision ADMITTED = new Decision(true, Duration.ZERO);
 
         /**
-         * Obtains the decision to take a request in.
+         * Obtains the decision to admit a request.
          *
          * @return the decision, not null
          */
@@ -80,9 +80,9 @@
         }
 
         /**
-         * Makes the decision to refuse a request.
+         * Obtains the decision to refuse a request.
          *
-         * @param retryAfter when to come back, not null
+         * @param retryAfter the delay after which to retry, not null
          * @return the decision, not null
          */
         public static Decision refused(Duration retryAfter) {
--- a/serving/src/main/java/org/geraniumreach/serving/admission/package-info.java
+++ b/serving/src/main/java/org/geraniumreach/serving/admission/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The decision to take a request in or to refuse it at once with a time to come back.
+ * Admission control: whether a request is admitted, or refused with a delay after which to retry.
  *
- * <p>Use: at a companion, with the tokens ahead that {@link org.geraniumreach.serving.queue.RequestQueue} tells for the
- * client account, the rate at which the target has lately worked, and the load wait that {@link
+ * <p>Use: at a companion, with the tokens ahead that {@link org.geraniumreach.serving.queue.RequestQueue} estimates for
+ * the request, the target's recent throughput, and the load wait that {@link
  * org.geraniumreach.serving.residency.Residency} estimates.
  */
 package org.geraniumreach.serving.admission;
--- a/serving/src/main/java/org/geraniumreach/serving/prefix/DecayingPrefixDirectory.java
+++ b/serving/src/main/java/org/geraniumreach/serving/prefix/DecayingPrefixDirectory.java
@@ -11,12 +11,13 @@
 import org.geraniumreach.model.TargetId;
 
 /**
- * A directory whose beliefs fade with time and are corrected by what each request found.
+ * A directory whose confidence in a location decays with time and is corrected by the cache hits and misses of
+ * requests.
  *
- * <p>Invariants: at most {@code capacity} beliefs, the longest unused go first; the confidence halves with each half-life
- * and with each time that the target did not have the prefix although it was expected there; a belief from before a target
- * was forgotten is not answered. So a wrong belief costs one detour and then counts less. Safe for use by several threads:
- * prefixes are spread over shards, each under its own lock.
+ * <p>Invariants: at most {@code capacity} locations are kept, and the least recently used is dropped first; the
+ * confidence halves with each half-life and with each miss at the expected target; a location older than the
+ * invalidation of its target is not returned. So a wrong location costs one detour and then has less weight. Safe for
+ * use by several threads: prefixes are spread over shards, each under its own lock.
  */
 public final class DecayingPrefixDirectory implements PrefixDirectory {
 
@@ -40,11 +41,11 @@
     }
 
     /**
-     * Makes a directory.
+     * Creates an empty directory.
      *
      * @param clock the clock, not null
-     * @param halfLife the time in which a belief loses half its weight, positive
-     * @param capacity the most beliefs kept, at least 1
+     * @param halfLife the half-life of the confidence, positive
+     * @param capacity the maximum number of locations kept, at least 1
      * @return the directory, not null
      */
     public static DecayingPrefixDirectory create(MonotonicClock clock, Duration halfLife, int capacity) {
@@ -96,23 +97,23 @@
     public void ended(PrefixDigest prefix, TargetId target, boolean hit) {
         Shard shard = shardOf(prefix);
         synchronized (shard) {
-            Entry known = shard.get(prefix);
-            shard.put(prefix, new Entry(target, confidenceAfter(known, target, hit), clock.nanos()));
+            Entry previous = shard.get(prefix);
+            shard.put(prefix, new Entry(target, confidenceAfter(previous, target, hit), clock.nanos()));
         }
     }
 
     /*
-     * A target that evicts prefixes soon would draw every turn of a conversation to itself and find nothing each time. Its
-     * misses lower the confidence with which the next belief starts, so balance outweighs it after a few turns.
+     * A target that evicts prefixes early would attract every turn of a conversation and miss each time. Each miss
+     * lowers the confidence with which the next location starts, so after a few turns load balance outweighs it.
      */
-    private double confidenceAfter(Entry known, TargetId target, boolean hit) {
+    private double confidenceAfter(Entry previous, TargetId target, boolean hit) {
         if (hit) {
             return 1;
         }
-        if (known == null || !known.target.equals(target) || isInvalidated(known)) {
+        if (previous == null || !previous.target.equals(target) || isInvalidated(previous)) {
             return INITIAL_CONFIDENCE;
         }
-        return known.confidence * CONFIDENCE_FACTOR_AFTER_MISS;
+        return previous.confidence * CONFIDENCE_FACTOR_AFTER_MISS;
     }
 
     @Override
@@ -121,8 +122,8 @@
     }
 
     private boolean isInvalidated(Entry entry) {
-        Long at = invalidatedNanos.get(entry.target);
-        return at != null && entry.updatedNanos - at <= 0;
+        Long invalidated = invalidatedNanos.get(entry.target);
+        return invalidated != null && entry.updatedNanos - invalidated <= 0;
     }
 
     private double decayedConfidence(Entry entry) {
--- a/serving/src/main/java/org/geraniumreach/serving/prefix/NoOpPrefixDirectory.java
+++ b/serving/src/main/java/org/geraniumreach/serving/prefix/NoOpPrefixDirectory.java
@@ -4,7 +4,7 @@
 
 import org.geraniumreach.model.TargetId;
 
-/** The baseline that believes nothing; stateless and safe for use by several threads. */
+/** A directory that knows no locations; stateless and safe for use by several threads. */
 enum NoOpPrefixDirectory implements PrefixDirectory {
     INSTANCE;
 
--- a/serving/src/main/java/org/geraniumreach/serving/prefix/PrefixDigest.java
+++ b/serving/src/main/java/org/geraniumreach/serving/prefix/PrefixDigest.java
@@ -6,11 +6,11 @@
 import org.geraniumreach.model.AdapterReference;
 
 /**
- * The digest of the part of a prompt that a conversation's requests share, under one adapter.
+ * The digest of the prompt prefix that the requests of a conversation share, under one adapter.
  *
- * <p>Invariant: a digest stands for a text under one adapter and version, since an engine's cache does not serve another
- * adapter. Two texts may share a digest; that costs a detour and no correctness, because the engine compares for itself.
- * Immutable and safe for use by several threads.
+ * <p>Invariant: a digest covers the text, the adapter and its version, since an engine's cached prefix cannot be used
+ * with another adapter. Two texts may have the same digest; that costs a detour but no correctness, because the engine
+ * compares the text itself. Immutable and safe for use by several threads.
  *
  * @param high the first 64 bits
  * @param low the last 64 bits
@@ -18,7 +18,7 @@
 public record PrefixDigest(long high, long low) {
 
     /**
-     * Digests a prefix.
+     * Computes the digest of a prefix.
      *
      * @param adapter the adapter, not null
      * @param prefix the bytes of the shared text, not null
--- a/serving/src/main/java/org/geraniumreach/serving/prefix/PrefixDirectory.java
+++ b/serving/src/main/java/org/geraniumreach/serving/prefix/PrefixDirectory.java
@@ -5,39 +5,39 @@
 import org.geraniumreach.model.TargetId;
 
 /**
- * Remembers where the prefixes of conversations were last run.
+ * Records at which target each conversation's prefix was last run.
  *
- * <p>Contract: a belief may be wrong at any time and must cost little then; implementations keep bounded memory and are
+ * <p>Contract: a location may be wrong at any time, which must cost little; implementations use bounded memory and are
  * safe for use by several threads.
  */
 public interface PrefixDirectory {
 
     /**
-     * Finds where a prefix is believed to be.
+     * Finds the target that probably caches a prefix.
      *
      * @param prefix the prefix, not null
-     * @return the belief, or empty if there is none worth having
+     * @return the location, or empty if none is known with enough confidence
      */
     Optional<PrefixLocation> find(PrefixDigest prefix);
 
     /**
-     * Tells that a request with a prefix ended.
+     * Called when a request with a prefix has ended.
      *
      * @param prefix the prefix, not null
-     * @param target where it ran, not null
+     * @param target the target that ran the request, not null
      * @param hit whether the target found the prefix in its cache
      */
     void ended(PrefixDigest prefix, TargetId target, boolean hit);
 
     /**
-     * Tells that a target holds no prefixes any more, since its engine restarted or it left.
+     * Invalidates all locations at a target whose engine restarted or which left.
      *
      * @param target the target, not null
      */
     void forget(TargetId target);
 
     /**
-     * Obtains the baseline, which believes nothing.
+     * Obtains a directory that knows no locations.
      *
      * @return the directory, not null
      */
--- a/serving/src/main/java/org/geraniumreach/serving/prefix/PrefixLocation.java
+++ b/serving/src/main/java/org/geraniumreach/serving/prefix/PrefixLocation.java
@@ -5,12 +5,12 @@
 import org.geraniumreach.model.TargetId;
 
 /**
- * Where a prefix is believed to be cached.
+ * The target that probably caches a prefix.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @param target the target
- * @param confidence how sure that is, 0 to 1
+ * @param confidence the estimated probability that the target caches the prefix, 0 to 1
  */
 public record PrefixLocation(TargetId target, double confidence) {
 
--- a/serving/src/main/java/org/geraniumreach/serving/queue/AccountQueue.java
+++ b/serving/src/main/java/org/geraniumreach/serving/queue/AccountQueue.java
@@ -11,10 +11,10 @@
 import org.geraniumreach.model.AttemptId;
 
 /**
- * The waiting requests of one client account, in a line for each adapter.
+ * The waiting requests of one client account, in one FIFO queue for each adapter.
  *
- * <p>Invariant: a request that is ready is passed over by at most the allowed number of later ones. Confined to the lock of
- * the queue that uses it.
+ * <p>Invariant: a ready request is passed over by at most the allowed number of later ones. Guarded by the lock of its
+ * {@link RequestQueue}.
  *
  * @param <T> the payload's type
  */
@@ -37,16 +37,19 @@
     }
 
     void add(QueuedRequest<T> request, long arrival) {
-        itemsByAdapter.computeIfAbsent(request.adapter(), adapter -> new ArrayDeque<>()).add(new Item<>(request, arrival));
+        itemsByAdapter
+                .computeIfAbsent(request.adapter(), adapter -> new ArrayDeque<>())
+                .add(new Item<>(request, arrival));
         waitingTokens += request.tokens();
     }
 
     /**
-     * Brings the virtual time up to now if the account had nothing ready until now.
+     * Updates whether the account has a ready request. When it gets its first one, its virtual time is raised to the
+     * scheduler's, so that idle time earns no credit.
      *
-     * @param ready which adapters can run
-     * @param virtualNow the queue's virtual time
-     * @return whether the account has something ready
+     * @param ready tells which adapters can run
+     * @param virtualNow the scheduler's virtual time
+     * @return whether the account has a ready request
      */
     boolean activate(Readiness ready, double virtualNow) {
         boolean hasReady = false;
@@ -73,23 +76,23 @@
     }
 
     /**
-     * Takes the next request out; there must be a ready one.
+     * Removes and returns the next request; at least one must be ready.
      *
-     * @param ready which adapters can run
-     * @param batch what is running
-     * @param passedOverAtMost how many later requests may run before a ready one
+     * @param ready tells which adapters can run
+     * @param batch the running requests, whose adapters are preferred
+     * @param passedOverAtMost the maximum number of later requests that may run before a ready one
      * @return the request
      */
     QueuedRequest<T> take(Readiness ready, RunningBatch batch, int passedOverAtMost) {
         long latest = latestEligibleArrival(ready, passedOverAtMost);
         Item<T> chosen = null;
         int chosenRunning = 0;
-        for (Map.Entry<Optional<AdapterReference>, Deque<Item<T>>> line : itemsByAdapter.entrySet()) {
-            Item<T> head = line.getValue().peekFirst();
-            if (head.arrival > latest || !isReady(line.getKey(), ready)) {
+        for (Map.Entry<Optional<AdapterReference>, Deque<Item<T>>> entry : itemsByAdapter.entrySet()) {
+            Item<T> head = entry.getValue().peekFirst();
+            if (head.arrival > latest || !isReady(entry.getKey(), ready)) {
                 continue;
             }
-            int running = Math.min(1, line.getKey().map(batch::count).orElse(0));
+            int running = Math.min(1, entry.getKey().map(batch::count).orElse(0));
             boolean better = chosen == null
                     || running > chosenRunning
                     || running == chosenRunning && head.arrival < chosen.arrival;
@@ -104,16 +107,17 @@
     }
 
     /*
-     * An adapter that is always in the batch would let its requests run before all others of the account for ever. A ready
-     * request that was passed over often enough lets none that came after it go first.
+     * Requests for an adapter that is always in the batch could run before all others of the account forever. Once a
+     * ready request has been passed over the maximum number of times, only requests that arrived before it may go
+     * first.
      */
     private long latestEligibleArrival(Readiness ready, int passedOverAtMost) {
         long latest = Long.MAX_VALUE;
-        for (Map.Entry<Optional<AdapterReference>, Deque<Item<T>>> line : itemsByAdapter.entrySet()) {
-            if (!isReady(line.getKey(), ready)) {
+        for (Map.Entry<Optional<AdapterReference>, Deque<Item<T>>> entry : itemsByAdapter.entrySet()) {
+            if (!isReady(entry.getKey(), ready)) {
                 continue;
             }
-            for (Item<T> item : line.getValue()) {
+            for (Item<T> item : entry.getValue()) {
                 if (item.passedOver >= passedOverAtMost) {
                     latest = Math.min(latest, item.arrival);
                     break;
@@ -124,11 +128,11 @@
     }
 
     private void incrementPassedOver(long arrival, Readiness ready) {
-        for (Map.Entry<Optional<AdapterReference>, Deque<Item<T>>> line : itemsByAdapter.entrySet()) {
-            if (!isReady(line.getKey(), ready)) {
+        for (Map.Entry<Optional<AdapterReference>, Deque<Item<T>>> entry : itemsByAdapter.entrySet()) {
+            if (!isReady(entry.getKey(), ready)) {
                 continue;
             }
-            for (Item<T> item : line.getValue()) {
+            for (Item<T> item : entry.getValue()) {
                 if (item.arrival > arrival) {
                     break;
                 }
@@ -138,15 +142,15 @@
     }
 
     Optional<QueuedRequest<T>> remove(AttemptId attempt) {
-        for (Iterator<Deque<Item<T>>> each = itemsByAdapter.values().iterator(); each.hasNext(); ) {
-            Deque<Item<T>> line = each.next();
-            for (Iterator<Item<T>> items = line.iterator(); items.hasNext(); ) {
-                QueuedRequest<T> request = items.next().request;
+        for (Iterator<Deque<Item<T>>> queueIterator = itemsByAdapter.values().iterator(); queueIterator.hasNext(); ) {
+            Deque<Item<T>> queue = queueIterator.next();
+            for (Iterator<Item<T>> itemIterator = queue.iterator(); itemIterator.hasNext(); ) {
+                QueuedRequest<T> request = itemIterator.next().request;
                 if (request.attempt().equals(attempt)) {
-                    items.remove();
+                    itemIterator.remove();
                     waitingTokens -= request.tokens();
-                    if (line.isEmpty()) {
-                        each.remove();
+                    if (queue.isEmpty()) {
+                        queueIterator.remove();
                     }
                     return Optional.of(request);
                 }
--- a/serving/src/main/java/org/geraniumreach/serving/queue/ConcurrencyLimit.java
+++ b/serving/src/main/java/org/geraniumreach/serving/queue/ConcurrencyLimit.java
@@ -1,7 +1,7 @@
 package org.geraniumreach.serving.queue;
 
 /**
- * How many requests a target is given at once.
+ * The maximum number of requests that run on a target concurrently.
  *
  * <p>Contract: the limit is at least 1. Implementations are safe for use by several threads.
  */
@@ -10,15 +10,15 @@
     int limit();
 
     /**
-     * Tells of a request that ended.
+     * Called when a request has ended, with its latency.
      *
-     * @param nanosPerToken how long it ran for each token generated
-     * @param running the requests that ran beside it, itself included
+     * @param nanosPerToken its running time for each generated token
+     * @param running the number of requests running when it ended, including itself
      */
     void onSample(double nanosPerToken, int running);
 
     /**
-     * Obtains the baseline, a limit that stays.
+     * Obtains a constant limit.
      *
      * @param limit the limit, at least 1
      * @return the limit, not null
--- a/serving/src/main/java/org/geraniumreach/serving/queue/FairScheduler.java
+++ b/serving/src/main/java/org/geraniumreach/serving/queue/FairScheduler.java
@@ -10,10 +10,11 @@
 /**
  * Start-time fair queueing over client accounts, by tokens.
  *
- * <p>Each account has a virtual time, which its requests advance by their charge; the account that is least far on goes
- * next. Invariants: of two accounts that both have ready requests throughout, neither runs ahead of the other by more than
- * one charge of each and the slack; an account that had nothing ready saves nothing up; within an account, a ready request
- * is passed over by at most the allowed number of later ones. Confined to the lock of the queue that uses it.
+ * <p>Each account has a virtual time, which advances by the charge of each of its requests; the account with the lowest
+ * virtual time goes next. Invariants: if two accounts have ready requests throughout, neither gets ahead of the other
+ * by more than one charge of each plus the slack; an account without ready requests accumulates no credit; within an
+ * account, a ready request is passed over by at most the allowed number of later ones. Guarded by the lock of its
+ * {@link RequestQueue}.
  *
  * @param <T> the payload's type
  */
@@ -32,17 +33,19 @@
     @Override
     public void add(QueuedRequest<T> request) {
         accountByAttempt.put(request.attempt(), request.account());
-        accountQueues.computeIfAbsent(request.account(), account -> new AccountQueue<>()).add(request, ++arrivals);
+        accountQueues
+                .computeIfAbsent(request.account(), account -> new AccountQueue<>())
+                .add(request, ++arrivals);
     }
 
     @Override
     public Optional<QueuedRequest<T>> next(Readiness ready, RunningBatch batch) {
-        AccountQueue<T> least = leastAdvanced(ready);
-        if (least == null) {
+        AccountQueue<T> lowest = leastAdvanced(ready);
+        if (lowest == null) {
             return Optional.empty();
         }
-        AccountQueue<T> chosen = chooseWithinSlack(least, ready, batch);
-        virtualNow = Math.max(virtualNow, least.virtualTime());
+        AccountQueue<T> chosen = chooseWithinSlack(lowest, ready, batch);
+        virtualNow = Math.max(virtualNow, lowest.virtualTime());
         QueuedRequest<T> request = chosen.take(ready, batch, weights.passedOverAtMost());
         chosen.addCharge(weights.charge(request.tokens(), request.priority()));
         accountByAttempt.remove(request.attempt());
@@ -50,28 +53,28 @@
     }
 
     private AccountQueue<T> leastAdvanced(Readiness ready) {
-        AccountQueue<T> least = null;
-        for (AccountQueue<T> line : accountQueues.values()) {
-            if (!line.activate(ready, virtualNow)) {
+        AccountQueue<T> lowest = null;
+        for (AccountQueue<T> queue : accountQueues.values()) {
+            if (!queue.activate(ready, virtualNow)) {
                 continue;
             }
-            if (least == null || line.virtualTime() < least.virtualTime()) {
-                least = line;
+            if (lowest == null || queue.virtualTime() < lowest.virtualTime()) {
+                lowest = queue;
             }
         }
-        return least;
+        return lowest;
     }
 
-    private AccountQueue<T> chooseWithinSlack(AccountQueue<T> least, Readiness ready, RunningBatch batch) {
-        if (weights.accountSlackTokens() == 0 || least.hasReadyInBatch(batch, ready)) {
-            return least;
+    private AccountQueue<T> chooseWithinSlack(AccountQueue<T> lowest, Readiness ready, RunningBatch batch) {
+        if (weights.accountSlackTokens() == 0 || lowest.hasReadyInBatch(batch, ready)) {
+            return lowest;
         }
-        double limit = least.virtualTime() + weights.accountSlackTokens();
-        AccountQueue<T> best = least;
-        for (AccountQueue<T> line : accountQueues.values()) {
-            boolean better = best == least || line.virtualTime() < best.virtualTime();
-            if (line.isActive() && line.virtualTime() <= limit && better && line.hasReadyInBatch(batch, ready)) {
-                best = line;
+        double limit = lowest.virtualTime() + weights.accountSlackTokens();
+        AccountQueue<T> best = lowest;
+        for (AccountQueue<T> queue : accountQueues.values()) {
+            boolean better = best == lowest || queue.virtualTime() < best.virtualTime();
+            if (queue.isActive() && queue.virtualTime() <= limit && better && queue.hasReadyInBatch(batch, ready)) {
+                best = queue;
             }
         }
         return best;
@@ -84,35 +87,35 @@
     }
 
     /*
-     * A request is charged with the most that it may generate. Without giving back what it did not, an account whose answers
-     * end early would get less than its share.
+     * A request is charged for the maximum number of tokens that it may generate. Unless the unused tokens are
+     * refunded, an account whose answers end early would get less than its share.
      */
     @Override
     public void onFinished(QueuedRequest<T> request, long tokensUsed) {
-        AccountQueue<T> line = accountQueues.get(request.account());
-        if (line != null) {
-            line.addCharge(weights.charge(tokensUsed - request.tokens(), request.priority()));
-            removeIfIdle(request.account(), line);
+        AccountQueue<T> queue = accountQueues.get(request.account());
+        if (queue != null) {
+            queue.addCharge(weights.charge(tokensUsed - request.tokens(), request.priority()));
+            removeIfIdle(request.account(), queue);
         }
     }
 
-    private void removeIfIdle(AccountId account, AccountQueue<T> line) {
-        if (line.isEmpty() && line.virtualTime() <= virtualNow) {
+    private void removeIfIdle(AccountId account, AccountQueue<T> queue) {
+        if (queue.isEmpty() && queue.virtualTime() <= virtualNow) {
             accountQueues.remove(account);
         }
     }
 
     @Override
     public long tokensAhead(QueuedRequest<T> request) {
-        long all = 0;
+        long allTokens = 0;
         long waitingAccounts = 0;
-        long own = 0;
+        long ownTokens = 0;
         for (Map.Entry<AccountId, AccountQueue<T>> entry : accountQueues.entrySet()) {
             long tokens = entry.getValue().waitingTokens();
-            all += tokens;
+            allTokens += tokens;
             waitingAccounts += tokens > 0 ? 1 : 0;
-            own = entry.getKey().equals(request.account()) ? tokens : own;
+            ownTokens = entry.getKey().equals(request.account()) ? tokens : ownTokens;
         }
-        return Math.min(all, own * waitingAccounts + request.tokens() * Math.max(0, waitingAccounts - 1));
+        return Math.min(allTokens, ownTokens * waitingAccounts + request.tokens() * Math.max(0, waitingAccounts - 1));
     }
 }
--- a/serving/src/main/java/org/geraniumreach/serving/queue/FirstComeScheduler.java
+++ b/serving/src/main/java/org/geraniumreach/serving/queue/FirstComeScheduler.java
@@ -8,9 +8,9 @@
 import org.geraniumreach.model.AttemptId;
 
 /**
- * The baseline: of the requests that are ready, the one that came first.
+ * A baseline scheduler that runs ready requests in order of arrival.
  *
- * <p>Confined to the lock of the queue that uses it.
+ * <p>Guarded by the lock of its {@link RequestQueue}.
  *
  * @param <T> the payload's type
  */
@@ -27,10 +27,10 @@
 
     @Override
     public Optional<QueuedRequest<T>> next(Readiness ready, RunningBatch batch) {
-        for (Iterator<QueuedRequest<T>> each = waiting.values().iterator(); each.hasNext(); ) {
-            QueuedRequest<T> request = each.next();
+        for (Iterator<QueuedRequest<T>> iterator = waiting.values().iterator(); iterator.hasNext(); ) {
+            QueuedRequest<T> request = iterator.next();
             if (request.adapter().map(ready::isReady).orElse(true)) {
-                each.remove();
+                iterator.remove();
                 waitingTokens -= request.tokens();
                 return Optional.of(request);
             }
--- a/serving/src/main/java/org/geraniumreach/serving/queue/GradientLimit.java
+++ b/serving/src/main/java/org/geraniumreach/serving/queue/GradientLimit.java
@@ -1,13 +1,13 @@
 package org.geraniumreach.serving.queue;
 
 /**
- * A limit found from latency: it grows while the time for each token stays near the least seen, and shrinks as that rises.
+ * An adaptive limit that grows while the time per token stays near its minimum, and shrinks as that time rises.
  *
- * <p>A target that is full throughout never shows how fast it can be, and a least time that merely fades upwards follows
- * the limit without end. So at first often, then now and then, half the limit is given for a while, and the least time is learnt from that: the
- * limit settles where doubling the requests costs more than the tolerance. Invariants: the limit stays between the bounds;
- * it does not grow while less than half of it is used, since latency then says nothing of it. Safe for use by several
- * threads, under its own lock.
+ * <p>The minimum cannot be observed on a target that is always full, and a minimum that slowly decays upwards would let
+ * the limit grow without end. So the limit is halved periodically for a probe, first often and then rarely, in which
+ * the minimum is measured anew. The limit settles where doubling the requests costs more than the tolerance.
+ * Invariants: the limit stays within its bounds; it does not grow while less than half of it is used, since latency
+ * then gives no information about it. Safe for use by several threads, under its own lock.
  */
 public final class GradientLimit implements ConcurrencyLimit {
 
@@ -29,30 +29,31 @@
     private int probeSamplesLeft;
     private int probeSamples;
 
-    private GradientLimit(int least, int first, int greatest, double tolerance) {
-        this.minimumLimit = least;
-        this.maximumLimit = greatest;
+    private GradientLimit(int minimumLimit, int initialLimit, int maximumLimit, double tolerance) {
+        this.minimumLimit = minimumLimit;
+        this.maximumLimit = maximumLimit;
         this.tolerance = tolerance;
-        this.limit = first;
+        this.limit = initialLimit;
     }
 
     /**
-     * Makes a limit.
+     * Creates a limit.
      *
-     * @param least the lower bound, at least 1
-     * @param first the limit before anything is known
-     * @param greatest the upper bound
-     * @param tolerance how many times the least time for a token is still taken, at least 1
+     * @param minimumLimit the lower bound, at least 1
+     * @param initialLimit the initial limit
+     * @param maximumLimit the upper bound
+     * @param tolerance the accepted time per token as a multiple of its minimum, at least 1
      * @return the limit, not null
      */
-    public static GradientLimit create(int least, int first, int greatest, double tolerance) {
-        if (least < 1 || first < least || greatest < first) {
-            throw new IllegalArgumentException("not a rising range: " + least + ", " + first + ", " + greatest);
+    public static GradientLimit create(int minimumLimit, int initialLimit, int maximumLimit, double tolerance) {
+        if (minimumLimit < 1 || initialLimit < minimumLimit || maximumLimit < initialLimit) {
+            throw new IllegalArgumentException("expected 1 <= minimumLimit <= initialLimit <= maximumLimit: "
+                    + minimumLimit + ", " + initialLimit + ", " + maximumLimit);
         }
         if (!(tolerance >= 1)) {
             throw new IllegalArgumentException("tolerance below 1: " + tolerance);
         }
-        return new GradientLimit(least, first, greatest, tolerance);
+        return new GradientLimit(minimumLimit, initialLimit, maximumLimit, tolerance);
     }
 
     @Override
@@ -65,7 +66,9 @@
         if (!(nanosPerToken > 0)) {
             return;
         }
-        smoothedLatency = smoothedLatency == 0 ? nanosPerToken : smoothedLatency + LATENCY_SMOOTHING * (nanosPerToken - smoothedLatency);
+        smoothedLatency = smoothedLatency == 0
+                ? nanosPerToken
+                : smoothedLatency + LATENCY_SMOOTHING * (nanosPerToken - smoothedLatency);
         if (probeSamplesLeft > 0) {
             onProbeSample();
             return;
@@ -93,11 +96,11 @@
 
     private void adjust(int running) {
         double gradient = Math.max(MINIMUM_GRADIENT, Math.min(1, tolerance * baseLatency / smoothedLatency));
-        double wanted = limit * gradient + Math.sqrt(limit);
-        if (wanted > limit && 2 * running < limit) {
+        double desired = limit * gradient + Math.sqrt(limit);
+        if (desired > limit && 2 * running < limit) {
             return;
         }
-        double next = limit + LIMIT_SMOOTHING * (wanted - limit);
+        double next = limit + LIMIT_SMOOTHING * (desired - limit);
         limit = Math.max(minimumLimit, Math.min(maximumLimit, next));
     }
 }
--- a/serving/src/main/java/org/geraniumreach/serving/queue/QueuePolicy.java
+++ b/serving/src/main/java/org/geraniumreach/serving/queue/QueuePolicy.java
@@ -1,10 +1,10 @@
 package org.geraniumreach.serving.queue;
 
-/** The orders of waiting requests, by the names that settings use. */
+/** The policies for ordering waiting requests. Settings use the names of the constants. */
 public enum QueuePolicy {
     /** In order of arrival. */
     FIRST_COME,
-    /** Fair over client accounts, by tokens. */
+    /** Fair queueing over client accounts, by tokens. */
     FAIR;
 
     <T> RequestScheduler<T> createScheduler(QueueWeights weights) {
--- a/serving/src/main/java/org/geraniumreach/serving/queue/QueueWeights.java
+++ b/serving/src/main/java/org/geraniumreach/serving/queue/QueueWeights.java
@@ -1,14 +1,16 @@
 package org.geraniumreach.serving.queue;
 
 /**
- * What the fair order weighs.
+ * The weights of fair queueing.
  *
  * <p>Invariant: all values are in range. Immutable and safe for use by several threads.
  *
- * @param passedOverAtMost how many later requests of the same account may run before a ready one, so that a batch stays on
- *     few adapters; 0 keeps each account's requests in order
- * @param accountSlackTokens how far, in tokens, an account may run ahead of its turn for the same purpose
- * @param priorityStep by what factor a priority's share exceeds that of the one below; 1 disregards priorities
+ * @param passedOverAtMost the maximum number of later requests of the same account that may run before a ready one, so
+ *     that batches use few adapters; 0 keeps each account's requests in order of arrival
+ * @param accountSlackTokens the maximum number of tokens by which an account may run ahead of its turn, for the same
+ *     purpose
+ * @param priorityStep the factor by which the share of each priority exceeds that of the next lower one; 1 ignores
+ *     priorities
  */
 public record QueueWeights(int passedOverAtMost, long accountSlackTokens, double priorityStep) {
 
@@ -25,7 +27,7 @@
     }
 
     /**
-     * Obtains the weights where batches on few adapters count most.
+     * Obtains the weights that favour batches with few adapters.
      *
      * @return the weights, not null
      */
@@ -34,7 +36,7 @@
     }
 
     /**
-     * Obtains the weights where the worst-served client account counts most.
+     * Obtains the weights that favour the worst-served client account.
      *
      * @return the weights, not null
      */
@@ -43,11 +45,11 @@
     }
 
     /**
-     * Works out what a request adds to its account's virtual time.
+     * Computes the amount by which a request advances its account's virtual time.
      *
-     * @param tokens the tokens
-     * @param priority the priority, 0 to 9
-     * @return the tokens, less for a higher priority
+     * @param tokens the request's tokens
+     * @param priority the request's priority, 0 to 9
+     * @return the tokens, scaled down for a higher priority
      */
     double charge(long tokens, int priority) {
         return tokens * Math.pow(priorityStep, DEFAULT_PRIORITY - priority);
--- a/serving/src/main/java/org/geraniumreach/serving/queue/QueuedRequest.java
+++ b/serving/src/main/java/org/geraniumreach/serving/queue/QueuedRequest.java
@@ -10,16 +10,16 @@
 /**
  * A request that waits at a companion for its target.
  *
- * <p>Invariant: the cost is positive; the priority is 0 to 9. Immutable, and safe for use by several threads if the payload
- * is.
+ * <p>Invariant: the number of tokens is positive; the priority is 0 to 9. Immutable, and safe for use by several
+ * threads if the payload is.
  *
- * @param attempt the attempt
- * @param account for whom
- * @param adapter on what, empty for a plain service
- * @param tokens what it costs: its prompt and the most that it may generate
- * @param priority 0 to 9, 9 first
- * @param deadlineNanos when it must be done, by the queue's clock
- * @param payload what the companion needs to run it
+ * @param attempt the request's attempt
+ * @param account the client account
+ * @param adapter the adapter, empty for a plain service
+ * @param tokens the tokens of the prompt plus the maximum number of generated tokens
+ * @param priority 0 to 9, 9 is the highest
+ * @param deadlineNanos the deadline in nanoseconds of the queue's clock
+ * @param payload the data that the companion needs to run the request
  * @param <T> the payload's type
  */
 public record QueuedRequest<T>(
--- a/serving/src/main/java/org/geraniumreach/serving/queue/Readiness.java
+++ b/serving/src/main/java/org/geraniumreach/serving/queue/Readiness.java
@@ -3,18 +3,18 @@
 import org.geraniumreach.model.AdapterReference;
 
 /**
- * Tells which adapters a request can run on at once.
+ * Tells which adapters are ready for requests to run.
  *
- * <p>Contract: called under the queue's lock, so it must not call the queue and must be fast.
+ * <p>Contract: called under the queue's lock, so it must be fast and must not call the queue.
  */
 @FunctionalInterface
 public interface Readiness {
 
     /**
-     * Queries whether a request on an adapter can run at once.
+     * Returns whether a request for an adapter can run immediately.
      *
      * @param adapter the adapter, not null
-     * @return true if it can
+     * @return true if it can run
      */
     boolean isReady(AdapterReference adapter);
 }
--- a/serving/src/main/java/org/geraniumreach/serving/queue/RequestQueue.java
+++ b/serving/src/main/java/org/geraniumreach/serving/queue/RequestQueue.java
@@ -11,11 +11,11 @@
 import org.geraniumreach.model.MonotonicClock;
 
 /**
- * The requests that wait for a target or run on it.
+ * A queue of requests for one target, which also tracks the running ones.
  *
- * <p>Invariants: a request is in one of the states waiting, running and gone, and passes through them in this order; at
- * most the concurrency limit is running when one is taken; one is taken whenever the limit allows and a ready one waits.
- * Safe for use by several threads, under its own lock.
+ * <p>Invariants: a request is waiting, then running, then ended, and may end without running; a request is taken only
+ * while fewer than the concurrency limit are running; {@link #take} returns a request whenever the limit allows and a
+ * ready one is waiting. Safe for use by several threads, under its own lock.
  *
  * @param <T> the payload's type
  */
@@ -36,11 +36,11 @@
     }
 
     /**
-     * Makes an empty queue.
+     * Creates an empty queue.
      *
-     * @param policy the order, not null
-     * @param weights what the order weighs, not null
-     * @param concurrency how many requests run at once, not null
+     * @param policy the scheduling policy, not null
+     * @param weights the weights of the policy, not null
+     * @param concurrency the limit on concurrently running requests, not null
      * @param clock the clock, not null
      * @param <T> the payload's type
      * @return the queue, not null
@@ -53,10 +53,10 @@
     private record RunningRequest<T>(QueuedRequest<T> request, long startedNanos) {}
 
     /**
-     * Puts a request in.
+     * Adds a request.
      *
      * @param request the request, not null
-     * @return false if its attempt is waiting or running already, and nothing changed
+     * @return false if its attempt is already waiting or running, in which case the queue is unchanged
      */
     public synchronized boolean offer(QueuedRequest<T> request) {
         if (running.containsKey(request.attempt()) || waiting.putIfAbsent(request.attempt(), request) != null) {
@@ -68,9 +68,9 @@
     }
 
     /**
-     * Takes the next request to run, if the limit allows another one; {@link #finished} must follow.
+     * Takes the next request to run, if the limit allows one. The caller must report its end by {@link #finished}.
      *
-     * @param ready which adapters can run at once, not null
+     * @param ready tells which adapters can run, not null
      * @return the request, or empty if none can run now
      */
     public synchronized Optional<QueuedRequest<T>> take(Readiness ready) {
@@ -90,7 +90,7 @@
     }
 
     /**
-     * Takes a waiting request out, so that it never runs.
+     * Removes a waiting request, so that it never runs.
      *
      * @param attempt the attempt, not null
      * @return the request, or empty if it is not waiting
@@ -105,9 +105,9 @@
     }
 
     /**
-     * Takes out the waiting requests whose deadline has passed.
+     * Removes the waiting requests whose deadline has passed.
      *
-     * @return the requests, not null
+     * @return the removed requests, not null
      */
     public synchronized List<QueuedRequest<T>> removeExpired() {
         long now = clock.nanos();
@@ -121,11 +121,11 @@
     }
 
     /**
-     * Tells that a running request has ended in whatever way; what is not running is passed over.
+     * Called when a running request has ended, whether it succeeded or not. Ignored if the attempt is not running.
      *
      * @param attempt the attempt, not null
-     * @param tokensUsed what it cost, prompt and generated tokens together, not negative
-     * @param generatedTokens the tokens generated, from which the target's latency is learnt; 0 if it failed
+     * @param tokensUsed the tokens of the prompt and the answer, not negative
+     * @param generatedTokens the tokens of the answer, used to measure the target's latency; 0 if the request failed
      */
     public synchronized void finished(AttemptId attempt, long tokensUsed, long generatedTokens) {
         RunningRequest<T> ended = running.get(attempt);
@@ -141,10 +141,10 @@
     }
 
     /**
-     * Estimates the tokens to be worked off before a request would run.
+     * Estimates the tokens to be processed before a request would run.
      *
      * @param request the request, which need not be in the queue, not null
-     * @return the tokens
+     * @return the number of tokens
      */
     public synchronized long tokensAhead(QueuedRequest<T> request) {
         return scheduler.tokensAhead(request);
@@ -163,7 +163,7 @@
     }
 
     /**
-     * Gets the number of adapters among the running requests.
+     * Gets the number of different adapters of the running requests.
      *
      * @return the number
      */
--- a/serving/src/main/java/org/geraniumreach/serving/queue/RequestScheduler.java
+++ b/serving/src/main/java/org/geraniumreach/serving/queue/RequestScheduler.java
@@ -5,10 +5,10 @@
 import org.geraniumreach.model.AttemptId;
 
 /**
- * The order in which waiting requests run.
+ * Decides the order in which waiting requests run.
  *
- * <p>Contract: {@link #next} answers a request whenever one that is ready waits. Implementations are confined to the lock
- * of the {@link RequestQueue} that uses them.
+ * <p>Contract: {@link #next} returns a request whenever a ready one is waiting. Implementations are guarded by the lock
+ * of their {@link RequestQueue}.
  *
  * @param <T> the payload's type
  */
@@ -17,10 +17,10 @@
     void add(QueuedRequest<T> request);
 
     /**
-     * Takes the next request out.
+     * Removes and returns the next request.
      *
-     * @param ready which adapters can run
-     * @param batch what is running
+     * @param ready tells which adapters can run
+     * @param batch the running requests
      * @return the request, or empty if none is ready
      */
     Optional<QueuedRequest<T>> next(Readiness ready, RunningBatch batch);
@@ -28,18 +28,18 @@
     Optional<QueuedRequest<T>> remove(AttemptId attempt);
 
     /**
-     * Tells that a request that was taken has ended.
+     * Called when a request returned by {@link #next} has ended.
      *
      * @param request the request
-     * @param tokensUsed what it really cost
+     * @param tokensUsed the tokens actually used
      */
     void onFinished(QueuedRequest<T> request, long tokensUsed);
 
     /**
-     * Estimates the tokens to be worked off before a new request of an account would run.
+     * Estimates the tokens to be processed before a new request would run.
      *
      * @param request the request
-     * @return the tokens
+     * @return the number of tokens
      */
     long tokensAhead(QueuedRequest<T> request);
 }
--- a/serving/src/main/java/org/geraniumreach/serving/queue/RunningBatch.java
+++ b/serving/src/main/java/org/geraniumreach/serving/queue/RunningBatch.java
@@ -5,7 +5,7 @@
 
 import org.geraniumreach.model.AdapterReference;
 
-/** The adapters of the requests that a target is running; confined to the lock of the queue that owns it. */
+/** Counts a target's running requests by adapter; guarded by the lock of its {@link RequestQueue}. */
 final class RunningBatch {
 
     private final Map<AdapterReference, Integer> running = new HashMap<>();
--- a/serving/src/main/java/org/geraniumreach/serving/residency/Answer.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/Answer.java
@@ -4,12 +4,12 @@
 import java.util.Objects;
 
 /**
- * What a request is told when it asks for its adapter.
+ * The result of a request for an adapter.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param state whether the adapter is there
- * @param delay how long it is expected to take, or when to come back after a refusal
+ * @param state whether the adapter is available
+ * @param delay the expected waiting time, or the time after which to retry if refused
  */
 public record Answer(State state, Duration delay) {
 
@@ -18,13 +18,13 @@
         Objects.requireNonNull(delay, "delay");
     }
 
-    /** Whether the adapter is there. */
+    /** The states of a requested adapter. */
     public enum State {
         /** The adapter is resident. */
         READY,
-        /** The adapter is loading or will be. */
+        /** The adapter is loading or waiting to be loaded. */
         WAITING,
-        /** The adapter's load failed a moment ago; the request is not taken in. */
+        /** The adapter's load failed recently; the request is not registered. */
         REFUSED
     }
 }
--- a/serving/src/main/java/org/geraniumreach/serving/residency/AwaitedAdapter.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/AwaitedAdapter.java
@@ -7,16 +7,16 @@
 import org.geraniumreach.model.AdapterReference;
 
 /**
- * An adapter that is absent and waited for, as the choice of what to load next sees it.
+ * An absent adapter with requests waiting for it, as input to a {@link LoadScheduler}.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @param adapter the adapter
- * @param waiters the requests that wait for it
- * @param tokens the tokens that these need
- * @param longestWaitNanos how long the first of them has waited
- * @param totalWaitNanos how long all of them together have waited
- * @param waitersByAccount how many of them are each client account's
+ * @param waiters the number of requests that wait for it
+ * @param tokens the tokens that these requests need
+ * @param longestWaitNanos the waiting time of the request that has waited longest
+ * @param totalWaitNanos the sum of the waiting times of all these requests
+ * @param waitersByAccount the number of these requests by client account
  */
 public record AwaitedAdapter(
         AdapterReference adapter,
--- a/serving/src/main/java/org/geraniumreach/serving/residency/EvictionCandidate.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/EvictionCandidate.java
@@ -5,14 +5,14 @@
 import org.geraniumreach.model.AdapterReference;
 
 /**
- * A resident adapter that no request is using, as the choice of what to evict sees it.
+ * A resident adapter as input to an {@link EvictionPolicy}.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @param adapter the adapter
- * @param uses how often it was used, older uses counting less
- * @param idleNanos the time since it was last used
- * @param loadNanos what loading it again is expected to take
+ * @param uses the number of uses, decayed by age
+ * @param idleNanos the time since its last use
+ * @param loadNanos the expected time to load it again
  */
 public record EvictionCandidate(AdapterReference adapter, double uses, long idleNanos, long loadNanos) {
 
--- a/serving/src/main/java/org/geraniumreach/serving/residency/EvictionPolicy.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/EvictionPolicy.java
@@ -1,27 +1,27 @@
 package org.geraniumreach.serving.residency;
 
-/** The ways of choosing what to evict, by the names that settings use. */
+/** The policies for choosing the adapter to evict. Settings use the names of the constants. */
 public enum EvictionPolicy {
-    /** The longest unused. */
+    /** Evicts the least recently used adapter. */
     LEAST_RECENTLY_USED {
         @Override
-        double retentionValue(EvictionCandidate slot) {
-            return -slot.idleNanos();
+        double retentionValue(EvictionCandidate candidate) {
+            return -candidate.idleNanos();
         }
     },
-    /** The one whose loss costs least: by how often it is used, how lately, and how long it takes to load again. */
+    /** Evicts the adapter that is cheapest to lose, by frequency and recency of use and by load time. */
     LEAST_WORTH {
         @Override
-        double retentionValue(EvictionCandidate slot) {
-            return slot.uses() * slot.loadNanos();
+        double retentionValue(EvictionCandidate candidate) {
+            return candidate.uses() * candidate.loadNanos();
         }
     };
 
     /**
-     * Works out what a slot is worth; the one worth least goes.
+     * Computes the value of keeping an adapter; the one with the lowest value is evicted.
      *
-     * @param slot the slot
-     * @return its worth
+     * @param candidate the resident adapter
+     * @return the value
      */
-    abstract double retentionValue(EvictionCandidate slot);
+    abstract double retentionValue(EvictionCandidate candidate);
 }
--- a/serving/src/main/java/org/geraniumreach/serving/residency/FleetLoads.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/FleetLoads.java
@@ -9,10 +9,10 @@
 import org.geraniumreach.model.TargetId;
 
 /**
- * The loads of the other companions, as they tell each other.
+ * The adapter loads that the other companions report.
  *
- * <p>Invariant: news older than the limit counts for nothing, so a companion that died in the middle of a load does not
- * hold the others' loads back. Safe for use by several threads.
+ * <p>Invariant: reports older than the limit are ignored, so a companion that crashed during a load does not block the
+ * loads of others. Safe for use by several threads.
  */
 public final class FleetLoads {
 
@@ -28,10 +28,10 @@
     private record LoadReport(int loadsInProgress, int waitingLoads, long waitingWorkNanos, long receivedNanos) {}
 
     /**
-     * Makes one that knows of no companion.
+     * Creates an instance without reports.
      *
      * @param clock the clock, not null
-     * @param validFor how long news counts, positive
+     * @param validFor how long a report is valid, positive
      * @return the loads, not null
      */
     public static FleetLoads create(MonotonicClock clock, Duration validFor) {
@@ -42,52 +42,54 @@
     }
 
     /**
-     * Takes another companion's news in.
+     * Stores the latest report of another companion.
      *
-     * @param target its target, not null
-     * @param inTransit its loads in transit
-     * @param waiting the adapters that it waits to load
-     * @param waitingWork how urgent these are, as {@link Residency#waitingWork} tells
+     * @param target the companion's target, not null
+     * @param loadsInProgress the number of its loads in progress
+     * @param waitingLoads the number of adapters waiting to be loaded there
+     * @param waitingWorkNanos the urgency of these loads, as returned by {@link Residency#waitingWork}
      */
-    public void news(TargetId target, int inTransit, int waiting, long waitingWork) {
-        reports.put(target, new LoadReport(inTransit, waiting, waitingWork, clock.nanos()));
+    public void news(TargetId target, int loadsInProgress, int waitingLoads, long waitingWorkNanos) {
+        reports.put(target, new LoadReport(loadsInProgress, waitingLoads, waitingWorkNanos, clock.nanos()));
     }
 
     /**
-     * Forgets a companion that left.
+     * Removes a companion that left.
      *
-     * @param target its target, not null
+     * @param target the companion's target, not null
      */
     public void remove(TargetId target) {
         reports.remove(target);
     }
 
     /**
-     * Gets the loads that the others have in transit.
+     * Gets the number of loads in progress at the other companions.
      *
      * @return the number
      */
     public int loadsInProgress() {
         long now = clock.nanos();
         int sum = 0;
-        for (LoadReport news : reports.values()) {
-            sum += now - news.receivedNanos <= reportValidNanos ? news.loadsInProgress : 0;
+        for (LoadReport report : reports.values()) {
+            sum += now - report.receivedNanos <= reportValidNanos ? report.loadsInProgress : 0;
         }
         return sum;
     }
 
     /**
-     * Counts the companions that have nothing in transit and wait for more urgent loads.
+     * Counts the companions that have no load in progress and wait for more urgent loads.
      *
-     * @param waitingWork the urgency to compare with
+     * @param waitingWorkNanos the urgency to compare with, as returned by {@link Residency#waitingWork}
      * @return the number
      */
-    int countMoreUrgent(long waitingWork) {
+    int countMoreUrgent(long waitingWorkNanos) {
         long now = clock.nanos();
         int count = 0;
-        for (LoadReport news : reports.values()) {
-            boolean counts = now - news.receivedNanos <= reportValidNanos && news.waitingLoads > 0 && news.loadsInProgress == 0;
-            count += counts && news.waitingWorkNanos > waitingWork ? 1 : 0;
+        for (LoadReport report : reports.values()) {
+            boolean isWaiting = now - report.receivedNanos <= reportValidNanos
+                    && report.waitingLoads > 0
+                    && report.loadsInProgress == 0;
+            count += isWaiting && report.waitingWorkNanos > waitingWorkNanos ? 1 : 0;
         }
         return count;
     }
--- a/serving/src/main/java/org/geraniumreach/serving/residency/LoadBackoff.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/LoadBackoff.java
@@ -8,10 +8,10 @@
 import org.geraniumreach.model.AdapterReference;
 
 /**
- * The adapters whose loads lately failed, and for how long requests on them are refused.
+ * The back-off of adapters whose loads failed recently, during which requests for them are refused.
  *
- * <p>Invariant: the time doubles with each failure in a row up to the greatest; an adapter is forgotten once its time has
- * passed twice over. Confined to the lock of its residency.
+ * <p>Invariant: the back-off doubles with each consecutive failure up to a maximum; an adapter is removed once twice
+ * its back-off has passed. Guarded by the lock of its {@link Residency}.
  */
 final class LoadBackoff {
 
@@ -21,9 +21,9 @@
     private final long longestBackoffNanos;
     private final Map<AdapterReference, FailedLoad> failedLoads = new HashMap<>();
 
-    LoadBackoff(Duration first, Duration longest) {
-        this.firstBackoffNanos = first.toNanos();
-        this.longestBackoffNanos = longest.toNanos();
+    LoadBackoff(Duration firstBackoff, Duration longestBackoff) {
+        this.firstBackoffNanos = firstBackoff.toNanos();
+        this.longestBackoffNanos = longestBackoff.toNanos();
     }
 
     private record FailedLoad(int consecutiveFailures, long failedNanos, long backoffNanos) {
@@ -34,10 +34,10 @@
 
     void onFailed(AdapterReference adapter, long now) {
         failedLoads.values().removeIf(failure -> failure.remainingNanos(now) < -failure.backoffNanos);
-        FailedLoad before = failedLoads.get(adapter);
-        int inRow = before == null ? 1 : before.consecutiveFailures + 1;
-        long doubled = firstBackoffNanos << Math.min(inRow - 1, MAXIMUM_DOUBLINGS);
-        failedLoads.put(adapter, new FailedLoad(inRow, now, Math.min(longestBackoffNanos, doubled)));
+        FailedLoad previous = failedLoads.get(adapter);
+        int consecutiveFailures = previous == null ? 1 : previous.consecutiveFailures + 1;
+        long backoffNanos = firstBackoffNanos << Math.min(consecutiveFailures - 1, MAXIMUM_DOUBLINGS);
+        failedLoads.put(adapter, new FailedLoad(consecutiveFailures, now, Math.min(longestBackoffNanos, backoffNanos)));
     }
 
     void onSucceeded(AdapterReference adapter) {
--- a/serving/src/main/java/org/geraniumreach/serving/residency/LoadOrder.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/LoadOrder.java
@@ -6,14 +6,14 @@
 import org.geraniumreach.model.AdapterReference;
 
 /**
- * An order that the companion must carry out: unload one adapter, if named, and load another.
+ * A command that the companion must execute: unload one adapter, if given, and load another.
  *
- * <p>Invariant: of each order, {@link Residency#loaded} or {@link Residency#failed} is told once; an order from before the
- * engine's restart is then passed over. Immutable and safe for use by several threads.
+ * <p>Invariant: the companion reports each command once, by {@link Residency#loaded} or {@link Residency#failed}, which
+ * ignore commands issued before the engine's restart. Immutable and safe for use by several threads.
  *
- * @param number the order's number, unique within the process
+ * @param number the command's number, unique within the process
  * @param adapter the adapter to load
- * @param evicted the adapter to unload before
+ * @param evicted the adapter to unload first, empty if a slot is free
  */
 public record LoadOrder(long number, AdapterReference adapter, Optional<AdapterReference> evicted) {
 
--- a/serving/src/main/java/org/geraniumreach/serving/residency/LoadPolicy.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/LoadPolicy.java
@@ -2,23 +2,23 @@
 
 import java.util.Comparator;
 
-/** The ways of choosing what to load next, by the names that settings use. */
+/** The policies for choosing the next adapter to load. Settings use the names of the constants. */
 public enum LoadPolicy {
-    /** The one that was waited for first. */
+    /** Loads the adapter whose first request has waited longest. */
     FIRST_COME {
         @Override
         LoadScheduler createScheduler() {
             return LoadScheduler.mostUrgentFirst(Comparator.comparingLong(AwaitedAdapter::longestWaitNanos));
         }
     },
-    /** The one whose waiters have waited longest together: many waiters go first, and no single one waits for ever. */
+    /** Loads the adapter whose requests have waited longest in total: many waiters go first, and none starves. */
     WAITING_WORK {
         @Override
         LoadScheduler createScheduler() {
             return LoadScheduler.mostUrgentFirst(Comparator.comparingLong(AwaitedAdapter::totalWaitNanos));
         }
     },
-    /** Fair over client accounts; for the account whose turn it is, as by waiting work. */
+    /** Fair queueing over client accounts; within an account, the adapter with the longest total wait. */
     FAIR {
         @Override
         LoadScheduler createScheduler() {
@@ -27,9 +27,9 @@
     };
 
     /**
-     * Makes the choice of one companion.
+     * Creates a scheduler for one companion.
      *
-     * @return the choice
+     * @return the scheduler
      */
     abstract LoadScheduler createScheduler();
 }
--- a/serving/src/main/java/org/geraniumreach/serving/residency/LoadScheduler.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/LoadScheduler.java
@@ -11,23 +11,23 @@
 import org.geraniumreach.model.AccountId;
 
 /**
- * Chooses what to load next.
+ * Chooses the next adapter to load.
  *
- * <p>Contract: answers one of the adapters given if there are any. Confined to the lock of its residency.
+ * <p>Contract: returns one of the given adapters if there are any. Guarded by the lock of its {@link Residency}.
  */
 interface LoadScheduler {
 
-    Optional<AwaitedAdapter> next(List<AwaitedAdapter> wanted);
+    Optional<AwaitedAdapter> next(List<AwaitedAdapter> candidates);
 
     /**
-     * Tells that a load begins.
+     * Called when a load starts.
      *
-     * @param adapter what is loaded
+     * @param adapter the adapter being loaded
      */
     default void onStarted(AwaitedAdapter adapter) {}
 
     static LoadScheduler mostUrgentFirst(Comparator<AwaitedAdapter> urgency) {
-        return wanted -> wanted.stream().max(urgency);
+        return candidates -> candidates.stream().max(urgency);
     }
 
     static LoadScheduler fair() {
@@ -35,12 +35,12 @@
     }
 
     /**
-     * Shares loads fairly over the client accounts that wait for some.
+     * Fair queueing of loads over the client accounts that wait for them.
      *
-     * <p>Were the adapter with the most waiters loaded first, an account that sends several times its rate would have the
-     * store load for it, and the others' cold adapters would wait until their callers give up. Each account has a virtual
-     * time instead, which advances by its part in each load; the one that is least far on chooses next, and an account
-     * that wanted nothing for a while saves nothing up.
+     * <p>If the adapter with the most waiters were always loaded first, an account that sends several times its rate
+     * would occupy the weight store, and the cold adapters of other accounts would wait until their callers give up.
+     * Instead each account has a virtual time, which advances by the account's share of each load. The account with the
+     * lowest virtual time is served next, and an idle account accumulates no credit.
      */
     final class Fair implements LoadScheduler {
 
@@ -49,34 +49,37 @@
         private double virtualNow;
 
         @Override
-        public Optional<AwaitedAdapter> next(List<AwaitedAdapter> wanted) {
-            activate(wanted);
-            Optional<AccountId> least = active.stream()
+        public Optional<AwaitedAdapter> next(List<AwaitedAdapter> candidates) {
+            activate(candidates);
+            Optional<AccountId> lowest = active.stream()
                     .min(Comparator.<AccountId>comparingDouble(virtualTimes::get)
                             .thenComparing(Comparator.naturalOrder()));
-            least.ifPresent(account -> virtualNow = Math.max(virtualNow, virtualTimes.get(account)));
-            return least.flatMap(account -> wanted.stream()
+            lowest.ifPresent(account -> virtualNow = Math.max(virtualNow, virtualTimes.get(account)));
+            return lowest.flatMap(account -> candidates.stream()
                     .filter(adapter -> adapter.waitersByAccount().containsKey(account))
                     .max(Comparator.comparingLong(AwaitedAdapter::totalWaitNanos)));
         }
 
-        private void activate(List<AwaitedAdapter> wanted) {
-            Set<AccountId> now = new HashSet<>();
-            wanted.forEach(adapter -> now.addAll(adapter.waitersByAccount().keySet()));
-            for (AccountId account : now) {
+        private void activate(List<AwaitedAdapter> candidates) {
+            Set<AccountId> waitingAccounts = new HashSet<>();
+            candidates.forEach(
+                    adapter -> waitingAccounts.addAll(adapter.waitersByAccount().keySet()));
+            for (AccountId account : waitingAccounts) {
                 if (!active.contains(account)) {
                     virtualTimes.merge(account, virtualNow, Math::max);
                 }
             }
-            virtualTimes.entrySet().removeIf(entry -> !now.contains(entry.getKey()) && entry.getValue() <= virtualNow);
-            active = now;
+            virtualTimes
+                    .entrySet()
+                    .removeIf(entry -> !waitingAccounts.contains(entry.getKey()) && entry.getValue() <= virtualNow);
+            active = waitingAccounts;
         }
 
         @Override
         public void onStarted(AwaitedAdapter adapter) {
             adapter.waitersByAccount().forEach((account, waiters) -> {
-                double part = (double) waiters / adapter.waiters();
-                virtualTimes.computeIfPresent(account, (key, time) -> time + part);
+                double share = (double) waiters / adapter.waiters();
+                virtualTimes.computeIfPresent(account, (key, time) -> time + share);
             });
         }
     }
--- a/serving/src/main/java/org/geraniumreach/serving/residency/Pin.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/Pin.java
@@ -3,10 +3,10 @@
 import org.geraniumreach.model.AdapterReference;
 
 /**
- * The hold of a running request on its adapter, which is not evicted until all its pins are released.
+ * Protects the adapter of a running request from eviction until all its pins are released.
  *
- * <p>Invariant: released at most once, however often that is told. Safe for use by several threads, under the lock of its
- * residency.
+ * <p>Invariant: released at most once, even if {@link #release} is called repeatedly. Safe for use by several threads,
+ * under the lock of its {@link Residency}.
  */
 public final class Pin {
 
@@ -25,7 +25,7 @@
         return adapter;
     }
 
-    /** Tells that the request has ended in whatever way. */
+    /** Releases the pin, when the request has ended, whether it succeeded or not. */
     public void release() {
         synchronized (residency) {
             if (released) {
--- a/serving/src/main/java/org/geraniumreach/serving/residency/Residency.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/Residency.java
@@ -16,12 +16,12 @@
 import org.geraniumreach.model.MonotonicClock;
 
 /**
- * Which adapters a target holds, what to evict and what to load next.
+ * Manages a target's adapter slots: which adapters are resident, which to evict and which to load next.
  *
- * <p>Invariants: resident and loading adapters together never exceed the slots; an adapter with a pin is never evicted; an
- * adapter has at most one load in transit, shared by all who wait for it; each request that was taken in gets exactly one
- * of a pin, a failure and its own withdrawal. After the engine's restart nothing is resident, pins and orders from before
- * count for nothing, and waiting requests wait on. Safe for use by several threads, under its own lock.
+ * <p>Invariants: resident and loading adapters together never exceed the slots; a pinned adapter is never evicted; an
+ * adapter has at most one load in progress, shared by all requests that wait for it; each registered request gets
+ * exactly one of a pin, a failure and a cancellation. After the engine's restart no adapter is resident, earlier pins
+ * and load commands are void, and waiting requests keep waiting. Safe for use by several threads, under its own lock.
  */
 public final class Residency {
 
@@ -43,9 +43,9 @@
     private long engineEpoch;
     private long lastCommandNumber;
 
-    private Residency(ResidencySettings settings, FleetLoads fleet, MonotonicClock clock) {
+    private Residency(ResidencySettings settings, FleetLoads fleetLoads, MonotonicClock clock) {
         this.settings = Objects.requireNonNull(settings, "settings");
-        this.fleetLoads = Objects.requireNonNull(fleet, "fleet");
+        this.fleetLoads = Objects.requireNonNull(fleetLoads, "fleetLoads");
         this.clock = Objects.requireNonNull(clock, "clock");
         this.useCounts = new UseCounts(settings.usesHalfLife().toNanos(), USE_COUNTS_PER_SLOT * settings.slots());
         this.loadScheduler = settings.loading().createScheduler();
@@ -54,51 +54,51 @@
     }
 
     /**
-     * Makes one for a target of which nothing is known yet; call {@link #synchronise} with its state.
+     * Creates a residency without resident adapters; call {@link #synchronise} to pass in the engine's state.
      *
-     * @param settings how to manage it, not null
-     * @param fleet the other companions' loads, not null
+     * @param settings the settings, not null
+     * @param fleetLoads the other companions' loads, not null
      * @param clock the clock, not null
      * @return the residency, not null
      */
-    public static Residency create(ResidencySettings settings, FleetLoads fleet, MonotonicClock clock) {
-        return new Residency(settings, fleet, clock);
+    public static Residency create(ResidencySettings settings, FleetLoads fleetLoads, MonotonicClock clock) {
+        return new Residency(settings, fleetLoads, clock);
     }
 
     private record LoadInProgress(LoadOrder command, long startedNanos) {}
 
     /**
-     * Takes a request in, for a fleet that serves one client account.
+     * Registers a request, for a fleet that serves a single client account.
      *
-     * @param attempt the request, not null
+     * @param attempt the request's attempt, not null
      * @param adapter its adapter, not null
-     * @param work the tokens that it needs
-     * @return whether its adapter is there, not null
-     * @throws IllegalArgumentException if the attempt was taken in already
+     * @param tokens the tokens that it needs
+     * @return whether its adapter is available, not null
+     * @throws IllegalArgumentException if the attempt is already registered
      */
-    public Answer request(AttemptId attempt, AdapterReference adapter, long work) {
-        return request(attempt, SINGLE_ACCOUNT, adapter, work);
+    public Answer request(AttemptId attempt, AdapterReference adapter, long tokens) {
+        return request(attempt, SINGLE_ACCOUNT, adapter, tokens);
     }
 
     /**
-     * Takes a request in, unless its adapter's load failed a moment ago.
+     * Registers a request, unless the load of its adapter failed recently.
      *
-     * @param attempt the request, not null
-     * @param account for whom, not null
+     * @param attempt the request's attempt, not null
+     * @param account its client account, not null
      * @param adapter its adapter, not null
-     * @param work the tokens that it needs
-     * @return whether its adapter is there, not null
-     * @throws IllegalArgumentException if the attempt was taken in already
+     * @param tokens the tokens that it needs
+     * @return whether its adapter is available, not null
+     * @throws IllegalArgumentException if the attempt is already registered
      */
-    public synchronized Answer request(AttemptId attempt, AccountId account, AdapterReference adapter, long work) {
+    public synchronized Answer request(AttemptId attempt, AccountId account, AdapterReference adapter, long tokens) {
         long now = clock.nanos();
         boolean ready = isReady(adapter);
         Optional<Duration> backoff = loadBackoff.remainingBackoff(adapter, now);
         if (!ready && backoff.isPresent()) {
             return new Answer(Answer.State.REFUSED, backoff.get());
         }
-        if (!waitingRequests.add(attempt, account, adapter, work, now)) {
-            throw new IllegalArgumentException("attempt taken in already: " + attempt);
+        if (!waitingRequests.add(attempt, account, adapter, tokens, now)) {
+            throw new IllegalArgumentException("attempt is already registered: " + attempt);
         }
         useCounts.recordUse(adapter, now);
         if (ready) {
@@ -108,23 +108,23 @@
     }
 
     private Duration expectedWait(AdapterReference adapter, long now) {
-        LoadInProgress transit = loadsInProgress.get(adapter);
-        if (transit != null) {
-            return Duration.ofNanos((long) Math.max(0, expectedLoadNanos - (now - transit.startedNanos)));
+        LoadInProgress load = loadsInProgress.get(adapter);
+        if (load != null) {
+            return Duration.ofNanos((long) Math.max(0, expectedLoadNanos - (now - load.startedNanos)));
         }
-        int ahead = 0;
+        int adaptersAhead = 0;
         for (AdapterReference other : waitingRequests.adapters()) {
-            ahead += isReady(other) || other.equals(adapter) ? 0 : 1;
+            adaptersAhead += isReady(other) || other.equals(adapter) ? 0 : 1;
         }
-        double rounds = 1 + (double) ahead / settings.loadsAtOnce();
+        double rounds = 1 + (double) adaptersAhead / settings.loadsAtOnce();
         return Duration.ofNanos((long) (rounds * expectedLoadNanos));
     }
 
     /**
-     * Queries whether requests on an adapter can run at once.
+     * Returns whether requests for an adapter can run immediately.
      *
      * @param adapter the adapter, not null
-     * @return true if it is resident and not running out
+     * @return true if it is resident and its slot is not retiring
      */
     public synchronized boolean isReady(AdapterReference adapter) {
         Slot slot = slots.get(adapter);
@@ -132,11 +132,11 @@
     }
 
     /**
-     * Gives a request that was taken in its hold on the adapter, just before it runs.
+     * Pins the adapter of a registered request, just before the request runs.
      *
-     * @param attempt the request, not null
+     * @param attempt the request's attempt, not null
      * @param adapter its adapter, not null
-     * @return the pin, or empty if the adapter is not ready any more; the request then waits on
+     * @return the pin, or empty if the adapter has become unavailable; the request then keeps waiting
      */
     public synchronized Optional<Pin> pin(AttemptId attempt, AdapterReference adapter) {
         if (!isReady(adapter)) {
@@ -154,9 +154,9 @@
     }
 
     /**
-     * Takes a waiting request out, since it was cancelled or its deadline passed.
+     * Removes a waiting request that was cancelled or whose deadline has passed.
      *
-     * @param attempt the request, not null
+     * @param attempt the request's attempt, not null
      * @return false if it is not waiting
      */
     public synchronized boolean withdraw(AttemptId attempt) {
@@ -164,9 +164,9 @@
     }
 
     /**
-     * Decides which loads to start now; each must be carried out.
+     * Chooses the loads to start now; the caller must execute each of them.
      *
-     * @return the orders, not null
+     * @return the load commands, not null
      */
     public synchronized List<LoadOrder> orders() {
         if (!canStartLoads()) {
@@ -174,45 +174,48 @@
         }
         long now = clock.nanos();
         List<LoadOrder> started = new ArrayList<>();
-        List<AwaitedAdapter> wanted = adaptersToLoad(now);
-        if (wanted.isEmpty()) {
+        List<AwaitedAdapter> candidates = adaptersToLoad(now);
+        if (candidates.isEmpty()) {
             slots.values().forEach(Slot::cancelRetirement);
             return started;
         }
         while (loadsInProgress.size() < settings.loadsAtOnce()) {
-            Optional<AwaitedAdapter> next = loadScheduler.next(wanted);
-            Optional<LoadOrder> order = next.filter(this::isWithinFleetLimit).flatMap(adapter -> createCommand(adapter, now));
-            if (order.isEmpty()) {
+            Optional<AwaitedAdapter> next = loadScheduler.next(candidates);
+            Optional<LoadOrder> command =
+                    next.filter(this::isWithinFleetLimit).flatMap(adapter -> createCommand(adapter, now));
+            if (command.isEmpty()) {
                 break;
             }
             loadScheduler.onStarted(next.get());
-            wanted.remove(next.get());
-            started.add(order.get());
+            candidates.remove(next.get());
+            started.add(command.get());
         }
         return started;
     }
 
-    /* Saves the look at all that wait, which grows with them, when it would end in no load. */
+    /* Avoids the scan over all awaited adapters when no load could start. */
     private boolean canStartLoads() {
         if (loadsInProgress.size() >= settings.loadsAtOnce()) {
             return false;
         }
-        return loadsInProgress.isEmpty() || loadsInProgress.size() + fleetLoads.loadsInProgress() < settings.loadsFleetWide();
+        return loadsInProgress.isEmpty()
+                || loadsInProgress.size() + fleetLoads.loadsInProgress() < settings.loadsFleetWide();
     }
 
     private List<AwaitedAdapter> adaptersToLoad(long now) {
-        List<AwaitedAdapter> wanted = new ArrayList<>();
+        List<AwaitedAdapter> candidates = new ArrayList<>();
         for (AdapterReference adapter : waitingRequests.adapters()) {
             if (!slots.containsKey(adapter) && !loadsInProgress.containsKey(adapter)) {
-                wanted.add(waitingRequests.summarize(adapter, now));
+                candidates.add(waitingRequests.summarize(adapter, now));
             }
         }
-        return wanted;
+        return candidates;
     }
 
     /*
-     * Beyond the fleet's limit each load slows all others. The companions with the most urgent loads go first; one that has
-     * waited out its patience goes in any case, since news may be lost and a limit that nobody frees would stop all loads.
+     * Above the fleet-wide limit each load slows all others. The companions with the most urgent loads go first. A load
+     * that has waited longer than the patience starts in any case, since reports may be lost and a limit that is never
+     * released would stop all loads.
      */
     private boolean isWithinFleetLimit(AwaitedAdapter next) {
         if (next.longestWaitNanos() >= settings.patience().toNanos() && loadsInProgress.isEmpty()) {
@@ -232,104 +235,107 @@
             }
             slots.remove(victim.get());
         }
-        LoadOrder order = new LoadOrder(++lastCommandNumber, next.adapter(), victim);
-        loadsInProgress.put(next.adapter(), new LoadInProgress(order, now));
-        return Optional.of(order);
+        LoadOrder command = new LoadOrder(++lastCommandNumber, next.adapter(), victim);
+        loadsInProgress.put(next.adapter(), new LoadInProgress(command, now));
+        return Optional.of(command);
     }
 
     private Optional<AdapterReference> chooseVictim(long now) {
-        Slot worst = null;
-        double worstWorth = 0;
+        Slot lowest = null;
+        double lowestValue = 0;
         for (Slot slot : slots.values()) {
             if (slot.isPinned() || !slot.isRetiring() && waitingRequests.hasAny(slot.adapter())) {
                 continue;
             }
-            double worth = slot.isRetiring() ? Double.NEGATIVE_INFINITY : retentionValue(slot, now);
-            if (worst == null || worth < worstWorth) {
-                worst = slot;
-                worstWorth = worth;
+            double value = slot.isRetiring() ? Double.NEGATIVE_INFINITY : retentionValue(slot, now);
+            if (lowest == null || value < lowestValue) {
+                lowest = slot;
+                lowestValue = value;
             }
         }
-        return Optional.ofNullable(worst).map(Slot::adapter);
+        return Optional.ofNullable(lowest).map(Slot::adapter);
     }
 
     private double retentionValue(Slot slot, long now) {
         return settings.eviction()
                 .retentionValue(new EvictionCandidate(
-                        slot.adapter(), useCounts.uses(slot.adapter(), now), now - slot.lastUsedNanos(), (long) expectedLoadNanos));
+                        slot.adapter(), useCounts.uses(slot.adapter(), now), now - slot.lastUsedNanos(), (long)
+                                expectedLoadNanos));
     }
 
     /*
-     * When every slot is in use throughout, requests on other adapters would wait for ever. The slot worth least then takes
-     * no new requests, and is evicted when the last that runs there has ended; none is cut off.
+     * If every slot is constantly in use, requests for other adapters would wait forever. The slot with the lowest
+     * retention value then takes no new requests and is evicted once its running requests have ended; none of them is
+     * aborted.
      */
     private void retireSlotFor(AwaitedAdapter next, long now) {
         if (next.longestWaitNanos() < settings.patience().toNanos()) {
             return;
         }
-        Slot worst = null;
+        Slot lowest = null;
         for (Slot slot : slots.values()) {
             if (slot.isRetiring()) {
                 return;
             }
-            if (worst == null || retentionValue(slot, now) < retentionValue(worst, now)) {
-                worst = slot;
+            if (lowest == null || retentionValue(slot, now) < retentionValue(lowest, now)) {
+                lowest = slot;
             }
         }
-        if (worst != null) {
-            worst.retire();
+        if (lowest != null) {
+            lowest.retire();
         }
     }
 
     /**
-     * Tells that an order was carried out.
+     * Called when a load command has been executed.
      *
-     * @param order the order, not null
-     * @return false if it is from before the engine's restart, and nothing changed
+     * @param command the command, not null
+     * @return false if it was issued before the engine's restart and is ignored
      */
-    public synchronized boolean loaded(LoadOrder order) {
-        LoadInProgress transit = removeLoadInProgress(order);
-        if (transit == null) {
+    public synchronized boolean loaded(LoadOrder command) {
+        LoadInProgress load = removeLoadInProgress(command);
+        if (load == null) {
             return false;
         }
         long now = clock.nanos();
-        expectedLoadNanos += LOAD_TIME_SMOOTHING * (now - transit.startedNanos - expectedLoadNanos);
-        loadBackoff.onSucceeded(order.adapter());
-        slots.put(order.adapter(), new Slot(order.adapter(), now));
+        expectedLoadNanos += LOAD_TIME_SMOOTHING * (now - load.startedNanos - expectedLoadNanos);
+        loadBackoff.onSucceeded(command.adapter());
+        slots.put(command.adapter(), new Slot(command.adapter(), now));
         return true;
     }
 
     /**
-     * Tells that an order failed; the adapter is absent, and its requests are refused for a while.
+     * Called when a load command has failed. The adapter is absent, and requests for it are refused during the
+     * back-off.
      *
-     * @param order the order, not null
-     * @return the requests that waited for it, which are taken out and must be told, not null
+     * @param command the command, not null
+     * @return the requests that waited for the adapter, which are removed and which the caller must fail, not null
      */
-    public synchronized List<AttemptId> failed(LoadOrder order) {
-        if (removeLoadInProgress(order) == null) {
+    public synchronized List<AttemptId> failed(LoadOrder command) {
+        if (removeLoadInProgress(command) == null) {
             return List.of();
         }
-        loadBackoff.onFailed(order.adapter(), clock.nanos());
-        return waitingRequests.removeAll(order.adapter());
+        loadBackoff.onFailed(command.adapter(), clock.nanos());
+        return waitingRequests.removeAll(command.adapter());
     }
 
-    private LoadInProgress removeLoadInProgress(LoadOrder order) {
-        LoadInProgress transit = loadsInProgress.get(order.adapter());
-        if (transit == null || transit.command.number() != order.number()) {
+    private LoadInProgress removeLoadInProgress(LoadOrder command) {
+        LoadInProgress load = loadsInProgress.get(command.adapter());
+        if (load == null || load.command.number() != command.number()) {
             return null;
         }
-        return loadsInProgress.remove(order.adapter());
+        return loadsInProgress.remove(command.adapter());
     }
 
     /**
-     * Takes the engine's own state in, so that what is believed here does not drift from what is.
+     * Corrects the known residency from the engine's own state.
      *
      * @param incarnation the engine's incarnation
      * @param held the adapters that it holds, not null
-     * @param askedAtNanos when it was asked, by the clock; what was loaded later is left alone
-     * @return true if the engine has restarted since it was last asked
+     * @param askedNanos the clock's time when the engine was asked; adapters loaded later are kept
+     * @return true if the engine has restarted since the last call
      */
-    public synchronized boolean synchronise(long incarnation, Set<AdapterReference> held, long askedAtNanos) {
+    public synchronized boolean synchronise(long incarnation, Set<AdapterReference> held, long askedNanos) {
         boolean restarted = incarnation != engineIncarnation;
         if (restarted) {
             engineIncarnation = incarnation;
@@ -340,7 +346,7 @@
         long now = clock.nanos();
         slots.values()
                 .removeIf(slot ->
-                        !held.contains(slot.adapter()) && !slot.isPinned() && slot.loadedNanos() - askedAtNanos < 0);
+                        !held.contains(slot.adapter()) && !slot.isPinned() && slot.loadedNanos() - askedNanos < 0);
         if (loadsInProgress.isEmpty()) {
             for (AdapterReference adapter : held) {
                 if (slots.size() < settings.slots()) {
@@ -356,7 +362,7 @@
     }
 
     /**
-     * Gets the adapters that are loading or waited for.
+     * Gets the adapters that are loading or waiting to be loaded.
      *
      * @return the adapters, not null
      */
@@ -375,20 +381,20 @@
     }
 
     /**
-     * Gets how urgent the loads are that wait here, to be told to the other companions.
+     * Gets the urgency of the loads that wait here, to be reported to the other companions.
      *
-     * @return the nanoseconds that the most urgent one's requests have waited together, 0 if none waits
+     * @return the largest sum of waiting times, in nanoseconds, of the requests for one adapter; 0 if no load waits
      */
     public synchronized long waitingWork() {
-        long most = 0;
+        long longest = 0;
         for (AwaitedAdapter adapter : adaptersToLoad(clock.nanos())) {
-            most = Math.max(most, adapter.totalWaitNanos());
+            longest = Math.max(longest, adapter.totalWaitNanos());
         }
-        return most;
+        return longest;
     }
 
     /**
-     * Gets the number of adapters that wait to be loaded.
+     * Gets the number of adapters waiting to be loaded.
      *
      * @return the number
      */
--- a/serving/src/main/java/org/geraniumreach/serving/residency/ResidencySettings.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/ResidencySettings.java
@@ -4,20 +4,22 @@
 import java.util.Objects;
 
 /**
- * How a companion manages its target's slots.
+ * The settings of a companion for managing its target's adapter slots.
  *
  * <p>Invariant: all values are in range. Immutable and safe for use by several threads.
  *
- * @param slots the adapters that the target can hold, at least 1
- * @param eviction how to choose what to evict
- * @param loading how to choose what to load next
- * @param loadsAtOnce the loads that this companion may have in transit, at least 1
- * @param loadsFleetWide the loads in transit fleet-wide above which this companion waits for others to finish, at least 1
- * @param expectedLoad the time of a load before any was measured
- * @param usesHalfLife the time in which a past use loses half its weight
- * @param patience how long a request waits for a slot before a resident adapter in use is let run out for it
- * @param firstBackoff how long requests on an adapter are refused after its load failed; doubles with each failure
- * @param longestBackoff the greatest such time
+ * @param slots the number of adapters that the target can hold, at least 1
+ * @param eviction the policy for choosing the adapter to evict
+ * @param loading the policy for choosing the next adapter to load
+ * @param loadsAtOnce the maximum number of concurrent loads of this companion, at least 1
+ * @param loadsFleetWide the number of concurrent loads fleet-wide at which this companion waits for others to finish,
+ *     at least 1
+ * @param expectedLoad the expected duration of a load before any was measured
+ * @param usesHalfLife the half-life of an adapter's use count
+ * @param patience how long a request waits for a slot before a busy slot is retired for it; a load waiting longer
+ *     ignores the fleet-wide limit
+ * @param firstBackoff how long requests for an adapter are refused after its load failed; doubles with each failure
+ * @param longestBackoff the maximum back-off
  */
 public record ResidencySettings(
         int slots,
@@ -53,9 +55,9 @@
     }
 
     /**
-     * Obtains the settings that hold unless said otherwise.
+     * Obtains the default settings.
      *
-     * @param slots the adapters that the target can hold, at least 1
+     * @param slots the number of adapters that the target can hold, at least 1
      * @return the settings, not null
      */
     public static ResidencySettings standard(int slots) {
@@ -114,12 +116,12 @@
                 longestBackoff);
     }
 
-    public ResidencySettings withLoadsInTransit(int here, int fleetWide) {
+    public ResidencySettings withLoadLimits(int atOnce, int fleetWide) {
         return new ResidencySettings(
                 slots,
                 eviction,
                 loading,
-                here,
+                atOnce,
                 fleetWide,
                 expectedLoad,
                 usesHalfLife,
--- a/serving/src/main/java/org/geraniumreach/serving/residency/Slot.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/Slot.java
@@ -2,7 +2,7 @@
 
 import org.geraniumreach.model.AdapterReference;
 
-/** A resident adapter; confined to the lock of its residency. */
+/** A resident adapter; guarded by the lock of its {@link Residency}. */
 final class Slot {
 
     private final AdapterReference adapter;
@@ -43,7 +43,7 @@
         return lastUsedNanos;
     }
 
-    /** Lets the slot run out: it takes no new pins, and is evicted once the last is released. */
+    /** Retires the slot: it takes no new pins, and may be evicted once the last one is released. */
     void retire() {
         retiring = true;
     }
--- a/serving/src/main/java/org/geraniumreach/serving/residency/UseCounts.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/UseCounts.java
@@ -6,9 +6,10 @@
 import org.geraniumreach.model.AdapterReference;
 
 /**
- * How often adapters were used, where a use counts half after each half-life; absent adapters are remembered too.
+ * Use counts of resident and absent adapters, with exponential decay.
  *
- * <p>Invariant: at most {@code capacity} adapters, the longest unused go first. Confined to the lock of its owner.
+ * <p>Invariant: at most {@code capacity} adapters are tracked, and the least recently used is dropped first. Guarded by
+ * the lock of its {@link Residency}.
  */
 final class UseCounts {
 
--- a/serving/src/main/java/org/geraniumreach/serving/residency/WaitingRequests.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/WaitingRequests.java
@@ -12,9 +12,9 @@
 import org.geraniumreach.model.AttemptId;
 
 /**
- * The requests that were taken in and hold no pin yet, by adapter.
+ * The registered requests without a pin, by adapter.
  *
- * <p>Invariant: an attempt waits for one adapter at most. Confined to the lock of its residency.
+ * <p>Invariant: an attempt waits for at most one adapter. Guarded by the lock of its {@link Residency}.
  */
 final class WaitingRequests {
 
@@ -23,7 +23,7 @@
 
     private record Waiter(AccountId account, long tokens, long sinceNanos) {}
 
-    /** The waiters for one adapter in order of arrival, with their sums. */
+    /** The requests that wait for one adapter, in order of arrival, with their totals. */
     private static final class AdapterQueue {
         private final Map<AttemptId, Waiter> waiters = new LinkedHashMap<>();
         private final Map<AccountId, Integer> waitersByAccount = new HashMap<>();
@@ -38,24 +38,25 @@
         }
 
         private void remove(AttemptId attempt) {
-            Waiter gone = waiters.remove(attempt);
-            waitersByAccount.computeIfPresent(gone.account, (account, count) -> count == 1 ? null : count - 1);
-            tokens -= gone.tokens;
-            sinceNanosSum -= gone.sinceNanos;
+            Waiter removed = waiters.remove(attempt);
+            waitersByAccount.computeIfPresent(removed.account, (account, count) -> count == 1 ? null : count - 1);
+            tokens -= removed.tokens;
+            sinceNanosSum -= removed.sinceNanos;
         }
 
         private AwaitedAdapter summarize(AdapterReference adapter, long now) {
-            long oldest = now - waiters.values().iterator().next().sinceNanos;
-            long total = (long) ((double) waiters.size() * now - sinceNanosSum);
-            return new AwaitedAdapter(adapter, waiters.size(), tokens, oldest, Math.max(oldest, total), waitersByAccount);
+            long longestWait = now - waiters.values().iterator().next().sinceNanos;
+            long totalWait = (long) ((double) waiters.size() * now - sinceNanosSum);
+            return new AwaitedAdapter(
+                    adapter, waiters.size(), tokens, longestWait, Math.max(longestWait, totalWait), waitersByAccount);
         }
     }
 
-    boolean add(AttemptId attempt, AccountId account, AdapterReference adapter, long work, long now) {
+    boolean add(AttemptId attempt, AccountId account, AdapterReference adapter, long tokens, long now) {
         if (adapterByAttempt.putIfAbsent(attempt, adapter) != null) {
             return false;
         }
-        queues.computeIfAbsent(adapter, key -> new AdapterQueue()).add(attempt, new Waiter(account, work, now));
+        queues.computeIfAbsent(adapter, key -> new AdapterQueue()).add(attempt, new Waiter(account, tokens, now));
         return true;
     }
 
@@ -64,20 +65,20 @@
         if (adapter == null) {
             return false;
         }
-        AdapterQueue line = queues.get(adapter);
-        line.remove(attempt);
-        if (line.waiters.isEmpty()) {
+        AdapterQueue queue = queues.get(adapter);
+        queue.remove(attempt);
+        if (queue.waiters.isEmpty()) {
             queues.remove(adapter);
         }
         return true;
     }
 
     List<AttemptId> removeAll(AdapterReference adapter) {
-        AdapterQueue line = queues.remove(adapter);
-        if (line == null) {
+        AdapterQueue queue = queues.remove(adapter);
+        if (queue == null) {
             return List.of();
         }
-        List<AttemptId> attempts = new ArrayList<>(line.waiters.keySet());
+        List<AttemptId> attempts = new ArrayList<>(queue.waiters.keySet());
         attempts.forEach(adapterByAttempt::remove);
         return attempts;
     }
--- a/serving/src/main/java/org/geraniumreach/serving/residency/package-info.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/package-info.java
@@ -1,11 +1,12 @@
 /**
- * Which adapters a target holds, at its companion.
+ * Adapter residency: a companion's control of which adapters its target holds, loads and evicts.
  *
- * <p>Use: make one {@link org.geraniumreach.serving.residency.Residency} and {@code synchronise} it with the engine's state,
- * at the start and then now and again. For each request: {@code request}, refuse it if so answered, else offer it to the
- * queue. After each request, load, failure, release and at a short interval: carry out what {@code orders} answers and tell
- * {@code loaded} or {@code failed} of each. Just before a request runs take its {@code pin}, and release that at its end. A
- * request that is given up while it waits is {@code withdraw}n. Send LoadNews with {@code inTransit}, {@code waiting} and
- * {@code waitingWork}; give the others' to {@link org.geraniumreach.serving.residency.FleetLoads}.
+ * <p>Use: create one {@link org.geraniumreach.serving.residency.Residency} and {@code synchronise} it with the engine's
+ * state, at the start and periodically. For each request, call {@code request}; refuse the request if the result says
+ * so, otherwise offer it to the queue. After each request, load, failure and release, and at a short interval, execute
+ * the loads that the residency starts and report whether each succeeded. Call {@code pin} just before a request runs
+ * and release the pin when it ends. Cancel a request that is given up while it waits. Send the number of loads in
+ * progress and waiting and the waiting work in LoadNews, and pass the news of other companions to {@link
+ * org.geraniumreach.serving.residency.FleetLoads}.
  */
 package org.geraniumreach.serving.residency;
--- a/serving/src/main/java/org/geraniumreach/serving/retry/Backoff.java
+++ b/serving/src/main/java/org/geraniumreach/serving/retry/Backoff.java
@@ -4,13 +4,13 @@
 import java.util.random.RandomGenerator;
 
 /**
- * How long to wait before a further try: anywhere between nothing and a bound that doubles with each try.
+ * Exponential back-off with full jitter: a random delay between zero and a bound that doubles with each failure.
  *
- * <p>The whole range is drawn from, since callers that failed together would otherwise come back together. Immutable and
- * safe for use by several threads if the random source is.
+ * <p>The delay is drawn from the whole range, since callers that failed together would otherwise retry together.
+ * Immutable and safe for use by several threads if the random source is.
  *
- * @param first the bound before the first retry
- * @param maximum the bound that is not exceeded
+ * @param first the upper bound of the delay before the first retry
+ * @param maximum the maximum of the bound
  */
 public record Backoff(Duration first, Duration maximum) {
 
@@ -25,16 +25,16 @@
     /**
      * Draws a delay.
      *
-     * @param failures the tries that have failed, at least 1
-     * @param random the source of chance, not null
+     * @param failures the number of failed attempts, at least 1
+     * @param random the random source, not null
      * @return the delay, not null
      */
     public Duration delay(int failures, RandomGenerator random) {
         if (failures < 1) {
             throw new IllegalArgumentException("failures below 1: " + failures);
         }
-        long doubled = first.toNanos() << Math.min(failures - 1, MAXIMUM_DOUBLINGS);
-        long bound = Math.min(maximum.toNanos(), doubled);
-        return Duration.ofNanos(random.nextLong(bound + 1));
+        long doubledNanos = first.toNanos() << Math.min(failures - 1, MAXIMUM_DOUBLINGS);
+        long boundNanos = Math.min(maximum.toNanos(), doubledNanos);
+        return Duration.ofNanos(random.nextLong(boundNanos + 1));
     }
 }
--- a/serving/src/main/java/org/geraniumreach/serving/retry/EjectionRules.java
+++ b/serving/src/main/java/org/geraniumreach/serving/retry/EjectionRules.java
@@ -3,19 +3,19 @@
 import java.time.Duration;
 
 /**
- * When a target is left out, and how it is let back.
+ * The rules for ejecting a target from routing and restoring it.
  *
  * <p>Invariant: all values are in range. Immutable and safe for use by several threads.
  *
- * @param consecutiveFailures the failures in a row that eject
- * @param errorRate the share of failures that ejects, once there are enough requests
- * @param leastRequests the requests within the window that are enough
+ * @param consecutiveFailures the number of consecutive failures that ejects a target, at least 1
+ * @param errorRate the share of failed requests that ejects a target, above 0, once there are enough requests
+ * @param leastRequests the minimum number of requests within the window for the error rate to apply, at least 1
  * @param window the time over which requests are counted
- * @param firstEjection the time of a first ejection; it doubles with each that follows
- * @param longestEjection the greatest time of an ejection
- * @param letBack the time over which a target's share of requests rises from {@code firstShare} to all
- * @param firstShare the share of requests that a target gets at first, above 0
- * @param greatestEjectedShare the share of targets that may be ejected together
+ * @param firstEjection the duration of the first ejection; doubles with each further one
+ * @param longestEjection the maximum duration of an ejection
+ * @param letBack the time over which a recovering target's share of requests rises from {@code firstShare} to all
+ * @param firstShare the initial share of requests that a recovering target gets, above 0
+ * @param greatestEjectedShare the maximum share of targets that may be ejected at the same time, above 0
  */
 public record EjectionRules(
         int consecutiveFailures,
@@ -56,7 +56,7 @@
     }
 
     /**
-     * Obtains the rules that hold unless said otherwise.
+     * Obtains the default rules.
      *
      * @return the rules, not null
      */
--- a/serving/src/main/java/org/geraniumreach/serving/retry/RetryBudget.java
+++ b/serving/src/main/java/org/geraniumreach/serving/retry/RetryBudget.java
@@ -5,11 +5,12 @@
 import org.geraniumreach.model.MonotonicClock;
 
 /**
- * Bounds retries by what succeeds.
+ * A token bucket that limits retries in proportion to successful requests.
  *
- * <p>When a failure domain is lost, each request there fails at once, and as many retries again would overrun what is left.
- * Invariant: over any span, retries are at most {@code ratio} times the successes, plus {@code floorPerSecond} times the
- * span, plus the bucket's size. Safe for use by several threads, under its own lock.
+ * <p>When a failure domain is lost, every request there fails immediately, and as many retries would overload the
+ * remaining targets. Invariant: over any period, the number of retries is at most {@code ratio} times the successes,
+ * plus {@code floorPerSecond} times the period in seconds, plus the bucket's capacity. Safe for use by several threads,
+ * under its own lock.
  */
 public final class RetryBudget {
 
@@ -22,46 +23,46 @@
     private double tokens;
     private long refilledNanos;
 
-    private RetryBudget(MonotonicClock clock, double ratio, double floorPerSecond, double size) {
+    private RetryBudget(MonotonicClock clock, double ratio, double floorPerSecond, double capacity) {
         this.clock = Objects.requireNonNull(clock, "clock");
         this.ratio = ratio;
         this.floorPerSecond = floorPerSecond;
-        this.capacity = size;
-        this.tokens = size;
+        this.capacity = capacity;
+        this.tokens = capacity;
         this.refilledNanos = clock.nanos();
     }
 
     /**
-     * Makes a budget, full.
+     * Creates a budget with a full bucket.
      *
      * @param clock the clock, not null
-     * @param ratio the retries that a success earns, from 0 to 1
-     * @param floorPerSecond the retries earned a second whatever succeeds, not negative
-     * @param size the most retries saved up, at least 1
+     * @param ratio the retries earned by each success, from 0 to 1
+     * @param floorPerSecond the retries earned per second regardless of successes, not negative
+     * @param capacity the maximum number of unused retries, at least 1
      * @return the budget, not null
      */
-    public static RetryBudget create(MonotonicClock clock, double ratio, double floorPerSecond, double size) {
+    public static RetryBudget create(MonotonicClock clock, double ratio, double floorPerSecond, double capacity) {
         if (!(ratio >= 0 && ratio <= 1)) {
             throw new IllegalArgumentException("ratio outside 0 to 1: " + ratio);
         }
         if (!(floorPerSecond >= 0)) {
             throw new IllegalArgumentException("floorPerSecond is negative: " + floorPerSecond);
         }
-        if (!(size >= 1)) {
-            throw new IllegalArgumentException("size below 1: " + size);
+        if (!(capacity >= 1)) {
+            throw new IllegalArgumentException("size below 1: " + capacity);
         }
-        return new RetryBudget(clock, ratio, floorPerSecond, size);
+        return new RetryBudget(clock, ratio, floorPerSecond, capacity);
     }
 
-    /** Tells that a request succeeded. */
+    /** Called when a request has succeeded. */
     public synchronized void succeeded() {
         tokens = Math.min(capacity, tokens + ratio);
     }
 
     /**
-     * Asks for a retry and, if granted, spends it.
+     * Takes a retry from the budget, if one is available.
      *
-     * @return true if the request may be tried again
+     * @return true if the request may be retried
      */
     public synchronized boolean tryRetry() {
         long now = clock.nanos();
--- a/serving/src/main/java/org/geraniumreach/serving/retry/RetryPolicy.java
+++ b/serving/src/main/java/org/geraniumreach/serving/retry/RetryPolicy.java
@@ -8,30 +8,30 @@
 import org.geraniumreach.model.Ran;
 
 /**
- * Decides whether a failed request is tried again, and after what delay.
+ * Decides whether a failed request is retried, and after which delay.
  *
- * <p>Invariant: a request that may not be repeated is tried again only if it is shown not to have run. Safe for use by
+ * <p>Invariant: a request that is not repeatable is retried only if it is known not to have run. Safe for use by
  * several threads.
  */
 @FunctionalInterface
 public interface RetryPolicy {
 
     /**
-     * Decides.
+     * Decides whether to retry a request.
      *
-     * @param failure what failed, not null
-     * @return the delay before the next try, or empty if there is to be none
+     * @param failure the failed attempt, not null
+     * @return the delay before the retry, or empty if the request is not retried
      */
     Optional<Duration> decide(Failure failure);
 
     /**
-     * A request's failed try.
+     * A failed attempt at a request.
      *
-     * @param repeatable whether it may run more than once
-     * @param ran whether the try ran
-     * @param responseStarted whether the caller has been sent a part of the answer
-     * @param failures the tries that have failed, this one included
-     * @param timeToDeadline what is left of the deadline
+     * @param repeatable whether the request may run more than once
+     * @param ran whether the attempt ran
+     * @param responseStarted whether part of the response has been sent to the caller
+     * @param failures the number of failed attempts, including this one
+     * @param timeToDeadline the time until the request's deadline
      */
     record Failure(boolean repeatable, Ran ran, boolean responseStarted, int failures, Duration timeToDeadline) {
 
@@ -46,7 +46,7 @@
     }
 
     /**
-     * Obtains the baseline, which never tries again.
+     * Obtains the policy that never retries.
      *
      * @return the policy, not null
      */
@@ -55,12 +55,12 @@
     }
 
     /**
-     * Obtains the policy that tries again within a budget.
+     * Obtains a policy that retries within a budget.
      *
      * @param budget the budget, shared by all requests of the process, not null
-     * @param backoff the delays, not null
-     * @param maximumTries the most tries of one request, at least 1
-     * @param random the source of chance, safe for use by several threads, not null
+     * @param backoff the back-off between attempts, not null
+     * @param maximumTries the maximum number of attempts at one request, at least 1
+     * @param random the random source, safe for use by several threads, not null
      * @return the policy, not null
      */
     static RetryPolicy budgeted(RetryBudget budget, Backoff backoff, int maximumTries, RandomGenerator random) {
--- a/serving/src/main/java/org/geraniumreach/serving/retry/TargetHealth.java
+++ b/serving/src/main/java/org/geraniumreach/serving/retry/TargetHealth.java
@@ -10,12 +10,12 @@
 import org.geraniumreach.model.TargetId;
 
 /**
- * Leaves targets out on evidence, and lets them back by degrees.
+ * Outlier detection: ejects failing targets from routing and restores them gradually.
  *
- * <p>Invariants: a target is ejected by failures in a row or by its error rate, never by one failure; at most the allowed
- * share of the known targets is ejected together, since a fault that strikes all of them is not theirs; after its time a
- * target gets a share of the requests that rises with time, and a failure meanwhile ejects it again for twice as long.
- * Safe for use by several threads: each target is a shard under its own lock.
+ * <p>Invariants: a healthy target is ejected for consecutive failures or for its error rate, not for a single failure;
+ * at most the allowed share of the known targets is ejected at the same time, since a failure of all targets is not
+ * their own fault; after the ejection a target gets a rising share of the requests, and a failure during this time
+ * ejects it again for twice as long. Safe for use by several threads: each target is a shard under its own lock.
  */
 public final class TargetHealth {
 
@@ -32,18 +32,18 @@
     }
 
     /**
-     * Makes one that knows no target.
+     * Creates an instance without targets.
      *
      * @param rules the rules, not null
      * @param clock the clock, not null
-     * @param random the source of chance, safe for use by several threads, not null
-     * @return the health, not null
+     * @param random the random source, safe for use by several threads, not null
+     * @return the instance, not null
      */
     public static TargetHealth create(EjectionRules rules, MonotonicClock clock, RandomGenerator random) {
         return new TargetHealth(rules, clock, random);
     }
 
-    /** What a result meant for a target. */
+    /** The effect of a request's result on a target. */
     public enum Change {
         NONE,
         EJECTED,
@@ -67,7 +67,7 @@
     }
 
     /**
-     * Makes a target known, so that it counts when the allowed share is worked out.
+     * Adds a target, so that it counts towards the number of targets that may be ejected.
      *
      * @param target the target, not null
      */
@@ -76,142 +76,146 @@
     }
 
     /**
-     * Forgets a target that left, or whose companion is a new one.
+     * Removes a target that left or that has a new companion.
      *
      * @param target the target, not null
      */
     public void forget(TargetId target) {
-        TargetRecord gone = targets.remove(target);
-        if (gone == null) {
+        TargetRecord removed = targets.remove(target);
+        if (removed == null) {
             return;
         }
-        synchronized (gone) {
-            if (gone.state == State.EJECTED) {
+        synchronized (removed) {
+            if (removed.state == State.EJECTED) {
                 ejectedCount.decrementAndGet();
             }
-            gone.state = State.HEALTHY;
+            removed.state = State.HEALTHY;
         }
     }
 
     /**
-     * Queries whether a request may be sent to a target; a returning one says so for a share of the calls.
+     * Returns whether a request may be sent to a target. A recovering target is admitted for a random share of the
+     * calls.
      *
      * @param target the target, not null
-     * @return true if it may
+     * @return true if it may be sent
      */
     public boolean admits(TargetId target) {
-        TargetRecord health = targets.get(target);
-        if (health == null) {
+        TargetRecord tracked = targets.get(target);
+        if (tracked == null) {
             return true;
         }
-        synchronized (health) {
-            endElapsedEjection(health);
-            return switch (health.state) {
+        synchronized (tracked) {
+            endElapsedEjection(tracked);
+            return switch (tracked.state) {
                 case HEALTHY -> true;
                 case EJECTED -> false;
-                case RECOVERING -> random.nextDouble() < recoveringShare(health);
+                case RECOVERING -> random.nextDouble() < recoveringShare(tracked);
             };
         }
     }
 
-    private void endElapsedEjection(TargetRecord health) {
+    private void endElapsedEjection(TargetRecord tracked) {
         long now = clock.nanos();
-        if (health.state == State.EJECTED && now - health.stateSinceNanos >= health.ejectionNanos) {
-            health.state = State.RECOVERING;
-            health.stateSinceNanos += health.ejectionNanos;
-            clearCounts(health, now);
+        if (tracked.state == State.EJECTED && now - tracked.stateSinceNanos >= tracked.ejectionNanos) {
+            tracked.state = State.RECOVERING;
+            tracked.stateSinceNanos += tracked.ejectionNanos;
+            clearCounts(tracked, now);
             ejectedCount.decrementAndGet();
         }
     }
 
-    private double recoveringShare(TargetRecord health) {
-        double progress =
-                (double) (clock.nanos() - health.stateSinceNanos) / rules.letBack().toNanos();
+    private double recoveringShare(TargetRecord tracked) {
+        double progress = (double) (clock.nanos() - tracked.stateSinceNanos)
+                / rules.letBack().toNanos();
         return rules.firstShare() + (1 - rules.firstShare()) * Math.min(1, progress);
     }
 
     /**
-     * Tells that a target answered.
+     * Called when a target has answered a request.
      *
      * @param target the target, not null
      * @return RESTORED if the target is healthy again
      */
     public Change succeeded(TargetId target) {
-        TargetRecord health = targets.computeIfAbsent(target, id -> new TargetRecord());
-        synchronized (health) {
-            endElapsedEjection(health);
-            recordResult(health, false);
-            boolean back = health.state == State.RECOVERING
-                    && clock.nanos() - health.stateSinceNanos >= rules.letBack().toNanos();
-            if (!back) {
+        TargetRecord tracked = targets.computeIfAbsent(target, id -> new TargetRecord());
+        synchronized (tracked) {
+            endElapsedEjection(tracked);
+            recordResult(tracked, false);
+            boolean recovered = tracked.state == State.RECOVERING
+                    && clock.nanos() - tracked.stateSinceNanos
+                            >= rules.letBack().toNanos();
+            if (!recovered) {
                 return Change.NONE;
             }
-            health.state = State.HEALTHY;
-            health.ejectionNanos = 0;
+            tracked.state = State.HEALTHY;
+            tracked.ejectionNanos = 0;
             return Change.RESTORED;
         }
     }
 
     /**
-     * Tells that a target failed a request, through no fault of the request.
+     * Called when a target has failed a request and the request itself was not the cause.
      *
      * @param target the target, not null
-     * @return EJECTED if the target is now left out
+     * @return EJECTED if the target is now ejected
      */
     public Change failed(TargetId target) {
-        TargetRecord health = targets.computeIfAbsent(target, id -> new TargetRecord());
-        synchronized (health) {
-            endElapsedEjection(health);
-            recordResult(health, true);
-            if (health.state == State.EJECTED || !shouldEject(health) || !reserveEjection()) {
+        TargetRecord tracked = targets.computeIfAbsent(target, id -> new TargetRecord());
+        synchronized (tracked) {
+            endElapsedEjection(tracked);
+            recordResult(tracked, true);
+            if (tracked.state == State.EJECTED || !shouldEject(tracked) || !reserveEjection()) {
                 return Change.NONE;
             }
-            eject(health);
+            eject(tracked);
             return Change.EJECTED;
         }
     }
 
-    private void recordResult(TargetRecord health, boolean failure) {
+    private void recordResult(TargetRecord tracked, boolean failed) {
         long now = clock.nanos();
-        if (now - health.windowStartNanos >= rules.window().toNanos()) {
-            int consecutive = health.consecutiveFailures;
-            clearCounts(health, now);
-            health.consecutiveFailures = consecutive;
+        if (now - tracked.windowStartNanos >= rules.window().toNanos()) {
+            int consecutiveFailures = tracked.consecutiveFailures;
+            clearCounts(tracked, now);
+            tracked.consecutiveFailures = consecutiveFailures;
         }
-        health.requests++;
-        health.failures += failure ? 1 : 0;
-        health.consecutiveFailures = failure ? health.consecutiveFailures + 1 : 0;
+        tracked.requests++;
+        tracked.failures += failed ? 1 : 0;
+        tracked.consecutiveFailures = failed ? tracked.consecutiveFailures + 1 : 0;
     }
 
-    private static void clearCounts(TargetRecord health, long now) {
-        health.windowStartNanos = now;
-        health.requests = 0;
-        health.failures = 0;
-        health.consecutiveFailures = 0;
+    private static void clearCounts(TargetRecord tracked, long now) {
+        tracked.windowStartNanos = now;
+        tracked.requests = 0;
+        tracked.failures = 0;
+        tracked.consecutiveFailures = 0;
     }
 
-    private boolean shouldEject(TargetRecord health) {
-        if (health.state == State.RECOVERING || health.consecutiveFailures >= rules.consecutiveFailures()) {
+    private boolean shouldEject(TargetRecord tracked) {
+        if (tracked.state == State.RECOVERING || tracked.consecutiveFailures >= rules.consecutiveFailures()) {
             return true;
         }
-        return health.requests >= rules.leastRequests() && health.failures >= rules.errorRate() * health.requests;
+        return tracked.requests >= rules.leastRequests() && tracked.failures >= rules.errorRate() * tracked.requests;
     }
 
     /*
-     * A fault in front of the targets, such as this entry's own network, makes all of them fail. Ejecting them all would
-     * turn a partial fault into none served; with a part of them always left in, requests that can be served are.
+     * A failure in front of the targets, such as in this entry's own network, makes all of them seem to fail. Ejecting
+     * them all would turn a partial failure into a complete one; with some always admitted, requests can still be
+     * served.
      */
     private boolean reserveEjection() {
-        int allowed = (int) (rules.greatestEjectedShare() * targets.size());
-        int before = ejectedCount.getAndUpdate(count -> count < allowed ? count + 1 : count);
-        return before < allowed;
-    }
-
-    private void eject(TargetRecord health) {
-        long longest = rules.longestEjection().toNanos();
-        long first = rules.firstEjection().toNanos();
-        health.ejectionNanos = health.ejectionNanos == 0 ? first : Math.min(longest, 2 * health.ejectionNanos);
-        health.state = State.EJECTED;
-        health.stateSinceNanos = clock.nanos();
+        int maximumEjected = (int) (rules.greatestEjectedShare() * targets.size());
+        int ejectedBefore = ejectedCount.getAndUpdate(count -> count < maximumEjected ? count + 1 : count);
+        return ejectedBefore < maximumEjected;
+    }
+
+    private void eject(TargetRecord tracked) {
+        long longestNanos = rules.longestEjection().toNanos();
+        long firstNanos = rules.firstEjection().toNanos();
+        tracked.ejectionNanos =
+                tracked.ejectionNanos == 0 ? firstNanos : Math.min(longestNanos, 2 * tracked.ejectionNanos);
+        tracked.state = State.EJECTED;
+        tracked.stateSinceNanos = clock.nanos();
     }
 }
--- a/serving/src/main/java/org/geraniumreach/serving/routing/AffinityRouter.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/AffinityRouter.java
@@ -4,16 +4,17 @@
 import java.util.random.RandomGenerator;
 
 import org.geraniumreach.model.AdapterReference;
-import org.geraniumreach.serving.prefix.PrefixLocation;
 import org.geraniumreach.serving.prefix.PrefixDirectory;
+import org.geraniumreach.serving.prefix.PrefixLocation;
 
 /**
- * The router that takes the target at which a request costs least: itself in waiting, and others in loads.
+ * A router that chooses the target with the lowest cost: the request's waiting time plus the delay it causes to others.
  *
- * <p>Candidates are the adapter's holders, the first targets of its rendezvous order if more may hold it, where its prefix
- * is, and two targets by chance if all these are crowded. Entries that see the same targets agree on the order without
- * talking. Among several holders it weighs two by chance rather than all: reports lag, and many entries that take the same
- * apparent minimum would overrun it together. Safe for use by several threads if its random source is.
+ * <p>Candidates are the targets that hold the adapter, its home targets (the first ones in its rendezvous order) if
+ * more replicas are allowed, the target that probably caches the prompt's prefix, and two random targets if all of
+ * these are crowded. Entries with the same targets compute the same order without communicating. Of several holders,
+ * two random ones are compared instead of all: reports lag, and many entries that choose the same apparent minimum
+ * would overload it. Safe for use by several threads if its random source is.
  */
 final class AffinityRouter implements Router {
 
@@ -53,7 +54,7 @@
         });
     }
 
-    /** The search for one request; confined to its thread. */
+    /** The search for the best target of one request; confined to one thread. */
     private final class Search {
         private final RouteRequest request;
         private final FleetView.Members members;
@@ -98,33 +99,34 @@
         }
 
         /*
-         * Of more holders than are needed, those late in the order are left to run out, the same ones by every entry. The
-         * order that is remembered mostly tells; with it, an adapter that nearly all targets hold costs no more than one
-         * that a few hold.
+         * If more targets hold the adapter than are allowed, those last in the rendezvous order get no requests, so
+         * that their slots can be evicted. All entries pass over the same ones. The cached order usually contains
+         * enough holders, so the time taken does not grow with the number of holders.
          */
-        private TrackedTarget[] eligibleHolders(AdapterReference adapter, RendezvousOrderCache.Order order, int allowed) {
+        private TrackedTarget[] eligibleHolders(
+                AdapterReference adapter, RendezvousOrderCache.Order order, int allowed) {
             if (holders.length <= allowed) {
                 return holders;
             }
-            TrackedTarget[] used = new TrackedTarget[allowed];
+            TrackedTarget[] eligible = new TrackedTarget[allowed];
             int count = 0;
             for (TrackedTarget target : order.targets()) {
                 if (count < allowed && target.report().resident().contains(adapter)) {
-                    used[count++] = target;
+                    eligible[count++] = target;
                 }
             }
-            return count == allowed ? used : Rendezvous.topRanked(order.keyHash(), holders, allowed);
+            return count == allowed ? eligible : Rendezvous.topRanked(order.keyHash(), holders, allowed);
         }
 
-        private void considerHolders(TrackedTarget[] used) {
-            if (used.length == 0) {
+        private void considerHolders(TrackedTarget[] eligible) {
+            if (eligible.length == 0) {
                 return;
             }
-            int first = random.nextInt(used.length);
-            consider(used[first], Route.Reason.RESIDENT);
-            if (used.length > 1) {
-                int step = 1 + random.nextInt(used.length - 1);
-                consider(used[(first + step) % used.length], Route.Reason.RESIDENT);
+            int start = random.nextInt(eligible.length);
+            consider(eligible[start], Route.Reason.RESIDENT);
+            if (eligible.length > 1) {
+                int step = 1 + random.nextInt(eligible.length - 1);
+                consider(eligible[(start + step) % eligible.length], Route.Reason.RESIDENT);
             }
         }
 
@@ -135,10 +137,10 @@
         }
 
         private void considerHomes(AdapterReference adapter, RendezvousOrderCache.Order order, int count) {
-            int left = count;
+            int remaining = count;
             for (TrackedTarget home : order.targets()) {
-                if (left > 0 && candidates.allows(request, home)) {
-                    left--;
+                if (remaining > 0 && candidates.allows(request, home)) {
+                    remaining--;
                     consider(home, homeReason(home, adapter));
                 }
             }
@@ -156,15 +158,15 @@
 
         private void considerTwoRandom() {
             TrackedTarget[] all = members.targets();
-            int first = random.nextInt(all.length);
-            consider(all[first], Route.Reason.LOAD);
+            int start = random.nextInt(all.length);
+            consider(all[start], Route.Reason.LOAD);
             consider(all[random.nextInt(all.length)], Route.Reason.LOAD);
             for (int step = 1; best == null && step < all.length; step++) {
-                consider(all[(first + step) % all.length], Route.Reason.LOAD);
+                consider(all[(start + step) % all.length], Route.Reason.LOAD);
             }
         }
 
-        private void consider(TrackedTarget target, Route.Reason why) {
+        private void consider(TrackedTarget target, Route.Reason candidateReason) {
             if (target == best || !candidates.allows(request, target)) {
                 return;
             }
@@ -172,12 +174,13 @@
             if (total < bestCost) {
                 best = target;
                 bestCost = total;
-                reason = why;
+                reason = candidateReason;
             }
         }
 
         private double prefixSaving(TrackedTarget target) {
-            return prefixLocation.filter(found -> found.target().equals(target.target()))
+            return prefixLocation
+                    .filter(found -> found.target().equals(target.target()))
                     .map(found -> found.confidence() * weights.prefixTime().toNanos())
                     .orElse(0.0);
         }
--- a/serving/src/main/java/org/geraniumreach/serving/routing/DemandMeter.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/DemandMeter.java
@@ -6,10 +6,11 @@
 import org.geraniumreach.model.AdapterReference;
 
 /**
- * Measures which part of an entry's requests each adapter has, where a request counts half after each half-life.
+ * Measures each adapter's share of an entry's requests, with exponential decay.
  *
- * <p>Invariant: at most {@code capacity} adapters are kept, the longest unused go first; an adapter that is not kept counts
- * as none. Safe for use by several threads: adapters are spread over shards, each under its own lock.
+ * <p>Invariant: at most {@code capacity} adapters are tracked, and the least recently used is dropped first; an adapter
+ * that is not tracked has a count of zero. Safe for use by several threads: adapters are spread over shards, each under
+ * its own lock.
  */
 final class DemandMeter {
 
@@ -46,11 +47,11 @@
     }
 
     /**
-     * Counts a request.
+     * Records a request.
      *
-     * @param adapter its adapter
-     * @param now the time
-     * @return the adapter's part of the requests, this one included, 0 to 1
+     * @param adapter the request's adapter
+     * @param now the current time in nanoseconds
+     * @return the adapter's share of the requests, including this one, 0 to 1
      */
     double recordRequest(AdapterReference adapter, long now) {
         Shard shard = shards[Math.floorMod(adapter.hashCode(), SHARDS)];
--- a/serving/src/main/java/org/geraniumreach/serving/routing/FleetView.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/FleetView.java
@@ -17,11 +17,11 @@
 import org.geraniumreach.model.record.Target;
 
 /**
- * The targets as one entry sees them, made from what companions report and from what the entry itself sends.
+ * One entry's view of all targets, built from the companions' status reports and the entry's own requests.
  *
- * <p>Invariants: a target is a member of its offering from {@link #join} until {@link #leave}, while it does not drain; an
- * adapter's holders are exactly the members whose last report has it. Safe for use by several threads: each target is a
- * shard under its own lock, and members are swapped as a whole.
+ * <p>Invariants: a target is a member of its offering from {@link #join} until {@link #leave}, unless it is draining;
+ * an adapter's holders are exactly the targets whose last report lists it as resident. Safe for use by several threads:
+ * each target is a shard under its own lock, and members are replaced as a whole.
  */
 public final class FleetView {
 
@@ -40,11 +40,11 @@
         this.clock = Objects.requireNonNull(clock, "clock");
     }
 
-    /** The targets of an offering that take work; the generation changes with them. */
+    /** The targets of an offering that accept requests; the generation changes whenever they do. */
     record Members(long generation, TrackedTarget[] targets) {}
 
     /**
-     * Makes a view without targets.
+     * Creates a view without targets.
      *
      * @param clock the clock, not null
      * @return the view, not null
@@ -54,7 +54,7 @@
     }
 
     /**
-     * Adds a target when the link to its companion opens; one known under another instance is replaced.
+     * Adds a target when the link to its companion opens, replacing an earlier entry for the same target.
      *
      * @param record the target's record, not null
      * @param instance its companion's instance, not null
@@ -70,28 +70,28 @@
     }
 
     /**
-     * Takes a target away, when it leaves or its companion cannot be reached.
+     * Removes a target when it leaves or its companion becomes unreachable.
      *
      * @param target the target, not null
      */
     public void leave(TargetId target) {
         synchronized (membershipLock) {
-            TrackedTarget gone = targets.remove(target);
-            if (gone == null) {
+            TrackedTarget removed = targets.remove(target);
+            if (removed == null) {
                 return;
             }
-            synchronized (gone) {
-                removeReported(gone, gone.report());
+            synchronized (removed) {
+                removeReported(removed, removed.report());
             }
-            refreshMembers(gone.offering());
+            refreshMembers(removed.offering());
         }
     }
 
     /**
-     * Takes a companion's news in; news of an unknown target, or older than what is known, changes nothing.
+     * Applies a companion's status report. A report on an unknown target, or an outdated one, is ignored.
      *
-     * @param status the news, not null
-     * @return true if the view changed
+     * @param status the report, not null
+     * @return true if the report was applied
      */
     public boolean apply(TargetStatus status) {
         TrackedTarget tracked = targets.get(status.target());
@@ -132,40 +132,42 @@
         }
     }
 
-    private void removeReported(TrackedTarget gone, TrackedTarget.Report last) {
-        last.resident().forEach(adapter -> removeHolder(adapter, gone));
+    private void removeReported(TrackedTarget removed, TrackedTarget.Report last) {
+        last.resident().forEach(adapter -> removeHolder(adapter, removed));
         pendingLoads.addAndGet(-last.loading().size());
     }
 
     private void addHolder(AdapterReference adapter, TrackedTarget tracked) {
-        holders.compute(adapter, (key, old) -> {
-            TrackedTarget[] next = old == null ? new TrackedTarget[1] : Arrays.copyOf(old, old.length + 1);
-            next[next.length - 1] = tracked;
-            return next;
+        holders.compute(adapter, (key, current) -> {
+            TrackedTarget[] updated =
+                    current == null ? new TrackedTarget[1] : Arrays.copyOf(current, current.length + 1);
+            updated[updated.length - 1] = tracked;
+            return updated;
         });
     }
 
     private void removeHolder(AdapterReference adapter, TrackedTarget tracked) {
-        holders.computeIfPresent(adapter, (key, old) -> {
-            List<TrackedTarget> next = new ArrayList<>(List.of(old));
-            next.remove(tracked);
-            return next.isEmpty() ? null : next.toArray(new TrackedTarget[0]);
+        holders.computeIfPresent(adapter, (key, current) -> {
+            List<TrackedTarget> updated = new ArrayList<>(List.of(current));
+            updated.remove(tracked);
+            return updated.isEmpty() ? null : updated.toArray(new TrackedTarget[0]);
         });
     }
 
     private void refreshMembers(Offering offering) {
-        TrackedTarget[] live = targets.values().stream()
+        TrackedTarget[] accepting = targets.values().stream()
                 .filter(target -> target.offering().equals(offering) && !target.isDraining())
                 .sorted(Comparator.comparing(TrackedTarget::target))
                 .toArray(TrackedTarget[]::new);
-        members.put(offering, new Members(++generation, live));
+        members.put(offering, new Members(++generation, accepting));
     }
 
     /**
-     * Notes that this entry sends a request, so that its next choices know of it before the target reports it.
+     * Records that this entry sends a request, so that it counts towards the target's load before the target reports
+     * it.
      *
      * @param target the target, not null
-     * @return the sending, to be told of its progress, not null
+     * @return the handle that the caller notifies of the request's progress, not null
      */
     public Sending sent(TargetId target) {
         TrackedTarget tracked = targets.get(target);
@@ -176,17 +178,17 @@
      * Finds a target.
      *
      * @param target the target, not null
-     * @return how it looks now, or empty if it is not known
+     * @return its current state, or empty if it is unknown
      */
     public Optional<TargetView> find(TargetId target) {
         return Optional.ofNullable(targets.get(target)).map(tracked -> tracked.view(clock.nanos()));
     }
 
     /**
-     * Gets the targets of an offering that take work.
+     * Gets the targets of an offering that accept requests.
      *
      * @param offering the offering, not null
-     * @return how they look now, ordered by name, not null
+     * @return their current states, ordered by name, not null
      */
     public List<TargetView> views(Offering offering) {
         long now = clock.nanos();
@@ -198,7 +200,7 @@
     }
 
     /**
-     * Gets the loads that all targets together have in transit or waiting, as far as reported.
+     * Gets the number of adapter loads in progress or waiting at all targets, according to their last reports.
      *
      * @return the number, not negative
      */
--- a/serving/src/main/java/org/geraniumreach/serving/routing/LeastLoadedRouter.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/LeastLoadedRouter.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** The baseline that takes the target whose load looks least; safe for use by several threads. */
+/** A baseline router that chooses the target with the lowest known load; safe for use by several threads. */
 final class LeastLoadedRouter implements Router {
 
     private final RouteCandidates candidates;
--- a/serving/src/main/java/org/geraniumreach/serving/routing/Offering.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/Offering.java
@@ -7,12 +7,12 @@
 import org.geraniumreach.model.record.Target;
 
 /**
- * What a target offers and a request asks for: a base model, or a plain service.
+ * The base model or plain service that a target provides and a request needs.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param kind whether it is a base model or a plain service
- * @param name its name
+ * @param kind the kind of offering
+ * @param name the name of the base model or service
  */
 public record Offering(Kind kind, String name) {
 
@@ -48,7 +48,7 @@
     }
 
     /**
-     * Obtains what a target offers.
+     * Obtains the offering of a target.
      *
      * @param target the target's record, not null
      * @return the offering, not null
--- a/serving/src/main/java/org/geraniumreach/serving/routing/PlainHashingRouter.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/PlainHashingRouter.java
@@ -3,7 +3,8 @@
 import java.util.Optional;
 
 /**
- * The baseline that takes the first of the adapter's order, or the target whose load looks least if that one is full.
+ * A baseline router that chooses the first target in the adapter's rendezvous order, or the least loaded target if that
+ * one is full.
  *
  * <p>Safe for use by several threads.
  */
@@ -21,9 +22,10 @@
 
     @Override
     public Optional<Route> route(RouteRequest request) {
-        return candidates.choose(request, members -> routeToHome(request, members).or(() -> candidates
-                .leastLoaded(request, members)
-                .map(target -> RouteCandidates.route(target, Route.Reason.LOAD, 0))));
+        return candidates.choose(
+                request, members -> routeToHome(request, members).or(() -> candidates
+                        .leastLoaded(request, members)
+                        .map(target -> RouteCandidates.route(target, Route.Reason.LOAD, 0))));
     }
 
     private Optional<Route> routeToHome(RouteRequest request, FleetView.Members members) {
--- a/serving/src/main/java/org/geraniumreach/serving/routing/RandomRouter.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/RandomRouter.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.random.RandomGenerator;
 
-/** The baseline that takes any target; safe for use by several threads if its random source is. */
+/** A baseline router that chooses a random target; safe for use by several threads if its random source is. */
 final class RandomRouter implements Router {
 
     private final RouteCandidates candidates;
--- a/serving/src/main/java/org/geraniumreach/serving/routing/Rendezvous.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/Rendezvous.java
@@ -6,8 +6,8 @@
 import org.geraniumreach.model.AdapterReference;
 
 /**
- * Rendezvous hashing: each key ranks all targets by a hash of both, so that whoever knows the same targets finds the same
- * order, and the loss of a target moves only the keys that had it first.
+ * Rendezvous hashing: each key ranks all targets by a hash of key and target. Processes that know the same targets
+ * compute the same order, and removing a target moves only the keys that ranked it first.
  *
  * <p>Stateless and safe for use by several threads.
  */
@@ -18,7 +18,7 @@
     private Rendezvous() {}
 
     /**
-     * Hashes a name, for an order of keys and members.
+     * Hashes the name of a key or member.
      *
      * @param text the name, not null
      * @return the hash
@@ -33,44 +33,45 @@
     }
 
     /**
-     * Finds the first targets of a key's order.
+     * Finds the first targets in a key's order.
      *
-     * @param key the key's hash
-     * @param members all targets
-     * @param count how many are wanted
-     * @return the first targets, best first, at most {@code count}
+     * @param keyHash the key's hash
+     * @param members the targets to rank
+     * @param count the maximum number of targets to return
+     * @return the targets, highest score first, at most {@code count}
      */
-    static TrackedTarget[] topRanked(int key, TrackedTarget[] members, int count) {
-        int wanted = Math.min(count, members.length);
-        TrackedTarget[] best = new TrackedTarget[wanted];
-        int[] scores = new int[wanted];
+    static TrackedTarget[] topRanked(int keyHash, TrackedTarget[] members, int count) {
+        int size = Math.min(count, members.length);
+        TrackedTarget[] ranked = new TrackedTarget[size];
+        int[] scores = new int[size];
         int filled = 0;
         for (TrackedTarget member : members) {
-            int score = score(key, member.hash());
-            if (filled == wanted && !precedes(score, member, scores[filled - 1], best[filled - 1])) {
+            int score = score(keyHash, member.hash());
+            if (filled == size && !precedes(score, member, scores[filled - 1], ranked[filled - 1])) {
                 continue;
             }
-            int place = filled < wanted ? filled++ : filled - 1;
-            while (place > 0 && precedes(score, member, scores[place - 1], best[place - 1])) {
-                scores[place] = scores[place - 1];
-                best[place] = best[place - 1];
-                place--;
+            int position = filled < size ? filled++ : filled - 1;
+            while (position > 0 && precedes(score, member, scores[position - 1], ranked[position - 1])) {
+                scores[position] = scores[position - 1];
+                ranked[position] = ranked[position - 1];
+                position--;
             }
-            scores[place] = score;
-            best[place] = member;
+            scores[position] = score;
+            ranked[position] = member;
         }
-        return best;
+        return ranked;
     }
 
     /**
-     * Scores a member for a key; the highest score is the first choice, and equal ones go by the members' names.
+     * Computes a member's score for a key. The highest score is the first choice; ties are broken by the members'
+     * names.
      *
-     * @param key the key's hash
-     * @param member the member's hash
+     * @param keyHash the key's hash
+     * @param memberHash the member's hash
      * @return the score
      */
-    public static int score(int key, int member) {
-        return MurmurHash3.hash32(key, member);
+    public static int score(int keyHash, int memberHash) {
+        return MurmurHash3.hash32(keyHash, memberHash);
     }
 
     private static boolean precedes(int score, TrackedTarget member, int otherScore, TrackedTarget other) {
--- a/serving/src/main/java/org/geraniumreach/serving/routing/RendezvousOrderCache.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/RendezvousOrderCache.java
@@ -6,11 +6,11 @@
 import org.geraniumreach.model.AdapterReference;
 
 /**
- * The first targets of each adapter's rendezvous order, remembered for the adapters lately asked for.
+ * A cache of the first targets in each adapter's rendezvous order.
  *
- * <p>Invariants: an order that is handed out was worked out from the members given; at most {@code capacity} orders are
- * kept, the longest unused go first. Safe for use by several threads: adapters are spread over shards, each under its own
- * lock.
+ * <p>Invariants: a returned order was computed from the given members; at most {@code capacity} orders are cached, and
+ * the least recently used is dropped first. Safe for use by several threads: adapters are spread over shards, each
+ * under its own lock.
  */
 final class RendezvousOrderCache {
 
@@ -28,11 +28,11 @@
     }
 
     /**
-     * An adapter's order.
+     * The first targets in an adapter's rendezvous order.
      *
-     * @param generation the generation of the members that it was worked out from
+     * @param generation the generation of the members from which it was computed
      * @param keyHash the adapter's hash
-     * @param targets the first targets, best first; shared, and not to be changed
+     * @param targets the targets, highest score first; shared, must not be modified
      */
     record Order(long generation, int keyHash, TrackedTarget[] targets) {}
 
@@ -53,21 +53,22 @@
     }
 
     /**
-     * Gets an adapter's order.
+     * Gets an adapter's order, computing it if it is absent or was computed from other members.
      *
      * @param adapter the adapter
-     * @param members the members
+     * @param members the members to rank
      * @return the order
      */
     Order get(AdapterReference adapter, FleetView.Members members) {
         Shard shard = shards[Math.floorMod(adapter.hashCode(), SHARDS)];
         synchronized (shard) {
-            Order known = shard.get(adapter);
-            if (known != null && known.generation == members.generation()) {
-                return known;
+            Order cached = shard.get(adapter);
+            if (cached != null && cached.generation == members.generation()) {
+                return cached;
             }
-            int key = known != null ? known.keyHash : Rendezvous.hash(adapter);
-            Order order = new Order(members.generation(), key, Rendezvous.topRanked(key, members.targets(), length));
+            int keyHash = cached != null ? cached.keyHash : Rendezvous.hash(adapter);
+            Order order =
+                    new Order(members.generation(), keyHash, Rendezvous.topRanked(keyHash, members.targets(), length));
             shard.put(adapter, order);
             return order;
         }
--- a/serving/src/main/java/org/geraniumreach/serving/routing/ReplicaLimit.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/ReplicaLimit.java
@@ -7,11 +7,11 @@
 import org.geraniumreach.model.AdapterReference;
 
 /**
- * Works out how many targets an adapter may be held by, from its part of the requests and from how busy the fleet is.
+ * Limits how many targets may hold an adapter, according to its share of the requests and the fleet's load.
  *
- * <p>Without it, when all targets are busy any difference between two of them looks worth a replica. Each replica is a load
- * and takes a slot from another adapter, which then has to be loaded again, until the weight store is all that anybody
- * waits for. Safe for use by several threads.
+ * <p>Without the limit, any difference between two busy targets would look worth a replica. Each replica costs a load
+ * and takes a slot from another adapter, which must then be loaded again, until the weight store is the bottleneck.
+ * Safe for use by several threads.
  */
 final class ReplicaLimit {
 
@@ -23,13 +23,13 @@
     private final DemandMeter demand;
     private final Map<Offering, LoadTotals> totalsByOffering = new ConcurrentHashMap<>();
 
-    ReplicaLimit(FleetView fleet, double fill, int rememberedAdapters) {
+    ReplicaLimit(FleetView fleet, double replicaFill, int rememberedAdapters) {
         this.fleet = fleet;
-        this.replicaFill = fill;
+        this.replicaFill = replicaFill;
         this.demand = new DemandMeter(DEMAND_HALF_LIFE.toNanos(), rememberedAdapters);
     }
 
-    /** The load and limits of all targets of an offering together. */
+    /** The total load and concurrency limit of an offering's targets. */
     record LoadTotals(long computedNanos, double load, double limit, int targets) {
 
         double meanRelativeLoad() {
@@ -38,27 +38,27 @@
     }
 
     /**
-     * Counts a request and works out how many targets may hold its adapter.
+     * Records a request and computes how many targets may hold its adapter.
      *
      * @param adapter the adapter
-     * @param sums the totals of its offering
-     * @return the number, at least 1
+     * @param offeringTotals the load totals of its offering
+     * @return the number of targets, at least 1
      */
-    int allowedHolders(AdapterReference adapter, LoadTotals sums) {
-        double part = demand.recordRequest(adapter, fleet.nowNanos());
-        if (sums.targets == 0 || sums.limit == 0) {
+    int allowedHolders(AdapterReference adapter, LoadTotals offeringTotals) {
+        double share = demand.recordRequest(adapter, fleet.nowNanos());
+        if (offeringTotals.targets == 0 || offeringTotals.limit == 0) {
             return 1;
         }
-        double running = part * Math.min(sums.load, sums.limit);
-        double perTarget = replicaFill * sums.limit / sums.targets;
-        return Math.max(1, (int) Math.ceil(running / perTarget));
+        double running = share * Math.min(offeringTotals.load, offeringTotals.limit);
+        double runningPerTarget = replicaFill * offeringTotals.limit / offeringTotals.targets;
+        return Math.max(1, (int) Math.ceil(running / runningPerTarget));
     }
 
     LoadTotals totals(Offering offering) {
-        LoadTotals known = totalsByOffering.get(offering);
+        LoadTotals cached = totalsByOffering.get(offering);
         long now = fleet.nowNanos();
-        if (known != null && now - known.computedNanos < TOTALS_VALID_NANOS) {
-            return known;
+        if (cached != null && now - cached.computedNanos < TOTALS_VALID_NANOS) {
+            return cached;
         }
         double load = 0;
         double limit = 0;
--- a/serving/src/main/java/org/geraniumreach/serving/routing/Route.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/Route.java
@@ -6,14 +6,14 @@
 import org.geraniumreach.model.TargetId;
 
 /**
- * A router's choice.
+ * The target that a router chose for a request.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @param target the target
  * @param instance its companion's instance
- * @param reason what decided
- * @param estimatedWaitNanos how long the request is expected to wait there before it runs
+ * @param reason why the target was chosen
+ * @param estimatedWaitNanos the expected waiting time at the target before the request runs
  */
 public record Route(TargetId target, InstanceId instance, Reason reason, long estimatedWaitNanos) {
 
@@ -23,21 +23,21 @@
         Objects.requireNonNull(reason, "reason");
     }
 
-    /** What decided a choice; a label of metrics. */
+    /** The reason for a choice; a metric label. */
     public enum Reason {
-        /** The adapter is there. */
+        /** The adapter is resident at the target. */
         RESIDENT,
-        /** The adapter is on its way there. */
+        /** The target is loading the adapter or waiting to load it. */
         LOADING,
-        /** The adapter is nowhere; the first of its order is to load it. */
+        /** No target holds the adapter; this home target, one of the first in its rendezvous order, is to load it. */
         HOME,
-        /** The adapter is elsewhere, but waiting there costs more than a load here. */
+        /** Other targets hold the adapter, but waiting for them costs more than loading it here. */
         REPLICA,
-        /** The conversation's prefix is there. */
+        /** The target probably caches the prompt's prefix. */
         PREFIX,
-        /** Only the load counted. */
+        /** The target was chosen by its load alone. */
         LOAD,
-        /** Chance. */
+        /** The target was chosen at random. */
         RANDOM
     }
 }
--- a/serving/src/main/java/org/geraniumreach/serving/routing/RouteCandidates.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/RouteCandidates.java
@@ -5,7 +5,7 @@
 import java.util.function.Function;
 
 /**
- * The targets among which a router may choose, with the rules that hold for every router.
+ * Applies the rules that hold for every router: draining, excluded and filtered targets, and the hop limit.
  *
  * <p>Safe for use by several threads.
  */
@@ -26,11 +26,11 @@
     }
 
     /**
-     * Chooses by a rule, unless the hops are spent.
+     * Chooses a target by a rule, unless the request has reached the hop limit.
      *
      * @param request the request
-     * @param rule the rule
-     * @return the choice
+     * @param rule the rule, given the members of the request's offering
+     * @return the route, or empty if there is none
      */
     Optional<Route> choose(RouteRequest request, Function<FleetView.Members, Optional<Route>> rule) {
         if (request.excluded().size() >= maximumHops) {
--- a/serving/src/main/java/org/geraniumreach/serving/routing/RouteCost.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/RouteCost.java
@@ -5,7 +5,7 @@
 import org.geraniumreach.model.AdapterReference;
 
 /**
- * What it costs to send a request to a target, in nanoseconds of somebody's waiting.
+ * The cost of sending a request to a target, in nanoseconds of waiting for this request or for others.
  *
  * <p>Immutable and safe for use by several threads.
  */
@@ -23,20 +23,20 @@
         this.serviceTimeNanos = weights.serviceTime().toNanos();
     }
 
-    /** The loads that matter to a request. */
+    /** The request's adapter, the loads pending fleet-wide and the number of targets that hold the adapter. */
     record LoadContext(Optional<AdapterReference> adapter, int pendingLoads, int holders) {}
 
     /**
-     * Works out the cost, to the request and to others.
+     * Computes the total cost to the request and to others.
      *
      * @param target the target
-     * @param loads the loads that matter
+     * @param loadContext the adapter and the loads that affect it
      * @return the cost in nanoseconds
      */
-    double totalNanos(TrackedTarget target, LoadContext loads) {
-        return waitNanos(target, loads)
+    double totalNanos(TrackedTarget target, LoadContext loadContext) {
+        return waitNanos(target, loadContext)
                 + crowdingNanos(target)
-                + displacementNanos(target, loads)
+                + displacementNanos(target, loadContext)
                 + crossDomainNanos(target);
     }
 
@@ -44,16 +44,16 @@
      * Estimates how long a request waits at a target before it runs.
      *
      * @param target the target
-     * @param loads the loads that matter
+     * @param loadContext the adapter and the loads that affect it
      * @return the wait in nanoseconds
      */
-    double waitNanos(TrackedTarget target, LoadContext loads) {
-        return Math.max(queueNanos(target), loadNanos(target, loads));
+    double waitNanos(TrackedTarget target, LoadContext loadContext) {
+        return Math.max(queueNanos(target), loadNanos(target, loadContext));
     }
 
     /*
-     * A bound on the load alone would be passed by every target once the fleet is full, and requests be spread over targets
-     * that are no better.
+     * Compares with the mean load, since once the fleet is full every target would exceed a fixed bound, and requests
+     * would be spread over targets that are no better.
      */
     boolean isCrowded(TrackedTarget target, double meanRelativeLoad) {
         return target.relativeLoad() >= Math.max(1, weights.loadBound() * meanRelativeLoad);
@@ -63,26 +63,27 @@
         return serviceTimeNanos * Math.max(0, target.relativeLoad() - 1);
     }
 
-    private double loadNanos(TrackedTarget target, LoadContext loads) {
-        if (loads.adapter().isEmpty()) {
+    private double loadNanos(TrackedTarget target, LoadContext loadContext) {
+        if (loadContext.adapter().isEmpty()) {
             return 0;
         }
         TrackedTarget.Report report = target.report();
-        if (report.resident().contains(loads.adapter().get())) {
+        if (report.resident().contains(loadContext.adapter().get())) {
             return 0;
         }
-        double load = Math.max(
-                loadTimeNanos * Math.max(1, (loads.pendingLoads() + 1.0) / weights.loadsAtFullSpeed()),
-                1e9 * (loads.pendingLoads() + 1) / weights.storeLoadsPerSecond());
-        return report.loading().contains(loads.adapter().get()) ? load / 2 : load;
+        double loadNanos = Math.max(
+                loadTimeNanos * Math.max(1, (loadContext.pendingLoads() + 1.0) / weights.loadsAtFullSpeed()),
+                1e9 * (loadContext.pendingLoads() + 1) / weights.storeLoadsPerSecond());
+        return report.loading().contains(loadContext.adapter().get()) ? loadNanos / 2 : loadNanos;
     }
 
-    private double displacementNanos(TrackedTarget target, LoadContext loads) {
-        if (loads.adapter().isEmpty() || loads.holders() == 0) {
+    private double displacementNanos(TrackedTarget target, LoadContext loadContext) {
+        if (loadContext.adapter().isEmpty() || loadContext.holders() == 0) {
             return 0;
         }
-        boolean there = target.report().resident().contains(loads.adapter().get());
-        return there ? 0 : weights.replicaCost() * loadTimeNanos;
+        boolean resident =
+                target.report().resident().contains(loadContext.adapter().get());
+        return resident ? 0 : weights.replicaCost() * loadTimeNanos;
     }
 
     private double crowdingNanos(TrackedTarget target) {
@@ -90,9 +91,9 @@
     }
 
     private double crossDomainNanos(TrackedTarget target) {
-        boolean near = settings.failureDomain()
+        boolean sameDomain = settings.failureDomain()
                 .map(domain -> domain.equals(target.failureDomain()))
                 .orElse(true);
-        return near ? 0 : weights.domainCost().toNanos();
+        return sameDomain ? 0 : weights.domainCost().toNanos();
     }
 }
--- a/serving/src/main/java/org/geraniumreach/serving/routing/RouteRequest.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/RouteRequest.java
@@ -9,14 +9,14 @@
 import org.geraniumreach.serving.prefix.PrefixDigest;
 
 /**
- * What a router has to know of a request.
+ * The properties of a request that a router needs.
  *
  * <p>Invariant: a request for a plain service names no adapter. Immutable and safe for use by several threads.
  *
  * @param offering the base model or service
  * @param adapter the adapter and version, empty for a plain service
  * @param prefix the conversation's prefix, empty if there is none
- * @param excluded the targets already tried; one hop is spent for each
+ * @param excluded the targets already tried; each counts as one hop
  */
 public record RouteRequest(
         Offering offering, Optional<AdapterReference> adapter, Optional<PrefixDigest> prefix, Set<TargetId> excluded) {
--- a/serving/src/main/java/org/geraniumreach/serving/routing/Router.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/Router.java
@@ -5,8 +5,8 @@
 /**
  * Chooses a target for a request.
  *
- * <p>Contract: never a target that is draining, that the filter holds back, or that the request excludes. Implementations
- * are safe for use by several threads.
+ * <p>Contract: never chooses a target that is draining, rejected by the filter or excluded by the request.
+ * Implementations are safe for use by several threads.
  */
 @FunctionalInterface
 public interface Router {
@@ -15,7 +15,7 @@
      * Chooses a target.
      *
      * @param request the request, not null
-     * @return the choice, or empty if no target is left or the hops are spent
+     * @return the route, or empty if no target is allowed or the hop limit is reached
      */
     Optional<Route> route(RouteRequest request);
 }
--- a/serving/src/main/java/org/geraniumreach/serving/routing/RouterSettings.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/RouterSettings.java
@@ -6,17 +6,17 @@
 import org.geraniumreach.model.FailureDomain;
 
 /**
- * Where a router runs and what it weighs.
+ * The settings of a router.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param weights what it weighs
- * @param failureDomain the entry's failure domain, empty if targets of all domains are as near
- * @param rememberedAdapters the adapters whose order is kept
+ * @param weights the cost weights
+ * @param failureDomain the entry's failure domain, empty to prefer none
+ * @param rememberedAdapters the maximum number of adapters whose rendezvous order and demand are kept in memory
  */
 public record RouterSettings(RoutingWeights weights, Optional<FailureDomain> failureDomain, int rememberedAdapters) {
 
-    /** The adapters whose order is kept unless said otherwise. */
+    /** The default maximum number of adapters kept in memory. */
     public static final int DEFAULT_REMEMBERED_ADAPTERS = 32_768;
 
     public RouterSettings {
@@ -28,9 +28,9 @@
     }
 
     /**
-     * Obtains settings from weights, without a preference for a failure domain.
+     * Obtains settings with the given weights and no preferred failure domain.
      *
-     * @param weights what the router weighs, not null
+     * @param weights the cost weights, not null
      * @return the settings, not null
      */
     public static RouterSettings of(RoutingWeights weights) {
--- a/serving/src/main/java/org/geraniumreach/serving/routing/RoutingPolicy.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/RoutingPolicy.java
@@ -4,25 +4,25 @@
 
 import org.geraniumreach.serving.prefix.PrefixDirectory;
 
-/** The ways of choosing a target, by the names that settings use. */
+/** The policies for choosing a target. Settings use the names of the constants. */
 public enum RoutingPolicy {
-    /** Any target, by chance. */
+    /** A random target. */
     RANDOM,
-    /** The target whose load looks least. */
+    /** The target with the lowest known load. */
     LEAST_LOADED,
-    /** The first of the adapter's order; the target whose load looks least if that one is full. */
+    /** The first target in the adapter's rendezvous order, or the least loaded target if that one is full. */
     PLAIN_HASHING,
-    /** What costs the request and the others least, by residency, load and loads in transit. */
+    /** The target with the lowest cost to this and other requests, by residency, load and adapter loads in progress. */
     AFFINITY;
 
     /**
-     * Makes a router of this policy.
+     * Creates a router of this policy.
      *
-     * @param fleet the targets, not null
-     * @param filter holds targets back, not null
-     * @param prefixes where prefixes are believed to be, not null
-     * @param settings where the router runs and what it weighs, not null
-     * @param random the source of chance, safe for use by several threads, not null
+     * @param fleet the view of the targets, not null
+     * @param filter the filter that rejects targets, not null
+     * @param prefixes the directory of cached prefixes, not null
+     * @param settings the router's settings, not null
+     * @param random the random source, safe for use by several threads, not null
      * @return the router, not null
      */
     public Router router(
--- a/serving/src/main/java/org/geraniumreach/serving/routing/RoutingWeights.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/RoutingWeights.java
@@ -4,22 +4,24 @@
 import java.util.Objects;
 
 /**
- * What a router weighs against what.
+ * The weights with which a router computes the cost of a target.
  *
  * <p>Invariant: all values are in range. Immutable and safe for use by several threads.
  *
- * @param loadBound the load, in parts of the mean, above which other targets are tried; at least 1
- * @param homes how many targets of an adapter's order may take it before any other
- * @param maximumHops the targets that a request may try
- * @param loadTime the time of a load at full speed
- * @param loadsAtFullSpeed the loads in transit fleet-wide at full speed
- * @param storeLoadsPerSecond the loads that the weight store allows
- * @param replicaFill the part of a target's limit that one adapter may fill before another target may hold it, above 0
- * @param replicaCost what another replica costs beside the load, in load times: it takes a slot from another adapter
- * @param serviceTime how long a request runs when the target is not crowded
- * @param crowding how much a full target slows a request, in parts of the service time
- * @param domainCost what it costs to leave the failure domain
- * @param prefixTime what a cached prefix saves
+ * @param loadBound the load, as a multiple of the mean load, above which other targets are considered; at least 1
+ * @param homes the number of home targets of an adapter, the first ones in its rendezvous order; at least 1
+ * @param maximumHops the maximum number of targets that a request may try, at least 1
+ * @param loadTime the duration of an adapter load at full speed
+ * @param loadsAtFullSpeed the number of concurrent loads fleet-wide up to which each runs at full speed
+ * @param storeLoadsPerSecond the maximum rate of loads from the weight store
+ * @param replicaFill the share of a target's concurrency limit that one adapter may use before another target may hold
+ *     it, above 0
+ * @param replicaCost the cost of a further replica beside its load, as a multiple of the load time, since it takes a
+ *     slot from another adapter
+ * @param serviceTime the running time of a request at a target that is not crowded
+ * @param crowding the slowdown of a request at a full target, as a share of the service time
+ * @param domainCost the cost of leaving the failure domain
+ * @param prefixTime the time that a cached prefix saves
  */
 public record RoutingWeights(
         double loadBound,
@@ -50,9 +52,9 @@
         requireNotNegative("prefixTime", prefixTime);
     }
 
-    private static void requireAtLeast(String name, double value, double least) {
-        if (!(value >= least)) {
-            throw new IllegalArgumentException(name + " below " + least + ": " + value);
+    private static void requireAtLeast(String name, double value, double minimum) {
+        if (!(value >= minimum)) {
+            throw new IllegalArgumentException(name + " below " + minimum + ": " + value);
         }
     }
 
@@ -63,7 +65,7 @@
     }
 
     /**
-     * Obtains the weights where stalls on loads and full batches count most.
+     * Obtains the weights that minimize stalls on adapter loads and keep batches full.
      *
      * @return the weights, not null
      */
@@ -84,7 +86,7 @@
     }
 
     /**
-     * Obtains the weights where the worst-served client account counts most.
+     * Obtains the weights that favour the worst-served client account.
      *
      * @return the weights, not null
      */
--- a/serving/src/main/java/org/geraniumreach/serving/routing/Sending.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/Sending.java
@@ -3,10 +3,10 @@
 import java.util.Optional;
 
 /**
- * A request that this entry has sent to a target, as far as its count there goes.
+ * The handle of a request that this entry sent to a target, which keeps the request counted in the target's load.
  *
- * <p>Invariant: the request is taken out of the count once, however often its end is told. Safe for use by several
- * threads, under its own lock.
+ * <p>Invariant: the request is removed from the count only once, even if its end is reported repeatedly. Safe for use
+ * by several threads, under its own lock.
  */
 public final class Sending {
 
@@ -32,7 +32,7 @@
         return new Sending(Optional.empty());
     }
 
-    /** Tells that the companion has queued the request: its next report holds it. */
+    /** Called when the companion has queued the request, so that its next status report includes it. */
     public synchronized void accepted() {
         if (state != State.SENT) {
             return;
@@ -41,7 +41,7 @@
         target.ifPresent(TrackedTarget::onAccepted);
     }
 
-    /** Tells that the request has ended in whatever way. */
+    /** Called when the request has ended, whether it succeeded or not. */
     public synchronized void ended() {
         if (state == State.SENT) {
             target.ifPresent(TrackedTarget::onEndedUnaccepted);
--- a/serving/src/main/java/org/geraniumreach/serving/routing/TargetStatus.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/TargetStatus.java
@@ -7,25 +7,26 @@
 import org.geraniumreach.model.TargetId;
 
 /**
- * A companion's news of its target.
+ * A companion's status report on its target.
  *
- * <p>Invariant: counts are not negative. A complete one replaces all that was known of residency; else {@code resident} was
- * added and {@code removed} taken away since the one before. Immutable and safe for use by several threads.
+ * <p>Invariant: counts are not negative. A complete report replaces the known set of resident adapters; any other is a
+ * delta, in which {@code resident} was added and {@code removed} was removed since the previous report. Immutable and
+ * safe for use by several threads.
  *
  * @param target the target
- * @param sequence the companion's number for it, rising within an incarnation of the companion
- * @param engineIncarnation a new number at each start of the engine
- * @param running the requests that the target is running
- * @param queued the requests that wait at the companion
- * @param queuedTokens the tokens that these need
- * @param concurrencyLimit the requests that the target is given at once
- * @param slots the adapters that the target can hold
- * @param complete whether {@code resident} holds all
- * @param resident the adapters held, or added
- * @param removed the adapters taken away; empty if complete
- * @param loading the adapters in transit or waiting to be loaded, all of them
- * @param draining whether the target takes no new work
- * @param tokensPerSecond the rate at which the target has lately worked, 0 if not known
+ * @param sequence the report's number, increasing within an incarnation of the companion
+ * @param engineIncarnation the engine's incarnation, which changes at each start of the engine
+ * @param running the number of requests that the target is running
+ * @param queued the number of requests that wait at the companion
+ * @param queuedTokens the tokens that the waiting requests need
+ * @param concurrencyLimit the maximum number of requests that run concurrently
+ * @param slots the number of adapters that the target can hold
+ * @param complete whether {@code resident} lists all resident adapters
+ * @param resident the resident adapters, or those added since the previous report
+ * @param removed the adapters removed since the previous report; empty if complete
+ * @param loading all adapters that are loading or waiting to be loaded, even in a delta
+ * @param draining whether the target accepts no new requests
+ * @param tokensPerSecond the target's recent throughput, 0 if unknown
  */
 public record TargetStatus(
         TargetId target,
--- a/serving/src/main/java/org/geraniumreach/serving/routing/TargetView.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/TargetView.java
@@ -9,24 +9,24 @@
 import org.geraniumreach.model.TargetId;
 
 /**
- * A target as an entry sees it at one moment.
+ * A snapshot of an entry's view of a target.
  *
- * <p>Invariant: {@link #load} counts each request once: those that the last report told of, and one's own sends that the
- * report cannot have held yet. Immutable and safe for use by several threads.
+ * <p>Invariant: {@link #load} counts each request once: those in the last report, and this entry's requests that the
+ * report cannot include yet. Immutable and safe for use by several threads.
  *
  * @param target the target
- * @param instance the instance of its companion
- * @param failureDomain where it is
- * @param offering what it offers
- * @param slots the adapters that it can hold
- * @param running the requests that it was running at its last report
- * @param queued the requests that waited at its companion at its last report
- * @param unreported this entry's sends that the last report does not hold, less its ends since
- * @param concurrencyLimit the requests that it is given at once, at least 1
- * @param resident the adapters that it holds
- * @param loading the adapters that it loads or waits to load
+ * @param instance its companion's instance
+ * @param failureDomain its failure domain
+ * @param offering its base model or service
+ * @param slots the number of adapters that it can hold
+ * @param running the number of requests running, according to its last report
+ * @param queued the number of requests waiting at its companion, according to its last report
+ * @param unreported the number of this entry's requests sent but not in the last report, less those ended since
+ * @param concurrencyLimit the maximum number of requests that run concurrently, at least 1
+ * @param resident the resident adapters
+ * @param loading the adapters that are loading or waiting to be loaded
  * @param reportAgeNanos the age of the last report, or {@link Long#MAX_VALUE} if there is none
- * @param draining whether it takes no new work
+ * @param draining whether it accepts no new requests
  */
 public record TargetView(
         TargetId target,
@@ -51,7 +51,7 @@
     }
 
     /**
-     * Gets the requests running or waiting at the target, as far as known.
+     * Gets the known number of requests running or waiting at the target.
      *
      * @return the number, not negative
      */
@@ -60,7 +60,7 @@
     }
 
     /**
-     * Gets the load in parts of what the target is given at once.
+     * Gets the load as a share of the concurrency limit.
      *
      * @return the relative load; above 1, requests wait
      */
--- a/serving/src/main/java/org/geraniumreach/serving/routing/TrackedTarget.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/TrackedTarget.java
@@ -10,11 +10,12 @@
 import org.geraniumreach.model.TargetId;
 
 /**
- * What an entry keeps of one target.
+ * An entry's state of one target: the last status report and the requests sent since.
  *
- * <p>Invariants: a request that this entry sent counts once, either in the companion's report or in {@link #unreported}; a
- * companion's frames come in order over one link, so a Status that follows an Accepted already holds that request. Safe for
- * use by several threads: the report is swapped under this object's lock, the counts are atomic.
+ * <p>Invariants: a request that this entry sent counts once, in the companion's report, in {@link #unaccepted} or in
+ * {@link #acceptedSinceReport}; a companion's frames arrive in order over one link, so a Status that follows an
+ * Accepted already includes that request. Safe for use by several threads: the report is replaced under this object's
+ * lock, the counts are atomic.
  */
 final class TrackedTarget {
 
@@ -39,7 +40,7 @@
         this.hash = Rendezvous.hash(target.value());
     }
 
-    /** The last news of the target, with residency made whole. */
+    /** The last status report, with deltas merged into the full set of resident adapters. */
     record Report(
             long sequence,
             long engineIncarnation,
@@ -54,15 +55,15 @@
             double tokensPerSecond,
             long receivedNanos) {}
 
-    /** Residency before and after a change. */
+    /** The reports before and after an update. */
     record Change(Report before, Report after) {}
 
     /**
-     * Takes news in.
+     * Applies a status report.
      *
-     * @param status the news
-     * @param nowNanos the time
-     * @return what changed, or null if the news is older than what is known
+     * @param status the report
+     * @param nowNanos the current time
+     * @return the change, or null if the report is outdated
      */
     synchronized Change apply(TargetStatus status, long nowNanos) {
         Report before = report;
@@ -88,8 +89,9 @@
     }
 
     /*
-     * An engine that restarted holds nothing. Without the check on the incarnation, a delta that follows the restart would
-     * be added to adapters that are gone, and requests would be sent to wait for loads that other targets need not make.
+     * A restarted engine holds no adapters. Without the check on the incarnation, the first delta after the restart
+     * would be merged into a set of adapters that are gone, and requests would wait there for loads that other targets
+     * could avoid.
      */
     private static Set<AdapterReference> residency(Report before, TargetStatus status) {
         if (status.complete() || before.engineIncarnation != status.engineIncarnation()) {
@@ -105,21 +107,21 @@
     }
 
     TargetView view(long nowNanos) {
-        Report now = report;
+        Report current = report;
         return new TargetView(
                 target,
                 instance,
                 failureDomain,
                 offering,
-                now == NO_REPORT ? slots : now.slots,
-                now.running,
-                now.queued,
+                current == NO_REPORT ? slots : current.slots,
+                current.running,
+                current.queued,
                 unaccepted.get() + acceptedSinceReport.get(),
-                Math.max(1, now.concurrencyLimit),
-                now.resident,
-                now.loading,
-                now == NO_REPORT ? Long.MAX_VALUE : nowNanos - now.receivedNanos,
-                now.draining);
+                Math.max(1, current.concurrencyLimit),
+                current.resident,
+                current.loading,
+                current == NO_REPORT ? Long.MAX_VALUE : nowNanos - current.receivedNanos,
+                current.draining);
     }
 
     TargetId target() {
@@ -143,9 +145,9 @@
     }
 
     double relativeLoad() {
-        Report now = report;
-        int load = now.running + now.queued + unaccepted.get() + acceptedSinceReport.get();
-        return Math.max(0.0, load) / Math.max(1, now.concurrencyLimit);
+        Report current = report;
+        int load = current.running + current.queued + unaccepted.get() + acceptedSinceReport.get();
+        return Math.max(0.0, load) / Math.max(1, current.concurrencyLimit);
     }
 
     int concurrencyLimit() {
--- a/serving/src/test/java/org/geraniumreach/serving/ManualClock.java
+++ b/serving/src/test/java/org/geraniumreach/serving/ManualClock.java
@@ -4,7 +4,7 @@
 
 import org.geraniumreach.model.MonotonicClock;
 
-/** A clock that a test sets; confined to its thread. */
+/** A clock that a test advances; confined to one thread. */
 public final class ManualClock implements MonotonicClock {
 
     private long nanos;
--- a/serving/src/test/java/org/geraniumreach/serving/admission/AdmissionPolicyTest.java
+++ b/serving/src/test/java/org/geraniumreach/serving/admission/AdmissionPolicyTest.java
@@ -9,14 +9,21 @@
 
 class AdmissionPolicyTest {
 
-    private static AdmissionController.Estimate estimate(long deadlineMillis, long ahead, double rate, long loadMillis) {
+    private static AdmissionController.Estimate estimate(
+            long deadlineMillis, long tokensAhead, double tokensPerSecond, long loadMillis) {
         return new AdmissionController.Estimate(
-                Duration.ofMillis(deadlineMillis), ahead, rate, Duration.ofMillis(loadMillis), 100, 100);
+                Duration.ofMillis(deadlineMillis),
+                tokensAhead,
+                tokensPerSecond,
+                Duration.ofMillis(loadMillis),
+                100,
+                100);
     }
 
     /*
-     * A caller waits until its deadline and gets nothing, and its request has taken a place from others. The queue ahead and
-     * the load are known when it comes, so it is refused at once, and told when it would be worth while to come back.
+     * Guards against a caller that waits until its deadline for nothing while its request takes capacity from others.
+     * The queue and the load time are known on arrival, so the request is refused immediately with a useful retry
+     * delay.
      */
     @ParameterizedTest
     @CsvSource({
@@ -28,8 +35,14 @@
         "0, 0, 1000, 0, false, 100"
     })
     void requestThatCannotMeetItsDeadlineIsRefusedWithARetryDelay(
-            long deadline, long ahead, double rate, long load, boolean admitted, long retryMillis) {
-        AdmissionController.Decision decision = AdmissionPolicy.DEADLINE.decide(estimate(deadline, ahead, rate, load));
+            long deadlineMillis,
+            long tokensAhead,
+            double tokensPerSecond,
+            long loadMillis,
+            boolean admitted,
+            long retryMillis) {
+        AdmissionController.Decision decision =
+                AdmissionPolicy.DEADLINE.decide(estimate(deadlineMillis, tokensAhead, tokensPerSecond, loadMillis));
         assertThat(decision.isAdmitted()).isEqualTo(admitted);
         assertThat(decision.retryAfter()).isEqualTo(Duration.ofMillis(retryMillis));
     }
--- a/serving/src/test/java/org/geraniumreach/serving/prefix/DecayingPrefixDirectoryTest.java
+++ b/serving/src/test/java/org/geraniumreach/serving/prefix/DecayingPrefixDirectoryTest.java
@@ -40,8 +40,8 @@
     }
 
     /*
-     * A conversation is drawn to a busy target at each turn and never finds its prefix, which that engine evicts between the
-     * turns. Each miss halves the belief, so balance outweighs it after a few turns.
+     * Guards against a conversation that returns to a busy target at every turn although its engine evicts the prefix
+     * between turns. Each miss halves the confidence, so load balance outweighs it after a few turns.
      */
     @Test
     void missesLowerTheConfidenceAndAHitRestoresIt() {
--- a/serving/src/test/java/org/geraniumreach/serving/queue/FairSchedulerTest.java
+++ b/serving/src/test/java/org/geraniumreach/serving/queue/FairSchedulerTest.java
@@ -34,70 +34,70 @@
                 account);
     }
 
-    private QueuedRequest<String> next(FairScheduler<String> order) {
-        QueuedRequest<String> next = order.next(adapter -> true, batch).orElseThrow();
+    private QueuedRequest<String> next(FairScheduler<String> scheduler) {
+        QueuedRequest<String> next = scheduler.next(adapter -> true, batch).orElseThrow();
         servedTokens.merge(next.payload(), next.tokens(), Long::sum);
         return next;
     }
 
     /*
-     * Callers of a quiet account wait behind another account's flood. The flood is five times as large; in order of arrival
-     * the quiet account would get a sixth of the tokens, while its due is a half.
+     * Guards against one account delaying another by sending five times as many requests. In order of arrival the quiet
+     * account would get a sixth of the tokens instead of its fair half.
      */
     @ParameterizedTest
     @CsvSource({"0, 1", "0, 2", "500, 3", "2048, 4"})
     void backloggedAccountsDifferByAtMostOneChargeEachPlusTheSlack(long slack, long seed) {
-        FairScheduler<String> order = new FairScheduler<>(new QueueWeights(4, slack, 1.25));
+        FairScheduler<String> scheduler = new FairScheduler<>(new QueueWeights(4, slack, 1.25));
         SplittableRandom random = new SplittableRandom(seed);
         for (int index = 0; index < 1200; index++) {
             String account = index % 6 == 0 ? "quiet" : "flood";
-            order.add(request(account, "adapter-" + random.nextInt(8), 1 + random.nextInt(MAXIMUM_TOKENS), 5));
+            scheduler.add(request(account, "adapter-" + random.nextInt(8), 1 + random.nextInt(MAXIMUM_TOKENS), 5));
         }
         for (int taken = 0; taken < 300; taken++) {
-            QueuedRequest<String> request = next(order);
+            QueuedRequest<String> request = next(scheduler);
             batch.add(request.adapter().orElseThrow());
-            long apart = servedTokens.getOrDefault("flood", 0L) - servedTokens.getOrDefault("quiet", 0L);
-            assertThat(Math.abs(apart)).isLessThanOrEqualTo(2 * MAXIMUM_TOKENS + slack);
+            long difference = servedTokens.getOrDefault("flood", 0L) - servedTokens.getOrDefault("quiet", 0L);
+            assertThat(Math.abs(difference)).isLessThanOrEqualTo(2 * MAXIMUM_TOKENS + slack);
         }
     }
 
     /*
-     * Callers of other accounts wait while an account that was idle for long is served alone. Without bringing its virtual
-     * time up to now it would have saved its idle time up.
+     * Guards against delaying all other accounts while an account that was idle for a long time is served alone, which
+     * would happen if its virtual time were not raised to the current one.
      */
     @Test
     void idleAccountAccumulatesNoCredit() {
-        FairScheduler<String> order = new FairScheduler<>(QueueWeights.worstAccountFirst());
-        order.add(request("late", "adapter", 1, 5));
-        next(order);
+        FairScheduler<String> scheduler = new FairScheduler<>(QueueWeights.worstAccountFirst());
+        scheduler.add(request("late", "adapter", 1, 5));
+        next(scheduler);
         for (int index = 0; index < 100; index++) {
-            order.add(request("steady", "adapter", 10, 5));
+            scheduler.add(request("steady", "adapter", 10, 5));
         }
         for (int taken = 0; taken < 50; taken++) {
-            next(order);
+            next(scheduler);
         }
         servedTokens.clear();
         for (int index = 0; index < 50; index++) {
-            order.add(request("late", "adapter", 10, 5));
+            scheduler.add(request("late", "adapter", 10, 5));
         }
         for (int taken = 0; taken < 20; taken++) {
-            next(order);
+            next(scheduler);
         }
         assertThat(servedTokens.get("steady")).isBetween(90L, 110L);
     }
 
     @Test
     void unusedTokensAreRefunded() {
-        FairScheduler<String> order = new FairScheduler<>(QueueWeights.worstAccountFirst());
+        FairScheduler<String> scheduler = new FairScheduler<>(QueueWeights.worstAccountFirst());
         for (int index = 0; index < 200; index++) {
-            order.add(request("brief", "adapter", 100, 5));
-            order.add(request("whole", "adapter", 100, 5));
+            scheduler.add(request("brief", "adapter", 100, 5));
+            scheduler.add(request("whole", "adapter", 100, 5));
         }
         Map<String, Integer> used = new HashMap<>();
         for (int taken = 0; taken < 200; taken++) {
-            QueuedRequest<String> request = next(order);
+            QueuedRequest<String> request = next(scheduler);
             int tokens = request.payload().equals("brief") ? 25 : 100;
-            order.onFinished(request, tokens);
+            scheduler.onFinished(request, tokens);
             used.merge(request.payload(), tokens, Integer::sum);
         }
         assertThat(used.get("brief")).isCloseTo(used.get("whole"), offset(200));
@@ -105,33 +105,34 @@
 
     @Test
     void higherPriorityGetsMoreWithoutStarvingTheLower() {
-        FairScheduler<String> order = new FairScheduler<>(new QueueWeights(4, 0, 1.25));
+        FairScheduler<String> scheduler = new FairScheduler<>(new QueueWeights(4, 0, 1.25));
         for (int index = 0; index < 400; index++) {
-            order.add(request("first", "adapter", 10, 9));
-            order.add(request("last", "adapter", 10, 0));
+            scheduler.add(request("first", "adapter", 10, 9));
+            scheduler.add(request("last", "adapter", 10, 0));
         }
         for (int taken = 0; taken < 400; taken++) {
-            next(order);
+            next(scheduler);
         }
-        assertThat((double) servedTokens.get("first") / servedTokens.get("last")).isBetween(6.5, 8.5);
+        assertThat((double) servedTokens.get("first") / servedTokens.get("last"))
+                .isBetween(6.5, 8.5);
     }
 
     @Test
     void withinAnAccountAdaptersInTheRunningBatchGoFirst() {
-        FairScheduler<String> order = new FairScheduler<>(QueueWeights.fullBatches());
-        order.add(request("account", "other", 10, 5));
-        order.add(request("account", "running", 10, 5));
+        FairScheduler<String> scheduler = new FairScheduler<>(QueueWeights.fullBatches());
+        scheduler.add(request("account", "other", 10, 5));
+        scheduler.add(request("account", "running", 10, 5));
         batch.add(AdapterReference.of("running", "1"));
-        assertThat(next(order).adapter()).contains(AdapterReference.of("running", "1"));
+        assertThat(next(scheduler).adapter()).contains(AdapterReference.of("running", "1"));
     }
 
     @Test
     void tokensAheadOfAQuietAccountExcludeAnotherAccountsBacklog() {
-        FairScheduler<String> order = new FairScheduler<>(QueueWeights.worstAccountFirst());
+        FairScheduler<String> scheduler = new FairScheduler<>(QueueWeights.worstAccountFirst());
         for (int index = 0; index < 100; index++) {
-            order.add(request("flood", "adapter", 100, 5));
+            scheduler.add(request("flood", "adapter", 100, 5));
         }
-        assertThat(order.tokensAhead(request("quiet", "adapter", 100, 5))).isLessThanOrEqualTo(100);
-        assertThat(order.tokensAhead(request("flood", "adapter", 100, 5))).isEqualTo(10_000);
+        assertThat(scheduler.tokensAhead(request("quiet", "adapter", 100, 5))).isLessThanOrEqualTo(100);
+        assertThat(scheduler.tokensAhead(request("flood", "adapter", 100, 5))).isEqualTo(10_000);
     }
 }
--- a/serving/src/test/java/org/geraniumreach/serving/queue/GradientLimitTest.java
+++ b/serving/src/test/java/org/geraniumreach/serving/queue/GradientLimitTest.java
@@ -10,15 +10,15 @@
 
     private static final int SAMPLES = 3000;
 
-    /* Up to its capacity a batch costs little more for each request; beyond it requests wait inside the engine. */
+    /* Up to the capacity each request slows the batch a little; beyond it requests queue inside the engine. */
     private static double nanosPerToken(int running, int capacity) {
         return 10e6 * (1 + 0.3 * running / capacity) * Math.max(1, (double) running / capacity);
     }
 
     @ParameterizedTest
     @CsvSource({"8, 4", "32, 4", "32, 120", "64, 16"})
-    void limitConvergesBetweenTheCapacityAndTwiceTheCapacity(int capacity, int first) {
-        GradientLimit limit = GradientLimit.create(1, first, 256, 1.5);
+    void limitConvergesBetweenTheCapacityAndTwiceTheCapacity(int capacity, int initialLimit) {
+        GradientLimit limit = GradientLimit.create(1, initialLimit, 256, 1.5);
         for (int sample = 0; sample < SAMPLES; sample++) {
             limit.onSample(nanosPerToken(limit.limit(), capacity), limit.limit());
         }
--- a/serving/src/test/java/org/geraniumreach/serving/queue/RequestQueuePropertyTest.java
+++ b/serving/src/test/java/org/geraniumreach/serving/queue/RequestQueuePropertyTest.java
@@ -23,9 +23,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /*
- * A caller waits while others, who came later, are served before it, or its request is lost or runs twice. Requests of
- * several accounts come, run, end and are cancelled in any order while adapters come and go. The oracle keeps each request's
- * state, and counts for each how many later ones of its account ran while it was ready.
+ * Guards against requests that are lost, run twice or are passed over too often by later ones. Requests of several
+ * accounts arrive, run, end and are cancelled in any order, while adapters become ready and unready. The model holds
+ * each request's state and counts how many later requests of its account ran while it was ready.
  */
 class RequestQueuePropertyTest {
 
@@ -67,19 +67,19 @@
 
     @Property(seed = "21", tries = 300)
     void fairQueueRunsEachRequestOnceAndBoundsHowOftenItIsPassedOver(@ForAll("steps") List<Step> steps) {
-        Model oracle = new Model(QueuePolicy.FAIR);
-        steps.forEach(oracle::apply);
-        oracle.finish();
+        Model model = new Model(QueuePolicy.FAIR);
+        steps.forEach(model::apply);
+        model.finish();
     }
 
     @Property(seed = "22", tries = 100)
     void firstComeQueueRunsEachRequestOnceInOrderOfArrival(@ForAll("steps") List<Step> steps) {
-        Model oracle = new Model(QueuePolicy.FIRST_COME);
-        steps.forEach(oracle::apply);
-        oracle.finish();
+        Model model = new Model(QueuePolicy.FIRST_COME);
+        steps.forEach(model::apply);
+        model.finish();
     }
 
-    /** What must be, beside what is. */
+    /** Applies each step to the queue and to the expected state, and compares them. */
     private static final class Model {
         private final ManualClock clock = new ManualClock();
         private final int passedOverBound;
@@ -93,7 +93,10 @@
         private Model(QueuePolicy policy) {
             passedOverBound = policy == QueuePolicy.FAIR ? PASSED_OVER_AT_MOST : 0;
             queue = RequestQueue.create(
-                    policy, new QueueWeights(PASSED_OVER_AT_MOST, 50, 1.25), ConcurrencyLimit.fixed(CONCURRENCY_LIMIT), clock);
+                    policy,
+                    new QueueWeights(PASSED_OVER_AT_MOST, 50, 1.25),
+                    ConcurrencyLimit.fixed(CONCURRENCY_LIMIT),
+                    clock);
         }
 
         private void apply(Step step) {
@@ -134,8 +137,11 @@
 
         private boolean take() {
             Optional<QueuedRequest<Integer>> taken = queue.take(readyAdapters::contains);
-            boolean possible = running.size() < CONCURRENCY_LIMIT && waiting.stream().anyMatch(this::isReady);
-            assertThat(taken.isPresent()).as("work conserving").isEqualTo(possible);
+            boolean possible =
+                    running.size() < CONCURRENCY_LIMIT && waiting.stream().anyMatch(this::isReady);
+            assertThat(taken.isPresent())
+                    .as("a request is taken whenever one can run")
+                    .isEqualTo(possible);
             taken.ifPresent(this::onStarted);
             return taken.isPresent();
         }
@@ -145,8 +151,8 @@
             assertThat(isReady(request)).isTrue();
             running.add(request);
             for (QueuedRequest<Integer> other : waiting) {
-                boolean passed = other.account().equals(request.account()) && other.payload() < request.payload();
-                if (passed && isReady(other)) {
+                boolean isPassedOver = other.account().equals(request.account()) && other.payload() < request.payload();
+                if (isPassedOver && isReady(other)) {
                     assertThat(passedOverCounts.merge(other.attempt(), 1, Integer::sum))
                             .as("passed over")
                             .isLessThanOrEqualTo(passedOverBound);
@@ -156,17 +162,17 @@
 
         private void finish(int choice) {
             if (!running.isEmpty()) {
-                QueuedRequest<Integer> ended = running.remove(choice % running.size());
-                queue.finished(ended.attempt(), 1 + choice % ended.tokens(), choice % 3);
-                queue.finished(ended.attempt(), 1, 1);
+                QueuedRequest<Integer> finished = running.remove(choice % running.size());
+                queue.finished(finished.attempt(), 1 + choice % finished.tokens(), choice % 3);
+                queue.finished(finished.attempt(), 1, 1);
             }
         }
 
         private void remove(int choice) {
             if (!waiting.isEmpty()) {
-                QueuedRequest<Integer> gone = waiting.remove(choice % waiting.size());
-                assertThat(queue.remove(gone.attempt())).contains(gone);
-                assertThat(queue.remove(gone.attempt())).isEmpty();
+                QueuedRequest<Integer> removed = waiting.remove(choice % waiting.size());
+                assertThat(queue.remove(removed.attempt())).contains(removed);
+                assertThat(queue.remove(removed.attempt())).isEmpty();
             }
         }
 
