--- a/serving/src/test/java/org/geraniumreach/serving/residency/ResidencyPropertyTest.java
+++ b/serving/src/test/java/org/geraniumreach/serving/residency/ResidencyPropertyTest.java
@@ -23,9 +23,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /*
- * A caller whose adapter is evicted under its request gets another adapter's answer or a broken stream. Requests come and
- * go, loads end, fail or come back after the engine has restarted, in any order. The oracle keeps the pins, what the engine
- * would hold, and what each request was told.
+ * Guards against evicting the adapter of a running request, whose caller would get another adapter's answer or a broken
+ * stream. Requests start and end, and loads succeed, fail or end after a restart of the engine, in any order. The model
+ * holds the pins, the engine's adapters and the waiting requests.
  */
 class ResidencyPropertyTest {
 
@@ -70,12 +70,12 @@
 
     @Property(seed = "11", tries = 400)
     void pinnedAdaptersStaySlotsAreNotExceededAndEachRequestGetsOneResult(@ForAll("steps") List<Step> steps) {
-        Model oracle = new Model();
-        steps.forEach(oracle::apply);
-        oracle.finish();
+        Model model = new Model();
+        steps.forEach(model::apply);
+        model.finish();
     }
 
-    /** What must be, beside what is. */
+    /** Applies each step to the residency and to the expected state, and compares them. */
     private static final class Model {
         private final ManualClock clock = new ManualClock();
         private final Residency residency = Residency.create(
@@ -108,8 +108,8 @@
             checkSlots();
         }
 
-        private static <E> List<E> choose(List<E> from, int choice) {
-            return from.isEmpty() ? List.of() : List.of(from.get(choice % from.size()));
+        private static <E> List<E> choose(List<E> candidates, int choice) {
+            return candidates.isEmpty() ? List.of() : List.of(candidates.get(choice % candidates.size()));
         }
 
         private void request(int adapter) {
@@ -126,7 +126,9 @@
         private void pin(int choice) {
             for (AttemptId attempt : choose(new ArrayList<>(waiting.keySet()), choice)) {
                 residency.pin(attempt, waiting.get(attempt)).ifPresent(pin -> {
-                    assertThat(held).as("a pinned adapter is at the engine").contains(pin.adapter());
+                    assertThat(held)
+                            .as("a pinned adapter is held by the engine")
+                            .contains(pin.adapter());
                     waiting.remove(attempt);
                     pins.add(pin);
                 });
@@ -140,31 +142,37 @@
         }
 
         private void startLoads() {
-            for (LoadOrder order : residency.orders()) {
-                order.evicted().ifPresent(evicted -> {
-                    assertThat(pins).as("pins of the evicted").noneMatch(pin -> pin.adapter()
+            for (LoadOrder command : residency.orders()) {
+                command.evicted().ifPresent(evicted -> {
+                    assertThat(pins).as("pins of the evicted adapter").noneMatch(pin -> pin.adapter()
                             .equals(evicted));
-                    assertThat(held.remove(evicted)).as("evicted was held").isTrue();
+                    assertThat(held.remove(evicted))
+                            .as("the evicted adapter was held")
+                            .isTrue();
                 });
-                assertThat(commands).as("loads of one adapter").noneMatch(other -> other.adapter()
-                        .equals(order.adapter()));
-                commands.add(order);
+                assertThat(commands).as("other loads of the same adapter").noneMatch(other -> other.adapter()
+                        .equals(command.adapter()));
+                commands.add(command);
             }
         }
 
-        private void completeLoad(LoadOrder order) {
-            commands.remove(order);
-            held.add(order.adapter());
-            assertThat(residency.loaded(order)).isTrue();
-            assertThat(residency.loaded(order)).as("told twice").isFalse();
+        private void completeLoad(LoadOrder command) {
+            commands.remove(command);
+            held.add(command.adapter());
+            assertThat(residency.loaded(command)).isTrue();
+            assertThat(residency.loaded(command)).as("reported twice").isFalse();
         }
 
-        private void failLoad(LoadOrder order) {
-            commands.remove(order);
-            for (AttemptId attempt : residency.failed(order)) {
-                assertThat(waiting.remove(attempt)).as("told once").isEqualTo(order.adapter());
+        private void failLoad(LoadOrder command) {
+            commands.remove(command);
+            for (AttemptId attempt : residency.failed(command)) {
+                assertThat(waiting.remove(attempt))
+                        .as("removed request was waiting for the adapter")
+                        .isEqualTo(command.adapter());
             }
-            assertThat(waiting.values()).as("waiters not told").doesNotContain(order.adapter());
+            assertThat(waiting.values())
+                    .as("requests still waiting for the failed adapter")
+                    .doesNotContain(command.adapter());
         }
 
         private void cancel(AttemptId attempt) {
@@ -173,13 +181,14 @@
         }
 
         private void restart() {
-            List<LoadOrder> before = List.copyOf(commands);
+            List<LoadOrder> earlierCommands = List.copyOf(commands);
             commands.clear();
             held.clear();
             residency.synchronise(++incarnation, held, clock.nanos());
             pins.forEach(Pin::release);
             pins.clear();
-            before.forEach(order -> assertThat(residency.loaded(order)).isFalse());
+            earlierCommands.forEach(
+                    command -> assertThat(residency.loaded(command)).isFalse());
             assertThat(residency.resident()).isEmpty();
         }
 
@@ -188,7 +197,7 @@
             assertThat(held.size() + commands.size()).as("slots used").isLessThanOrEqualTo(SLOTS);
         }
 
-        /* Whoever still waits gets its adapter in the end, if requests end and loads succeed. */
+        /* Every waiting request eventually gets its adapter if running requests end and loads succeed. */
         private void finish() {
             for (int round = 0; round < MAXIMUM_ROUNDS_TO_FINISH && !waiting.isEmpty(); round++) {
                 clock.advance(Duration.ofMillis(500));
@@ -200,7 +209,7 @@
                 }
                 checkSlots();
             }
-            assertThat(waiting).as("requests never told").isEmpty();
+            assertThat(waiting).as("requests that never got their adapter").isEmpty();
         }
     }
 }
--- a/serving/src/test/java/org/geraniumreach/serving/residency/ResidencyTest.java
+++ b/serving/src/test/java/org/geraniumreach/serving/residency/ResidencyTest.java
@@ -43,8 +43,8 @@
     }
 
     /*
-     * The caller of a cold adapter waits until its deadline. A hot adapter holds the only slot: before one of its requests
-     * ends, the next has begun, so the slot is never free. After the patience the slot takes no new request, and runs out.
+     * Guards against starving requests for a cold adapter when a hot adapter constantly uses the only slot. After the
+     * patience the slot takes no new requests, and it is evicted when its running request ends.
      */
     @Test
     void busySlotIsRetiredForARequestThatWaitedLongerThanItsPatience() {
@@ -61,25 +61,25 @@
     }
 
     /*
-     * The caller of the hot adapter waits although it is resident. A cold request makes its slot run out, and then goes
-     * away; unless the slot is kept on, nobody wants the load that would end this, and it takes no request again.
+     * Guards against a slot that stays retiring forever. A cold request causes the slot of the hot adapter to be
+     * retired and is then cancelled; with no load left to replace it, the slot would never take requests again.
      */
     @Test
     void retiringSlotIsKeptWhenTheWaitingRequestIsCancelled() {
         Residency residency = residency(1);
         load(residency, HOT);
         residency.pin(request(residency, HOT), HOT).orElseThrow();
-        AttemptId cold = request(residency, COLD);
+        AttemptId coldAttempt = request(residency, COLD);
         clock.advance(Duration.ofSeconds(3));
         residency.orders();
-        residency.withdraw(cold);
+        residency.withdraw(coldAttempt);
         residency.orders();
         assertThat(residency.pin(request(residency, HOT), HOT)).isPresent();
     }
 
     /*
-     * Callers of a hot adapter stall again and again. A wave of adapters that are asked for once each passes through; by
-     * recency alone it would push the hot one out, by frequency the wave's own go first.
+     * Guards against repeated stalls on a hot adapter. A burst of adapters requested once each would evict it by
+     * recency alone; by frequency the adapters of the burst are evicted first.
      */
     @Test
     void burstOfColdAdaptersDoesNotEvictTheHotOne() {
@@ -105,8 +105,8 @@
     }
 
     /*
-     * Every load of the fleet slows down. Other companions have all the loads in transit that the fleet allows, and this one adds more. It waits
-     * until they are done; and if their news stops coming, it goes on.
+     * Guards against slowing down all loads of the fleet. While other companions have as many loads in progress as the
+     * fleet allows, this one waits; it continues when their reports expire.
      */
     @Test
     void loadsWaitWhileFreshReportsShowTheFleetAtItsLimit() {
@@ -119,8 +119,8 @@
     }
 
     /*
-     * A caller waits for its deadline in vain. Another account asks for many cold adapters, each with more waiters than the
-     * caller's; by waiting work all of these are loaded first. Fair over accounts, the caller's is the first or second.
+     * Guards against starvation by another account that requests many cold adapters, each with more waiters. By waiting
+     * work all of these would be loaded first; with fair queueing the single adapter is loaded first or second.
      */
     @Test
     void accountWithOneColdAdapterIsNotStarvedByAnAccountWithMany() {
@@ -146,19 +146,19 @@
     }
 
     /*
-     * Callers of an adapter whose weights are broken each wait for a load that fails. After the first failure they are told
-     * at once, and requests that follow are refused until the backoff is over, which doubles.
+     * Guards against requests that each wait for another failing load of a broken adapter. Those waiting fail together
+     * with the load, and later ones are refused until the back-off has passed, which doubles with each failure.
      */
     @Test
     void requestsAreRefusedDuringTheBackoffAfterAFailedLoad() {
         Residency residency = residency(2);
-        for (long expected = 500; expected <= 2000; expected *= 2) {
+        for (long expectedMillis = 500; expectedMillis <= 2000; expectedMillis *= 2) {
             AttemptId attempt = request(residency, COLD);
             assertThat(residency.failed(residency.orders().get(0))).containsExactly(attempt);
-            Answer answer = residency.request(AttemptId.of("refused"), COLD, 1);
-            assertThat(answer.state()).isEqualTo(Answer.State.REFUSED);
-            assertThat(answer.delay()).isEqualTo(Duration.ofMillis(expected));
-            clock.advance(answer.delay());
+            Answer result = residency.request(AttemptId.of("refused"), COLD, 1);
+            assertThat(result.state()).isEqualTo(Answer.State.REFUSED);
+            assertThat(result.delay()).isEqualTo(Duration.ofMillis(expectedMillis));
+            clock.advance(result.delay());
         }
         assertThat(List.copyOf(residency.loading())).isEmpty();
     }
--- a/serving/src/test/java/org/geraniumreach/serving/retry/RetryBudgetPropertyTest.java
+++ b/serving/src/test/java/org/geraniumreach/serving/retry/RetryBudgetPropertyTest.java
@@ -20,11 +20,12 @@
     private static final int MAXIMUM_RETRIES = 10_000;
 
     /*
-     * Callers see all targets fail when only one failure domain is lost. Every failed request is sent again at once, and the
-     * targets that are left break under twice their load. Retries stay within what successes and time have earned.
+     * Guards against a retry storm: when one failure domain is lost, immediate retries of all failed requests would
+     * double the load on the remaining targets until they fail too.
      */
     @Property(seed = "41", tries = 500)
-    void retriesNeverExceedTheBudgetEarnedBySuccessesAndTime(@ForAll @Size(max = 400) List<@IntRange(max = 9) Integer> steps) {
+    void retriesNeverExceedTheBudgetEarnedBySuccessesAndTime(
+            @ForAll @Size(max = 400) List<@IntRange(max = 9) Integer> steps) {
         ManualClock clock = new ManualClock();
         RetryBudget budget = RetryBudget.create(clock, RATIO, FLOOR_PER_SECOND, CAPACITY);
         int successes = 0;
@@ -52,12 +53,13 @@
             clock.advance(Duration.ofSeconds(1));
             retries += retryUntilDenied(budget);
         }
-        assertThat(retries).isBetween((int) (FLOOR_PER_SECOND * seconds), (int) (FLOOR_PER_SECOND * seconds + CAPACITY));
+        assertThat(retries)
+                .isBetween((int) (FLOOR_PER_SECOND * seconds), (int) (FLOOR_PER_SECOND * seconds + CAPACITY));
     }
 
     /*
-     * The targets that are left break under retries. Nothing failed for an hour, and then a failure domain goes: without a
-     * bound on what is saved up, the retries of a whole hour come at once.
+     * Guards against a burst of retries when a failure domain is lost after an hour without failures, which would
+     * happen if the retries earned in that hour accumulated without a bound.
      */
     @Test
     void unusedRetriesDoNotAccumulateBeyondTheCapacity() {
--- a/serving/src/test/java/org/geraniumreach/serving/retry/RetryPolicyTest.java
+++ b/serving/src/test/java/org/geraniumreach/serving/retry/RetryPolicyTest.java
@@ -13,8 +13,8 @@
 class RetryPolicyTest {
 
     /*
-     * A farmer is billed twice. A booking is sent, its answer is lost, and the entry sends it again elsewhere. Only what is
-     * shown not to have run, or may run twice and whose answer has not begun, is tried again.
+     * Guards against running a non-repeatable request twice, such as a booking whose answer was lost. Only a request
+     * known not to have run, or a repeatable one whose response has not started, is retried.
      */
     @ParameterizedTest
     @CsvSource({
@@ -28,14 +28,15 @@
         "true, NO, false, 3, false"
     })
     void onlyRepeatableRequestsOrThoseThatDidNotRunAreRetried(
-            boolean repeatable, Ran ran, boolean begun, int failures, boolean expected) {
+            boolean repeatable, Ran ran, boolean responseStarted, int failures, boolean retried) {
         RetryPolicy policy = RetryPolicy.budgeted(
                 RetryBudget.create(new ManualClock(), 0.1, 1, 10),
                 new Backoff(Duration.ofMillis(10), Duration.ofMillis(100)),
                 3,
                 new Random(1));
-        RetryPolicy.Failure failure = new RetryPolicy.Failure(repeatable, ran, begun, failures, Duration.ofSeconds(1));
-        assertThat(policy.decide(failure).isPresent()).isEqualTo(expected);
+        RetryPolicy.Failure failure =
+                new RetryPolicy.Failure(repeatable, ran, responseStarted, failures, Duration.ofSeconds(1));
+        assertThat(policy.decide(failure).isPresent()).isEqualTo(retried);
     }
 
     @ParameterizedTest
--- a/serving/src/test/java/org/geraniumreach/serving/retry/TargetHealthTest.java
+++ b/serving/src/test/java/org/geraniumreach/serving/retry/TargetHealthTest.java
@@ -73,8 +73,8 @@
     }
 
     /*
-     * Callers see failures in waves. A target that comes back gets its full share at once, breaks down under it cold, and is
-     * ejected again. Its share rises with time instead, and a failure meanwhile ejects it for twice as long.
+     * Guards against recurring waves of failures: a cold target that gets its full share of requests right after its
+     * ejection would fail under the load and be ejected again.
      */
     @Test
     void shareOfARecoveringTargetRisesGradually() {
@@ -100,23 +100,23 @@
     }
 
     /*
-     * Every caller is refused although targets work. This entry's own network breaks for a moment, all targets seem to fail
-     * at once, and all are ejected. Half of them always stay in.
+     * Guards against refusing all callers although the targets work: when this entry's own network fails briefly, all
+     * targets seem to fail at the same time.
      */
     @Property(seed = "51", tries = 200)
     void atMostHalfOfTheTargetsAreEjected(@ForAll @Size(max = 300) List<@IntRange(max = 99) Integer> steps) {
-        ManualClock time = new ManualClock();
-        TargetHealth all = health(time);
+        ManualClock propertyClock = new ManualClock();
+        TargetHealth targetHealth = health(propertyClock);
         for (int step : steps) {
             if (step % 10 == 0) {
-                time.advance(Duration.ofMillis(700));
+                propertyClock.advance(Duration.ofMillis(700));
             } else if (step % 10 == 1) {
-                all.succeeded(id(step / 10 % TARGETS));
+                targetHealth.succeeded(id(step / 10 % TARGETS));
             } else {
-                all.failed(id(step / 10 % TARGETS));
+                targetHealth.failed(id(step / 10 % TARGETS));
             }
             long ejected = IntStream.range(0, TARGETS)
-                    .filter(number -> IntStream.range(0, 200).noneMatch(call -> all.admits(id(number))))
+                    .filter(number -> IntStream.range(0, 200).noneMatch(call -> targetHealth.admits(id(number))))
                     .count();
             assertThat(ejected).isLessThanOrEqualTo(TARGETS / 2);
         }
--- a/serving/src/test/java/org/geraniumreach/serving/routing/AffinityRouterTest.java
+++ b/serving/src/test/java/org/geraniumreach/serving/routing/AffinityRouterTest.java
@@ -33,7 +33,7 @@
 
     private final ManualClock clock = new ManualClock();
     private final FleetView fleet = FleetView.create(clock);
-    private final Map<TargetId, Long> sequences = new HashMap<>();
+    private final Map<TargetId, Long> reportSequences = new HashMap<>();
 
     private static TargetId id(int number) {
         return TargetId.of("target-" + number);
@@ -55,9 +55,22 @@
     }
 
     private void report(int number, int load, Set<AdapterReference> resident, Set<AdapterReference> loading) {
-        long sequence = sequences.merge(id(number), 1L, Long::sum);
+        long sequence = reportSequences.merge(id(number), 1L, Long::sum);
         fleet.apply(new TargetStatus(
-                id(number), sequence, 1, load, 0, 0, CONCURRENCY_LIMIT, 8, true, resident, Set.of(), loading, false, 0));
+                id(number),
+                sequence,
+                1,
+                load,
+                0,
+                0,
+                CONCURRENCY_LIMIT,
+                8,
+                true,
+                resident,
+                Set.of(),
+                loading,
+                false,
+                0));
     }
 
     private Router router() {
@@ -77,29 +90,29 @@
 
     @Test
     void homeDoesNotDependOnTheOrderInWhichTargetsJoin() {
-        FleetView other = FleetView.create(clock);
+        FleetView otherFleet = FleetView.create(clock);
         joinAll(16);
         for (int number = 15; number >= 0; number--) {
-            join(other, number);
+            join(otherFleet, number);
         }
         for (int adapter = 0; adapter < 300; adapter++) {
-            assertThat(home(fleet, adapter)).isEqualTo(home(other, adapter));
+            assertThat(home(fleet, adapter)).isEqualTo(home(otherFleet, adapter));
         }
     }
 
     /*
-     * Callers of all adapters stall when one target is lost. Were homes worked out by the number of targets, nearly every
-     * adapter would move, and the fleet load them all again.
+     * Guards against stalls on all adapters when one target is lost. If homes depended on the number of targets, nearly
+     * every adapter would move and be loaded again.
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 7, 15})
-    void removingATargetMovesOnlyItsOwnAdapters(int lost) {
+    void removingATargetMovesOnlyItsOwnAdapters(int removed) {
         joinAll(16);
-        Map<Integer, TargetId> before = new HashMap<>();
-        IntStream.range(0, 300).forEach(adapter -> before.put(adapter, home(fleet, adapter)));
-        fleet.leave(id(lost));
-        before.forEach((adapter, target) -> {
-            if (!target.equals(id(lost))) {
+        Map<Integer, TargetId> homesBefore = new HashMap<>();
+        IntStream.range(0, 300).forEach(adapter -> homesBefore.put(adapter, home(fleet, adapter)));
+        fleet.leave(id(removed));
+        homesBefore.forEach((adapter, target) -> {
+            if (!target.equals(id(removed))) {
                 assertThat(home(fleet, adapter)).isEqualTo(target);
             }
         });
@@ -122,36 +135,36 @@
     }
 
     /*
-     * A caller waits behind others at the only target that holds its adapter, while another could load it sooner; or it
-     * waits for a load while a place at the holder would have been free sooner.
+     * Guards against queueing at the only target that holds the adapter although another target could load it sooner,
+     * and against waiting for a load although the holder would be free sooner.
      */
     @ParameterizedTest
     @CsvSource({"8, 0, RESIDENT", "30, 0, REPLICA", "12, 60, RESIDENT"})
-    void replicaIsUsedOnlyWhenALoadIsFasterThanWaiting(int load, int loadsElsewhere, Route.Reason expected) {
+    void replicaIsUsedOnlyWhenALoadIsFasterThanWaiting(int load, int pendingLoads, Route.Reason expected) {
         joinAll(16);
         report(5, load, ADAPTER);
         Set<AdapterReference> loading = new HashSet<>();
-        IntStream.range(0, loadsElsewhere).forEach(number -> loading.add(AdapterReference.of("other-" + number, "1")));
+        IntStream.range(0, pendingLoads).forEach(number -> loading.add(AdapterReference.of("other-" + number, "1")));
         report(6, 0, Set.of(), loading);
         assertThat(router().route(request(ADAPTER))).map(Route::reason).contains(expected);
     }
 
     /*
-     * Between two reports one target looks idle to an entry that sends it everything. Counting the own sends, the entry
-     * sees it fill up.
+     * Between two reports a target would look idle to an entry that sends it all requests, unless the entry counts the
+     * requests that it has sent.
      */
     @Test
     void sentRequestsCountBeforeTheTargetReportsThem() {
         joinAll(16);
         report(5, 0, ADAPTER);
         Router router = router();
-        Set<TargetId> used = new HashSet<>();
+        Set<TargetId> usedTargets = new HashSet<>();
         for (int sent = 0; sent < 4 * CONCURRENCY_LIMIT; sent++) {
             Route route = router.route(request(ADAPTER)).orElseThrow();
-            used.add(route.target());
+            usedTargets.add(route.target());
             fleet.sent(route.target());
         }
-        assertThat(used).hasSizeGreaterThan(1);
+        assertThat(usedTargets).hasSizeGreaterThan(1);
     }
 
     @Test
@@ -171,15 +184,16 @@
 
     @ParameterizedTest
     @CsvSource({"4, 4, true", "9, 4, false"})
-    void ownFailureDomainIsPreferredUnlessItsTargetIsMoreLoaded(int nearLoad, int farLoad, boolean near) {
+    void ownFailureDomainIsPreferredUnlessItsTargetIsMoreLoaded(
+            int ownDomainLoad, int otherDomainLoad, boolean prefersOwnDomain) {
         joinAll(2);
-        report(0, nearLoad, ADAPTER);
-        report(1, farLoad, ADAPTER);
+        report(0, ownDomainLoad, ADAPTER);
+        report(1, otherDomainLoad, ADAPTER);
         RouterSettings settings =
                 RouterSettings.of(RoutingWeights.fewestStalls()).withFailureDomain(FailureDomain.of("domain-0"));
         Router router = RoutingPolicy.AFFINITY.router(
                 fleet, TargetFilter.all(), PrefixDirectory.none(), settings, new Random(7));
-        assertThat(router.route(request(ADAPTER))).map(Route::target).contains(near ? id(0) : id(1));
+        assertThat(router.route(request(ADAPTER))).map(Route::target).contains(prefersOwnDomain ? id(0) : id(1));
     }
 
     @ParameterizedTest
--- a/serving/src/test/java/org/geraniumreach/serving/routing/FleetViewPropertyTest.java
+++ b/serving/src/test/java/org/geraniumreach/serving/routing/FleetViewPropertyTest.java
@@ -26,9 +26,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /*
- * A caller waits for a load although its adapter is resident somewhere, or is sent where it is no more. Targets join, leave,
- * report changes, drain, and their engines restart, while this entry sends requests that the reports hold or do not hold
- * yet. The oracle is what each target really has, and the requests that are really there.
+ * Guards against loading an adapter that is resident elsewhere, and against routing to a target that has evicted it.
+ * Targets join, leave, report changes, drain and restart their engines, while this entry sends requests that reports
+ * include or do not include yet. The model holds the actual adapters and requests of each target.
  */
 class FleetViewPropertyTest {
 
@@ -81,11 +81,11 @@
 
     @Property(seed = "31", tries = 300)
     void viewMatchesReportsAndRoutersChooseOnlyAllowedTargets(@ForAll("steps") List<Step> steps) {
-        Model oracle = new Model();
-        steps.forEach(oracle::apply);
+        Model model = new Model();
+        steps.forEach(model::apply);
     }
 
-    /** A target as it really is. */
+    /** The actual state of a target. */
     private static final class ActualTarget {
         private final Set<AdapterReference> resident = new HashSet<>();
         private Set<AdapterReference> reported = new HashSet<>();
@@ -97,7 +97,7 @@
         private boolean draining;
     }
 
-    /** What must be, beside what is. */
+    /** Applies each step to the view and to the expected state, and compares them. */
     private static final class Model {
         private final ManualClock clock = new ManualClock();
         private final FleetView fleet = FleetView.create(clock);
@@ -109,11 +109,11 @@
         }
 
         private void apply(Step step) {
-            ActualTarget real = targets.get(step.target());
+            ActualTarget actual = targets.get(step.target());
             if (step.kind() == Kind.JOIN) {
                 join(step.target());
-            } else if (real != null) {
-                apply(step, real);
+            } else if (actual != null) {
+                apply(step, actual);
             }
             check();
             route(step);
@@ -126,18 +126,18 @@
             targets.put(number, new ActualTarget());
         }
 
-        private void apply(Step step, ActualTarget real) {
+        private void apply(Step step, ActualTarget actual) {
             AdapterReference adapter = AdapterReference.of("adapter-" + step.choice() % ADAPTERS, "1");
             switch (step.kind()) {
                 case LEAVE -> leave(step.target());
-                case LOAD -> real.resident.add(adapter);
-                case UNLOAD -> real.resident.remove(adapter);
-                case RESTART -> restart(real);
-                case DRAIN -> drain(real);
-                case SEND -> real.unaccepted.add(fleet.sent(id(step.target())));
-                case ACCEPT -> accept(real);
-                case END -> end(real, step.choice());
-                default -> report(step, real);
+                case LOAD -> actual.resident.add(adapter);
+                case UNLOAD -> actual.resident.remove(adapter);
+                case RESTART -> restart(actual);
+                case DRAIN -> drain(actual);
+                case SEND -> actual.unaccepted.add(fleet.sent(id(step.target())));
+                case ACCEPT -> accept(actual);
+                case END -> end(actual, step.choice());
+                default -> report(step, actual);
             }
         }
 
@@ -146,51 +146,51 @@
             targets.remove(number);
         }
 
-        private static void restart(ActualTarget real) {
-            real.incarnation++;
-            real.resident.clear();
+        private static void restart(ActualTarget actual) {
+            actual.incarnation++;
+            actual.resident.clear();
         }
 
-        private static void drain(ActualTarget real) {
-            real.draining = !real.draining;
+        private static void drain(ActualTarget actual) {
+            actual.draining = !actual.draining;
         }
 
-        private static void accept(ActualTarget real) {
-            if (!real.unaccepted.isEmpty()) {
-                Sending sending = real.unaccepted.remove(0);
-                sending.accepted();
-                real.accepted.add(sending);
+        private static void accept(ActualTarget actual) {
+            if (!actual.unaccepted.isEmpty()) {
+                Sending request = actual.unaccepted.remove(0);
+                request.accepted();
+                actual.accepted.add(request);
             }
         }
 
-        private static void end(ActualTarget real, int choice) {
-            List<Sending> from = choice % 2 == 0 ? real.accepted : real.unaccepted;
-            if (!from.isEmpty()) {
-                Sending sending = from.remove(choice % from.size());
-                sending.ended();
-                sending.ended();
-                sending.accepted();
+        private static void end(ActualTarget actual, int choice) {
+            List<Sending> requests = choice % 2 == 0 ? actual.accepted : actual.unaccepted;
+            if (!requests.isEmpty()) {
+                Sending request = requests.remove(choice % requests.size());
+                request.ended();
+                request.ended();
+                request.accepted();
             }
         }
 
-        private void report(Step step, ActualTarget real) {
-            boolean complete = step.choice() % 3 == 0 || real.sequence == 0;
-            boolean restarted = real.reportedIncarnation != real.incarnation;
-            Set<AdapterReference> added = new HashSet<>(real.resident);
-            Set<AdapterReference> removed = new HashSet<>(real.reported);
+        private void report(Step step, ActualTarget actual) {
+            boolean complete = step.choice() % 3 == 0 || actual.sequence == 0;
+            boolean restarted = actual.reportedIncarnation != actual.incarnation;
+            Set<AdapterReference> added = new HashSet<>(actual.resident);
+            Set<AdapterReference> removed = new HashSet<>(actual.reported);
             if (!complete && !restarted) {
-                added.removeAll(real.reported);
-                removed.removeAll(real.resident);
+                added.removeAll(actual.reported);
+                removed.removeAll(actual.resident);
             } else {
                 removed.clear();
             }
-            real.reported = new HashSet<>(real.resident);
-            real.reportedIncarnation = real.incarnation;
+            actual.reported = new HashSet<>(actual.resident);
+            actual.reportedIncarnation = actual.incarnation;
             TargetStatus status = new TargetStatus(
                     id(step.target()),
-                    ++real.sequence,
-                    real.incarnation,
-                    real.accepted.size(),
+                    ++actual.sequence,
+                    actual.incarnation,
+                    actual.accepted.size(),
                     0,
                     0,
                     4,
@@ -199,26 +199,26 @@
                     added,
                     removed,
                     Set.of(),
-                    real.draining,
+                    actual.draining,
                     0);
             assertThat(fleet.apply(status)).isTrue();
             assertThat(complete || !fleet.apply(status))
-                    .as("the same news again")
+                    .as("duplicate report is ignored")
                     .isTrue();
         }
 
         private void check() {
-            targets.forEach((number, real) -> {
+            targets.forEach((number, actual) -> {
                 TargetView view = fleet.find(id(number)).orElseThrow();
-                assertThat(view.load()).as("load").isEqualTo(real.unaccepted.size() + real.accepted.size());
-                assertThat(view.resident()).isEqualTo(real.reported);
+                assertThat(view.load()).as("load").isEqualTo(actual.unaccepted.size() + actual.accepted.size());
+                assertThat(view.resident()).isEqualTo(actual.reported);
             });
             assertThat(fleet.views(MODEL)).as("members").noneMatch(TargetView::draining);
             for (int number = 0; number < ADAPTERS; number++) {
                 AdapterReference adapter = AdapterReference.of("adapter-" + number, "1");
                 Set<TargetId> holders = new HashSet<>();
-                targets.forEach((target, real) -> {
-                    if (real.reported.contains(adapter)) {
+                targets.forEach((target, actual) -> {
+                    if (actual.reported.contains(adapter)) {
                         holders.add(id(target));
                     }
                 });
@@ -242,7 +242,7 @@
                 Optional<Route> route = Routers.of(policy, fleet, filter, PrefixDirectory.none())
                         .route(request);
                 assertThat(route.isPresent())
-                        .as("a target is found if there is one")
+                        .as("a target is found if one is allowed")
                         .isEqualTo(!allowed.isEmpty());
                 route.ifPresent(found -> assertThat(allowed).contains(found.target()));
             }
--- a/serving/src/test/java/org/geraniumreach/serving/routing/Routers.java
+++ b/serving/src/test/java/org/geraniumreach/serving/routing/Routers.java
@@ -4,7 +4,7 @@
 
 import org.geraniumreach.serving.prefix.PrefixDirectory;
 
-/** Makes routers for tests. */
+/** Creates routers for tests. */
 final class Routers {
 
     private static final long SEED = 7;
