--- a/serving/src/main/java/org/geraniumreach/serving/prefix/DecayingPrefixDirectory.java
+++ b/serving/src/main/java/org/geraniumreach/serving/prefix/DecayingPrefixDirectory.java
@@ -11,25 +11,26 @@
 import org.geraniumreach.model.TargetId;
 
 /**
- * A directory whose beliefs fade with time and are corrected by what each request found.
+ * A directory whose confidence in a location decays with time and is corrected by the cache hits and misses of
+ * requests.
  *
- * <p>Invariants: at most {@code capacity} beliefs, the longest unused go first; the confidence halves with each half-life
- * and with each time that the target did not have the prefix although it was expected there; a belief from before a target
- * was forgotten is not answered. So a wrong belief costs one detour and then counts less. Safe for use by several threads:
- * prefixes are spread over shards, each under its own lock.
+ * <p>Invariants: at most {@code capacity} locations are kept, and the least recently used is dropped first; the
+ * confidence halves with each half-life and with each miss at the expected target; a location older than the
+ * invalidation of its target is not returned. So a wrong location costs one detour and then has less weight. Safe for
+ * use by several threads: prefixes are spread over shards, each under its own lock.
  */
 public final class DecayingPrefixDirectory implements PrefixDirectory {
 
     private static final int SHARDS = 16;
     private static final float LOAD_FACTOR = 0.75f;
-    private static final double LEAST_CONFIDENCE = 0.1;
-    private static final double FIRST_CONFIDENCE = 0.8;
-    private static final double AFTER_MISS = 0.5;
+    private static final double MINIMUM_CONFIDENCE = 0.1;
+    private static final double INITIAL_CONFIDENCE = 0.8;
+    private static final double CONFIDENCE_FACTOR_AFTER_MISS = 0.5;
 
     private final MonotonicClock clock;
     private final double halfLifeNanos;
     private final Shard[] shards = new Shard[SHARDS];
-    private final Map<TargetId, Long> forgottenAt = new ConcurrentHashMap<>();
+    private final Map<TargetId, Long> invalidatedNanos = new ConcurrentHashMap<>();
 
     private DecayingPrefixDirectory(MonotonicClock clock, Duration halfLife, int capacity) {
         this.clock = Objects.requireNonNull(clock, "clock");
@@ -40,11 +41,11 @@
     }
 
     /**
-     * Makes a directory.
+     * Creates an empty directory.
      *
      * @param clock the clock, not null
-     * @param halfLife the time in which a belief loses half its weight, positive
-     * @param capacity the most beliefs kept, at least 1
+     * @param halfLife the half-life of the confidence, positive
+     * @param capacity the maximum number of locations kept, at least 1
      * @return the directory, not null
      */
     public static DecayingPrefixDirectory create(MonotonicClock clock, Duration halfLife, int capacity) {
@@ -57,7 +58,7 @@
         return new DecayingPrefixDirectory(clock, halfLife, capacity);
     }
 
-    private record Entry(TargetId target, double confidence, long atNanos) {}
+    private record Entry(TargetId target, double confidence, long updatedNanos) {}
 
     private static final class Shard extends LinkedHashMap<PrefixDigest, Entry> {
         private static final long serialVersionUID = 1L;
@@ -76,57 +77,57 @@
     }
 
     @Override
-    public Optional<PrefixBelief> find(PrefixDigest prefix) {
+    public Optional<PrefixLocation> find(PrefixDigest prefix) {
         Shard shard = shardOf(prefix);
         Entry entry;
         synchronized (shard) {
             entry = shard.get(prefix);
         }
-        if (entry == null || isForgotten(entry)) {
+        if (entry == null || isInvalidated(entry)) {
             return Optional.empty();
         }
-        double confidence = faded(entry);
-        if (confidence < LEAST_CONFIDENCE) {
+        double confidence = decayedConfidence(entry);
+        if (confidence < MINIMUM_CONFIDENCE) {
             return Optional.empty();
         }
-        return Optional.of(new PrefixBelief(entry.target, confidence));
+        return Optional.of(new PrefixLocation(entry.target, confidence));
     }
 
     @Override
     public void ended(PrefixDigest prefix, TargetId target, boolean hit) {
         Shard shard = shardOf(prefix);
         synchronized (shard) {
-            Entry known = shard.get(prefix);
-            shard.put(prefix, new Entry(target, confidenceAfter(known, target, hit), clock.nanos()));
+            Entry previous = shard.get(prefix);
+            shard.put(prefix, new Entry(target, confidenceAfter(previous, target, hit), clock.nanos()));
         }
     }
 
     /*
-     * A target that evicts prefixes soon would draw every turn of a conversation to itself and find nothing each time. Its
-     * misses lower the confidence with which the next belief starts, so balance outweighs it after a few turns.
+     * A target that evicts prefixes early would attract every turn of a conversation and miss each time. Each miss
+     * lowers the confidence with which the next location starts, so after a few turns load balance outweighs it.
      */
-    private double confidenceAfter(Entry known, TargetId target, boolean hit) {
+    private double confidenceAfter(Entry previous, TargetId target, boolean hit) {
         if (hit) {
             return 1;
         }
-        if (known == null || !known.target.equals(target) || isForgotten(known)) {
-            return FIRST_CONFIDENCE;
+        if (previous == null || !previous.target.equals(target) || isInvalidated(previous)) {
+            return INITIAL_CONFIDENCE;
         }
-        return known.confidence * AFTER_MISS;
+        return previous.confidence * CONFIDENCE_FACTOR_AFTER_MISS;
     }
 
     @Override
     public void forget(TargetId target) {
-        forgottenAt.put(target, clock.nanos());
+        invalidatedNanos.put(target, clock.nanos());
     }
 
-    private boolean isForgotten(Entry entry) {
-        Long at = forgottenAt.get(entry.target);
-        return at != null && entry.atNanos - at <= 0;
+    private boolean isInvalidated(Entry entry) {
+        Long invalidated = invalidatedNanos.get(entry.target);
+        return invalidated != null && entry.updatedNanos - invalidated <= 0;
     }
 
-    private double faded(Entry entry) {
-        return entry.confidence * Math.pow(0.5, (clock.nanos() - entry.atNanos) / halfLifeNanos);
+    private double decayedConfidence(Entry entry) {
+        return entry.confidence * Math.pow(0.5, (clock.nanos() - entry.updatedNanos) / halfLifeNanos);
     }
 
     private Shard shardOf(PrefixDigest prefix) {
--- a/serving/src/main/java/org/geraniumreach/serving/prefix/PrefixBelief.java
+++ b/serving/src/main/java/org/geraniumreach/serving/prefix/PrefixLocation.java
@@ -5,16 +5,16 @@
 import org.geraniumreach.model.TargetId;
 
 /**
- * Where a prefix is believed to be cached.
+ * The target that probably caches a prefix.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @param target the target
- * @param confidence how sure that is, 0 to 1
+ * @param confidence the estimated probability that the target caches the prefix, 0 to 1
  */
-public record PrefixBelief(TargetId target, double confidence) {
+public record PrefixLocation(TargetId target, double confidence) {
 
-    public PrefixBelief {
+    public PrefixLocation {
         Objects.requireNonNull(target, "target");
         if (!(confidence >= 0 && confidence <= 1)) {
             throw new IllegalArgumentException("confidence outside 0 to 1: " + confidence);
--- a/serving/src/main/java/org/geraniumreach/serving/queue/FirstComeOrder.java
+++ b/serving/src/main/java/org/geraniumreach/serving/queue/FirstComeScheduler.java
@@ -8,13 +8,13 @@
 import org.geraniumreach.model.AttemptId;
 
 /**
- * The baseline: of the requests that are ready, the one that came first.
+ * A baseline scheduler that runs ready requests in order of arrival.
  *
- * <p>Confined to the lock of the queue that uses it.
+ * <p>Guarded by the lock of its {@link RequestQueue}.
  *
  * @param <T> the payload's type
  */
-final class FirstComeOrder<T> implements RequestOrder<T> {
+final class FirstComeScheduler<T> implements RequestScheduler<T> {
 
     private final Map<AttemptId, QueuedRequest<T>> waiting = new LinkedHashMap<>();
     private long waitingTokens;
@@ -26,11 +26,11 @@
     }
 
     @Override
-    public Optional<QueuedRequest<T>> next(Readiness ready, Batch batch) {
-        for (Iterator<QueuedRequest<T>> each = waiting.values().iterator(); each.hasNext(); ) {
-            QueuedRequest<T> request = each.next();
+    public Optional<QueuedRequest<T>> next(Readiness ready, RunningBatch batch) {
+        for (Iterator<QueuedRequest<T>> iterator = waiting.values().iterator(); iterator.hasNext(); ) {
+            QueuedRequest<T> request = iterator.next();
             if (request.adapter().map(ready::isReady).orElse(true)) {
-                each.remove();
+                iterator.remove();
                 waitingTokens -= request.tokens();
                 return Optional.of(request);
             }
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public void finished(QueuedRequest<T> request, long tokensUsed) {}
+    public void onFinished(QueuedRequest<T> request, long tokensUsed) {}
 
     @Override
     public long tokensAhead(QueuedRequest<T> request) {
--- a/serving/src/main/java/org/geraniumreach/serving/queue/RequestQueue.java
+++ b/serving/src/main/java/org/geraniumreach/serving/queue/RequestQueue.java
@@ -11,73 +11,73 @@
 import org.geraniumreach.model.MonotonicClock;
 
 /**
- * The requests that wait for a target or run on it.
+ * A queue of requests for one target, which also tracks the running ones.
  *
- * <p>Invariants: a request is in one of the states waiting, running and gone, and passes through them in this order; at
- * most the concurrency limit is running when one is taken; one is taken whenever the limit allows and a ready one waits.
- * Safe for use by several threads, under its own lock.
+ * <p>Invariants: a request is waiting, then running, then ended, and may end without running; a request is taken only
+ * while fewer than the concurrency limit are running; {@link #take} returns a request whenever the limit allows and a
+ * ready one is waiting. Safe for use by several threads, under its own lock.
  *
  * @param <T> the payload's type
  */
 public final class RequestQueue<T> {
 
-    private final RequestOrder<T> order;
+    private final RequestScheduler<T> scheduler;
     private final ConcurrencyLimit concurrency;
     private final MonotonicClock clock;
     private final Map<AttemptId, QueuedRequest<T>> waiting = new HashMap<>();
-    private final Map<AttemptId, Running<T>> running = new HashMap<>();
-    private final Batch batch = new Batch();
+    private final Map<AttemptId, RunningRequest<T>> running = new HashMap<>();
+    private final RunningBatch batch = new RunningBatch();
     private long waitingTokens;
 
-    private RequestQueue(RequestOrder<T> order, ConcurrencyLimit concurrency, MonotonicClock clock) {
-        this.order = order;
+    private RequestQueue(RequestScheduler<T> order, ConcurrencyLimit concurrency, MonotonicClock clock) {
+        this.scheduler = order;
         this.concurrency = Objects.requireNonNull(concurrency, "concurrency");
         this.clock = Objects.requireNonNull(clock, "clock");
     }
 
     /**
-     * Makes an empty queue.
+     * Creates an empty queue.
      *
-     * @param policy the order, not null
-     * @param weights what the order weighs, not null
-     * @param concurrency how many requests run at once, not null
+     * @param policy the scheduling policy, not null
+     * @param weights the weights of the policy, not null
+     * @param concurrency the limit on concurrently running requests, not null
      * @param clock the clock, not null
      * @param <T> the payload's type
      * @return the queue, not null
      */
     public static <T> RequestQueue<T> create(
             QueuePolicy policy, QueueWeights weights, ConcurrencyLimit concurrency, MonotonicClock clock) {
-        return new RequestQueue<>(policy.order(weights), concurrency, clock);
+        return new RequestQueue<>(policy.createScheduler(weights), concurrency, clock);
     }
 
-    private record Running<T>(QueuedRequest<T> request, long startedAt) {}
+    private record RunningRequest<T>(QueuedRequest<T> request, long startedNanos) {}
 
     /**
-     * Puts a request in.
+     * Adds a request.
      *
      * @param request the request, not null
-     * @return false if its attempt is waiting or running already, and nothing changed
+     * @return false if its attempt is already waiting or running, in which case the queue is unchanged
      */
     public synchronized boolean offer(QueuedRequest<T> request) {
         if (running.containsKey(request.attempt()) || waiting.putIfAbsent(request.attempt(), request) != null) {
             return false;
         }
         waitingTokens += request.tokens();
-        order.add(request);
+        scheduler.add(request);
         return true;
     }
 
     /**
-     * Takes the next request to run, if the limit allows another one; {@link #finished} must follow.
+     * Takes the next request to run, if the limit allows one. The caller must report its end by {@link #finished}.
      *
-     * @param ready which adapters can run at once, not null
+     * @param ready tells which adapters can run, not null
      * @return the request, or empty if none can run now
      */
     public synchronized Optional<QueuedRequest<T>> take(Readiness ready) {
         if (running.size() >= concurrency.limit()) {
             return Optional.empty();
         }
-        Optional<QueuedRequest<T>> next = order.next(ready, batch);
+        Optional<QueuedRequest<T>> next = scheduler.next(ready, batch);
         next.ifPresent(this::start);
         return next;
     }
@@ -86,11 +86,11 @@
         waiting.remove(request.attempt());
         waitingTokens -= request.tokens();
         request.adapter().ifPresent(batch::add);
-        running.put(request.attempt(), new Running<>(request, clock.nanos()));
+        running.put(request.attempt(), new RunningRequest<>(request, clock.nanos()));
     }
 
     /**
-     * Takes a waiting request out, so that it never runs.
+     * Removes a waiting request, so that it never runs.
      *
      * @param attempt the attempt, not null
      * @return the request, or empty if it is not waiting
@@ -101,13 +101,13 @@
             return Optional.empty();
         }
         waitingTokens -= request.tokens();
-        return order.remove(attempt);
+        return scheduler.remove(attempt);
     }
 
     /**
-     * Takes out the waiting requests whose deadline has passed.
+     * Removes the waiting requests whose deadline has passed.
      *
-     * @return the requests, not null
+     * @return the removed requests, not null
      */
     public synchronized List<QueuedRequest<T>> removeExpired() {
         long now = clock.nanos();
@@ -121,33 +121,33 @@
     }
 
     /**
-     * Tells that a running request has ended in whatever way; what is not running is passed over.
+     * Called when a running request has ended, whether it succeeded or not. Ignored if the attempt is not running.
      *
      * @param attempt the attempt, not null
-     * @param tokensUsed what it cost, prompt and generated tokens together, not negative
-     * @param generatedTokens the tokens generated, from which the target's latency is learnt; 0 if it failed
+     * @param tokensUsed the tokens of the prompt and the answer, not negative
+     * @param generatedTokens the tokens of the answer, used to measure the target's latency; 0 if the request failed
      */
     public synchronized void finished(AttemptId attempt, long tokensUsed, long generatedTokens) {
-        Running<T> ended = running.get(attempt);
+        RunningRequest<T> ended = running.get(attempt);
         if (ended == null) {
             return;
         }
         if (generatedTokens > 0) {
-            concurrency.sample((double) (clock.nanos() - ended.startedAt) / generatedTokens, running.size());
+            concurrency.onSample((double) (clock.nanos() - ended.startedNanos) / generatedTokens, running.size());
         }
         running.remove(attempt);
         ended.request.adapter().ifPresent(batch::remove);
-        order.finished(ended.request, tokensUsed);
+        scheduler.onFinished(ended.request, tokensUsed);
     }
 
     /**
-     * Estimates the tokens to be worked off before a request would run.
+     * Estimates the tokens to be processed before a request would run.
      *
      * @param request the request, which need not be in the queue, not null
-     * @return the tokens
+     * @return the number of tokens
      */
     public synchronized long tokensAhead(QueuedRequest<T> request) {
-        return order.tokensAhead(request);
+        return scheduler.tokensAhead(request);
     }
 
     public synchronized int waiting() {
@@ -163,12 +163,12 @@
     }
 
     /**
-     * Gets the number of adapters among the running requests.
+     * Gets the number of different adapters of the running requests.
      *
      * @return the number
      */
-    public synchronized int runningAdapters() {
-        return batch.adapters();
+    public synchronized int runningAdapterCount() {
+        return batch.adapterCount();
     }
 
     public int concurrencyLimit() {
--- a/serving/src/main/java/org/geraniumreach/serving/residency/LoadPolicy.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/LoadPolicy.java
@@ -2,34 +2,34 @@
 
 import java.util.Comparator;
 
-/** The ways of choosing what to load next, by the names that settings use. */
+/** The policies for choosing the next adapter to load. Settings use the names of the constants. */
 public enum LoadPolicy {
-    /** The one that was waited for first. */
+    /** Loads the adapter whose first request has waited longest. */
     FIRST_COME {
         @Override
-        LoadChoice choice() {
-            return LoadChoice.by(Comparator.comparingLong(WaitingAdapter::oldestNanos));
+        LoadScheduler createScheduler() {
+            return LoadScheduler.mostUrgentFirst(Comparator.comparingLong(AwaitedAdapter::longestWaitNanos));
         }
     },
-    /** The one whose waiters have waited longest together: many waiters go first, and no single one waits for ever. */
+    /** Loads the adapter whose requests have waited longest in total: many waiters go first, and none starves. */
     WAITING_WORK {
         @Override
-        LoadChoice choice() {
-            return LoadChoice.by(Comparator.comparingLong(WaitingAdapter::totalNanos));
+        LoadScheduler createScheduler() {
+            return LoadScheduler.mostUrgentFirst(Comparator.comparingLong(AwaitedAdapter::totalWaitNanos));
         }
     },
-    /** Fair over client accounts; for the account whose turn it is, as by waiting work. */
+    /** Fair queueing over client accounts; within an account, the adapter with the longest total wait. */
     FAIR {
         @Override
-        LoadChoice choice() {
-            return LoadChoice.fair();
+        LoadScheduler createScheduler() {
+            return LoadScheduler.fair();
         }
     };
 
     /**
-     * Makes the choice of one companion.
+     * Creates a scheduler for one companion.
      *
-     * @return the choice
+     * @return the scheduler
      */
-    abstract LoadChoice choice();
+    abstract LoadScheduler createScheduler();
 }
--- a/serving/src/main/java/org/geraniumreach/serving/residency/Residency.java
+++ b/serving/src/main/java/org/geraniumreach/serving/residency/Residency.java
@@ -16,91 +16,91 @@
 import org.geraniumreach.model.MonotonicClock;
 
 /**
- * Which adapters a target holds, what to evict and what to load next.
+ * Manages a target's adapter slots: which adapters are resident, which to evict and which to load next.
  *
- * <p>Invariants: resident and loading adapters together never exceed the slots; an adapter with a pin is never evicted; an
- * adapter has at most one load in transit, shared by all who wait for it; each request that was taken in gets exactly one
- * of a pin, a failure and its own withdrawal. After the engine's restart nothing is resident, pins and orders from before
- * count for nothing, and waiting requests wait on. Safe for use by several threads, under its own lock.
+ * <p>Invariants: resident and loading adapters together never exceed the slots; a pinned adapter is never evicted; an
+ * adapter has at most one load in progress, shared by all requests that wait for it; each registered request gets
+ * exactly one of a pin, a failure and a cancellation. After the engine's restart no adapter is resident, earlier pins
+ * and load commands are void, and waiting requests keep waiting. Safe for use by several threads, under its own lock.
  */
 public final class Residency {
 
-    private static final AccountId ONLY_ACCOUNT = AccountId.of("only");
-    private static final int REMEMBERED_PER_SLOT = 64;
-    private static final double SMOOTHING = 0.2;
+    private static final AccountId SINGLE_ACCOUNT = AccountId.of("only");
+    private static final int USE_COUNTS_PER_SLOT = 64;
+    private static final double LOAD_TIME_SMOOTHING = 0.2;
 
     private final ResidencySettings settings;
-    private final FleetLoads fleet;
+    private final FleetLoads fleetLoads;
     private final MonotonicClock clock;
     private final Map<AdapterReference, Slot> slots = new HashMap<>();
-    private final Map<AdapterReference, Transit> transits = new HashMap<>();
-    private final Waiters waiters = new Waiters();
-    private final UseCounts uses;
-    private final LoadChoice loadChoice;
-    private final LoadFailures failures;
-    private double loadNanos;
+    private final Map<AdapterReference, LoadInProgress> loadsInProgress = new HashMap<>();
+    private final WaitingRequests waitingRequests = new WaitingRequests();
+    private final UseCounts useCounts;
+    private final LoadScheduler loadScheduler;
+    private final LoadBackoff loadBackoff;
+    private double expectedLoadNanos;
     private long engineIncarnation;
-    private long epoch;
-    private long orders;
+    private long engineEpoch;
+    private long lastCommandNumber;
 
-    private Residency(ResidencySettings settings, FleetLoads fleet, MonotonicClock clock) {
+    private Residency(ResidencySettings settings, FleetLoads fleetLoads, MonotonicClock clock) {
         this.settings = Objects.requireNonNull(settings, "settings");
-        this.fleet = Objects.requireNonNull(fleet, "fleet");
+        this.fleetLoads = Objects.requireNonNull(fleetLoads, "fleetLoads");
         this.clock = Objects.requireNonNull(clock, "clock");
-        this.uses = new UseCounts(settings.usesHalfLife().toNanos(), REMEMBERED_PER_SLOT * settings.slots());
-        this.loadChoice = settings.loading().choice();
-        this.failures = new LoadFailures(settings.firstBackoff(), settings.longestBackoff());
-        this.loadNanos = settings.expectedLoad().toNanos();
+        this.useCounts = new UseCounts(settings.usesHalfLife().toNanos(), USE_COUNTS_PER_SLOT * settings.slots());
+        this.loadScheduler = settings.loading().createScheduler();
+        this.loadBackoff = new LoadBackoff(settings.firstBackoff(), settings.longestBackoff());
+        this.expectedLoadNanos = settings.expectedLoad().toNanos();
     }
 
     /**
-     * Makes one for a target of which nothing is known yet; call {@link #synchronise} with its state.
+     * Creates a residency without resident adapters; call {@link #synchronise} to pass in the engine's state.
      *
-     * @param settings how to manage it, not null
-     * @param fleet the other companions' loads, not null
+     * @param settings the settings, not null
+     * @param fleetLoads the other companions' loads, not null
      * @param clock the clock, not null
      * @return the residency, not null
      */
-    public static Residency create(ResidencySettings settings, FleetLoads fleet, MonotonicClock clock) {
-        return new Residency(settings, fleet, clock);
+    public static Residency create(ResidencySettings settings, FleetLoads fleetLoads, MonotonicClock clock) {
+        return new Residency(settings, fleetLoads, clock);
     }
 
-    private record Transit(LoadOrder order, long startedAt) {}
+    private record LoadInProgress(LoadOrder command, long startedNanos) {}
 
     /**
-     * Takes a request in, for a fleet that serves one client account.
+     * Registers a request, for a fleet that serves a single client account.
      *
-     * @param attempt the request, not null
+     * @param attempt the request's attempt, not null
      * @param adapter its adapter, not null
-     * @param work the tokens that it needs
-     * @return whether its adapter is there, not null
-     * @throws IllegalArgumentException if the attempt was taken in already
+     * @param tokens the tokens that it needs
+     * @return whether its adapter is available, not null
+     * @throws IllegalArgumentException if the attempt is already registered
      */
-    public Answer request(AttemptId attempt, AdapterReference adapter, long work) {
-        return request(attempt, ONLY_ACCOUNT, adapter, work);
+    public Answer request(AttemptId attempt, AdapterReference adapter, long tokens) {
+        return request(attempt, SINGLE_ACCOUNT, adapter, tokens);
     }
 
     /**
-     * Takes a request in, unless its adapter's load failed a moment ago.
+     * Registers a request, unless the load of its adapter failed recently.
      *
-     * @param attempt the request, not null
-     * @param account for whom, not null
+     * @param attempt the request's attempt, not null
+     * @param account its client account, not null
      * @param adapter its adapter, not null
-     * @param work the tokens that it needs
-     * @return whether its adapter is there, not null
-     * @throws IllegalArgumentException if the attempt was taken in already
+     * @param tokens the tokens that it needs
+     * @return whether its adapter is available, not null
+     * @throws IllegalArgumentException if the attempt is already registered
      */
-    public synchronized Answer request(AttemptId attempt, AccountId account, AdapterReference adapter, long work) {
+    public synchronized Answer request(AttemptId attempt, AccountId account, AdapterReference adapter, long tokens) {
         long now = clock.nanos();
         boolean ready = isReady(adapter);
-        Optional<Duration> backoff = failures.backoffLeft(adapter, now);
+        Optional<Duration> backoff = loadBackoff.remainingBackoff(adapter, now);
         if (!ready && backoff.isPresent()) {
             return new Answer(Answer.State.REFUSED, backoff.get());
         }
-        if (!waiters.add(attempt, account, adapter, work, now)) {
-            throw new IllegalArgumentException("attempt taken in already: " + attempt);
+        if (!waitingRequests.add(attempt, account, adapter, tokens, now)) {
+            throw new IllegalArgumentException("attempt is already registered: " + attempt);
         }
-        uses.used(adapter, now);
+        useCounts.recordUse(adapter, now);
         if (ready) {
             return new Answer(Answer.State.READY, Duration.ZERO);
         }
@@ -108,23 +108,23 @@
     }
 
     private Duration expectedWait(AdapterReference adapter, long now) {
-        Transit transit = transits.get(adapter);
-        if (transit != null) {
-            return Duration.ofNanos((long) Math.max(0, loadNanos - (now - transit.startedAt)));
+        LoadInProgress load = loadsInProgress.get(adapter);
+        if (load != null) {
+            return Duration.ofNanos((long) Math.max(0, expectedLoadNanos - (now - load.startedNanos)));
         }
-        int ahead = 0;
-        for (AdapterReference other : waiters.adapters()) {
-            ahead += isReady(other) || other.equals(adapter) ? 0 : 1;
+        int adaptersAhead = 0;
+        for (AdapterReference other : waitingRequests.adapters()) {
+            adaptersAhead += isReady(other) || other.equals(adapter) ? 0 : 1;
         }
-        double rounds = 1 + (double) ahead / settings.loadsAtOnce();
-        return Duration.ofNanos((long) (rounds * loadNanos));
+        double rounds = 1 + (double) adaptersAhead / settings.loadsAtOnce();
+        return Duration.ofNanos((long) (rounds * expectedLoadNanos));
     }
 
     /**
-     * Queries whether requests on an adapter can run at once.
+     * Returns whether requests for an adapter can run immediately.
      *
      * @param adapter the adapter, not null
-     * @return true if it is resident and not running out
+     * @return true if it is resident and its slot is not retiring
      */
     public synchronized boolean isReady(AdapterReference adapter) {
         Slot slot = slots.get(adapter);
@@ -132,216 +132,222 @@
     }
 
     /**
-     * Gives a request that was taken in its hold on the adapter, just before it runs.
+     * Pins the adapter of a registered request, just before the request runs.
      *
-     * @param attempt the request, not null
+     * @param attempt the request's attempt, not null
      * @param adapter its adapter, not null
-     * @return the pin, or empty if the adapter is not ready any more; the request then waits on
+     * @return the pin, or empty if the adapter has become unavailable; the request then keeps waiting
      */
     public synchronized Optional<Pin> pin(AttemptId attempt, AdapterReference adapter) {
         if (!isReady(adapter)) {
             return Optional.empty();
         }
-        waiters.remove(attempt);
+        waitingRequests.remove(attempt);
         slots.get(adapter).pin(clock.nanos());
-        return Optional.of(new Pin(this, adapter, epoch));
+        return Optional.of(new Pin(this, adapter, engineEpoch));
     }
 
     synchronized void unpin(AdapterReference adapter, long pinEpoch) {
-        if (pinEpoch == epoch) {
+        if (pinEpoch == engineEpoch) {
             slots.get(adapter).unpin(clock.nanos());
         }
     }
 
     /**
-     * Takes a waiting request out, since it was cancelled or its deadline passed.
+     * Removes a waiting request that was cancelled or whose deadline has passed.
      *
-     * @param attempt the request, not null
+     * @param attempt the request's attempt, not null
      * @return false if it is not waiting
      */
     public synchronized boolean withdraw(AttemptId attempt) {
-        return waiters.remove(attempt);
+        return waitingRequests.remove(attempt);
     }
 
     /**
-     * Decides which loads to start now; each must be carried out.
+     * Chooses the loads to start now; the caller must execute each of them.
      *
-     * @return the orders, not null
+     * @return the load commands, not null
      */
     public synchronized List<LoadOrder> orders() {
-        if (!mayLoadAny()) {
+        if (!canStartLoads()) {
             return List.of();
         }
         long now = clock.nanos();
         List<LoadOrder> started = new ArrayList<>();
-        List<WaitingAdapter> wanted = wanted(now);
-        if (wanted.isEmpty()) {
-            slots.values().forEach(Slot::keep);
+        List<AwaitedAdapter> candidates = adaptersToLoad(now);
+        if (candidates.isEmpty()) {
+            slots.values().forEach(Slot::cancelRetirement);
             return started;
         }
-        while (transits.size() < settings.loadsAtOnce()) {
-            Optional<WaitingAdapter> next = loadChoice.next(wanted);
-            Optional<LoadOrder> order = next.filter(this::mayLoad).flatMap(adapter -> order(adapter, now));
-            if (order.isEmpty()) {
+        while (loadsInProgress.size() < settings.loadsAtOnce()) {
+            Optional<AwaitedAdapter> next = loadScheduler.next(candidates);
+            Optional<LoadOrder> command =
+                    next.filter(this::isWithinFleetLimit).flatMap(adapter -> createCommand(adapter, now));
+            if (command.isEmpty()) {
                 break;
             }
-            loadChoice.started(next.get());
-            wanted.remove(next.get());
-            started.add(order.get());
+            loadScheduler.onStarted(next.get());
+            candidates.remove(next.get());
+            started.add(command.get());
         }
         return started;
     }
 
-    /* Saves the look at all that wait, which grows with them, when it would end in no load. */
-    private boolean mayLoadAny() {
-        if (transits.size() >= settings.loadsAtOnce()) {
+    /* Avoids the scan over all awaited adapters when no load could start. */
+    private boolean canStartLoads() {
+        if (loadsInProgress.size() >= settings.loadsAtOnce()) {
             return false;
         }
-        return transits.isEmpty() || transits.size() + fleet.inTransit() < settings.loadsFleetWide();
+        return loadsInProgress.isEmpty()
+                || loadsInProgress.size() + fleetLoads.loadsInProgress() < settings.loadsFleetWide();
     }
 
-    private List<WaitingAdapter> wanted(long now) {
-        List<WaitingAdapter> wanted = new ArrayList<>();
-        for (AdapterReference adapter : waiters.adapters()) {
-            if (!slots.containsKey(adapter) && !transits.containsKey(adapter)) {
-                wanted.add(waiters.view(adapter, now));
+    private List<AwaitedAdapter> adaptersToLoad(long now) {
+        List<AwaitedAdapter> candidates = new ArrayList<>();
+        for (AdapterReference adapter : waitingRequests.adapters()) {
+            if (!slots.containsKey(adapter) && !loadsInProgress.containsKey(adapter)) {
+                candidates.add(waitingRequests.summarize(adapter, now));
             }
         }
-        return wanted;
+        return candidates;
     }
 
     /*
-     * Beyond the fleet's limit each load slows all others. The companions with the most urgent loads go first; one that has
-     * waited out its patience goes in any case, since news may be lost and a limit that nobody frees would stop all loads.
+     * Above the fleet-wide limit each load slows all others. The companions with the most urgent loads go first. A load
+     * that has waited longer than the patience starts in any case, since reports may be lost and a limit that is never
+     * released would stop all loads.
      */
-    private boolean mayLoad(WaitingAdapter next) {
-        if (next.oldestNanos() >= settings.patience().toNanos() && transits.isEmpty()) {
+    private boolean isWithinFleetLimit(AwaitedAdapter next) {
+        if (next.longestWaitNanos() >= settings.patience().toNanos() && loadsInProgress.isEmpty()) {
             return true;
         }
-        int others = fleet.inTransit() + fleet.moreUrgent(next.totalNanos());
-        return transits.size() + others < settings.loadsFleetWide();
+        int others = fleetLoads.loadsInProgress() + fleetLoads.countMoreUrgent(next.totalWaitNanos());
+        return loadsInProgress.size() + others < settings.loadsFleetWide();
     }
 
-    private Optional<LoadOrder> order(WaitingAdapter next, long now) {
+    private Optional<LoadOrder> createCommand(AwaitedAdapter next, long now) {
         Optional<AdapterReference> victim = Optional.empty();
-        if (slots.size() + transits.size() >= settings.slots()) {
-            victim = victim(now);
+        if (slots.size() + loadsInProgress.size() >= settings.slots()) {
+            victim = chooseVictim(now);
             if (victim.isEmpty()) {
-                retireOneFor(next, now);
+                retireSlotFor(next, now);
                 return Optional.empty();
             }
             slots.remove(victim.get());
         }
-        LoadOrder order = new LoadOrder(++orders, next.adapter(), victim);
-        transits.put(next.adapter(), new Transit(order, now));
-        return Optional.of(order);
+        LoadOrder command = new LoadOrder(++lastCommandNumber, next.adapter(), victim);
+        loadsInProgress.put(next.adapter(), new LoadInProgress(command, now));
+        return Optional.of(command);
     }
 
-    private Optional<AdapterReference> victim(long now) {
-        Slot worst = null;
-        double worstWorth = 0;
+    private Optional<AdapterReference> chooseVictim(long now) {
+        Slot lowest = null;
+        double lowestValue = 0;
         for (Slot slot : slots.values()) {
-            if (slot.isPinned() || !slot.isRetiring() && waiters.has(slot.adapter())) {
+            if (slot.isPinned() || !slot.isRetiring() && waitingRequests.hasAny(slot.adapter())) {
                 continue;
             }
-            double worth = slot.isRetiring() ? Double.NEGATIVE_INFINITY : worth(slot, now);
-            if (worst == null || worth < worstWorth) {
-                worst = slot;
-                worstWorth = worth;
+            double value = slot.isRetiring() ? Double.NEGATIVE_INFINITY : retentionValue(slot, now);
+            if (lowest == null || value < lowestValue) {
+                lowest = slot;
+                lowestValue = value;
             }
         }
-        return Optional.ofNullable(worst).map(Slot::adapter);
+        return Optional.ofNullable(lowest).map(Slot::adapter);
     }
 
-    private double worth(Slot slot, long now) {
+    private double retentionValue(Slot slot, long now) {
         return settings.eviction()
-                .worth(new SlotView(
-                        slot.adapter(), uses.uses(slot.adapter(), now), now - slot.usedAt(), (long) loadNanos));
+                .retentionValue(new EvictionCandidate(
+                        slot.adapter(), useCounts.uses(slot.adapter(), now), now - slot.lastUsedNanos(), (long)
+                                expectedLoadNanos));
     }
 
     /*
-     * When every slot is in use throughout, requests on other adapters would wait for ever. The slot worth least then takes
-     * no new requests, and is evicted when the last that runs there has ended; none is cut off.
+     * If every slot is constantly in use, requests for other adapters would wait forever. The slot with the lowest
+     * retention value then takes no new requests and is evicted once its running requests have ended; none of them is
+     * aborted.
      */
-    private void retireOneFor(WaitingAdapter next, long now) {
-        if (next.oldestNanos() < settings.patience().toNanos()) {
+    private void retireSlotFor(AwaitedAdapter next, long now) {
+        if (next.longestWaitNanos() < settings.patience().toNanos()) {
             return;
         }
-        Slot worst = null;
+        Slot lowest = null;
         for (Slot slot : slots.values()) {
             if (slot.isRetiring()) {
                 return;
             }
-            if (worst == null || worth(slot, now) < worth(worst, now)) {
-                worst = slot;
+            if (lowest == null || retentionValue(slot, now) < retentionValue(lowest, now)) {
+                lowest = slot;
             }
         }
-        if (worst != null) {
-            worst.retire();
+        if (lowest != null) {
+            lowest.retire();
         }
     }
 
     /**
-     * Tells that an order was carried out.
+     * Called when a load command has been executed.
      *
-     * @param order the order, not null
-     * @return false if it is from before the engine's restart, and nothing changed
+     * @param command the command, not null
+     * @return false if it was issued before the engine's restart and is ignored
      */
-    public synchronized boolean loaded(LoadOrder order) {
-        Transit transit = takeTransit(order);
-        if (transit == null) {
+    public synchronized boolean loaded(LoadOrder command) {
+        LoadInProgress load = removeLoadInProgress(command);
+        if (load == null) {
             return false;
         }
         long now = clock.nanos();
-        loadNanos += SMOOTHING * (now - transit.startedAt - loadNanos);
-        failures.succeeded(order.adapter());
-        slots.put(order.adapter(), new Slot(order.adapter(), now));
+        expectedLoadNanos += LOAD_TIME_SMOOTHING * (now - load.startedNanos - expectedLoadNanos);
+        loadBackoff.onSucceeded(command.adapter());
+        slots.put(command.adapter(), new Slot(command.adapter(), now));
         return true;
     }
 
     /**
-     * Tells that an order failed; the adapter is absent, and its requests are refused for a while.
+     * Called when a load command has failed. The adapter is absent, and requests for it are refused during the
+     * back-off.
      *
-     * @param order the order, not null
-     * @return the requests that waited for it, which are taken out and must be told, not null
+     * @param command the command, not null
+     * @return the requests that waited for the adapter, which are removed and which the caller must fail, not null
      */
-    public synchronized List<AttemptId> failed(LoadOrder order) {
-        if (takeTransit(order) == null) {
+    public synchronized List<AttemptId> failed(LoadOrder command) {
+        if (removeLoadInProgress(command) == null) {
             return List.of();
         }
-        failures.failed(order.adapter(), clock.nanos());
-        return waiters.removeAll(order.adapter());
+        loadBackoff.onFailed(command.adapter(), clock.nanos());
+        return waitingRequests.removeAll(command.adapter());
     }
 
-    private Transit takeTransit(LoadOrder order) {
-        Transit transit = transits.get(order.adapter());
-        if (transit == null || transit.order.number() != order.number()) {
+    private LoadInProgress removeLoadInProgress(LoadOrder command) {
+        LoadInProgress load = loadsInProgress.get(command.adapter());
+        if (load == null || load.command.number() != command.number()) {
             return null;
         }
-        return transits.remove(order.adapter());
+        return loadsInProgress.remove(command.adapter());
     }
 
     /**
-     * Takes the engine's own state in, so that what is believed here does not drift from what is.
+     * Corrects the known residency from the engine's own state.
      *
      * @param incarnation the engine's incarnation
      * @param held the adapters that it holds, not null
-     * @param askedAtNanos when it was asked, by the clock; what was loaded later is left alone
-     * @return true if the engine has restarted since it was last asked
+     * @param askedNanos the clock's time when the engine was asked; adapters loaded later are kept
+     * @return true if the engine has restarted since the last call
      */
-    public synchronized boolean synchronise(long incarnation, Set<AdapterReference> held, long askedAtNanos) {
+    public synchronized boolean synchronise(long incarnation, Set<AdapterReference> held, long askedNanos) {
         boolean restarted = incarnation != engineIncarnation;
         if (restarted) {
             engineIncarnation = incarnation;
-            epoch++;
+            engineEpoch++;
             slots.clear();
-            transits.clear();
+            loadsInProgress.clear();
         }
         long now = clock.nanos();
         slots.values()
                 .removeIf(slot ->
-                        !held.contains(slot.adapter()) && !slot.isPinned() && slot.loadedAt() - askedAtNanos < 0);
-        if (transits.isEmpty()) {
+                        !held.contains(slot.adapter()) && !slot.isPinned() && slot.loadedNanos() - askedNanos < 0);
+        if (loadsInProgress.isEmpty()) {
             for (AdapterReference adapter : held) {
                 if (slots.size() < settings.slots()) {
                     slots.computeIfAbsent(adapter, key -> new Slot(key, now));
@@ -356,13 +362,13 @@
     }
 
     /**
-     * Gets the adapters that are loading or waited for.
+     * Gets the adapters that are loading or waiting to be loaded.
      *
      * @return the adapters, not null
      */
     public synchronized Set<AdapterReference> loading() {
-        Set<AdapterReference> loading = new HashSet<>(transits.keySet());
-        for (AdapterReference adapter : waiters.adapters()) {
+        Set<AdapterReference> loading = new HashSet<>(loadsInProgress.keySet());
+        for (AdapterReference adapter : waitingRequests.adapters()) {
             if (!slots.containsKey(adapter)) {
                 loading.add(adapter);
             }
@@ -371,28 +377,28 @@
     }
 
     public synchronized int inTransit() {
-        return transits.size();
+        return loadsInProgress.size();
     }
 
     /**
-     * Gets how urgent the loads are that wait here, to be told to the other companions.
+     * Gets the urgency of the loads that wait here, to be reported to the other companions.
      *
-     * @return the nanoseconds that the most urgent one's requests have waited together, 0 if none waits
+     * @return the largest sum of waiting times, in nanoseconds, of the requests for one adapter; 0 if no load waits
      */
     public synchronized long waitingWork() {
-        long most = 0;
-        for (WaitingAdapter adapter : wanted(clock.nanos())) {
-            most = Math.max(most, adapter.totalNanos());
+        long longest = 0;
+        for (AwaitedAdapter adapter : adaptersToLoad(clock.nanos())) {
+            longest = Math.max(longest, adapter.totalWaitNanos());
         }
-        return most;
+        return longest;
     }
 
     /**
-     * Gets the number of adapters that wait to be loaded.
+     * Gets the number of adapters waiting to be loaded.
      *
      * @return the number
      */
     public synchronized int waiting() {
-        return wanted(clock.nanos()).size();
+        return adaptersToLoad(clock.nanos()).size();
     }
 }
--- a/serving/src/main/java/org/geraniumreach/serving/routing/AffinityRouter.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/AffinityRouter.java
@@ -4,21 +4,22 @@
 import java.util.random.RandomGenerator;
 
 import org.geraniumreach.model.AdapterReference;
-import org.geraniumreach.serving.prefix.PrefixBelief;
 import org.geraniumreach.serving.prefix.PrefixDirectory;
+import org.geraniumreach.serving.prefix.PrefixLocation;
 
 /**
- * The router that takes the target at which a request costs least: itself in waiting, and others in loads.
+ * A router that chooses the target with the lowest cost: the request's waiting time plus the delay it causes to others.
  *
- * <p>Candidates are the adapter's holders, the first targets of its rendezvous order if more may hold it, where its prefix
- * is, and two targets by chance if all these are crowded. Entries that see the same targets agree on the order without
- * talking. Among several holders it weighs two by chance rather than all: reports lag, and many entries that take the same
- * apparent minimum would overrun it together. Safe for use by several threads if its random source is.
+ * <p>Candidates are the targets that hold the adapter, its home targets (the first ones in its rendezvous order) if
+ * more replicas are allowed, the target that probably caches the prompt's prefix, and two random targets if all of
+ * these are crowded. Entries with the same targets compute the same order without communicating. Of several holders,
+ * two random ones are compared instead of all: reports lag, and many entries that choose the same apparent minimum
+ * would overload it. Safe for use by several threads if its random source is.
  */
 final class AffinityRouter implements Router {
 
-    private static final int ORDER_LENGTH = 8;
-    private static final TrackedTarget[] NOBODY = {};
+    private static final int CACHED_ORDER_LENGTH = 8;
+    private static final TrackedTarget[] NO_TARGETS = {};
 
     private final RouteCandidates candidates;
     private final FleetView fleet;
@@ -26,8 +27,8 @@
     private final RandomGenerator random;
     private final RoutingWeights weights;
     private final RouteCost cost;
-    private final HomeOrders orders;
-    private final ReplicaAllowance allowance;
+    private final RendezvousOrderCache orderCache;
+    private final ReplicaLimit replicaLimit;
 
     AffinityRouter(
             RouteCandidates candidates, PrefixDirectory prefixes, RouterSettings settings, RandomGenerator random) {
@@ -37,8 +38,8 @@
         this.random = random;
         this.weights = settings.weights();
         this.cost = new RouteCost(settings);
-        this.orders = new HomeOrders(ORDER_LENGTH, settings.rememberedAdapters());
-        this.allowance = new ReplicaAllowance(fleet, weights.replicaFill(), settings.rememberedAdapters());
+        this.orderCache = new RendezvousOrderCache(CACHED_ORDER_LENGTH, settings.rememberedAdapters());
+        this.replicaLimit = new ReplicaLimit(fleet, weights.replicaFill(), settings.rememberedAdapters());
     }
 
     @Override
@@ -53,13 +54,13 @@
         });
     }
 
-    /** The search for one request; confined to its thread. */
+    /** The search for the best target of one request; confined to one thread. */
     private final class Search {
         private final RouteRequest request;
         private final FleetView.Members members;
         private final TrackedTarget[] holders;
-        private final RouteCost.Loads loads;
-        private final Optional<PrefixBelief> belief;
+        private final RouteCost.LoadContext loadContext;
+        private final Optional<PrefixLocation> prefixLocation;
         private TrackedTarget best;
         private double bestCost = Double.MAX_VALUE;
         private Route.Reason reason = Route.Reason.LOAD;
@@ -67,84 +68,85 @@
         private Search(RouteRequest request, FleetView.Members members) {
             this.request = request;
             this.members = members;
-            this.belief = request.prefix().flatMap(prefixes::find);
-            this.holders = request.adapter().map(fleet::holders).orElse(NOBODY);
-            this.loads = new RouteCost.Loads(request.adapter(), fleet.loadsInTransit(), holders.length);
+            this.prefixLocation = request.prefix().flatMap(prefixes::find);
+            this.holders = request.adapter().map(fleet::holders).orElse(NO_TARGETS);
+            this.loadContext = new RouteCost.LoadContext(request.adapter(), fleet.pendingLoads(), holders.length);
         }
 
         private void run() {
-            belief.map(found -> fleet.tracked(found.target())).ifPresent(this::considerIfMember);
-            request.adapter().ifPresent(this::aroundAdapter);
+            prefixLocation.map(found -> fleet.tracked(found.target())).ifPresent(this::considerForPrefix);
+            request.adapter().ifPresent(this::considerForAdapter);
             if (best == null || request.adapter().isEmpty()) {
-                amongTwo();
+                considerTwoRandom();
             }
         }
 
-        private void aroundAdapter(AdapterReference adapter) {
-            ReplicaAllowance.Totals totals = allowance.totals(request.offering());
-            int allowed = allowance.count(adapter, totals);
-            HomeOrders.Order order = orders.of(adapter, members);
-            considerHolders(usedHolders(adapter, order, allowed));
-            if (holders.length < allowed || isToBeLeft(totals)) {
+        private void considerForAdapter(AdapterReference adapter) {
+            ReplicaLimit.LoadTotals totals = replicaLimit.totals(request.offering());
+            int allowed = replicaLimit.allowedHolders(adapter, totals);
+            RendezvousOrderCache.Order order = orderCache.get(adapter, members);
+            considerHolders(eligibleHolders(adapter, order, allowed));
+            if (holders.length < allowed || needsAlternatives(totals)) {
                 considerHomes(adapter, order, Math.max(allowed, weights.homes()));
             }
-            if (isToBeLeft(totals)) {
-                amongTwo();
+            if (needsAlternatives(totals)) {
+                considerTwoRandom();
             }
         }
 
-        private boolean isToBeLeft(ReplicaAllowance.Totals totals) {
+        private boolean needsAlternatives(ReplicaLimit.LoadTotals totals) {
             return best == null || cost.isCrowded(best, totals.meanRelativeLoad());
         }
 
         /*
-         * Of more holders than are needed, those late in the order are left to run out, the same ones by every entry. The
-         * order that is remembered mostly tells; with it, an adapter that nearly all targets hold costs no more than one
-         * that a few hold.
+         * If more targets hold the adapter than are allowed, those last in the rendezvous order get no requests, so
+         * that their slots can be evicted. All entries pass over the same ones. The cached order usually contains
+         * enough holders, so the time taken does not grow with the number of holders.
          */
-        private TrackedTarget[] usedHolders(AdapterReference adapter, HomeOrders.Order order, int allowed) {
+        private TrackedTarget[] eligibleHolders(
+                AdapterReference adapter, RendezvousOrderCache.Order order, int allowed) {
             if (holders.length <= allowed) {
                 return holders;
             }
-            TrackedTarget[] used = new TrackedTarget[allowed];
+            TrackedTarget[] eligible = new TrackedTarget[allowed];
             int count = 0;
             for (TrackedTarget target : order.targets()) {
                 if (count < allowed && target.report().resident().contains(adapter)) {
-                    used[count++] = target;
+                    eligible[count++] = target;
                 }
             }
-            return count == allowed ? used : Rendezvous.first(order.key(), holders, allowed);
+            return count == allowed ? eligible : Rendezvous.topRanked(order.keyHash(), holders, allowed);
         }
 
-        private void considerHolders(TrackedTarget[] used) {
-            if (used.length == 0) {
+        private void considerHolders(TrackedTarget[] eligible) {
+            if (eligible.length == 0) {
                 return;
             }
-            int first = random.nextInt(used.length);
-            consider(used[first], Route.Reason.RESIDENT);
-            if (used.length > 1) {
-                int step = 1 + random.nextInt(used.length - 1);
-                consider(used[(first + step) % used.length], Route.Reason.RESIDENT);
+            int start = random.nextInt(eligible.length);
+            consider(eligible[start], Route.Reason.RESIDENT);
+            if (eligible.length > 1) {
+                int step = 1 + random.nextInt(eligible.length - 1);
+                consider(eligible[(start + step) % eligible.length], Route.Reason.RESIDENT);
             }
         }
 
-        private void considerIfMember(TrackedTarget target) {
+        private void considerForPrefix(TrackedTarget target) {
             if (target.offering().equals(request.offering())) {
                 consider(target, Route.Reason.PREFIX);
             }
         }
 
-        private void considerHomes(AdapterReference adapter, HomeOrders.Order order, int count) {
-            int left = count;
+        private void considerHomes(AdapterReference adapter, RendezvousOrderCache.Order order, int count) {
+            int remaining = count;
             for (TrackedTarget home : order.targets()) {
-                if (left > 0 && candidates.allows(request, home)) {
-                    left--;
-                    consider(home, reasonAt(home, adapter));
+                if (remaining > 0 && candidates.allows(request, home)) {
+                    remaining--;
+                    consider(home, homeReason(home, adapter));
                 }
             }
         }
 
-        private Route.Reason reasonAt(TrackedTarget home, AdapterReference adapter) {
+        private Route.Reason homeReason(TrackedTarget home, AdapterReference adapter) {
             if (home.report().resident().contains(adapter)) {
                 return Route.Reason.RESIDENT;
             }
@@ -154,30 +156,31 @@
             return holders.length == 0 ? Route.Reason.HOME : Route.Reason.REPLICA;
         }
 
-        private void amongTwo() {
+        private void considerTwoRandom() {
             TrackedTarget[] all = members.targets();
-            int first = random.nextInt(all.length);
-            consider(all[first], Route.Reason.LOAD);
+            int start = random.nextInt(all.length);
+            consider(all[start], Route.Reason.LOAD);
             consider(all[random.nextInt(all.length)], Route.Reason.LOAD);
             for (int step = 1; best == null && step < all.length; step++) {
-                consider(all[(first + step) % all.length], Route.Reason.LOAD);
+                consider(all[(start + step) % all.length], Route.Reason.LOAD);
             }
         }
 
-        private void consider(TrackedTarget target, Route.Reason why) {
+        private void consider(TrackedTarget target, Route.Reason candidateReason) {
             if (target == best || !candidates.allows(request, target)) {
                 return;
             }
-            double total = cost.of(target, loads) - prefixSaving(target);
+            double total = cost.totalNanos(target, loadContext) - prefixSaving(target);
             if (total < bestCost) {
                 best = target;
                 bestCost = total;
-                reason = why;
+                reason = candidateReason;
             }
         }
 
         private double prefixSaving(TrackedTarget target) {
-            return belief.filter(found -> found.target().equals(target.target()))
+            return prefixLocation
+                    .filter(found -> found.target().equals(target.target()))
                     .map(found -> found.confidence() * weights.prefixTime().toNanos())
                     .orElse(0.0);
         }
@@ -186,7 +189,7 @@
             if (best == null) {
                 return Optional.empty();
             }
-            return Optional.of(RouteCandidates.route(best, reason, Math.max(0, cost.waitNanos(best, loads))));
+            return Optional.of(RouteCandidates.route(best, reason, Math.max(0, cost.waitNanos(best, loadContext))));
         }
     }
 }
--- a/serving/src/main/java/org/geraniumreach/serving/routing/Sending.java
+++ b/serving/src/main/java/org/geraniumreach/serving/routing/Sending.java
@@ -3,10 +3,10 @@
 import java.util.Optional;
 
 /**
- * A request that this entry has sent to a target, as far as its count there goes.
+ * The handle of a request that this entry sent to a target, which keeps the request counted in the target's load.
  *
- * <p>Invariant: the request is taken out of the count once, however often its end is told. Safe for use by several
- * threads, under its own lock.
+ * <p>Invariant: the request is removed from the count only once, even if its end is reported repeatedly. Safe for use
+ * by several threads, under its own lock.
  */
 public final class Sending {
 
@@ -24,30 +24,30 @@
     }
 
     static Sending to(TrackedTarget target) {
-        target.sent();
+        target.onSent();
         return new Sending(Optional.of(target));
     }
 
-    static Sending toNobody() {
+    static Sending untracked() {
         return new Sending(Optional.empty());
     }
 
-    /** Tells that the companion has queued the request: its next report holds it. */
+    /** Called when the companion has queued the request, so that its next status report includes it. */
     public synchronized void accepted() {
         if (state != State.SENT) {
             return;
         }
         state = State.ACCEPTED;
-        target.ifPresent(TrackedTarget::accepted);
+        target.ifPresent(TrackedTarget::onAccepted);
     }
 
-    /** Tells that the request has ended in whatever way. */
+    /** Called when the request has ended, whether it succeeded or not. */
     public synchronized void ended() {
         if (state == State.SENT) {
-            target.ifPresent(TrackedTarget::endedUnaccepted);
+            target.ifPresent(TrackedTarget::onEndedUnaccepted);
         }
         if (state == State.ACCEPTED) {
-            target.ifPresent(TrackedTarget::endedAccepted);
+            target.ifPresent(TrackedTarget::onEndedAccepted);
         }
         state = State.ENDED;
     }
--- a/serving/src/test/java/org/geraniumreach/serving/residency/ResidencyPropertyTest.java
+++ b/serving/src/test/java/org/geraniumreach/serving/residency/ResidencyPropertyTest.java
@@ -23,25 +23,25 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /*
- * A caller whose adapter is evicted under its request gets another adapter's answer or a broken stream. Requests come and
- * go, loads end, fail or come back after the engine has restarted, in any order. The oracle keeps the pins, what the engine
- * would hold, and what each request was told.
+ * Guards against evicting the adapter of a running request, whose caller would get another adapter's answer or a broken
+ * stream. Requests start and end, and loads succeed, fail or end after a restart of the engine, in any order. The model
+ * holds the pins, the engine's adapters and the waiting requests.
  */
 class ResidencyPropertyTest {
 
     private static final int SLOTS = 3;
     private static final int ADAPTERS = 6;
-    private static final int ROUNDS_TO_FINISH = 400;
+    private static final int MAXIMUM_ROUNDS_TO_FINISH = 400;
 
     private enum Kind {
         REQUEST,
         PIN,
         RELEASE,
-        ORDERS,
+        START_LOADS,
         LOADED,
         FAILED,
-        WITHDRAW,
-        TICK,
+        CANCEL,
+        ADVANCE_CLOCK,
         RESTART,
         SYNCHRONISE
     }
@@ -54,11 +54,11 @@
                 Tuple.of(12, Arbitraries.just(Kind.REQUEST)),
                 Tuple.of(8, Arbitraries.just(Kind.PIN)),
                 Tuple.of(5, Arbitraries.just(Kind.RELEASE)),
-                Tuple.of(8, Arbitraries.just(Kind.ORDERS)),
+                Tuple.of(8, Arbitraries.just(Kind.START_LOADS)),
                 Tuple.of(7, Arbitraries.just(Kind.LOADED)),
                 Tuple.of(1, Arbitraries.just(Kind.FAILED)),
-                Tuple.of(2, Arbitraries.just(Kind.WITHDRAW)),
-                Tuple.of(4, Arbitraries.just(Kind.TICK)),
+                Tuple.of(2, Arbitraries.just(Kind.CANCEL)),
+                Tuple.of(4, Arbitraries.just(Kind.ADVANCE_CLOCK)),
                 Tuple.of(1, Arbitraries.just(Kind.RESTART)),
                 Tuple.of(1, Arbitraries.just(Kind.SYNCHRONISE)));
         return Combinators.combine(kinds, Arbitraries.integers().between(0, 999))
@@ -69,25 +69,25 @@
     }
 
     @Property(seed = "11", tries = 400)
-    void pinsHoldAndSlotsSufficeAndEachRequestIsToldOnce(@ForAll("steps") List<Step> steps) {
-        Oracle oracle = new Oracle();
-        steps.forEach(oracle::apply);
-        oracle.finish();
+    void pinnedAdaptersStaySlotsAreNotExceededAndEachRequestGetsOneResult(@ForAll("steps") List<Step> steps) {
+        Model model = new Model();
+        steps.forEach(model::apply);
+        model.finish();
     }
 
-    /** What must be, beside what is. */
-    private static final class Oracle {
+    /** Applies each step to the residency and to the expected state, and compares them. */
+    private static final class Model {
         private final ManualClock clock = new ManualClock();
         private final Residency residency = Residency.create(
                 ResidencySettings.standard(SLOTS), FleetLoads.create(clock, Duration.ofSeconds(1)), clock);
         private final Set<AdapterReference> held = new HashSet<>();
         private final Map<AttemptId, AdapterReference> waiting = new HashMap<>();
         private final List<Pin> pins = new ArrayList<>();
-        private final List<LoadOrder> orders = new ArrayList<>();
+        private final List<LoadOrder> commands = new ArrayList<>();
         private long incarnation = 1;
-        private int attempts;
+        private int attemptCount;
 
-        private Oracle() {
+        private Model() {
             residency.synchronise(incarnation, held, clock.nanos());
         }
 
@@ -96,27 +96,27 @@
                 case REQUEST -> request(step.choice() % ADAPTERS);
                 case PIN -> pin(step.choice());
                 case RELEASE -> choose(pins, step.choice()).forEach(this::release);
-                case ORDERS -> takeOrders();
-                case LOADED -> choose(orders, step.choice()).forEach(this::loaded);
-                case FAILED -> choose(orders, step.choice()).forEach(this::failed);
-                case WITHDRAW -> choose(new ArrayList<>(waiting.keySet()), step.choice())
-                        .forEach(this::withdraw);
-                case TICK -> clock.advance(Duration.ofMillis(step.choice()));
+                case START_LOADS -> startLoads();
+                case LOADED -> choose(commands, step.choice()).forEach(this::completeLoad);
+                case FAILED -> choose(commands, step.choice()).forEach(this::failLoad);
+                case CANCEL -> choose(new ArrayList<>(waiting.keySet()), step.choice())
+                        .forEach(this::cancel);
+                case ADVANCE_CLOCK -> clock.advance(Duration.ofMillis(step.choice()));
                 case RESTART -> restart();
                 default -> residency.synchronise(incarnation, held, clock.nanos());
             }
             checkSlots();
         }
 
-        private static <E> List<E> choose(List<E> from, int choice) {
-            return from.isEmpty() ? List.of() : List.of(from.get(choice % from.size()));
+        private static <E> List<E> choose(List<E> candidates, int choice) {
+            return candidates.isEmpty() ? List.of() : List.of(candidates.get(choice % candidates.size()));
         }
 
         private void request(int adapter) {
-            AttemptId attempt = AttemptId.of("attempt-" + ++attempts);
+            AttemptId attempt = AttemptId.of("attempt-" + ++attemptCount);
             AdapterReference reference = AdapterReference.of("adapter-" + adapter, "1");
             if (residency
-                            .request(attempt, AccountId.of("account-" + attempts % 2), reference, 100)
+                            .request(attempt, AccountId.of("account-" + attemptCount % 2), reference, 100)
                             .state()
                     != Answer.State.REFUSED) {
                 waiting.put(attempt, reference);
@@ -126,7 +126,9 @@
         private void pin(int choice) {
             for (AttemptId attempt : choose(new ArrayList<>(waiting.keySet()), choice)) {
                 residency.pin(attempt, waiting.get(attempt)).ifPresent(pin -> {
-                    assertThat(held).as("a pinned adapter is at the engine").contains(pin.adapter());
+                    assertThat(held)
+                            .as("a pinned adapter is held by the engine")
+                            .contains(pin.adapter());
                     waiting.remove(attempt);
                     pins.add(pin);
                 });
@@ -139,68 +141,75 @@
             pins.remove(pin);
         }
 
-        private void takeOrders() {
-            for (LoadOrder order : residency.orders()) {
-                order.evicted().ifPresent(evicted -> {
-                    assertThat(pins).as("pins of the evicted").noneMatch(pin -> pin.adapter()
+        private void startLoads() {
+            for (LoadOrder command : residency.orders()) {
+                command.evicted().ifPresent(evicted -> {
+                    assertThat(pins).as("pins of the evicted adapter").noneMatch(pin -> pin.adapter()
                             .equals(evicted));
-                    assertThat(held.remove(evicted)).as("evicted was held").isTrue();
+                    assertThat(held.remove(evicted))
+                            .as("the evicted adapter was held")
+                            .isTrue();
                 });
-                assertThat(orders).as("loads of one adapter").noneMatch(other -> other.adapter()
-                        .equals(order.adapter()));
-                orders.add(order);
+                assertThat(commands).as("other loads of the same adapter").noneMatch(other -> other.adapter()
+                        .equals(command.adapter()));
+                commands.add(command);
             }
         }
 
-        private void loaded(LoadOrder order) {
-            orders.remove(order);
-            held.add(order.adapter());
-            assertThat(residency.loaded(order)).isTrue();
-            assertThat(residency.loaded(order)).as("told twice").isFalse();
+        private void completeLoad(LoadOrder command) {
+            commands.remove(command);
+            held.add(command.adapter());
+            assertThat(residency.loaded(command)).isTrue();
+            assertThat(residency.loaded(command)).as("reported twice").isFalse();
         }
 
-        private void failed(LoadOrder order) {
-            orders.remove(order);
-            for (AttemptId attempt : residency.failed(order)) {
-                assertThat(waiting.remove(attempt)).as("told once").isEqualTo(order.adapter());
+        private void failLoad(LoadOrder command) {
+            commands.remove(command);
+            for (AttemptId attempt : residency.failed(command)) {
+                assertThat(waiting.remove(attempt))
+                        .as("removed request was waiting for the adapter")
+                        .isEqualTo(command.adapter());
             }
-            assertThat(waiting.values()).as("waiters not told").doesNotContain(order.adapter());
+            assertThat(waiting.values())
+                    .as("requests still waiting for the failed adapter")
+                    .doesNotContain(command.adapter());
         }
 
-        private void withdraw(AttemptId attempt) {
+        private void cancel(AttemptId attempt) {
             assertThat(residency.withdraw(attempt)).isTrue();
             waiting.remove(attempt);
         }
 
         private void restart() {
-            List<LoadOrder> before = List.copyOf(orders);
-            orders.clear();
+            List<LoadOrder> earlierCommands = List.copyOf(commands);
+            commands.clear();
             held.clear();
             residency.synchronise(++incarnation, held, clock.nanos());
             pins.forEach(Pin::release);
             pins.clear();
-            before.forEach(order -> assertThat(residency.loaded(order)).isFalse());
+            earlierCommands.forEach(
+                    command -> assertThat(residency.loaded(command)).isFalse());
             assertThat(residency.resident()).isEmpty();
         }
 
         private void checkSlots() {
             assertThat(residency.resident()).isEqualTo(held);
-            assertThat(held.size() + orders.size()).as("slots used").isLessThanOrEqualTo(SLOTS);
+            assertThat(held.size() + commands.size()).as("slots used").isLessThanOrEqualTo(SLOTS);
         }
 
-        /* Whoever still waits gets its adapter in the end, if requests end and loads succeed. */
+        /* Every waiting request eventually gets its adapter if running requests end and loads succeed. */
         private void finish() {
-            for (int round = 0; round < ROUNDS_TO_FINISH && !waiting.isEmpty(); round++) {
+            for (int round = 0; round < MAXIMUM_ROUNDS_TO_FINISH && !waiting.isEmpty(); round++) {
                 clock.advance(Duration.ofMillis(500));
                 List.copyOf(pins).forEach(this::release);
-                takeOrders();
-                List.copyOf(orders).forEach(this::loaded);
-                for (int index = 0; index < attempts && !waiting.isEmpty(); index++) {
+                startLoads();
+                List.copyOf(commands).forEach(this::completeLoad);
+                for (int index = 0; index < attemptCount && !waiting.isEmpty(); index++) {
                     pin(index);
                 }
                 checkSlots();
             }
-            assertThat(waiting).as("requests never told").isEmpty();
+            assertThat(waiting).as("requests that never got their adapter").isEmpty();
         }
     }
 }
--- a/serving/src/test/java/org/geraniumreach/serving/retry/TargetHealthTest.java
+++ b/serving/src/test/java/org/geraniumreach/serving/retry/TargetHealthTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void failuresInARowEjectAndFewerDoNot() {
+    void consecutiveFailuresEjectOnlyAtTheThreshold() {
         IntStream.range(1, RULES.consecutiveFailures())
                 .forEach(failure -> assertThat(health.failed(id(0))).isEqualTo(TargetHealth.Change.NONE));
         assertThat(health.admits(id(0))).isTrue();
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void errorRateEjectsWithoutFailuresInARow() {
+    void errorRateEjectsWithoutConsecutiveFailures() {
         for (int request = 0; request < RULES.leastRequests(); request += 2) {
             health.succeeded(id(0));
             health.failed(id(0));
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void failuresOfLongAgoDoNotCount() {
+    void failuresOutsideTheWindowDoNotCount() {
         for (int request = 0; request < 5 * RULES.leastRequests(); request++) {
             health.succeeded(id(0));
             health.succeeded(id(0));
@@ -73,11 +73,11 @@
     }
 
     /*
-     * Callers see failures in waves. A target that comes back gets its full share at once, breaks down under it cold, and is
-     * ejected again. Its share rises with time instead, and a failure meanwhile ejects it for twice as long.
+     * Guards against recurring waves of failures: a cold target that gets its full share of requests right after its
+     * ejection would fail under the load and be ejected again.
      */
     @Test
-    void targetIsLetBackByDegrees() {
+    void shareOfARecoveringTargetRisesGradually() {
         eject(0);
         clock.advance(RULES.firstEjection());
         assertThat(admitted(0)).isBetween(50, 150);
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void failureWhileReturningEjectsForTwiceAsLong() {
+    void failureDuringRecoveryDoublesTheEjectionTime() {
         eject(0);
         clock.advance(RULES.firstEjection());
         assertThat(health.failed(id(0))).isEqualTo(TargetHealth.Change.EJECTED);
@@ -100,23 +100,23 @@
     }
 
     /*
-     * Every caller is refused although targets work. This entry's own network breaks for a moment, all targets seem to fail
-     * at once, and all are ejected. Half of them always stay in.
+     * Guards against refusing all callers although the targets work: when this entry's own network fails briefly, all
+     * targets seem to fail at the same time.
      */
     @Property(seed = "51", tries = 200)
-    void halfOfTheTargetsStayIn(@ForAll @Size(max = 300) List<@IntRange(max = 99) Integer> steps) {
-        ManualClock time = new ManualClock();
-        TargetHealth all = health(time);
+    void atMostHalfOfTheTargetsAreEjected(@ForAll @Size(max = 300) List<@IntRange(max = 99) Integer> steps) {
+        ManualClock propertyClock = new ManualClock();
+        TargetHealth targetHealth = health(propertyClock);
         for (int step : steps) {
             if (step % 10 == 0) {
-                time.advance(Duration.ofMillis(700));
+                propertyClock.advance(Duration.ofMillis(700));
             } else if (step % 10 == 1) {
-                all.succeeded(id(step / 10 % TARGETS));
+                targetHealth.succeeded(id(step / 10 % TARGETS));
             } else {
-                all.failed(id(step / 10 % TARGETS));
+                targetHealth.failed(id(step / 10 % TARGETS));
             }
             long ejected = IntStream.range(0, TARGETS)
-                    .filter(number -> IntStream.range(0, 200).noneMatch(call -> all.admits(id(number))))
+                    .filter(number -> IntStream.range(0, 200).noneMatch(call -> targetHealth.admits(id(number))))
                     .count();
             assertThat(ejected).isLessThanOrEqualTo(TARGETS / 2);
         }
