--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/Compaction.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/Compaction.java
@@ -20,10 +20,10 @@
 public final class Compaction {
 
     /** The number of changes that are kept for the history at least. */
-    public static final int KEPT_CHANGES = 10_000;
+    public static final int MIN_RETAINED_CHANGES = 10_000;
 
-    private static final int PART_SIZE = 200;
-    private static final int DELETIONS_AT_ONCE = 50;
+    private static final int RECORDS_PER_PART = 200;
+    private static final int DELETIONS_PER_TRANSACTION = 50;
 
     private Compaction() {}
 
@@ -50,11 +50,11 @@
         records.sort(Comparator.comparing((LogEntry entry) -> entry.key().kind())
                 .thenComparing(entry -> entry.key().name()));
         List<Transaction> transactions = new ArrayList<>();
-        for (int from = 0; from < records.size(); from += PART_SIZE) {
-            String part =
-                    ConfigurationRows.writePart(records.subList(from, Math.min(from + PART_SIZE, records.size())));
+        for (int from = 0; from < records.size(); from += RECORDS_PER_PART) {
+            String part = ConfigurationRows.writePart(
+                    records.subList(from, Math.min(from + RECORDS_PER_PART, records.size())));
             transactions.add(Transaction.empty()
-                    .withWrite(ConfigurationRows.part(configuration.revision(), transactions.size()), part));
+                    .withWrite(ConfigurationRows.partKey(configuration.revision(), transactions.size()), part));
         }
         return transactions;
     }
@@ -69,7 +69,7 @@
     public static Transaction writePlace(long rowVersion, SnapshotPlace place) {
         return Transaction.empty()
                 .withCondition(ConfigurationRows.SNAPSHOT, rowVersion)
-                .withWrite(ConfigurationRows.SNAPSHOT, ConfigurationRows.writePlace(place));
+                .withWrite(ConfigurationRows.SNAPSHOT, ConfigurationRows.writePointer(place));
     }
 
     /**
@@ -79,9 +79,9 @@
      * @return the transactions, not null
      */
     public static List<Transaction> deleteParts(SnapshotPlace old) {
-        Deletions deletions = new Deletions();
+        DeletionBatcher deletions = new DeletionBatcher();
         for (int index = 0; index < old.parts(); index++) {
-            deletions.add(Transaction.empty().withDelete(ConfigurationRows.part(old.revision(), index)));
+            deletions.add(Transaction.empty().withDelete(ConfigurationRows.partKey(old.revision(), index)));
         }
         return deletions.transactions();
     }
@@ -94,26 +94,26 @@
      * @return the transactions, not null
      */
     public static List<Transaction> deleteChanges(List<LogEntry> oldest, long snapshotRevision) {
-        Deletions deletions = new Deletions();
+        DeletionBatcher deletions = new DeletionBatcher();
         for (LogEntry entry : oldest) {
-            if (entry.revision() <= snapshotRevision - KEPT_CHANGES) {
+            if (entry.revision() <= snapshotRevision - MIN_RETAINED_CHANGES) {
                 deletions.add(Transaction.empty()
                         .withDelete(ConfigurationRows.log(entry.revision()))
-                        .withDelete(ConfigurationRows.operation(entry.operation())));
+                        .withDelete(ConfigurationRows.operationKey(entry.operation())));
             }
         }
         return deletions.transactions();
     }
 
     /** Joins small transactions into a few. */
-    private static final class Deletions {
+    private static final class DeletionBatcher {
 
         private final List<Transaction> transactions = new ArrayList<>();
         private List<Transaction.Write> writes = new ArrayList<>();
 
         void add(Transaction deletion) {
             writes.addAll(deletion.writes());
-            if (writes.size() >= DELETIONS_AT_ONCE) {
+            if (writes.size() >= DELETIONS_PER_TRANSACTION) {
                 flush();
             }
         }
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/ConfigurationNode.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/ConfigurationNode.java
@@ -29,8 +29,8 @@
  */
 public final class ConfigurationNode {
 
-    private static final int FETCH_PERIODS = 4;
-    private static final String POLLER_SUBJECT = "configuration-poller";
+    private static final int SNAPSHOT_REQUEST_PERIODS = 4;
+    private static final String POLLER_HASH_KEY = "configuration-poller";
 
     private final InstanceId self;
     private final NodeOptions options;
@@ -38,18 +38,18 @@
     private final RandomGenerator random;
     private final Replica replica;
     private final Freshness freshness;
-    private final SnapshotAssembly assembly = new SnapshotAssembly();
+    private final SnapshotAssembler snapshotAssembler = new SnapshotAssembler();
     private final Map<InstanceId, PeerState> peers = new TreeMap<>();
-    private final long period;
+    private final long periodNanos;
 
-    private boolean obtained;
-    private boolean poller;
-    private boolean polling;
-    private boolean pollFailing;
+    private boolean hasConfiguration;
+    private boolean isPoller;
+    private boolean pollInProgress;
+    private boolean lastPollFailed;
     private long pollStartedAt;
     private long nextPollAt;
-    private long nextNoteAt;
-    private long nextFetchAt;
+    private long nextHeartbeatAt;
+    private long nextSnapshotRequestAt;
 
     /**
      * Makes a node that knows nothing yet.
@@ -65,12 +65,12 @@
         this.clock = Objects.requireNonNull(clock, "clock");
         this.random = Objects.requireNonNull(random, "random");
         this.replica = new Replica(options.recentChanges());
-        this.period = options.period().toNanos();
+        this.periodNanos = options.period().toNanos();
         this.freshness = new Freshness(self, options.freshnessLimit().toNanos());
         long now = clock.nanos();
         this.nextPollAt = now;
-        this.nextNoteAt = now;
-        this.nextFetchAt = now;
+        this.nextHeartbeatAt = now;
+        this.nextSnapshotRequestAt = now;
     }
 
     public Configuration configuration() {
@@ -83,11 +83,11 @@
      * @return true if one was, be it an empty one
      */
     public boolean isObtained() {
-        return obtained;
+        return hasConfiguration;
     }
 
     public boolean isPoller() {
-        return poller;
+        return isPoller;
     }
 
     /**
@@ -96,7 +96,7 @@
      * @return true if its last reading failed, or one is not answered within a period
      */
     public boolean isStoreUnreachable() {
-        return pollFailing || polling && clock.nanos() - pollStartedAt > period;
+        return lastPollFailed || pollInProgress && clock.nanos() - pollStartedAt > periodNanos;
     }
 
     /**
@@ -105,10 +105,10 @@
      * @return a time of the clock, which may have passed
      */
     public long freshUntil() {
-        if (!obtained) {
+        if (!hasConfiguration) {
             return Freshness.NEVER;
         }
-        return freshness.until(replica.isBehind(), isStoreUnreachable(), clock.nanos());
+        return freshness.freshUntil(replica.isBehind(), isStoreUnreachable(), clock.nanos());
     }
 
     /**
@@ -119,7 +119,7 @@
      */
     public int otherEntriesHolding(long revision) {
         return (int) peers.values().stream()
-                .filter(peer -> peer.isEntry() && peer.revision() >= revision)
+                .filter(peer -> peer.isEntry() && peer.heldRevision() >= revision)
                 .count();
     }
 
@@ -129,8 +129,9 @@
      * @param entries those listed that did not say that they leave, this instance included if it is one, not null
      */
     public void listed(Set<InstanceId> entries) {
-        freshness.listed(entries);
-        poller = Rendezvous.choose(POLLER_SUBJECT, entries, options.pollers()).contains(self);
+        freshness.setEntries(entries);
+        isPoller =
+                Rendezvous.choose(POLLER_HASH_KEY, entries, options.pollers()).contains(self);
     }
 
     /**
@@ -143,7 +144,7 @@
     public List<NodeAction> opened(InstanceId peer, boolean entry) {
         PeerState state = new PeerState(entry, clock.nanos());
         peers.put(peer, state);
-        return List.of(note(peer, state));
+        return List.of(heartbeat(peer, state));
     }
 
     /**
@@ -164,15 +165,15 @@
         long now = clock.nanos();
         List<NodeAction> actions = new ArrayList<>();
         if (isPollDue(now)) {
-            actions.add(poll(now));
+            actions.add(startPoll(now));
         }
-        if (now >= nextNoteAt) {
-            nextNoteAt = now + noteInterval();
-            peers.forEach((peer, state) -> actions.add(note(peer, state)));
+        if (now >= nextHeartbeatAt) {
+            nextHeartbeatAt = now + heartbeatIntervalNanos();
+            peers.forEach((peer, state) -> actions.add(heartbeat(peer, state)));
         }
-        if (isFetchDue(now)) {
-            nextFetchAt = now + FETCH_PERIODS * period;
-            bestPeer()
+        if (isSnapshotRequestDue(now)) {
+            nextSnapshotRequestAt = now + SNAPSHOT_REQUEST_PERIODS * periodNanos;
+            mostAdvancedPeer()
                     .ifPresent(peer -> actions.add(
                             new NodeAction.Send(peer, new NodeMessage.SnapshotRequest(replica.revision()))));
         }
@@ -180,26 +181,26 @@
     }
 
     private boolean isPollDue(long now) {
-        if (polling || now < nextPollAt) {
+        if (pollInProgress || now < nextPollAt) {
             return false;
         }
-        return poller || !obtained || now - freshness.confirmedAt() >= 2 * period;
+        return isPoller || !hasConfiguration || now - freshness.confirmedAt() >= 2 * periodNanos;
     }
 
-    private boolean isFetchDue(long now) {
-        boolean awaitsTable = polling && !isStoreUnreachable();
-        return (replica.isBehind() || !obtained) && !awaitsTable && now >= nextFetchAt;
+    private boolean isSnapshotRequestDue(long now) {
+        boolean awaitsTable = pollInProgress && !isStoreUnreachable();
+        return (replica.isBehind() || !hasConfiguration) && !awaitsTable && now >= nextSnapshotRequestAt;
     }
 
-    private NodeAction poll(long now) {
-        polling = true;
+    private NodeAction startPoll(long now) {
+        pollInProgress = true;
         pollStartedAt = now;
         return new NodeAction.Poll(replica.revision());
     }
 
     /* While the store is out of reach the words of the entries go round in the notes, over several hops. */
-    private long noteInterval() {
-        return isStoreUnreachable() ? period / 2 : period;
+    private long heartbeatIntervalNanos() {
+        return isStoreUnreachable() ? periodNanos / 2 : periodNanos;
     }
 
     /**
@@ -209,15 +210,15 @@
      * @return what to do, not null
      */
     public List<NodeAction> polled(PollAnswer answer) {
-        polling = false;
-        pollFailing = false;
+        pollInProgress = false;
+        lastPollFailed = false;
         schedulePoll();
-        replica.heardOf(answer.head());
+        replica.recordKnownRevision(answer.headRevision());
         answer.snapshot().ifPresent(replica::install);
-        List<NodeAction> actions = apply(answer.entries());
-        if (replica.revision() >= answer.head()) {
-            obtained = true;
-            freshness.confirmed(answer.startedAt());
+        List<NodeAction> actions = applyEntries(answer.entries());
+        if (replica.revision() >= answer.headRevision()) {
+            hasConfiguration = true;
+            freshness.recordConfirmation(answer.startedAt());
         }
         actions.addAll(shareConfirmation());
         return actions;
@@ -225,13 +226,13 @@
 
     /** Tells that a reading of the table failed. */
     public void pollFailed() {
-        polling = false;
-        pollFailing = true;
+        pollInProgress = false;
+        lastPollFailed = true;
         schedulePoll();
     }
 
     private void schedulePoll() {
-        nextPollAt = clock.nanos() + period * 3 / 4 + random.nextLong(period / 2 + 1);
+        nextPollAt = clock.nanos() + periodNanos * 3 / 4 + random.nextLong(periodNanos / 2 + 1);
     }
 
     /**
@@ -241,7 +242,7 @@
      * @return what to do, not null
      */
     public List<NodeAction> committed(Collection<LogEntry> entries) {
-        return apply(entries);
+        return applyEntries(entries);
     }
 
     /**
@@ -257,95 +258,97 @@
             return List.of();
         }
         if (message instanceof NodeMessage.Note note) {
-            return noteReceived(peer, state, note);
+            return onHeartbeat(peer, state, note);
         }
         if (message instanceof NodeMessage.News news) {
-            return newsReceived(state, news);
+            return onChanges(state, news);
         }
         if (message instanceof NodeMessage.SnapshotRequest request) {
-            return answer(peer, request.haveRevision());
+            return answerSnapshotRequest(peer, request.haveRevision());
         }
-        return assembly.take((NodeMessage.SnapshotPart) message)
-                .map(this::snapshotReceived)
+        return snapshotAssembler
+                .addPart((NodeMessage.SnapshotPart) message)
+                .map(this::onSnapshot)
                 .orElse(List.of());
     }
 
-    private List<NodeAction> newsReceived(PeerState state, NodeMessage.News news) {
-        replica.heardOf(news.head());
-        news.entries().forEach(entry -> state.holds(entry.revision()));
-        return apply(news.entries());
+    private List<NodeAction> onChanges(PeerState state, NodeMessage.News news) {
+        replica.recordKnownRevision(news.head());
+        news.entries().forEach(entry -> state.recordHeldRevision(entry.revision()));
+        return applyEntries(news.entries());
     }
 
-    private List<NodeAction> snapshotReceived(Configuration snapshot) {
+    private List<NodeAction> onSnapshot(Configuration snapshot) {
         if (!replica.install(snapshot)) {
             return List.of();
         }
-        return afterChange();
+        return onConfigurationChanged();
     }
 
-    private List<NodeAction> noteReceived(InstanceId peer, PeerState state, NodeMessage.Note note) {
+    private List<NodeAction> onHeartbeat(InstanceId peer, PeerState state, NodeMessage.Note note) {
         long now = clock.nanos();
-        state.received(note.stamp(), now);
-        state.holds(note.revision());
-        replica.heardOf(note.highestHeard());
-        state.sentNotBefore(note.echo(), now).ifPresent(sent -> takeWords(peer, state, note, sent));
+        state.recordTimestamp(note.stamp(), now);
+        state.recordHeldRevision(note.revision());
+        replica.recordKnownRevision(note.highestHeard());
+        state.earliestSendTime(note.echo(), now).ifPresent(sent -> applyReports(peer, state, note, sent));
         List<NodeAction> actions = new ArrayList<>(shareConfirmation());
-        if (note.revision() < replica.revision() && state.mayRepair(now, period)) {
-            state.repaired(now);
+        if (note.revision() < replica.revision() && state.maySendChanges(now, periodNanos)) {
+            state.recordChangesSent(now);
             replica.entriesAfter(note.revision())
                     .ifPresent(entries -> actions.add(
-                            new NodeAction.Send(peer, new NodeMessage.News(replica.highestHeard(), entries))));
+                            new NodeAction.Send(peer, new NodeMessage.News(replica.highestKnownRevision(), entries))));
         }
         return actions;
     }
 
-    private void takeWords(InstanceId peer, PeerState state, NodeMessage.Note note, long sent) {
-        note.confirmedAge().ifPresent(age -> state.offers(note.revision(), sent - age));
+    private void applyReports(InstanceId peer, PeerState state, NodeMessage.Note note, long sent) {
+        note.confirmedAge().ifPresent(age -> state.recordConfirmation(note.revision(), sent - age));
         if (state.isEntry() && note.saysUnreachable()) {
-            freshness.saidUnreachable(peer, sent);
+            freshness.recordUnreachable(peer, sent);
         } else if (state.isEntry()) {
-            freshness.saidReachable(peer, sent);
+            freshness.recordReachable(peer, sent);
         }
-        note.words().forEach(word -> freshness.saidUnreachable(word.entry(), sent - word.age()));
+        note.words().forEach(word -> freshness.recordUnreachable(word.entry(), sent - word.age()));
     }
 
-    private List<NodeAction> answer(InstanceId peer, long haveRevision) {
+    private List<NodeAction> answerSnapshotRequest(InstanceId peer, long haveRevision) {
         if (haveRevision >= replica.revision()) {
             return List.of();
         }
         Optional<List<LogEntry>> entries = replica.entriesAfter(haveRevision);
         if (entries.isPresent()) {
-            return List.of(new NodeAction.Send(peer, new NodeMessage.News(replica.highestHeard(), entries.get())));
+            return List.of(
+                    new NodeAction.Send(peer, new NodeMessage.News(replica.highestKnownRevision(), entries.get())));
         }
         List<NodeAction> actions = new ArrayList<>();
-        SnapshotAssembly.cut(replica.configuration(), SnapshotAssembly.PART_SIZE)
+        SnapshotAssembler.split(replica.configuration(), SnapshotAssembler.RECORDS_PER_PART)
                 .forEach(part -> actions.add(new NodeAction.Send(peer, part)));
         return actions;
     }
 
-    private List<NodeAction> apply(Collection<LogEntry> entries) {
-        List<LogEntry> applied = replica.take(entries);
+    private List<NodeAction> applyEntries(Collection<LogEntry> entries) {
+        List<LogEntry> applied = replica.applyInOrder(entries);
         if (applied.isEmpty()) {
             return new ArrayList<>();
         }
         List<NodeAction> actions = new ArrayList<>();
-        NodeMessage news = new NodeMessage.News(replica.highestHeard(), applied);
+        NodeMessage news = new NodeMessage.News(replica.highestKnownRevision(), applied);
         long now = clock.nanos();
         peers.forEach((peer, state) -> {
-            if (state.revision() < replica.revision()) {
-                state.repaired(now);
+            if (state.heldRevision() < replica.revision()) {
+                state.recordChangesSent(now);
                 actions.add(new NodeAction.Send(peer, news));
             }
         });
-        actions.addAll(afterChange());
+        actions.addAll(onConfigurationChanged());
         return actions;
     }
 
-    private List<NodeAction> afterChange() {
-        obtained |= !replica.isBehind();
+    private List<NodeAction> onConfigurationChanged() {
+        hasConfiguration |= !replica.isBehind();
         List<NodeAction> actions = new ArrayList<>();
         shareConfirmation();
-        peers.forEach((peer, state) -> actions.add(note(peer, state)));
+        peers.forEach((peer, state) -> actions.add(heartbeat(peer, state)));
         return actions;
     }
 
@@ -356,39 +359,39 @@
         for (PeerState state : peers.values()) {
             best = Math.max(best, state.confirmationFor(replica.revision()));
         }
-        freshness.confirmed(best);
+        freshness.recordConfirmation(best);
         long confirmedAt = freshness.confirmedAt();
         List<NodeAction> actions = new ArrayList<>();
         peers.forEach((peer, state) -> {
-            if (confirmedAt - state.knownConfirmedAt() >= period / 2) {
-                actions.add(note(peer, state));
+            if (confirmedAt - state.knownConfirmedAt() >= periodNanos / 2) {
+                actions.add(heartbeat(peer, state));
             }
         });
         return actions;
     }
 
-    private NodeAction note(InstanceId peer, PeerState state) {
+    private NodeAction heartbeat(InstanceId peer, PeerState state) {
         long now = clock.nanos();
         boolean unreachable = isStoreUnreachable();
-        List<NodeMessage.Word> words = unreachable ? freshness.words(now) : List.of();
-        state.told(freshness.confirmedAt());
+        List<NodeMessage.Word> words = unreachable ? freshness.unreachableReports(now) : List.of();
+        state.recordConfirmationSent(freshness.confirmedAt());
         return new NodeAction.Send(
                 peer,
                 new NodeMessage.Note(
                         replica.revision(),
-                        replica.highestHeard(),
-                        freshness.confirmedAge(now),
+                        replica.highestKnownRevision(),
+                        freshness.confirmationAgeNanos(now),
                         unreachable,
                         words,
                         now,
                         state.echo(now)));
     }
 
-    private Optional<InstanceId> bestPeer() {
+    private Optional<InstanceId> mostAdvancedPeer() {
         return peers.entrySet().stream()
-                .filter(peer -> peer.getValue().revision() > replica.revision())
-                .max((one, other) ->
-                        Long.compare(one.getValue().revision(), other.getValue().revision()))
+                .filter(peer -> peer.getValue().heldRevision() > replica.revision())
+                .max((one, other) -> Long.compare(
+                        one.getValue().heldRevision(), other.getValue().heldRevision()))
                 .map(Map.Entry::getKey);
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/ConfigurationRows.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/ConfigurationRows.java
@@ -67,7 +67,7 @@
      * @param record the record, not null
      * @return the key, not null
      */
-    public static RowKey record(RecordKey record) {
+    public static RowKey recordKey(RecordKey record) {
         return RowKey.of(TABLE, "record/" + record.kind().label() + "/" + record.name());
     }
 
@@ -77,7 +77,7 @@
      * @param operation the submission's operation id, not null
      * @return the key, not null
      */
-    public static RowKey operation(String operation) {
+    public static RowKey operationKey(String operation) {
         return RowKey.of(TABLE, "operation/" + operation);
     }
 
@@ -88,7 +88,7 @@
      * @param index the part's index, from 0
      * @return the key, not null
      */
-    public static RowKey part(long revision, int index) {
+    public static RowKey partKey(long revision, int index) {
         return RowKey.of(TABLE, partPrefix(revision) + String.format("%06d", index));
     }
 
@@ -120,7 +120,7 @@
      * @throws RecordException if the value is of another form
      */
     public static long readRevision(String value) throws RecordException {
-        return number(parse(value), "revision");
+        return requireNonNegative(parse(value), "revision");
     }
 
     /**
@@ -129,7 +129,7 @@
      * @param place the place, not null
      * @return the row's value, not null
      */
-    public static String writePlace(SnapshotPlace place) {
+    public static String writePointer(SnapshotPlace place) {
         return MAPPER.createObjectNode()
                 .put("revision", place.revision())
                 .put("parts", place.parts())
@@ -145,7 +145,7 @@
      */
     public static SnapshotPlace readPlace(String value) throws RecordException {
         JsonNode node = parse(value);
-        return new SnapshotPlace(number(node, "revision"), (int) number(node, "parts"));
+        return new SnapshotPlace(requireNonNegative(node, "revision"), (int) requireNonNegative(node, "parts"));
     }
 
     /**
@@ -155,7 +155,7 @@
      * @return the row's value, not null
      */
     public static String writeEntry(LogEntry entry) {
-        return node(entry).toString();
+        return toJson(entry).toString();
     }
 
     /**
@@ -166,7 +166,7 @@
      * @throws RecordException if the value is of another form
      */
     public static LogEntry readEntry(String value) throws RecordException {
-        return entry(parse(value));
+        return toEntry(parse(value));
     }
 
     /**
@@ -177,7 +177,7 @@
      */
     public static String writePart(List<LogEntry> entries) {
         ArrayNode array = MAPPER.createArrayNode();
-        entries.forEach(entry -> array.add(node(entry)));
+        entries.forEach(entry -> array.add(toJson(entry)));
         return array.toString();
     }
 
@@ -195,12 +195,12 @@
         }
         List<LogEntry> entries = new ArrayList<>();
         for (JsonNode node : array) {
-            entries.add(entry(node));
+            entries.add(toEntry(node));
         }
         return entries;
     }
 
-    private static ObjectNode node(LogEntry entry) {
+    private static ObjectNode toJson(LogEntry entry) {
         ObjectNode node = MAPPER.createObjectNode()
                 .put("revision", entry.revision())
                 .put("operation", entry.operation())
@@ -210,14 +210,14 @@
         return node;
     }
 
-    private static LogEntry entry(JsonNode node) throws RecordException {
-        String label = text(node, "kind");
+    private static LogEntry toEntry(JsonNode node) throws RecordException {
+        String label = requireText(node, "kind");
         RecordKind kind = RecordKind.ofLabel(label)
                 .orElseThrow(() -> RecordException.invalid("kind", "unknown kind '" + label + "'"));
-        Optional<String> body = node.has("body") ? Optional.of(text(node, "body")) : Optional.empty();
+        Optional<String> body = node.has("body") ? Optional.of(requireText(node, "body")) : Optional.empty();
         try {
-            RecordKey key = RecordKey.of(kind, text(node, "name"));
-            return new LogEntry(number(node, "revision"), text(node, "operation"), key, body);
+            RecordKey key = RecordKey.of(kind, requireText(node, "name"));
+            return new LogEntry(requireNonNegative(node, "revision"), requireText(node, "operation"), key, body);
         } catch (IllegalArgumentException invalid) {
             throw RecordException.invalid("", invalid.getMessage());
         }
@@ -231,7 +231,7 @@
         }
     }
 
-    private static long number(JsonNode node, String field) throws RecordException {
+    private static long requireNonNegative(JsonNode node, String field) throws RecordException {
         JsonNode value = node.path(field);
         if (!value.isIntegralNumber() || !value.canConvertToLong() || value.longValue() < 0) {
             throw RecordException.invalid(field, "must be a whole number from 0");
@@ -239,7 +239,7 @@
         return value.longValue();
     }
 
-    private static String text(JsonNode node, String field) throws RecordException {
+    private static String requireText(JsonNode node, String field) throws RecordException {
         JsonNode value = node.path(field);
         if (!value.isTextual()) {
             throw RecordException.invalid(field, "must be text");
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/Freshness.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/Freshness.java
@@ -26,21 +26,21 @@
     static final long NEVER = Long.MIN_VALUE / 4;
 
     private final InstanceId self;
-    private final long limit;
-    private final Map<InstanceId, Long> unreachableAt = new HashMap<>();
-    private final Map<InstanceId, Long> reachableAt = new HashMap<>();
+    private final long limitNanos;
+    private final Map<InstanceId, Long> unreachableReportedAt = new HashMap<>();
+    private final Map<InstanceId, Long> reachableReportedAt = new HashMap<>();
     private Set<InstanceId> entries = Set.of();
     private long confirmedAt = NEVER;
 
     Freshness(InstanceId self, long limitNanos) {
         this.self = self;
-        this.limit = limitNanos;
+        this.limitNanos = limitNanos;
     }
 
-    void listed(Set<InstanceId> listedEntries) {
+    void setEntries(Set<InstanceId> listedEntries) {
         entries = Set.copyOf(listedEntries);
-        unreachableAt.keySet().retainAll(entries);
-        reachableAt.keySet().retainAll(entries);
+        unreachableReportedAt.keySet().retainAll(entries);
+        reachableReportedAt.keySet().retainAll(entries);
     }
 
     /**
@@ -48,7 +48,7 @@
      *
      * @param at a time, at which the log held nothing that is not in force here
      */
-    void confirmed(long at) {
+    void recordConfirmation(long at) {
         confirmedAt = Math.max(confirmedAt, at);
     }
 
@@ -56,7 +56,7 @@
         return confirmedAt;
     }
 
-    OptionalLong confirmedAge(long now) {
+    OptionalLong confirmationAgeNanos(long now) {
         return confirmedAt == NEVER ? OptionalLong.empty() : OptionalLong.of(now - confirmedAt);
     }
 
@@ -66,8 +66,8 @@
      * @param entry the entry, not null
      * @param at a time not later than when it said so
      */
-    void saidUnreachable(InstanceId entry, long at) {
-        unreachableAt.merge(entry, at, Math::max);
+    void recordUnreachable(InstanceId entry, long at) {
+        unreachableReportedAt.merge(entry, at, Math::max);
     }
 
     /**
@@ -76,8 +76,8 @@
      * @param entry the entry, not null
      * @param at a time not later than when it said so
      */
-    void saidReachable(InstanceId entry, long at) {
-        reachableAt.merge(entry, at, Math::max);
+    void recordReachable(InstanceId entry, long at) {
+        reachableReportedAt.merge(entry, at, Math::max);
     }
 
     /**
@@ -86,10 +86,10 @@
      * @param now the time
      * @return the words within the limit, not null
      */
-    List<NodeMessage.Word> words(long now) {
+    List<NodeMessage.Word> unreachableReports(long now) {
         List<NodeMessage.Word> words = new ArrayList<>();
-        unreachableAt.forEach((entry, at) -> {
-            if (now - at < limit && at > reachableAt.getOrDefault(entry, NEVER)) {
+        unreachableReportedAt.forEach((entry, at) -> {
+            if (now - at < limitNanos && at > reachableReportedAt.getOrDefault(entry, NEVER)) {
                 words.add(new NodeMessage.Word(entry, now - at));
             }
         });
@@ -104,22 +104,22 @@
      * @param now the time
      * @return the time, which may have passed, and is at most the limit from now
      */
-    long until(boolean behind, boolean unreachable, long now) {
-        long confirmed = confirmedAt == NEVER ? NEVER : confirmedAt + limit;
+    long freshUntil(boolean behind, boolean unreachable, long now) {
+        long confirmed = confirmedAt == NEVER ? NEVER : confirmedAt + limitNanos;
         if (behind || !unreachable) {
             return confirmed;
         }
-        return Math.max(confirmed, Math.min(untilByWords(), now + limit));
+        return Math.max(confirmed, Math.min(freshUntilByReports(), now + limitNanos));
     }
 
-    private long untilByWords() {
+    private long freshUntilByReports() {
         long oldest = Long.MAX_VALUE;
         for (InstanceId entry : entries) {
             if (entry.equals(self)) {
                 continue;
             }
-            long said = unreachableAt.getOrDefault(entry, NEVER);
-            if (said <= reachableAt.getOrDefault(entry, NEVER)) {
+            long said = unreachableReportedAt.getOrDefault(entry, NEVER);
+            if (said <= reachableReportedAt.getOrDefault(entry, NEVER)) {
                 return NEVER;
             }
             oldest = Math.min(oldest, said);
@@ -127,6 +127,6 @@
         if (oldest == Long.MAX_VALUE) {
             return entries.contains(self) ? Long.MAX_VALUE : NEVER;
         }
-        return oldest + limit;
+        return oldest + limitNanos;
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/NodeOptions.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/NodeOptions.java
@@ -15,15 +15,15 @@
  */
 public record NodeOptions(Duration period, Duration freshnessLimit, int pollers, int recentChanges) {
 
-    private static final int LEAST_PERIODS = 3;
+    private static final int MIN_FRESHNESS_PERIODS = 3;
 
     public NodeOptions {
         if (period.isZero() || period.isNegative()) {
             throw new IllegalArgumentException("period is not positive: " + period);
         }
-        if (freshnessLimit.compareTo(period.multipliedBy(LEAST_PERIODS)) < 0) {
-            throw new IllegalArgumentException(
-                    "freshness limit " + freshnessLimit + " is below " + LEAST_PERIODS + " periods of " + period);
+        if (freshnessLimit.compareTo(period.multipliedBy(MIN_FRESHNESS_PERIODS)) < 0) {
+            throw new IllegalArgumentException("freshness limit " + freshnessLimit + " is below "
+                    + MIN_FRESHNESS_PERIODS + " periods of " + period);
         }
         if (pollers < 1) {
             throw new IllegalArgumentException("pollers below 1: " + pollers);
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/PeerState.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/PeerState.java
@@ -3,99 +3,100 @@
 import java.util.Optional;
 
 /**
- * What a configuration node keeps of one open link.
+ * The state that a configuration node keeps for one open link.
  *
- * <p>Invariant: a new link starts anew, so a stamp of an earlier process is never sent back. Not safe for use by several
- * threads.
+ * <p>Invariant: each new link gets a new state, so the timestamp of an earlier process is never echoed. Not safe for use by
+ * several threads.
  */
 final class PeerState {
 
-    private final boolean entry;
-    private final long openedAt;
-    private long revision;
-    private boolean stamped;
-    private long stamp;
-    private long stampedAt;
-    private long candidateRevision;
-    private long candidateAt = Freshness.NEVER;
-    private long toldConfirmedAt = Freshness.NEVER;
-    private long repairedAt = Freshness.NEVER;
-
-    PeerState(boolean entry, long openedAt) {
-        this.entry = entry;
-        this.openedAt = openedAt;
+    private final boolean isEntry;
+    private final long linkOpenedAt;
+    private long heldRevision;
+    private boolean hasTimestamp;
+    private long latestTimestamp;
+    private long timestampReceivedAt;
+    private long confirmedRevision;
+    private long confirmedAt = Freshness.NEVER;
+    private long sentConfirmedAt = Freshness.NEVER;
+    private long changesSentAt = Freshness.NEVER;
+
+    PeerState(boolean isEntry, long linkOpenedAt) {
+        this.isEntry = isEntry;
+        this.linkOpenedAt = linkOpenedAt;
     }
 
     boolean isEntry() {
-        return entry;
+        return isEntry;
     }
 
-    long revision() {
-        return revision;
+    long heldRevision() {
+        return heldRevision;
     }
 
-    void holds(long heldRevision) {
-        revision = Math.max(revision, heldRevision);
+    void recordHeldRevision(long revision) {
+        heldRevision = Math.max(heldRevision, revision);
     }
 
-    void received(long newStamp, long now) {
-        if (!stamped || newStamp > stamp) {
-            stamped = true;
-            stamp = newStamp;
-            stampedAt = now;
+    void recordTimestamp(long timestamp, long now) {
+        if (!hasTimestamp || timestamp > latestTimestamp) {
+            hasTimestamp = true;
+            latestTimestamp = timestamp;
+            timestampReceivedAt = now;
         }
     }
 
     Optional<NodeMessage.Echo> echo(long now) {
-        return stamped ? Optional.of(new NodeMessage.Echo(stamp, now - stampedAt)) : Optional.empty();
+        return hasTimestamp
+                ? Optional.of(new NodeMessage.Echo(latestTimestamp, now - timestampReceivedAt))
+                : Optional.empty();
     }
 
     /**
-     * Works out when a note was sent.
+     * Computes a lower bound of the time when a heartbeat was sent.
      *
-     * @param echo this process's stamp that the note sends back, not null
-     * @param now the time
-     * @return a time not later than the note's sending, or empty if nothing is known of it
+     * @param echo this process's timestamp that the heartbeat echoes, not null
+     * @param now the current time
+     * @return a time not later than the sending, or empty if no bound is known
      */
-    Optional<Long> sentNotBefore(Optional<NodeMessage.Echo> echo, long now) {
-        /* A note may wait in buffers for any time, while the network or this process stands still. Its age counted from its
-         * arrival would make an old confirmation look new. Counted from the stamp that it sends back, it errs only to the
-         * safe side. */
-        return echo.filter(back -> back.held() >= 0 && back.stamp() >= openedAt)
-                .map(back -> back.stamp() + back.held())
+    Optional<Long> earliestSendTime(Optional<NodeMessage.Echo> echo, long now) {
+        /* A heartbeat may wait in buffers for any time while the network or this process is stalled. Counting its age from
+         * its arrival would make an old confirmation look new; counting from the echoed timestamp can only overestimate it. */
+        return echo.filter(received -> received.held() >= 0 && received.stamp() >= linkOpenedAt)
+                .map(received -> received.stamp() + received.held())
                 .filter(bound -> bound <= now);
     }
 
-    void offers(long confirmedRevision, long confirmedAt) {
-        if (confirmedAt > candidateAt) {
-            candidateRevision = confirmedRevision;
-            candidateAt = confirmedAt;
+    void recordConfirmation(long revision, long at) {
+        if (at > confirmedAt) {
+            confirmedRevision = revision;
+            confirmedAt = at;
         }
     }
 
     /**
-     * Gets the peer's confirmation, if it covers a revision.
+     * Gets the time of the peer's confirmation, if it covers a revision.
      *
-     * @param heldRevision the revision
-     * @return when the peer's configuration was confirmed, or never
+     * @param revision the revision
+     * @return when the peer's configuration was confirmed, or {@link Freshness#NEVER} if the revision is older
      */
-    long confirmationFor(long heldRevision) {
-        return heldRevision >= candidateRevision ? candidateAt : Freshness.NEVER;
+    long confirmationFor(long revision) {
+        return revision >= confirmedRevision ? confirmedAt : Freshness.NEVER;
     }
 
     long knownConfirmedAt() {
-        return Math.max(toldConfirmedAt, candidateAt);
+        return Math.max(sentConfirmedAt, confirmedAt);
     }
 
-    void told(long confirmedAt) {
-        toldConfirmedAt = confirmedAt;
+    void recordConfirmationSent(long at) {
+        sentConfirmedAt = at;
     }
 
-    boolean mayRepair(long now, long interval) {
-        return now - repairedAt >= interval;
+    boolean maySendChanges(long now, long intervalNanos) {
+        return now - changesSentAt >= intervalNanos;
     }
 
-    void repaired(long now) {
-        repairedAt = now;
+    void recordChangesSent(long now) {
+        changesSentAt = now;
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/Replica.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/Replica.java
@@ -20,16 +20,16 @@
  */
 final class Replica {
 
-    private static final int EARLY_LIMIT = 1024;
+    private static final int MAX_PENDING_ENTRIES = 1024;
 
-    private final TreeMap<Long, LogEntry> early = new TreeMap<>();
-    private final Deque<LogEntry> recent = new ArrayDeque<>();
-    private final int recentLimit;
+    private final TreeMap<Long, LogEntry> pendingEntries = new TreeMap<>();
+    private final Deque<LogEntry> recentEntries = new ArrayDeque<>();
+    private final int maxRecentEntries;
     private Configuration configuration = Configuration.empty();
-    private long highestHeard;
+    private long highestKnownRevision;
 
     Replica(int recentLimit) {
-        this.recentLimit = recentLimit;
+        this.maxRecentEntries = recentLimit;
     }
 
     Configuration configuration() {
@@ -45,16 +45,16 @@
      *
      * @return the revision, at least {@link #revision}
      */
-    long highestHeard() {
-        return Math.max(highestHeard, revision());
+    long highestKnownRevision() {
+        return Math.max(highestKnownRevision, revision());
     }
 
-    void heardOf(long revision) {
-        highestHeard = Math.max(highestHeard, revision);
+    void recordKnownRevision(long revision) {
+        highestKnownRevision = Math.max(highestKnownRevision, revision);
     }
 
     boolean isBehind() {
-        return highestHeard() > revision();
+        return highestKnownRevision() > revision();
     }
 
     /**
@@ -63,23 +63,23 @@
      * @param entries the entries, not null
      * @return the entries applied, in their order, not null
      */
-    List<LogEntry> take(Collection<LogEntry> entries) {
+    List<LogEntry> applyInOrder(Collection<LogEntry> entries) {
         for (LogEntry entry : entries) {
-            heardOf(entry.revision());
+            recordKnownRevision(entry.revision());
             if (entry.revision() > revision()) {
-                early.putIfAbsent(entry.revision(), entry);
+                pendingEntries.putIfAbsent(entry.revision(), entry);
             }
         }
         List<LogEntry> next = new ArrayList<>();
-        while (!early.isEmpty() && early.firstKey() == revision() + next.size() + 1) {
-            next.add(early.pollFirstEntry().getValue());
+        while (!pendingEntries.isEmpty() && pendingEntries.firstKey() == revision() + next.size() + 1) {
+            next.add(pendingEntries.pollFirstEntry().getValue());
         }
-        while (early.size() > EARLY_LIMIT) {
-            early.pollLastEntry();
+        while (pendingEntries.size() > MAX_PENDING_ENTRIES) {
+            pendingEntries.pollLastEntry();
         }
         if (!next.isEmpty()) {
             configuration = configuration.plus(next);
-            next.forEach(this::remember);
+            next.forEach(this::addRecent);
         }
         return next;
     }
@@ -95,16 +95,16 @@
             return false;
         }
         configuration = snapshot;
-        heardOf(snapshot.revision());
-        recent.clear();
-        early.headMap(snapshot.revision(), true).clear();
+        recordKnownRevision(snapshot.revision());
+        recentEntries.clear();
+        pendingEntries.headMap(snapshot.revision(), true).clear();
         return true;
     }
 
-    private void remember(LogEntry entry) {
-        recent.addLast(entry);
-        if (recent.size() > recentLimit) {
-            recent.removeFirst();
+    private void addRecent(LogEntry entry) {
+        recentEntries.addLast(entry);
+        if (recentEntries.size() > maxRecentEntries) {
+            recentEntries.removeFirst();
         }
     }
 
@@ -118,10 +118,10 @@
         if (after >= revision()) {
             return Optional.of(List.of());
         }
-        if (recent.isEmpty() || recent.peekFirst().revision() > after + 1) {
+        if (recentEntries.isEmpty() || recentEntries.peekFirst().revision() > after + 1) {
             return Optional.empty();
         }
         return Optional.of(
-                recent.stream().filter(entry -> entry.revision() > after).toList());
+                recentEntries.stream().filter(entry -> entry.revision() > after).toList());
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/SnapshotAssembly.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/SnapshotAssembler.java
@@ -15,17 +15,17 @@
  * <p>Invariant: parts of different revisions are never mixed; the newest revision is the one collected. Not safe for use by
  * several threads.
  */
-final class SnapshotAssembly {
+final class SnapshotAssembler {
 
     /** The greatest number of parts. */
-    static final int PARTS_LIMIT = 10_000;
+    static final int MAX_PARTS = 10_000;
 
     /** The number of records in a part. */
-    static final int PART_SIZE = 200;
+    static final int RECORDS_PER_PART = 200;
 
-    private final Map<Integer, List<LogEntry>> received = new HashMap<>();
+    private final Map<Integer, List<LogEntry>> receivedParts = new HashMap<>();
     private long revision;
-    private int parts;
+    private int partCount;
 
     /**
      * Takes a part.
@@ -33,30 +33,30 @@
      * @param part the part, not null
      * @return the configuration, if this was the last part missing
      */
-    Optional<Configuration> take(NodeMessage.SnapshotPart part) {
-        if (part.revision() < revision || !isPossible(part)) {
+    Optional<Configuration> addPart(NodeMessage.SnapshotPart part) {
+        if (part.revision() < revision || !isValid(part)) {
             return Optional.empty();
         }
-        if (part.revision() > revision || part.parts() != parts) {
-            received.clear();
+        if (part.revision() > revision || part.parts() != partCount) {
+            receivedParts.clear();
             revision = part.revision();
-            parts = part.parts();
+            partCount = part.parts();
         }
-        received.put(part.index(), part.entries());
-        if (received.size() < parts) {
+        receivedParts.put(part.index(), part.entries());
+        if (receivedParts.size() < partCount) {
             return Optional.empty();
         }
-        return assembled();
+        return assemble();
     }
 
-    private static boolean isPossible(NodeMessage.SnapshotPart part) {
-        return part.parts() >= 1 && part.parts() <= PARTS_LIMIT && part.index() >= 0 && part.index() < part.parts();
+    private static boolean isValid(NodeMessage.SnapshotPart part) {
+        return part.parts() >= 1 && part.parts() <= MAX_PARTS && part.index() >= 0 && part.index() < part.parts();
     }
 
-    private Optional<Configuration> assembled() {
+    private Optional<Configuration> assemble() {
         List<LogEntry> records = new ArrayList<>();
-        received.values().forEach(records::addAll);
-        received.clear();
+        receivedParts.values().forEach(records::addAll);
+        receivedParts.clear();
         try {
             return Optional.of(Configuration.ofSnapshot(revision, records));
         } catch (IllegalArgumentException malformed) {
@@ -71,7 +71,7 @@
      * @param partSize the number of records in a part
      * @return the parts, at least one, not null
      */
-    static List<NodeMessage.SnapshotPart> cut(Configuration configuration, int partSize) {
+    static List<NodeMessage.SnapshotPart> split(Configuration configuration, int partSize) {
         List<LogEntry> records = List.copyOf(configuration.entries());
         int parts = Math.max(1, (records.size() + partSize - 1) / partSize);
         List<NodeMessage.SnapshotPart> cut = new ArrayList<>();
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/SubmissionCheck.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/SubmissionCheck.java
@@ -37,7 +37,7 @@
      * @return the record, not null
      * @throws RecordException naming the first fault
      */
-    public static JsonNode checkAlone(RecordKey key, String body) throws RecordException {
+    public static JsonNode checkRecord(RecordKey key, String body) throws RecordException {
         JsonNode record = RecordReader.parse(body);
         RecordReader.requireNoUnknownFields(key.kind(), record);
         RecordReader.check(key, record);
@@ -59,10 +59,10 @@
             if (stored.isEmpty()) {
                 throw new RecordException(ResultCode.RECORD_UNKNOWN, key + " does not exist");
             }
-            requireNotReferred(key, before);
+            requireUnreferenced(key, before);
             return Optional.empty();
         }
-        JsonNode record = checkAlone(key, submission.body().get());
+        JsonNode record = checkRecord(key, submission.body().get());
         requireReferences(key, record, before);
         return Optional.of(withStoredUnknownFields(key, (ObjectNode) record, stored));
     }
@@ -75,7 +75,7 @@
      * @return true if it is
      * @throws RecordException if one of the records is malformed
      */
-    static boolean isOutcome(Submission submission, LogEntry entry) throws RecordException {
+    static boolean isAppliedAs(Submission submission, LogEntry entry) throws RecordException {
         if (!entry.key().equals(submission.key())
                 || entry.body().isPresent() != submission.body().isPresent()) {
             return false;
@@ -120,7 +120,7 @@
     }
 
     private static void requireKey(AccessKey key, Configuration before) throws RecordException {
-        requireRecord("account", RecordKind.ACCOUNT, key.account().value(), before);
+        requireRecordExists("account", RecordKind.ACCOUNT, key.account().value(), before);
         Optional<AccessKey> other = before.key(key.digest());
         if (other.isPresent() && !other.get().name().equals(key.name())) {
             throw RecordException.invalid(
@@ -129,20 +129,20 @@
     }
 
     private static void requireAssignment(Assignment assignment, Configuration before) throws RecordException {
-        requireRecord("account", RecordKind.ACCOUNT, assignment.account().value(), before);
+        requireRecordExists("account", RecordKind.ACCOUNT, assignment.account().value(), before);
         for (String adapter : assignment.adapters()) {
-            requireRecord("adapters", RecordKind.ADAPTER, adapter, before);
+            requireRecordExists("adapters", RecordKind.ADAPTER, adapter, before);
         }
     }
 
     private static void requireTarget(Target target, Configuration before) throws RecordException {
         Optional<String> service = target.service().map(ServiceName::value);
         if (service.isPresent()) {
-            requireRecord("service", RecordKind.SERVICE, service.get(), before);
+            requireRecordExists("service", RecordKind.SERVICE, service.get(), before);
         }
     }
 
-    private static void requireRecord(String path, RecordKind kind, String name, Configuration before)
+    private static void requireRecordExists(String path, RecordKind kind, String name, Configuration before)
             throws RecordException {
         if (before.entry(RecordKey.of(kind, name)).isEmpty()) {
             throw new RecordException(
@@ -150,7 +150,7 @@
         }
     }
 
-    private static void requireNotReferred(RecordKey key, Configuration before) throws RecordException {
+    private static void requireUnreferenced(RecordKey key, Configuration before) throws RecordException {
         if (key.kind() != RecordKind.ACCOUNT && key.kind() != RecordKind.ADAPTER && key.kind() != RecordKind.SERVICE) {
             return;
         }
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/SubmissionProcess.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/SubmissionProcess.java
@@ -28,9 +28,9 @@
  */
 public final class SubmissionProcess {
 
-    private static final long SETTLED = -1;
-    private static final Duration FIRST_WAIT = Duration.ofMillis(50);
-    private static final Duration LONGEST_WAIT = Duration.ofMillis(800);
+    private static final long NO_UNSETTLED_WRITE = -1;
+    private static final Duration INITIAL_RETRY_DELAY = Duration.ofMillis(50);
+    private static final Duration MAX_RETRY_DELAY = Duration.ofMillis(800);
 
     private final Submission submission;
     private final MonotonicClock clock;
@@ -38,12 +38,12 @@
     private final long deadline;
 
     private Configuration configuration;
-    private Duration nextWait = FIRST_WAIT;
-    private Optional<RowKey> reading = Optional.empty();
-    private Optional<LogEntry> pending = Optional.empty();
+    private Duration nextRetryDelay = INITIAL_RETRY_DELAY;
+    private Optional<RowKey> rowBeingRead = Optional.empty();
+    private Optional<LogEntry> pendingEntry = Optional.empty();
     private long headVersion;
     private long headRevision;
-    private long unsettledHeadVersion = SETTLED;
+    private long unsettledHeadVersion = NO_UNSETTLED_WRITE;
 
     /**
      * Makes the process of a submission; {@link #start} gives its first step.
@@ -83,63 +83,63 @@
      * @return the next step, not null
      */
     public SubmissionStep read(Optional<Row> row) {
-        RowKey key = reading.orElseThrow();
+        RowKey key = rowBeingRead.orElseThrow();
         try {
             if (key.equals(ConfigurationRows.HEAD)) {
-                return headRead(row);
+                return onHeadRead(row);
             }
-            if (key.equals(ConfigurationRows.operation(submission.operation()))) {
-                return operationRead(row);
+            if (key.equals(ConfigurationRows.operationKey(submission.operation()))) {
+                return onOperationRead(row);
             }
-            if (key.equals(ConfigurationRows.record(submission.key()))) {
-                return recordRead(row);
+            if (key.equals(ConfigurationRows.recordKey(submission.key()))) {
+                return onRecordRead(row);
             }
             return row.isPresent()
-                    ? settled(ConfigurationRows.readEntry(row.get().value()))
-                    : trimmed();
+                    ? finishWithEntry(ConfigurationRows.readEntry(row.get().value()))
+                    : refuseTrimmedOperation();
         } catch (RecordException malformed) {
             return refuse(ResultCode.INTERNAL_ERROR, "row " + key.key() + " is malformed: " + malformed.getMessage());
         }
     }
 
-    private SubmissionStep headRead(Optional<Row> row) throws RecordException {
+    private SubmissionStep onHeadRead(Optional<Row> row) throws RecordException {
         headVersion = row.map(Row::version).orElse(Transaction.ABSENT);
         headRevision =
                 row.isPresent() ? ConfigurationRows.readRevision(row.get().value()) : 0;
-        return read(ConfigurationRows.operation(submission.operation()));
+        return readRow(ConfigurationRows.operationKey(submission.operation()));
     }
 
-    private SubmissionStep operationRead(Optional<Row> row) throws RecordException {
+    private SubmissionStep onOperationRead(Optional<Row> row) throws RecordException {
         if (row.isPresent()) {
-            return read(ConfigurationRows.log(
+            return readRow(ConfigurationRows.log(
                     ConfigurationRows.readRevision(row.get().value())));
         }
         /* The lost write required this version of the head. While the head has it, the write may still arrive after the
          * read of the operation's row, and "not accepted" would be untrue a moment later. */
         if (headVersion == unsettledHeadVersion) {
-            return pause();
+            return retryAfterDelay();
         }
-        unsettledHeadVersion = SETTLED;
+        unsettledHeadVersion = NO_UNSETTLED_WRITE;
         if (headRevision > configuration.revision()) {
             return new SubmissionStep.CatchUp(headRevision);
         }
-        return read(ConfigurationRows.record(submission.key()));
+        return readRow(ConfigurationRows.recordKey(submission.key()));
     }
 
-    private SubmissionStep recordRead(Optional<Row> row) throws RecordException {
+    private SubmissionStep onRecordRead(Optional<Row> row) throws RecordException {
         Optional<LogEntry> current = Optional.empty();
         if (row.isPresent()) {
             current = Optional.of(ConfigurationRows.readEntry(row.get().value()));
         }
         if (current.isPresent() && current.get().operation().equals(submission.operation())) {
-            return settled(current.get());
+            return finishWithEntry(current.get());
         }
         if (current.isPresent() && current.get().revision() > submission.basedOn()) {
             String message = submission.key() + " was changed after revision " + submission.basedOn();
-            return done(new SubmissionResult(ResultCode.CONFLICT, message, current));
+            return finish(new SubmissionResult(ResultCode.CONFLICT, message, current));
         }
         if (headRevision != configuration.revision()) {
-            return pause();
+            return retryAfterDelay();
         }
         return commit();
     }
@@ -161,7 +161,7 @@
      * @return the next step, not null
      */
     public SubmissionStep readFailed() {
-        return pause();
+        return retryAfterDelay();
     }
 
     /**
@@ -180,7 +180,7 @@
      * @return the next step, not null
      */
     public SubmissionStep committed(boolean tookEffect) {
-        return tookEffect ? done(SubmissionResult.accepted(pending.orElseThrow())) : readHead();
+        return tookEffect ? finish(SubmissionResult.accepted(pendingEntry.orElseThrow())) : readHead();
     }
 
     /**
@@ -193,18 +193,18 @@
         if (mayTakeEffect) {
             unsettledHeadVersion = headVersion;
         }
-        return pause();
+        return retryAfterDelay();
     }
 
     private SubmissionStep readHead() {
         if (clock.nanos() - deadline >= 0) {
-            return outOfTime();
+            return timeOut();
         }
-        return read(ConfigurationRows.HEAD);
+        return readRow(ConfigurationRows.HEAD);
     }
 
-    private SubmissionStep read(RowKey key) {
-        reading = Optional.of(key);
+    private SubmissionStep readRow(RowKey key) {
+        rowBeingRead = Optional.of(key);
         return new SubmissionStep.Read(key);
     }
 
@@ -216,48 +216,50 @@
             return refuse(wrong.code(), submission.key() + ": " + wrong.getMessage());
         }
         LogEntry entry = new LogEntry(headRevision + 1, submission.operation(), submission.key(), body);
-        pending = Optional.of(entry);
+        pendingEntry = Optional.of(entry);
         return new SubmissionStep.Commit(transaction(entry));
     }
 
     private Transaction transaction(LogEntry entry) {
         String value = ConfigurationRows.writeEntry(entry);
-        RowKey operation = ConfigurationRows.operation(entry.operation());
+        RowKey operation = ConfigurationRows.operationKey(entry.operation());
         return Transaction.empty()
                 .withCondition(ConfigurationRows.HEAD, headVersion)
                 .withCondition(operation, Transaction.ABSENT)
                 .withWrite(ConfigurationRows.log(entry.revision()), value)
-                .withWrite(ConfigurationRows.record(entry.key()), value)
+                .withWrite(ConfigurationRows.recordKey(entry.key()), value)
                 .withWrite(operation, ConfigurationRows.writeRevision(entry.revision()))
                 .withWrite(ConfigurationRows.HEAD, ConfigurationRows.writeRevision(entry.revision()));
     }
 
-    private SubmissionStep settled(LogEntry entry) throws RecordException {
-        if (!SubmissionCheck.isOutcome(submission, entry)) {
+    private SubmissionStep finishWithEntry(LogEntry entry) throws RecordException {
+        if (!SubmissionCheck.isAppliedAs(submission, entry)) {
             return refuse(
                     ResultCode.OPERATION_REUSED,
                     "operation " + submission.operation() + " was used for another change, of " + entry.key());
         }
-        return done(SubmissionResult.accepted(entry));
+        return finish(SubmissionResult.accepted(entry));
     }
 
-    private SubmissionStep trimmed() {
+    private SubmissionStep refuseTrimmedOperation() {
         return refuse(
                 ResultCode.OPERATION_REUSED,
                 "operation " + submission.operation() + " was accepted so long ago that the log does not hold it");
     }
 
-    private SubmissionStep pause() {
+    private SubmissionStep retryAfterDelay() {
         if (clock.nanos() - deadline >= 0) {
-            return outOfTime();
+            return timeOut();
         }
-        long wait = nextWait.toNanos() / 2 + random.nextLong(nextWait.toNanos() / 2 + 1);
-        nextWait = nextWait.multipliedBy(2).compareTo(LONGEST_WAIT) > 0 ? LONGEST_WAIT : nextWait.multipliedBy(2);
+        long wait = nextRetryDelay.toNanos() / 2 + random.nextLong(nextRetryDelay.toNanos() / 2 + 1);
+        nextRetryDelay = nextRetryDelay.multipliedBy(2).compareTo(MAX_RETRY_DELAY) > 0
+                ? MAX_RETRY_DELAY
+                : nextRetryDelay.multipliedBy(2);
         return new SubmissionStep.Wait(Duration.ofNanos(wait));
     }
 
-    private SubmissionStep outOfTime() {
-        if (unsettledHeadVersion != SETTLED) {
+    private SubmissionStep timeOut() {
+        if (unsettledHeadVersion != NO_UNSETTLED_WRITE) {
             return refuse(
                     ResultCode.SUBMISSION_UNSETTLED,
                     "the table's answer was lost; submit operation " + submission.operation() + " again to find out");
@@ -266,10 +268,10 @@
     }
 
     private SubmissionStep refuse(ResultCode code, String message) {
-        return done(SubmissionResult.refused(code, message));
+        return finish(SubmissionResult.refused(code, message));
     }
 
-    private static SubmissionStep done(SubmissionResult result) {
+    private static SubmissionStep finish(SubmissionResult result) {
         return new SubmissionStep.Done(result);
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/membership/Membership.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/membership/Membership.java
@@ -22,17 +22,17 @@
 public final class Membership {
 
     /** How many processes that left are remembered; beyond it a process left so long ago that its list entry is gone too. */
-    private static final int LEFT_LIMIT = 4096;
+    private static final int MAX_LEFT_INCARNATIONS = 4096;
 
-    private final Map<InstanceId, ListedMember> listed = new TreeMap<>();
-    private final Map<InstanceId, LinkedMember> linked = new TreeMap<>();
+    private final Map<InstanceId, ListedMember> listedMembers = new TreeMap<>();
+    private final Map<InstanceId, LinkedMember> linkedMembers = new TreeMap<>();
     private final Map<InstanceId, Long> leftIncarnations = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<InstanceId, Long> eldest) {
-            return size() > LEFT_LIMIT;
+            return size() > MAX_LEFT_INCARNATIONS;
         }
     };
-    private final Set<InstanceId> dropped = new TreeSet<>();
+    private final Set<InstanceId> droppedFromList = new TreeSet<>();
     private final InstanceId self;
     private MembershipView view = MembershipView.empty();
 
@@ -60,14 +60,14 @@
         if (members.isEmpty()) {
             return view;
         }
-        dropped.addAll(listed.keySet());
-        listed.clear();
+        droppedFromList.addAll(listedMembers.keySet());
+        listedMembers.clear();
         members.stream()
                 .filter(member -> !member.instance().equals(self))
-                .forEach(member -> listed.put(member.instance(), member));
-        dropped.removeAll(listed.keySet());
-        dropped.retainAll(linked.keySet());
-        return update();
+                .forEach(member -> listedMembers.put(member.instance(), member));
+        droppedFromList.removeAll(listedMembers.keySet());
+        droppedFromList.retainAll(linkedMembers.keySet());
+        return rebuildView();
     }
 
     /**
@@ -77,11 +77,11 @@
      * @return the view, not null
      */
     public MembershipView opened(LinkedMember member) {
-        LinkedMember before = linked.put(member.instance(), member);
+        LinkedMember before = linkedMembers.put(member.instance(), member);
         if (before == null || before.incarnation() != member.incarnation()) {
-            dropped.remove(member.instance());
+            droppedFromList.remove(member.instance());
         }
-        return update();
+        return rebuildView();
     }
 
     /**
@@ -91,9 +91,9 @@
      * @return the view, not null
      */
     public MembershipView closed(InstanceId instance) {
-        linked.remove(instance);
-        dropped.remove(instance);
-        return update();
+        linkedMembers.remove(instance);
+        droppedFromList.remove(instance);
+        return rebuildView();
     }
 
     /**
@@ -105,19 +105,19 @@
      */
     public MembershipView left(InstanceId instance, long incarnation) {
         leftIncarnations.merge(instance, incarnation, Math::max);
-        return update();
+        return rebuildView();
     }
 
-    private MembershipView update() {
+    private MembershipView rebuildView() {
         Map<InstanceId, Member> members = new HashMap<>();
-        listed.forEach((instance, member) -> members.put(instance, ofListed(member)));
-        linked.forEach((instance, member) -> members.putIfAbsent(instance, ofLinked(member)));
+        listedMembers.forEach((instance, member) -> members.put(instance, memberFromList(member)));
+        linkedMembers.forEach((instance, member) -> members.putIfAbsent(instance, memberFromLink(member)));
         view = MembershipView.of(members);
         return view;
     }
 
-    private Member ofListed(ListedMember member) {
-        Optional<LinkedMember> link = Optional.ofNullable(linked.get(member.instance()));
+    private Member memberFromList(ListedMember member) {
+        Optional<LinkedMember> link = Optional.ofNullable(linkedMembers.get(member.instance()));
         return new Member(
                 member.instance(),
                 member.role(),
@@ -128,7 +128,7 @@
                 member.leaving() || hasLeft(member.instance()));
     }
 
-    private Member ofLinked(LinkedMember member) {
+    private Member memberFromLink(LinkedMember member) {
         return new Member(
                 member.instance(),
                 member.role(),
@@ -136,7 +136,7 @@
                 Optional.empty(),
                 member.target(),
                 OptionalLong.of(member.incarnation()),
-                dropped.contains(member.instance()) || hasLeft(member.instance()));
+                droppedFromList.contains(member.instance()) || hasLeft(member.instance()));
     }
 
     /**
@@ -147,7 +147,7 @@
      */
     public boolean hasLeft(InstanceId instance) {
         Long left = leftIncarnations.get(instance);
-        LinkedMember open = linked.get(instance);
+        LinkedMember open = linkedMembers.get(instance);
         return left != null && (open == null || open.incarnation() <= left);
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/membership/MembershipView.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/membership/MembershipView.java
@@ -84,7 +84,7 @@
      * @param target the target, not null
      * @return the companion, or empty if none takes work
      */
-    public Optional<Member> companionFor(TargetId target) {
+    public Optional<Member> availableCompanionFor(TargetId target) {
         return companionsForWork().stream()
                 .filter(member -> member.target().filter(target::equals).isPresent())
                 .findFirst();
--- a/coordination/src/main/java/org/geraniumreach/coordination/membership/Rendezvous.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/membership/Rendezvous.java
@@ -38,9 +38,9 @@
      */
     public static List<InstanceId> order(String subject, Collection<InstanceId> instances) {
         return instances.stream()
-                .map(instance -> new Weighted(weight(subject, instance), instance))
+                .map(instance -> new WeightedInstance(weight(subject, instance), instance))
                 .sorted()
-                .map(Weighted::instance)
+                .map(WeightedInstance::instance)
                 .toList();
     }
 
@@ -57,10 +57,10 @@
      * @return true if fewer than {@code count} others come before it
      */
     public static boolean isChosen(String subject, Collection<InstanceId> instances, int count, InstanceId self) {
-        Weighted own = new Weighted(weight(subject, self), self);
+        WeightedInstance own = new WeightedInstance(weight(subject, self), self);
         int before = 0;
         for (InstanceId instance : instances) {
-            if (new Weighted(weight(subject, instance), instance).compareTo(own) < 0) {
+            if (new WeightedInstance(weight(subject, instance), instance).compareTo(own) < 0) {
                 before++;
             }
             if (before >= count) {
@@ -71,10 +71,10 @@
     }
 
     /** An instance with its weight, which is worked out once and not at each comparison. */
-    private record Weighted(long weight, InstanceId instance) implements Comparable<Weighted> {
+    private record WeightedInstance(long weight, InstanceId instance) implements Comparable<WeightedInstance> {
 
         @Override
-        public int compareTo(Weighted other) {
+        public int compareTo(WeightedInstance other) {
             int order = Long.compare(weight, other.weight);
             return order != 0 ? order : instance.compareTo(other.instance);
         }
--- a/coordination/src/test/java/org/geraniumreach/coordination/configuration/ConfigurationNodeTest.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/configuration/ConfigurationNodeTest.java
@@ -50,7 +50,7 @@
         HEAL
     }
 
-    record Step(Kind kind, int node, int millis) {}
+    record Step(Kind kind, int node, int durationMillis) {}
 
     /*
      * Failure: a key that was withdrawn works on, a configuration falls back, or an accepted change is lost or made twice.
@@ -58,22 +58,22 @@
      * the table is down, slow or loses answers of writes that took effect. The checks run after every event.
      */
     @Property(tries = 400, seed = "3")
-    void whatMustHoldHoldsUnderFaults(@ForAll("steps") List<Step> steps, @ForAll long seed) {
-        FakeWorld world = new FakeWorld(seed, ENTRIES, 1);
+    void invariantsHoldUnderFaults(@ForAll("steps") List<Step> steps, @ForAll long seed) {
+        SimulatedCluster world = new SimulatedCluster(seed, ENTRIES, 1);
         world.runFor(Duration.ofSeconds(2));
-        world.submit(FIRST, account("account-made", 0));
+        world.submit(FIRST, accountSubmission("account-made", 0));
         world.runFor(Duration.ofSeconds(1));
         int number = 0;
         for (Step step : steps) {
             perform(world, step, number++);
-            world.runFor(Duration.ofMillis(step.millis()));
+            world.runFor(Duration.ofMillis(step.durationMillis()));
         }
         heal(world);
         world.runFor(Duration.ofSeconds(15));
-        world.checkLog();
+        world.assertLogConsistent();
         assertThat(world.processes.values())
                 .allSatisfy(process ->
-                        assertThat(process.node.configuration().revision()).isEqualTo(world.table.head()))
+                        assertThat(process.node.configuration().revision()).isEqualTo(world.table.headRevision()))
                 .allSatisfy(process -> assertThat(world.isFresh(process.id)).isTrue());
     }
 
@@ -82,8 +82,8 @@
      * entries hear one another and say that the table does not answer.
      */
     @Test
-    void anOutageThatAllSeeDoesNotStopTheService() {
-        FakeWorld world = settledWorld();
+    void configurationStaysFreshWhenAllEntriesReportTableOutage() {
+        SimulatedCluster world = convergedCluster();
         world.tableDown = true;
         for (int second = 0; second < 60; second++) {
             world.runFor(Duration.ofSeconds(1));
@@ -96,11 +96,11 @@
      * other entries, so after the limit it must refuse, while the others go on.
      */
     @Test
-    void anEntryThatIsCutOffStopsServing() {
-        FakeWorld world = settledWorld();
-        world.cutFromPeers.add(THIRD);
-        world.cutFromTable.add(THIRD);
-        world.runFor(FakeWorld.LIMIT);
+    void isolatedEntryBecomesStale() {
+        SimulatedCluster world = convergedCluster();
+        world.disconnectedFromPeers.add(THIRD);
+        world.disconnectedFromTable.add(THIRD);
+        world.runFor(SimulatedCluster.FRESHNESS_LIMIT);
         assertThat(world.isFresh(THIRD)).isFalse();
         assertThat(world.isFresh(FIRST)).isTrue();
         assertThat(world.isFresh(SECOND)).isTrue();
@@ -112,15 +112,15 @@
      * The table comes back for the others and a key is withdrawn. What the others said long ago must not count for ever.
      */
     @Test
-    void anEntryThatIsCutOffDuringAnOutageStopsServing() {
-        FakeWorld world = settledWorld();
+    void entryIsolatedDuringTableOutageBecomesStale() {
+        SimulatedCluster world = convergedCluster();
         world.tableDown = true;
         world.runFor(Duration.ofSeconds(10));
         assertThat(world.isFresh(THIRD)).isTrue();
-        world.cutFromPeers.add(THIRD);
-        world.cutFromTable.add(THIRD);
+        world.disconnectedFromPeers.add(THIRD);
+        world.disconnectedFromTable.add(THIRD);
         world.tableDown = false;
-        world.runFor(FakeWorld.LIMIT);
+        world.runFor(SimulatedCluster.FRESHNESS_LIMIT);
         assertThat(world.isFresh(THIRD)).isFalse();
         assertThat(world.isFresh(FIRST)).isTrue();
     }
@@ -130,21 +130,24 @@
      * than once and in any order, as they do from several peers over links that are replaced.
      */
     @Property(tries = 1000, seed = "4")
-    void messagesInAnyOrderNeverRevertTheConfiguration(@ForAll long seed) {
+    void reorderedMessagesNeverRevertConfiguration(@ForAll long seed) {
         Random random = new Random(seed);
-        List<Configuration> history = history(random, 3 + random.nextInt(8));
+        List<Configuration> history = randomHistory(random, 3 + random.nextInt(8));
         Configuration last = history.get(history.size() - 1);
         List<NodeMessage> messages = new ArrayList<>();
         for (Configuration at : history) {
-            messages.addAll(SnapshotAssembly.cut(at, 2));
+            messages.addAll(SnapshotAssembler.split(at, 2));
             at.entries().stream()
                     .filter(entry -> entry.revision() == at.revision())
                     .forEach(entry -> messages.add(new NodeMessage.News(at.revision(), List.of(entry))));
         }
         messages.addAll(messages.subList(0, random.nextInt(messages.size())));
         Collections.shuffle(messages, random);
-        ConfigurationNode node =
-                new ConfigurationNode(FIRST, new NodeOptions(FakeWorld.PERIOD, FakeWorld.LIMIT, 2, 2), () -> 0, random);
+        ConfigurationNode node = new ConfigurationNode(
+                FIRST,
+                new NodeOptions(SimulatedCluster.PERIOD, SimulatedCluster.FRESHNESS_LIMIT, 2, 2),
+                () -> 0,
+                random);
         node.opened(SECOND, true);
         for (NodeMessage message : messages) {
             long before = node.configuration().revision();
@@ -157,7 +160,7 @@
         assertThat(node.configuration().revision()).isEqualTo(last.revision());
     }
 
-    private static List<Configuration> history(Random random, int changes) {
+    private static List<Configuration> randomHistory(Random random, int changes) {
         List<Configuration> history = new ArrayList<>();
         history.add(Configuration.empty());
         for (int revision = 1; revision <= changes; revision++) {
@@ -175,10 +178,10 @@
      * before it has heard anything.
      */
     @Test
-    void aFrozenProcessIsNotFreshWhenItGoesOn() {
-        FakeWorld world = settledWorld();
-        world.freeze(COMPANION, FakeWorld.LIMIT.toNanos() + 1);
-        world.now += FakeWorld.LIMIT.toNanos() + 1;
+    void frozenProcessIsStaleWhenItResumes() {
+        SimulatedCluster world = convergedCluster();
+        world.freeze(COMPANION, SimulatedCluster.FRESHNESS_LIMIT.toNanos() + 1);
+        world.nowNanos += SimulatedCluster.FRESHNESS_LIMIT.toNanos() + 1;
         assertThat(world.isFresh(COMPANION)).isFalse();
     }
 
@@ -187,8 +190,8 @@
      * It takes the snapshot of a peer instead, and says that it is not ready until then.
      */
     @Test
-    void aNodeThatStartsDuringAnOutageTakesThePeersSnapshot() {
-        FakeWorld world = settledWorld();
+    void nodeStartedDuringTableOutageInstallsPeerSnapshot() {
+        SimulatedCluster world = convergedCluster();
         world.tableDown = true;
         world.runFor(Duration.ofSeconds(5));
         world.restart(THIRD);
@@ -203,16 +206,16 @@
      * entry that took it knew of it, and it restarted. So accepted is said when another entry holds the change.
      */
     @Test
-    void aChangeThatOnlyItsEntryHoldsIsNotCalledAcceptedYet() {
-        FakeWorld world = settledWorld();
-        world.lossOfMessages = 1;
-        world.cutFromTable.addAll(List.of(SECOND, THIRD, COMPANION));
-        world.submit(FIRST, account("account-changed", 1));
+    void changeHeldByOneEntryIsNotReportedAccepted() {
+        SimulatedCluster world = convergedCluster();
+        world.messageLossRate = 1;
+        world.disconnectedFromTable.addAll(List.of(SECOND, THIRD, COMPANION));
+        world.submit(FIRST, accountSubmission("account-changed", 1));
         world.runFor(Duration.ofMillis(500));
         assertThat(world.result("account-changed")).isPresent();
         world.tableDown = true;
         world.restart(FIRST);
-        world.lossOfMessages = 0;
+        world.messageLossRate = 0;
         world.runFor(Duration.ofSeconds(10));
         assertThat(world.isFresh(SECOND)).isTrue();
     }
@@ -222,14 +225,14 @@
      * would let a key pass that was withdrawn meanwhile.
      */
     @Test
-    void aSlowAnswerConfirmsTheTimeWhenItWasAskedFor() {
+    void slowPollConfirmsItsStartTime() {
         long[] now = {0};
         ConfigurationNode node = node(now);
         now[0] = Duration.ofSeconds(10).toNanos();
         node.polled(new PollAnswer(0, 0, Optional.empty(), List.of()));
         assertThat(node.freshUntil()).isLessThanOrEqualTo(now[0]);
         node.polled(new PollAnswer(now[0], 0, Optional.empty(), List.of()));
-        assertThat(node.freshUntil()).isEqualTo(now[0] + FakeWorld.LIMIT.toNanos());
+        assertThat(node.freshUntil()).isEqualTo(now[0] + SimulatedCluster.FRESHNESS_LIMIT.toNanos());
     }
 
     /*
@@ -237,7 +240,7 @@
      * serves a key that one of the changes withdrew.
      */
     @Test
-    void aConfirmationCountsOnlyForWhoHoldsTheChanges() {
+    void confirmationRequiresAllKnownChanges() {
         long[] now = {0};
         ConfigurationNode node = node(now);
         node.polled(new PollAnswer(0, 3, Optional.empty(), List.of()));
@@ -249,13 +252,13 @@
     }
 
     private static ConfigurationNode node(long[] now) {
-        NodeOptions options = new NodeOptions(FakeWorld.PERIOD, FakeWorld.LIMIT, 2, 2);
+        NodeOptions options = new NodeOptions(SimulatedCluster.PERIOD, SimulatedCluster.FRESHNESS_LIMIT, 2, 2);
         return new ConfigurationNode(FIRST, options, () -> now[0], new Random(1));
     }
 
     @Test
-    void aNodeWithNeitherTableNorPeerSaysThatItHasNothing() {
-        FakeWorld world = new FakeWorld(1, 1, 0);
+    void nodeWithoutTableOrPeersHasNoConfiguration() {
+        SimulatedCluster world = new SimulatedCluster(1, 1, 0);
         world.tableDown = true;
         world.runFor(Duration.ofSeconds(20));
         assertThat(world.processes.get(FIRST).node.isObtained()).isFalse();
@@ -268,17 +271,17 @@
      * instance links with all others.
      */
     @Test
-    void aLargeFleetHearsOfAChangeAndServesThroughAnOutage() {
-        FakeWorld world = new FakeWorld(1, 60, 100, new LinkChoice(16, 3, 64, 8));
+    void largeFleetReceivesChangesAndStaysFreshDuringOutage() {
+        SimulatedCluster world = new SimulatedCluster(1, 60, 100, new LinkChoice(16, 3, 64, 8));
         world.runFor(Duration.ofSeconds(3));
-        world.submit(FIRST, account("account-made", 0));
+        world.submit(FIRST, accountSubmission("account-made", 0));
         world.runFor(Duration.ofSeconds(2));
         assertThat(world.processes.values())
                 .allMatch(process -> process.node.configuration().revision() == 1)
                 .allMatch(process -> world.isFresh(process.id));
-        long polls = world.polls;
+        long polls = world.pollCount;
         world.runFor(Duration.ofSeconds(10));
-        assertThat(world.polls - polls).isLessThan(2 * 2 * 10);
+        assertThat(world.pollCount - polls).isLessThan(2 * 2 * 10);
         world.tableDown = true;
         for (int second = 0; second < 15; second++) {
             world.runFor(Duration.ofSeconds(1));
@@ -286,65 +289,65 @@
         }
     }
 
-    private static FakeWorld settledWorld() {
-        FakeWorld world = new FakeWorld(1, ENTRIES, 1);
+    private static SimulatedCluster convergedCluster() {
+        SimulatedCluster world = new SimulatedCluster(1, ENTRIES, 1);
         world.runFor(Duration.ofSeconds(2));
-        world.submit(FIRST, account("account-made", 0));
+        world.submit(FIRST, accountSubmission("account-made", 0));
         world.runFor(Duration.ofSeconds(3));
         assertThat(world.processes.keySet()).allMatch(world::isFresh);
         return world;
     }
 
-    private static void perform(FakeWorld world, Step step, int number) {
+    private static void perform(SimulatedCluster world, Step step, int number) {
         InstanceId node = InstanceId.of(step.node() < ENTRIES ? "entry-" + step.node() : "companion-0");
         InstanceId entry = InstanceId.of("entry-" + step.node() % ENTRIES);
         InstanceId other = InstanceId.of("entry-" + (step.node() + 1) % ENTRIES);
-        long nanos = step.millis() * FakeWorld.MILLISECOND;
+        long nanos = step.durationMillis() * SimulatedCluster.NANOS_PER_MILLISECOND;
         switch (step.kind()) {
-            case SUBMIT -> world.submit(entry, key("operation-" + number, step, world.table.head()));
+            case SUBMIT -> world.submit(entry, keySubmission("operation-" + number, step, world.table.headRevision()));
             case RACE -> {
-                world.submit(entry, key("operation-" + number + "-one", step, world.table.head()));
-                world.submit(other, key("operation-" + number + "-two", step, world.table.head()));
+                world.submit(entry, keySubmission("operation-" + number + "-one", step, world.table.headRevision()));
+                world.submit(other, keySubmission("operation-" + number + "-two", step, world.table.headRevision()));
             }
-            case CUT_FROM_PEERS -> world.cutFromPeers.add(node);
-            case CUT_FROM_TABLE -> world.cutFromTable.add(node);
+            case CUT_FROM_PEERS -> world.disconnectedFromPeers.add(node);
+            case CUT_FROM_TABLE -> world.disconnectedFromTable.add(node);
             case CUT_OFF -> {
-                world.cutFromPeers.add(node);
-                world.cutFromTable.add(node);
+                world.disconnectedFromPeers.add(node);
+                world.disconnectedFromTable.add(node);
             }
             case FREEZE -> world.freeze(node, 3 * nanos);
-            case RESTART -> world.restartOnce(node);
+            case RESTART -> world.restartIfTolerated(node);
             case TABLE_DOWN -> {
                 world.tableDown = true;
             }
             case TABLE_SLOW -> {
-                world.tableDelay = 2 * nanos;
+                world.maxTableDelayNanos = 2 * nanos;
             }
             case TABLE_LOSES_ANSWERS -> {
-                world.lossOfAnswers = 0.5;
+                world.tableResponseLossRate = 0.5;
             }
             case MESSAGES_LOST -> {
-                world.lossOfMessages = 0.3;
+                world.messageLossRate = 0.3;
             }
             case MESSAGES_LATE -> {
-                world.messageDelay = 3 * nanos;
+                world.maxMessageDelayNanos = 3 * nanos;
             }
             case HEAL -> heal(world);
             default -> throw new IllegalStateException("unhandled " + step.kind());
         }
     }
 
-    private static void heal(FakeWorld world) {
-        world.cutFromPeers.clear();
-        world.cutFromTable.clear();
+    private static void heal(SimulatedCluster world) {
+        world.disconnectedFromPeers.clear();
+        world.disconnectedFromTable.clear();
         world.tableDown = false;
-        world.tableDelay = 0;
-        world.lossOfAnswers = 0;
-        world.lossOfMessages = 0;
-        world.messageDelay = 0;
+        world.maxTableDelayNanos = 0;
+        world.tableResponseLossRate = 0;
+        world.messageLossRate = 0;
+        world.maxMessageDelayNanos = 0;
     }
 
-    private static Submission account(String operation, long basedOn) {
+    private static Submission accountSubmission(String operation, long basedOn) {
         return new Submission(
                 operation,
                 basedOn,
@@ -352,11 +355,12 @@
                 Optional.of("{\"schemaVersion\":1,\"rate\":1,\"burst\":1}"));
     }
 
-    private static Submission key(String operation, Step step, long basedOn) {
-        RecordKey key = RecordKey.of(RecordKind.KEY, "key-" + step.millis() % 2);
-        String digest = String.valueOf(step.millis() % 2).repeat(64);
+    private static Submission keySubmission(String operation, Step step, long basedOn) {
+        RecordKey key = RecordKey.of(RecordKind.KEY, "key-" + step.durationMillis() % 2);
+        String digest = String.valueOf(step.durationMillis() % 2).repeat(64);
         String body = "{\"schemaVersion\":1,\"account\":\"account\",\"digest\":\"" + digest + "\"}";
-        return new Submission(operation, basedOn, key, step.millis() % 3 == 0 ? Optional.empty() : Optional.of(body));
+        return new Submission(
+                operation, basedOn, key, step.durationMillis() % 3 == 0 ? Optional.empty() : Optional.of(body));
     }
 
     @Provide
--- a/coordination/src/test/java/org/geraniumreach/coordination/configuration/ConfigurationRowsTest.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/configuration/ConfigurationRowsTest.java
@@ -19,17 +19,17 @@
 
     private static final LogEntry ENTRY = new LogEntry(
             7, "operation", RecordKey.of(RecordKind.ACCOUNT, "acme"), Optional.of("{\"text\":\"\u00e9\\n\"}"));
-    private static final String PIECES = "{}[]\",:-1e9null\"kind\":\"x\",\"revision\":99999999999999999999\0";
+    private static final String FRAGMENTS = "{}[]\",:-1e9null\"kind\":\"x\",\"revision\":99999999999999999999\0";
 
     @Test
-    void whatIsWrittenReadsTheSame() throws RecordException {
+    void writtenRowsReadBackEqual() throws RecordException {
         LogEntry withdrawal = new LogEntry(8, "other", ENTRY.key(), Optional.empty());
         assertThat(ConfigurationRows.readEntry(ConfigurationRows.writeEntry(withdrawal)))
                 .isEqualTo(withdrawal);
         assertThat(ConfigurationRows.readPart(ConfigurationRows.writePart(List.of(ENTRY))))
                 .containsExactly(ENTRY);
         SnapshotPlace place = new SnapshotPlace(9, 2);
-        assertThat(ConfigurationRows.readPlace(ConfigurationRows.writePlace(place)))
+        assertThat(ConfigurationRows.readPlace(ConfigurationRows.writePointer(place)))
                 .isEqualTo(place);
     }
 
@@ -38,28 +38,28 @@
      * value or the checked exception.
      */
     @Property(tries = 10_000, seed = "8")
-    void noRowThrowsAnythingButTheCheckedException(@ForAll long seed) {
+    void malformedRowsThrowOnlyRecordException(@ForAll long seed) {
         Random random = new Random(seed);
         StringBuilder text = new StringBuilder(ConfigurationRows.writePart(List.of(ENTRY)));
         for (int change = 0; change < 1 + random.nextInt(4); change++) {
-            int from = random.nextInt(PIECES.length());
-            String piece = PIECES.substring(from, Math.min(PIECES.length(), from + random.nextInt(10)));
+            int from = random.nextInt(FRAGMENTS.length());
+            String piece = FRAGMENTS.substring(from, Math.min(FRAGMENTS.length(), from + random.nextInt(10)));
             int at = random.nextInt(text.length() + 1);
             text.replace(at, Math.min(text.length(), at + random.nextInt(8)), piece);
         }
         String row = random.nextBoolean() ? text.toString() : text.substring(1, Math.max(1, text.length() - 1));
-        read(() -> ConfigurationRows.readPart(row));
-        read(() -> ConfigurationRows.readEntry(row));
-        read(() -> ConfigurationRows.readRevision(row));
-        read(() -> ConfigurationRows.readPlace(row));
+        readOrRefuse(() -> ConfigurationRows.readPart(row));
+        readOrRefuse(() -> ConfigurationRows.readEntry(row));
+        readOrRefuse(() -> ConfigurationRows.readRevision(row));
+        readOrRefuse(() -> ConfigurationRows.readPlace(row));
     }
 
     /** Reads a row. */
-    private interface Reading {
+    private interface RowReader {
         Object read() throws RecordException;
     }
 
-    private static void read(Reading reading) {
+    private static void readOrRefuse(RowReader reading) {
         try {
             assertThat(reading.read()).isNotNull();
         } catch (RecordException refused) {
--- a/coordination/src/test/java/org/geraniumreach/coordination/configuration/FakeTable.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/configuration/InMemoryTable.java
@@ -11,7 +11,7 @@
 import org.geraniumreach.model.table.Transaction;
 
 /** The platform's table, in memory, answering at once. */
-final class FakeTable {
+final class InMemoryTable {
 
     private final TreeMap<String, Row> rows = new TreeMap<>();
 
@@ -35,7 +35,7 @@
         return true;
     }
 
-    long head() {
+    long headRevision() {
         try {
             Optional<Row> head = read(ConfigurationRows.HEAD);
             return head.isPresent() ? ConfigurationRows.readRevision(head.get().value()) : 0;
@@ -47,11 +47,11 @@
     List<LogEntry> log() {
         String prefix = ConfigurationRows.LOG_PREFIX;
         return rows.subMap(prefix, prefix + '~').values().stream()
-                .map(row -> entry(row.value()))
+                .map(row -> readEntry(row.value()))
                 .toList();
     }
 
-    private static LogEntry entry(String value) {
+    private static LogEntry readEntry(String value) {
         try {
             return ConfigurationRows.readEntry(value);
         } catch (RecordException malformed) {
@@ -62,6 +62,6 @@
     PollAnswer poll(long startedAt, long haveRevision) {
         List<LogEntry> entries =
                 log().stream().filter(entry -> entry.revision() > haveRevision).toList();
-        return new PollAnswer(startedAt, head(), Optional.empty(), entries);
+        return new PollAnswer(startedAt, headRevision(), Optional.empty(), entries);
     }
 }
--- a/coordination/src/test/java/org/geraniumreach/coordination/configuration/FakeWorld.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/configuration/SimulatedCluster.java
@@ -26,41 +26,41 @@
  * Some configuration nodes around a table, with the clock, the network and the table in the hands of a test; after every
  * event it checks what must hold.
  */
-final class FakeWorld {
+final class SimulatedCluster {
 
-    static final long MILLISECOND = 1_000_000;
+    static final long NANOS_PER_MILLISECOND = 1_000_000;
     static final Duration PERIOD = Duration.ofSeconds(1);
-    static final Duration LIMIT = Duration.ofSeconds(4);
-    private static final long TIMEOUT = 800 * MILLISECOND;
+    static final Duration FRESHNESS_LIMIT = Duration.ofSeconds(4);
+    private static final long TABLE_TIMEOUT_NANOS = 800 * NANOS_PER_MILLISECOND;
 
-    final FakeTable table = new FakeTable();
+    final InMemoryTable table = new InMemoryTable();
     final Map<InstanceId, Process> processes = new TreeMap<>();
     final Map<String, SubmissionResult> results = new HashMap<>();
-    final Set<InstanceId> cutFromTable = new HashSet<>();
-    final Set<InstanceId> cutFromPeers = new HashSet<>();
+    final Set<InstanceId> disconnectedFromTable = new HashSet<>();
+    final Set<InstanceId> disconnectedFromPeers = new HashSet<>();
     boolean tableDown;
-    long tableDelay;
-    double lossOfAnswers;
-    double lossOfMessages;
-    long messageDelay;
-    long now = 1_000 * MILLISECOND;
-    long polls;
-    long notes;
-    long words;
+    long maxTableDelayNanos;
+    double tableResponseLossRate;
+    double messageLossRate;
+    long maxMessageDelayNanos;
+    long nowNanos = 1_000 * NANOS_PER_MILLISECOND;
+    long pollCount;
+    long heartbeatCount;
+    long reportCount;
 
     private final Random random;
     private final Set<InstanceId> entries = new HashSet<>();
     private final Set<InstanceId> companions = new HashSet<>();
-    private final Map<InstanceId, Set<InstanceId>> chosen = new HashMap<>();
-    private final LinkChoice links;
+    private final Map<InstanceId, Set<InstanceId>> selectedPeers = new HashMap<>();
+    private final LinkChoice linkSelector;
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::order));
-    private final Map<Long, Set<LogEntry>> contentAt = new HashMap<>();
-    private final TreeMap<Long, Long> acceptedAt = new TreeMap<>();
-    private boolean restarted;
-    private long order;
+            new PriorityQueue<>(Comparator.comparingLong(Event::dueAt).thenComparingLong(Event::order));
+    private final Map<Long, Set<LogEntry>> contentByRevision = new HashMap<>();
+    private final TreeMap<Long, Long> acceptedAtByRevision = new TreeMap<>();
+    private boolean restartedSinceConvergence;
+    private long nextEventOrder;
 
-    record Event(long at, long order, Runnable action) {}
+    record Event(long dueAt, long order, Runnable action) {}
 
     /** One process; a restart makes a new one. */
     static final class Process {
@@ -76,12 +76,12 @@
         }
     }
 
-    FakeWorld(long seed, int entryCount, int companionCount) {
+    SimulatedCluster(long seed, int entryCount, int companionCount) {
         this(seed, entryCount, companionCount, new LinkChoice(entryCount, 2, companionCount, entryCount));
     }
 
-    FakeWorld(long seed, int entryCount, int companionCount, LinkChoice links) {
-        this.links = links;
+    SimulatedCluster(long seed, int entryCount, int companionCount, LinkChoice links) {
+        this.linkSelector = links;
         random = new Random(seed);
         for (int index = 0; index < entryCount; index++) {
             entries.add(InstanceId.of("entry-" + index));
@@ -95,11 +95,11 @@
 
     void start(InstanceId id) {
         ConfigurationNode node = new ConfigurationNode(
-                id, new NodeOptions(PERIOD, LIMIT, 2, 2), () -> now, new Random(random.nextLong()));
+                id, new NodeOptions(PERIOD, FRESHNESS_LIMIT, 2, 2), () -> nowNanos, new Random(random.nextLong()));
         Process process = new Process(id, node);
         node.listed(entries);
         for (Process other : List.copyOf(processes.values())) {
-            if (isLinked(id, other.id) || isLinked(other.id, id)) {
+            if (keepsLink(id, other.id) || keepsLink(other.id, id)) {
                 connect(process, other);
             }
         }
@@ -107,14 +107,14 @@
         tick(process);
     }
 
-    private boolean isLinked(InstanceId keeper, InstanceId other) {
+    private boolean keepsLink(InstanceId keeper, InstanceId other) {
         return entries.contains(keeper)
-                && chosen.computeIfAbsent(keeper, this::choose).contains(other);
+                && selectedPeers.computeIfAbsent(keeper, this::selectPeers).contains(other);
     }
 
-    private Set<InstanceId> choose(InstanceId keeper) {
-        Set<InstanceId> choice = new HashSet<>(links.entries(keeper, entries));
-        choice.addAll(links.companions(keeper, entries, companions));
+    private Set<InstanceId> selectPeers(InstanceId keeper) {
+        Set<InstanceId> choice = new HashSet<>(linkSelector.entries(keeper, entries));
+        choice.addAll(linkSelector.companions(keeper, entries, companions));
         return choice;
     }
 
@@ -129,62 +129,63 @@
      * Restarts a process, unless another has restarted since all were last known to be up to date: what only two processes
      * hold in memory while the table is away is lost when both go, which is outside of the promise.
      */
-    void restartOnce(InstanceId id) {
+    void restartIfTolerated(InstanceId id) {
         boolean settled = processes.values().stream()
-                .allMatch(process -> process.node.configuration().revision() == table.head() && isFresh(process.id));
+                .allMatch(process ->
+                        process.node.configuration().revision() == table.headRevision() && isFresh(process.id));
         if (settled) {
-            restarted = false;
+            restartedSinceConvergence = false;
         }
-        if (!restarted) {
-            restarted = true;
+        if (!restartedSinceConvergence) {
+            restartedSinceConvergence = true;
             restart(id);
         }
     }
 
     void freeze(InstanceId id, long nanos) {
-        processes.get(id).frozenUntil = now + nanos;
+        processes.get(id).frozenUntil = nowNanos + nanos;
     }
 
     private void connect(Process one, Process other) {
-        run(one, () -> perform(one, one.node.opened(other.id, entries.contains(other.id))));
-        run(other, () -> perform(other, other.node.opened(one.id, entries.contains(one.id))));
+        runUnlessFrozen(one, () -> perform(one, one.node.opened(other.id, entries.contains(other.id))));
+        runUnlessFrozen(other, () -> perform(other, other.node.opened(one.id, entries.contains(one.id))));
     }
 
     private void tick(Process process) {
-        run(process, () -> {
+        runUnlessFrozen(process, () -> {
             perform(process, process.node.tick());
-            at(100 * MILLISECOND, () -> tick(process));
+            schedule(100 * NANOS_PER_MILLISECOND, () -> tick(process));
         });
     }
 
-    void at(long delay, Runnable action) {
-        events.add(new Event(now + delay, order++, action));
+    void schedule(long delay, Runnable action) {
+        events.add(new Event(nowNanos + delay, nextEventOrder++, action));
     }
 
     /** Runs what a process does, once it is not frozen, and not at all if it is dead. */
-    private void run(Process process, Runnable action) {
+    private void runUnlessFrozen(Process process, Runnable action) {
         if (process.dead) {
             return;
         }
-        if (process.frozenUntil > now) {
-            at(process.frozenUntil - now, () -> run(process, action));
+        if (process.frozenUntil > nowNanos) {
+            schedule(process.frozenUntil - nowNanos, () -> runUnlessFrozen(process, action));
             return;
         }
         action.run();
-        check(process);
+        assertInvariants(process);
     }
 
     void runFor(Duration duration) {
-        long end = now + duration.toNanos();
-        while (!events.isEmpty() && events.peek().at() <= end) {
+        long end = nowNanos + duration.toNanos();
+        while (!events.isEmpty() && events.peek().dueAt() <= end) {
             Event event = events.poll();
-            now = event.at();
+            nowNanos = event.dueAt();
             event.action().run();
         }
-        now = end;
+        nowNanos = end;
         processes.values().stream()
-                .filter(process -> process.frozenUntil <= now)
-                .forEach(this::check);
+                .filter(process -> process.frozenUntil <= nowNanos)
+                .forEach(this::assertInvariants);
     }
 
     private void perform(Process process, List<NodeAction> actions) {
@@ -199,53 +200,54 @@
 
     private void send(Process from, NodeAction.Send send) {
         if (send.message() instanceof NodeMessage.Note note) {
-            notes++;
-            words += note.words().size();
+            heartbeatCount++;
+            reportCount += note.words().size();
         }
         Process to = processes.get(send.peer());
-        if (to == null || random.nextDouble() < lossOfMessages) {
+        if (to == null || random.nextDouble() < messageLossRate) {
             return;
         }
-        int copies = lossOfMessages > 0 && random.nextInt(8) == 0 ? 2 : 1;
+        int copies = messageLossRate > 0 && random.nextInt(8) == 0 ? 2 : 1;
         for (int copy = 0; copy < copies; copy++) {
-            long delay = MILLISECOND + (messageDelay == 0 ? 0 : random.nextLong(messageDelay));
-            at(delay, () -> deliver(from, to, send.message()));
+            long delay =
+                    NANOS_PER_MILLISECOND + (maxMessageDelayNanos == 0 ? 0 : random.nextLong(maxMessageDelayNanos));
+            schedule(delay, () -> deliver(from, to, send.message()));
         }
     }
 
     private void deliver(Process from, Process to, NodeMessage message) {
-        boolean cut = cutFromPeers.contains(from.id) != cutFromPeers.contains(to.id);
+        boolean cut = disconnectedFromPeers.contains(from.id) != disconnectedFromPeers.contains(to.id);
         if (cut || from.dead) {
             return;
         }
-        run(to, () -> perform(to, to.node.received(from.id, message)));
+        runUnlessFrozen(to, () -> perform(to, to.node.received(from.id, message)));
     }
 
-    private boolean tableReaches(Process process) {
-        return !tableDown && !cutFromTable.contains(process.id);
+    private boolean canReachTable(Process process) {
+        return !tableDown && !disconnectedFromTable.contains(process.id);
     }
 
     /** Calls the table: the effect comes after a delay, and the answer after another or never. */
-    private <T> void call(Process process, Supplier<T> effect, Consumer<T> answer, Runnable failure) {
-        long delay = MILLISECOND + (tableDelay == 0 ? 0 : random.nextLong(tableDelay));
+    private <T> void callTable(Process process, Supplier<T> effect, Consumer<T> answer, Runnable failure) {
+        long delay = NANOS_PER_MILLISECOND + (maxTableDelayNanos == 0 ? 0 : random.nextLong(maxTableDelayNanos));
         boolean[] finished = {false};
-        at(
-                TIMEOUT,
-                () -> run(process, () -> {
+        schedule(
+                TABLE_TIMEOUT_NANOS,
+                () -> runUnlessFrozen(process, () -> {
                     if (!finished[0]) {
                         finished[0] = true;
                         failure.run();
                     }
                 }));
-        at(delay, () -> {
-            if (!tableReaches(process)) {
+        schedule(delay, () -> {
+            if (!canReachTable(process)) {
                 return;
             }
             T result = effect.get();
-            if (random.nextDouble() >= lossOfAnswers) {
-                at(
+            if (random.nextDouble() >= tableResponseLossRate) {
+                schedule(
                         delay,
-                        () -> run(process, () -> {
+                        () -> runUnlessFrozen(process, () -> {
                             if (!finished[0]) {
                                 finished[0] = true;
                                 answer.accept(result);
@@ -256,9 +258,9 @@
     }
 
     private void poll(Process process, long haveRevision, Runnable then) {
-        polls++;
-        long startedAt = now;
-        call(
+        pollCount++;
+        long startedAt = nowNanos;
+        callTable(
                 process,
                 () -> table.poll(startedAt, haveRevision),
                 answer -> {
@@ -273,66 +275,68 @@
 
     void submit(InstanceId at, Submission submission) {
         Process process = processes.get(at);
-        run(process, () -> {
+        runUnlessFrozen(process, () -> {
             SubmissionProcess running = new SubmissionProcess(
-                    submission, process.node.configuration(), () -> now, random, Duration.ofSeconds(5));
-            step(process, submission, running, running.start());
+                    submission, process.node.configuration(), () -> nowNanos, random, Duration.ofSeconds(5));
+            performStep(process, submission, running, running.start());
         });
     }
 
-    private void step(Process process, Submission submission, SubmissionProcess running, SubmissionStep step) {
+    private void performStep(Process process, Submission submission, SubmissionProcess running, SubmissionStep step) {
         if (step instanceof SubmissionStep.Read read) {
-            call(
+            callTable(
                     process,
                     () -> table.read(read.key()),
-                    row -> step(process, submission, running, running.read(row)),
-                    () -> step(process, submission, running, running.readFailed()));
+                    row -> performStep(process, submission, running, running.read(row)),
+                    () -> performStep(process, submission, running, running.readFailed()));
         } else if (step instanceof SubmissionStep.Commit commit) {
-            call(
+            callTable(
                     process,
                     () -> table.commit(commit.transaction()),
-                    done -> step(process, submission, running, running.committed(done)),
-                    () -> step(process, submission, running, running.commitFailed(true)));
+                    done -> performStep(process, submission, running, running.committed(done)),
+                    () -> performStep(process, submission, running, running.commitFailed(true)));
         } else if (step instanceof SubmissionStep.CatchUp) {
             poll(
                     process,
                     process.node.configuration().revision(),
-                    () -> step(process, submission, running, running.caughtUp(process.node.configuration())));
+                    () -> performStep(process, submission, running, running.caughtUp(process.node.configuration())));
         } else if (step instanceof SubmissionStep.Wait wait) {
-            at(
+            schedule(
                     wait.duration().toNanos(),
-                    () -> run(process, () -> step(process, submission, running, running.waited())));
+                    () -> runUnlessFrozen(process, () -> performStep(process, submission, running, running.waited())));
         } else if (step instanceof SubmissionStep.Done done) {
-            finish(process, submission, done.result());
+            onSubmissionDone(process, submission, done.result());
         }
     }
 
-    private void finish(Process process, Submission submission, SubmissionResult result) {
+    private void onSubmissionDone(Process process, Submission submission, SubmissionResult result) {
         results.put(submission.operation(), result);
         if (result.isAccepted()) {
             LogEntry entry = result.entry().orElseThrow();
             assertThat(table.log().stream().filter(other -> other.operation().equals(submission.operation())))
                     .containsExactly(entry);
             perform(process, process.node.committed(List.of(entry)));
-            awaitHolder(process, entry.revision(), now + 1_000 * MILLISECOND);
+            awaitReplication(process, entry.revision(), nowNanos + 1_000 * NANOS_PER_MILLISECOND);
         }
     }
 
     /** Says accepted to the operator when another entry holds the change. */
-    private void awaitHolder(Process process, long revision, long deadline) {
+    private void awaitReplication(Process process, long revision, long deadline) {
         if (process.node.otherEntriesHolding(revision) > 0) {
-            acceptedAt.putIfAbsent(revision, now);
-        } else if (now < deadline) {
-            at(20 * MILLISECOND, () -> run(process, () -> awaitHolder(process, revision, deadline)));
+            acceptedAtByRevision.putIfAbsent(revision, nowNanos);
+        } else if (nowNanos < deadline) {
+            schedule(
+                    20 * NANOS_PER_MILLISECOND,
+                    () -> runUnlessFrozen(process, () -> awaitReplication(process, revision, deadline)));
         }
     }
 
     boolean isFresh(InstanceId id) {
         Process process = processes.get(id);
-        return process.frozenUntil <= now && now < process.node.freshUntil();
+        return process.frozenUntil <= nowNanos && nowNanos < process.node.freshUntil();
     }
 
-    private void check(Process process) {
+    private void assertInvariants(Process process) {
         ConfigurationNode node = process.node;
         long revision = node.configuration().revision();
         assertThat(revision).as("revision at %s", process.id).isGreaterThanOrEqualTo(process.lastRevision);
@@ -340,12 +344,12 @@
             Set<LogEntry> content = new HashSet<>(node.configuration().entries());
             assertThat(content)
                     .as("content of %s at revision %d", process.id, revision)
-                    .isEqualTo(contentAt.computeIfAbsent(revision, key -> content));
+                    .isEqualTo(contentByRevision.computeIfAbsent(revision, key -> content));
             process.lastRevision = revision;
         }
-        if (now < node.freshUntil()) {
-            long due = acceptedAt.entrySet().stream()
-                    .filter(accepted -> accepted.getValue() <= now - LIMIT.toNanos())
+        if (nowNanos < node.freshUntil()) {
+            long due = acceptedAtByRevision.entrySet().stream()
+                    .filter(accepted -> accepted.getValue() <= nowNanos - FRESHNESS_LIMIT.toNanos())
                     .mapToLong(Map.Entry::getKey)
                     .max()
                     .orElse(0);
@@ -354,7 +358,7 @@
     }
 
     /** Checks that the log is contiguous and holds each operation once. */
-    void checkLog() {
+    void assertLogConsistent() {
         List<LogEntry> log = table.log();
         Set<String> operations = new HashSet<>();
         List<Long> revisions = new ArrayList<>();
--- a/coordination/src/test/java/org/geraniumreach/coordination/configuration/SubmissionProcessTest.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/configuration/SubmissionProcessTest.java
@@ -25,27 +25,27 @@
     private static final String KEY = "{'schemaVersion':1,'account':'acme','digest':'" + "0".repeat(64) + "'}";
 
     /** What becomes of a commit. */
-    private enum Commit {
+    private enum CommitOutcome {
         ANSWERED,
-        EFFECT_WITHOUT_ANSWER,
-        EFFECT_AFTER_THE_DEADLINE,
-        NO_EFFECT
+        APPLIED_WITHOUT_ANSWER,
+        APPLIED_AFTER_DEADLINE,
+        NOT_APPLIED
     }
 
-    private final FakeTable table = new FakeTable();
-    private Commit commit = Commit.ANSWERED;
-    private Optional<Transaction> late = Optional.empty();
-    private int commits;
-    private long now;
+    private final InMemoryTable table = new InMemoryTable();
+    private CommitOutcome commitOutcome = CommitOutcome.ANSWERED;
+    private Optional<Transaction> delayedCommit = Optional.empty();
+    private int commitCount;
+    private long nowNanos;
 
     private SubmissionResult submit(String operation, long basedOn, RecordKind kind, String name, String body) {
         Optional<String> json = Optional.ofNullable(body).map(text -> text.replace('\'', '"'));
         Submission submission = new Submission(operation, basedOn, RecordKey.of(kind, name), json);
-        SubmissionProcess process =
-                new SubmissionProcess(submission, configuration(), () -> now, new Random(1), Duration.ofSeconds(3));
+        SubmissionProcess process = new SubmissionProcess(
+                submission, configuration(), () -> nowNanos, new Random(1), Duration.ofSeconds(3));
         SubmissionStep step = process.start();
         while (true) {
-            now += 1_000_000;
+            nowNanos += 1_000_000;
             if (step instanceof SubmissionStep.Done done) {
                 return done.result();
             } else if (step instanceof SubmissionStep.Read read) {
@@ -53,7 +53,7 @@
             } else if (step instanceof SubmissionStep.CatchUp) {
                 step = process.caughtUp(configuration());
             } else if (step instanceof SubmissionStep.Wait wait) {
-                now += wait.duration().toNanos();
+                nowNanos += wait.duration().toNanos();
                 step = process.waited();
             } else if (step instanceof SubmissionStep.Commit asked) {
                 step = commit(process, asked.transaction());
@@ -62,15 +62,15 @@
     }
 
     private SubmissionStep commit(SubmissionProcess process, Transaction transaction) {
-        commits++;
-        switch (commit) {
+        commitCount++;
+        switch (commitOutcome) {
             case ANSWERED:
                 return process.committed(table.commit(transaction));
-            case EFFECT_WITHOUT_ANSWER:
+            case APPLIED_WITHOUT_ANSWER:
                 table.commit(transaction);
                 return process.commitFailed(true);
-            case EFFECT_AFTER_THE_DEADLINE:
-                late = Optional.of(transaction);
+            case APPLIED_AFTER_DEADLINE:
+                delayedCommit = Optional.of(transaction);
                 return process.commitFailed(true);
             default:
                 return process.commitFailed(false);
@@ -81,7 +81,7 @@
         return Configuration.empty().plus(table.log());
     }
 
-    private void prepare() {
+    private void submitInitialRecords() {
         assertThat(submit("one", 0, RecordKind.ACCOUNT, "acme", ACCOUNT).isAccepted())
                 .isTrue();
         assertThat(submit("two", 0, RecordKind.ADAPTER, "welder", ADAPTER).isAccepted())
@@ -96,15 +96,15 @@
      * saw revision 4. The second must hear of the conflict and of the record as it is now.
      */
     @Test
-    void ofTwoOperatorsWhoRaceTheSecondGetsAConflictWithTheCurrentRecord() {
-        prepare();
+    void concurrentChangeIsRefusedWithCurrentRecord() {
+        submitInitialRecords();
         SubmissionResult first =
                 submit("first", 4, RecordKind.ACCOUNT, "acme", "{'schemaVersion':1,'rate':2,'burst':2}");
         SubmissionResult second =
                 submit("second", 4, RecordKind.ACCOUNT, "acme", "{'schemaVersion':1,'rate':3,'burst':3}");
         assertThat(second.code()).isEqualTo(ResultCode.CONFLICT);
         assertThat(second.entry()).isEqualTo(first.entry());
-        assertThat(table.head()).isEqualTo(5);
+        assertThat(table.headRevision()).isEqualTo(5);
     }
 
     /*
@@ -112,8 +112,8 @@
      * change would bring it back.
      */
     @Test
-    void aChangeBasedOnAWithdrawnRecordDoesNotBringItBack() {
-        prepare();
+    void changeBasedOnWithdrawnRecordIsRefused() {
+        submitInitialRecords();
         assertThat(submit("withdrawal", 4, RecordKind.KEY, "key", null).isAccepted())
                 .isTrue();
         assertThat(submit("change", 4, RecordKind.KEY, "key", KEY).code()).isEqualTo(ResultCode.CONFLICT);
@@ -125,11 +125,11 @@
      * transaction and its answer is lost.
      */
     @Test
-    void aLostAnswerIsSettledByReading() {
-        commit = Commit.EFFECT_WITHOUT_ANSWER;
+    void lostCommitAnswerIsResolvedByReading() {
+        commitOutcome = CommitOutcome.APPLIED_WITHOUT_ANSWER;
         SubmissionResult result = submit("one", 0, RecordKind.ACCOUNT, "acme", ACCOUNT);
         assertThat(result.isAccepted()).isTrue();
-        assertThat(commits).isEqualTo(1);
+        assertThat(commitCount).isEqualTo(1);
         assertThat(table.log()).containsExactly(result.entry().orElseThrow());
     }
 
@@ -138,13 +138,13 @@
      * way for longer than the submission is tried. Submitted again under its operation id it is found, and made once.
      */
     @Test
-    void aWriteThatMayStillArriveIsUnsettledAndFoundByItsOperationIdLater() {
-        commit = Commit.EFFECT_AFTER_THE_DEADLINE;
+    void delayedWriteIsUnsettledAndFoundByOperationIdLater() {
+        commitOutcome = CommitOutcome.APPLIED_AFTER_DEADLINE;
         assertThat(submit("one", 0, RecordKind.ACCOUNT, "acme", ACCOUNT).code())
                 .isEqualTo(ResultCode.SUBMISSION_UNSETTLED);
-        assertThat(commits).isEqualTo(1);
-        assertThat(table.commit(late.orElseThrow())).isTrue();
-        commit = Commit.ANSWERED;
+        assertThat(commitCount).isEqualTo(1);
+        assertThat(table.commit(delayedCommit.orElseThrow())).isTrue();
+        commitOutcome = CommitOutcome.ANSWERED;
         SubmissionResult again = submit("one", 0, RecordKind.ACCOUNT, "acme", ACCOUNT);
         assertThat(again.isAccepted()).isTrue();
         assertThat(table.log()).containsExactly(again.entry().orElseThrow());
@@ -155,33 +155,33 @@
      * again and succeeds; then the first write arrives.
      */
     @Test
-    void ofTwoWritesOfOneOperationOneTakesEffect() {
-        commit = Commit.EFFECT_AFTER_THE_DEADLINE;
+    void resubmittedOperationIsAppliedOnce() {
+        commitOutcome = CommitOutcome.APPLIED_AFTER_DEADLINE;
         submit("one", 0, RecordKind.ACCOUNT, "acme", ACCOUNT);
-        commit = Commit.ANSWERED;
+        commitOutcome = CommitOutcome.ANSWERED;
         assertThat(submit("one", 0, RecordKind.ACCOUNT, "acme", ACCOUNT).isAccepted())
                 .isTrue();
-        assertThat(table.commit(late.orElseThrow())).isFalse();
+        assertThat(table.commit(delayedCommit.orElseThrow())).isFalse();
         assertThat(table.log()).hasSize(1);
     }
 
     @Test
-    void aTableThatDoesNotAnswerIsNamedAndNothingIsWritten() {
-        commit = Commit.NO_EFFECT;
+    void unavailableTableIsReportedAndNothingIsWritten() {
+        commitOutcome = CommitOutcome.NOT_APPLIED;
         assertThat(submit("one", 0, RecordKind.ACCOUNT, "acme", ACCOUNT).code())
                 .isEqualTo(ResultCode.STORE_UNAVAILABLE);
-        assertThat(table.head()).isZero();
+        assertThat(table.headRevision()).isZero();
     }
 
     @Test
-    void anOperationIdThatWasUsedForAnotherChangeIsRefused() {
-        prepare();
+    void operationIdOfAnotherChangeIsRefused() {
+        submitInitialRecords();
         assertThat(submit("one", 4, RecordKind.ACCOUNT, "acme", "{'schemaVersion':1,'rate':9,'burst':9}")
                         .code())
                 .isEqualTo(ResultCode.OPERATION_REUSED);
         assertThat(submit("one", 4, RecordKind.ACCOUNT, "acme", ACCOUNT).isAccepted())
                 .isTrue();
-        assertThat(table.head()).isEqualTo(4);
+        assertThat(table.headRevision()).isEqualTo(4);
     }
 
     /*
@@ -189,7 +189,7 @@
      * it without a word.
      */
     @Test
-    void storedFieldsThatAreNotKnownHereAreKept() {
+    void unknownStoredFieldsAreKept() {
         String newer = "{\"schemaVersion\":1,\"rate\":1,\"burst\":1,\"region\":\"west\"}";
         RecordKey key = RecordKey.of(RecordKind.ACCOUNT, "acme");
         store(new LogEntry(1, "newer", key, Optional.of(newer)));
@@ -198,7 +198,7 @@
     }
 
     @Test
-    void aStoredRecordOfANewerSchemaVersionIsNotOverwritten() {
+    void recordWithNewerSchemaVersionIsNotOverwritten() {
         RecordKey key = RecordKey.of(RecordKind.ACCOUNT, "acme");
         store(new LogEntry(1, "newer", key, Optional.of("{\"schemaVersion\":99}")));
         assertThat(submit("change", 1, RecordKind.ACCOUNT, "acme", ACCOUNT).code())
@@ -208,7 +208,7 @@
     private void store(LogEntry entry) {
         table.commit(Transaction.empty()
                 .withWrite(ConfigurationRows.HEAD, ConfigurationRows.writeRevision(entry.revision()))
-                .withWrite(ConfigurationRows.record(entry.key()), ConfigurationRows.writeEntry(entry))
+                .withWrite(ConfigurationRows.recordKey(entry.key()), ConfigurationRows.writeEntry(entry))
                 .withWrite(ConfigurationRows.log(entry.revision()), ConfigurationRows.writeEntry(entry)));
     }
 
@@ -229,8 +229,8 @@
                     ACCOUNT    | other   | {'schemaVersion':7}                                  | SCHEMA_VERSION_UNKNOWN
                     ACCOUNT    | other   | [                                                    | RECORD_INVALID
                     """)
-    void whatIsWrongIsRefusedAndChangesNothing(RecordKind kind, String name, String body, ResultCode code) {
-        prepare();
+    void invalidSubmissionIsRefusedAndChangesNothing(RecordKind kind, String name, String body, ResultCode code) {
+        submitInitialRecords();
         String filled = body == null ? null : body.replace("%s", "0".repeat(64));
         assertThat(submit("five", 4, kind, name, filled).code()).isEqualTo(code);
         assertThat(table.log()).extracting(LogEntry::operation).isEqualTo(List.of("one", "two", "three", "four"));
--- a/coordination/src/test/java/org/geraniumreach/coordination/membership/LinkChoiceTest.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/membership/LinkSelectorTest.java
@@ -16,9 +16,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class LinkChoiceTest {
+class LinkSelectorTest {
 
-    private static final LinkChoice CHOICE = new LinkChoice(16, 3, 64, 8);
+    private static final LinkChoice SELECTOR = new LinkChoice(16, 3, 64, 8);
 
     private static Set<InstanceId> instances(String prefix, int count) {
         return IntStream.range(0, count)
@@ -32,12 +32,12 @@
      */
     @ParameterizedTest
     @CsvSource({"3,1,2", "16,1,15", "17,4,6", "100,5,6", "340,6,6"})
-    void everyEntryIsFewHopsFromEveryOther(int count, int mostHops, int mostLinks) {
+    void entriesAreConnectedWithinFewHops(int count, int mostHops, int mostLinks) {
         Set<InstanceId> entries = instances("entry-", count);
         Map<InstanceId, Set<InstanceId>> links = new TreeMap<>();
         entries.forEach(entry -> links.put(entry, new TreeSet<>()));
         for (InstanceId entry : entries) {
-            for (InstanceId other : CHOICE.entries(entry, entries)) {
+            for (InstanceId other : SELECTOR.entries(entry, entries)) {
                 assertThat(links.get(entry).add(other)).isTrue();
                 assertThat(links.get(other).add(entry)).isTrue();
             }
@@ -69,12 +69,12 @@
      * by itself. Each companion has its number of entries, and no entry many more companions than another.
      */
     @Test
-    void everyCompanionHasItsNumberOfEntries() {
+    void everyCompanionHasConfiguredNumberOfEntries() {
         Set<InstanceId> entries = instances("entry-", 340);
         Set<InstanceId> companions = instances("companion-", 760);
         Map<InstanceId, Integer> entriesOf = new HashMap<>();
         for (InstanceId entry : entries) {
-            Set<InstanceId> chosen = CHOICE.companions(entry, entries, companions);
+            Set<InstanceId> chosen = SELECTOR.companions(entry, entries, companions);
             assertThat(chosen.size()).isBetween(1, 40);
             chosen.forEach(companion -> entriesOf.merge(companion, 1, Integer::sum));
         }
@@ -83,11 +83,11 @@
     }
 
     @Test
-    void aSmallFleetLinksAllWithAll() {
+    void smallFleetIsFullyMeshed() {
         Set<InstanceId> entries = instances("entry-", 3);
         Set<InstanceId> companions = instances("companion-", 16);
         InstanceId first = InstanceId.of("entry-0");
-        assertThat(CHOICE.companions(first, entries, companions)).isEqualTo(companions);
-        assertThat(CHOICE.entries(first, entries)).hasSize(2);
+        assertThat(SELECTOR.companions(first, entries, companions)).isEqualTo(companions);
+        assertThat(SELECTOR.entries(first, entries)).hasSize(2);
     }
 }
--- a/coordination/src/test/java/org/geraniumreach/coordination/membership/MembershipTest.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/membership/MembershipTest.java
@@ -32,7 +32,7 @@
         LIST_AS_LEAVING,
         DROP_FROM_LIST,
         OPEN,
-        OPEN_ANEW,
+        OPEN_NEW_INCARNATION,
         CLOSE,
         LEAVE
     }
@@ -44,7 +44,7 @@
      * and close, processes say that they leave and are replaced under the same name.
      */
     @Property(tries = 3000, seed = "5")
-    void whoTakesWorkIsLinkedAndHasNotLeft(@ForAll("events") List<Event> events) {
+    void onlyLinkedMembersThatAreNotLeavingAcceptWork(@ForAll("events") List<Event> events) {
         Membership membership = new Membership(SELF);
         Map<InstanceId, ListedMember> list = new HashMap<>();
         Map<InstanceId, Long> open = new HashMap<>();
@@ -58,7 +58,7 @@
                 case LIST_AS_LEAVING -> list.put(instance, listed(instance, true));
                 case DROP_FROM_LIST -> list.remove(instance);
                 case OPEN -> open.put(instance, incarnation);
-                case OPEN_ANEW -> {
+                case OPEN_NEW_INCARNATION -> {
                     incarnations.put(instance, incarnation + 1);
                     open.put(instance, incarnation + 1);
                 }
@@ -66,7 +66,7 @@
                 case LEAVE -> left.add(List.of(instance, incarnation));
                 default -> throw new IllegalStateException("unhandled " + event.kind());
             }
-            tell(membership, event, incarnations.getOrDefault(instance, 1L), list);
+            applyEvent(membership, event, incarnations.getOrDefault(instance, 1L), list);
             for (Member member : membership.view().members()) {
                 boolean leaves = list.containsKey(member.instance())
                         && list.get(member.instance()).leaving();
@@ -77,9 +77,10 @@
         }
     }
 
-    private static void tell(Membership membership, Event event, long incarnation, Map<InstanceId, ListedMember> list) {
+    private static void applyEvent(
+            Membership membership, Event event, long incarnation, Map<InstanceId, ListedMember> list) {
         switch (event.kind()) {
-            case OPEN, OPEN_ANEW -> membership.opened(linked(event.instance(), incarnation));
+            case OPEN, OPEN_NEW_INCARNATION -> membership.opened(linked(event.instance(), incarnation));
             case CLOSE -> membership.closed(event.instance());
             case LEAVE -> membership.left(event.instance(), incarnation);
             default -> {
@@ -105,7 +106,7 @@
      * seconds, and the link to it is opened again.
      */
     @Test
-    void aLateListDoesNotBringALeftProcessBack() {
+    void staleListDoesNotRestoreLeavingProcess() {
         Membership membership = new Membership(SELF);
         membership.listed(List.of(listed(COMPANION, false)));
         membership.opened(linked(COMPANION, 7));
@@ -120,7 +121,7 @@
     }
 
     @Test
-    void anInstanceThatTheListHasDroppedTakesNoWorkAndOneThatItDoesNotShowYetDoes() {
+    void instanceDroppedFromListGetsNoWorkButUnlistedInstanceDoes() {
         Membership membership = new Membership(SELF);
         membership.opened(linked(COMPANION, 7));
         assertThat(membership.view().companionsForWork()).hasSize(1);
@@ -130,7 +131,7 @@
     }
 
     @Test
-    void anEmptyListIsPassedOver() {
+    void emptyListIsIgnored() {
         Membership membership = new Membership(SELF);
         membership.listed(List.of(listed(COMPANION, false)));
         membership.opened(linked(COMPANION, 7));
--- a/model/src/main/java/org/geraniumreach/model/KeyDigest.java
+++ b/model/src/main/java/org/geraniumreach/model/KeyDigest.java
@@ -19,7 +19,7 @@
 public final class KeyDigest {
 
     private static final Pattern HEXADECIMAL = Pattern.compile("[0-9a-f]{64}");
-    private static final int BYTES = 32;
+    private static final int LENGTH_BYTES = 32;
 
     private final byte[] bytes;
 
@@ -49,8 +49,8 @@
         if (!HEXADECIMAL.matcher(text).matches()) {
             throw new IllegalArgumentException("a key digest is 64 lower-case hexadecimal digits");
         }
-        byte[] bytes = new byte[BYTES];
-        for (int index = 0; index < BYTES; index++) {
+        byte[] bytes = new byte[LENGTH_BYTES];
+        for (int index = 0; index < LENGTH_BYTES; index++) {
             bytes[index] = (byte) Integer.parseInt(text.substring(2 * index, 2 * index + 2), 16);
         }
         return new KeyDigest(bytes);
@@ -64,7 +64,7 @@
      * @throws IllegalArgumentException if there are not 32 bytes
      */
     public static KeyDigest ofBytes(byte[] bytes) {
-        if (bytes.length != BYTES) {
+        if (bytes.length != LENGTH_BYTES) {
             throw new IllegalArgumentException("a key digest has 32 bytes, not " + bytes.length);
         }
         return new KeyDigest(bytes.clone());
--- a/model/src/main/java/org/geraniumreach/model/Names.java
+++ b/model/src/main/java/org/geraniumreach/model/Names.java
@@ -14,7 +14,8 @@
     /** The greatest number of characters in a name. */
     public static final int MAXIMUM_LENGTH = 120;
 
-    private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0," + (MAXIMUM_LENGTH - 1) + "}");
+    private static final Pattern NAME_PATTERN =
+            Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0," + (MAXIMUM_LENGTH - 1) + "}");
 
     private Names() {}
 
@@ -25,7 +26,7 @@
      * @return true if it is valid
      */
     public static boolean isName(String value) {
-        return value != null && NAME.matcher(value).matches();
+        return value != null && NAME_PATTERN.matcher(value).matches();
     }
 
     /**
--- a/model/src/main/java/org/geraniumreach/model/ServingException.java
+++ b/model/src/main/java/org/geraniumreach/model/ServingException.java
@@ -13,13 +13,13 @@
 public final class ServingException extends Exception {
 
     private final ResultCode code;
-    private final Ran ran;
+    private final Ran executionStatus;
     private final Duration retryAfter;
 
     private ServingException(ResultCode code, Ran ran, String message, Duration retryAfter, Throwable cause) {
         super(message, cause);
         this.code = Objects.requireNonNull(code, "code");
-        this.ran = Objects.requireNonNull(ran, "ran");
+        this.executionStatus = Objects.requireNonNull(ran, "ran");
         this.retryAfter = retryAfter;
     }
 
@@ -53,7 +53,8 @@
      * @return the copy, not null
      */
     public ServingException withRetryAfter(Duration delay) {
-        return new ServingException(code, ran, getMessage(), Objects.requireNonNull(delay, "delay"), getCause());
+        return new ServingException(
+                code, executionStatus, getMessage(), Objects.requireNonNull(delay, "delay"), getCause());
     }
 
     /**
@@ -73,7 +74,7 @@
      * @return the copy, not null
      */
     public ServingException withCause(Throwable cause) {
-        return new ServingException(code, ran, getMessage(), retryAfter, cause);
+        return new ServingException(code, executionStatus, getMessage(), retryAfter, cause);
     }
 
     public ResultCode code() {
@@ -81,7 +82,7 @@
     }
 
     public Ran ran() {
-        return ran;
+        return executionStatus;
     }
 
     /**
--- a/model/src/main/java/org/geraniumreach/model/record/Configuration.java
+++ b/model/src/main/java/org/geraniumreach/model/record/Configuration.java
@@ -136,11 +136,11 @@
     }
 
     public Optional<ClientAccount> account(AccountId id) {
-        return Optional.ofNullable(index.accounts.get(id));
+        return Optional.ofNullable(index.accountsById.get(id));
     }
 
     public Collection<ClientAccount> accounts() {
-        return Collections.unmodifiableCollection(index.accounts.values());
+        return Collections.unmodifiableCollection(index.accountsById.values());
     }
 
     /**
@@ -150,9 +150,9 @@
      * @return the key, or empty if it is unknown, withdrawn, or its account is
      */
     public Optional<AccessKey> key(KeyDigest digest) {
-        return index.keys.getOrDefault(digest, List.of()).stream()
+        return index.keysByDigest.getOrDefault(digest, List.of()).stream()
                 .findFirst()
-                .filter(key -> index.accounts.containsKey(key.account()));
+                .filter(key -> index.accountsById.containsKey(key.account()));
     }
 
     /**
@@ -161,13 +161,13 @@
      * @return the digests, not null
      */
     public Set<KeyDigest> keyDigests() {
-        Set<KeyDigest> digests = new HashSet<>(index.keys.keySet());
+        Set<KeyDigest> digests = new HashSet<>(index.keysByDigest.keySet());
         digests.removeIf(digest -> key(digest).isEmpty());
         return digests;
     }
 
     public Optional<Adapter> adapter(String name) {
-        return Optional.ofNullable(index.adapters.get(name));
+        return Optional.ofNullable(index.adaptersByName.get(name));
     }
 
     /**
@@ -209,15 +209,15 @@
     }
 
     public Optional<Target> target(TargetId id) {
-        return Optional.ofNullable(index.targets.get(id));
+        return Optional.ofNullable(index.targetsById.get(id));
     }
 
     public Collection<Target> targets() {
-        return Collections.unmodifiableCollection(index.targets.values());
+        return Collections.unmodifiableCollection(index.targetsById.values());
     }
 
     public Optional<Service> service(ServiceName name) {
-        return Optional.ofNullable(index.services.get(name));
+        return Optional.ofNullable(index.servicesByName.get(name));
     }
 
     /**
@@ -226,6 +226,6 @@
      * @return the records and reasons, unmodifiable, not null
      */
     public Map<RecordKey, String> unreadable() {
-        return Collections.unmodifiableMap(index.unreadable);
+        return Collections.unmodifiableMap(index.unreadableReasons);
     }
 }
--- a/model/src/main/java/org/geraniumreach/model/record/ConfigurationIndex.java
+++ b/model/src/main/java/org/geraniumreach/model/record/ConfigurationIndex.java
@@ -24,46 +24,46 @@
  */
 final class ConfigurationIndex {
 
-    final Map<AccountId, ClientAccount> accounts;
+    final Map<AccountId, ClientAccount> accountsById;
     /** The keys of each digest in the order of their names; the first is the one that counts. */
-    final Map<KeyDigest, List<AccessKey>> keys;
+    final Map<KeyDigest, List<AccessKey>> keysByDigest;
 
-    final Map<String, Adapter> adapters;
+    final Map<String, Adapter> adaptersByName;
     /** For each client account the adapters assigned to it, each with the number of assignments that name it. */
-    final Map<AccountId, Map<String, Integer>> assigned;
+    final Map<AccountId, Map<String, Integer>> adapterCountsByAccount;
 
-    final Map<TargetId, Target> targets;
-    final Map<ServiceName, Service> services;
-    final Map<RecordKey, String> unreadable;
+    final Map<TargetId, Target> targetsById;
+    final Map<ServiceName, Service> servicesByName;
+    final Map<RecordKey, String> unreadableReasons;
 
     private final Map<String, AccessKey> keysByName;
     private final Map<String, Assignment> assignmentsByName;
 
-    /** The accounts whose map in {@link #assigned} is this index's own, and not shared with the one it was copied from. */
+    /** The accounts whose map in {@link #adapterCountsByAccount} is this index's own, and not shared with the one it was copied from. */
     private final Set<AccountId> ownedAssignments = new HashSet<>();
 
     ConfigurationIndex() {
-        accounts = new HashMap<>();
-        keys = new HashMap<>();
-        adapters = new HashMap<>();
-        assigned = new HashMap<>();
-        targets = new HashMap<>();
-        services = new HashMap<>();
-        unreadable = new HashMap<>();
+        accountsById = new HashMap<>();
+        keysByDigest = new HashMap<>();
+        adaptersByName = new HashMap<>();
+        adapterCountsByAccount = new HashMap<>();
+        targetsById = new HashMap<>();
+        servicesByName = new HashMap<>();
+        unreadableReasons = new HashMap<>();
         keysByName = new HashMap<>();
         assignmentsByName = new HashMap<>();
     }
 
     private ConfigurationIndex(ConfigurationIndex from, Set<RecordKind> changing) {
-        accounts = copyIf(changing.contains(RecordKind.ACCOUNT), from.accounts);
-        keys = copyIf(changing.contains(RecordKind.KEY), from.keys);
+        accountsById = copyIf(changing.contains(RecordKind.ACCOUNT), from.accountsById);
+        keysByDigest = copyIf(changing.contains(RecordKind.KEY), from.keysByDigest);
         keysByName = copyIf(changing.contains(RecordKind.KEY), from.keysByName);
-        adapters = copyIf(changing.contains(RecordKind.ADAPTER), from.adapters);
-        assigned = copyIf(changing.contains(RecordKind.ASSIGNMENT), from.assigned);
+        adaptersByName = copyIf(changing.contains(RecordKind.ADAPTER), from.adaptersByName);
+        adapterCountsByAccount = copyIf(changing.contains(RecordKind.ASSIGNMENT), from.adapterCountsByAccount);
         assignmentsByName = copyIf(changing.contains(RecordKind.ASSIGNMENT), from.assignmentsByName);
-        targets = copyIf(changing.contains(RecordKind.TARGET), from.targets);
-        services = copyIf(changing.contains(RecordKind.SERVICE), from.services);
-        unreadable = new HashMap<>(from.unreadable);
+        targetsById = copyIf(changing.contains(RecordKind.TARGET), from.targetsById);
+        servicesByName = copyIf(changing.contains(RecordKind.SERVICE), from.servicesByName);
+        unreadableReasons = new HashMap<>(from.unreadableReasons);
     }
 
     private static <K, V> Map<K, V> copyIf(boolean changes, Map<K, V> map) {
@@ -91,17 +91,17 @@
         try {
             JsonNode record = RecordReader.parse(entry.body().orElseThrow());
             switch (entry.key().kind()) {
-                case ACCOUNT -> accounts.put(AccountId.of(name), RecordReader.account(name, record));
+                case ACCOUNT -> accountsById.put(AccountId.of(name), RecordReader.account(name, record));
                 case KEY -> addKey(RecordReader.key(name, record));
-                case ADAPTER -> adapters.put(name, RecordReader.adapter(name, record));
+                case ADAPTER -> adaptersByName.put(name, RecordReader.adapter(name, record));
                 case ASSIGNMENT -> addAssignment(RecordReader.assignment(name, record));
-                case TARGET -> targets.put(TargetId.of(name), RecordReader.target(name, record));
-                case SERVICE -> services.put(ServiceName.of(name), RecordReader.service(name, record));
+                case TARGET -> targetsById.put(TargetId.of(name), RecordReader.target(name, record));
+                case SERVICE -> servicesByName.put(ServiceName.of(name), RecordReader.service(name, record));
                 default -> throw new IllegalStateException(
                         "unhandled kind " + entry.key().kind());
             }
         } catch (RecordException invalid) {
-            unreadable.put(entry.key(), invalid.getMessage());
+            unreadableReasons.put(entry.key(), invalid.getMessage());
         }
     }
 
@@ -111,25 +111,25 @@
      * @param key the record, not null
      */
     void remove(RecordKey key) {
-        unreadable.remove(key);
+        unreadableReasons.remove(key);
         String name = key.name();
         switch (key.kind()) {
-            case ACCOUNT -> accounts.remove(AccountId.of(name));
+            case ACCOUNT -> accountsById.remove(AccountId.of(name));
             case KEY -> removeKey(name);
-            case ADAPTER -> adapters.remove(name);
+            case ADAPTER -> adaptersByName.remove(name);
             case ASSIGNMENT -> removeAssignment(name);
-            case TARGET -> targets.remove(TargetId.of(name));
-            case SERVICE -> services.remove(ServiceName.of(name));
+            case TARGET -> targetsById.remove(TargetId.of(name));
+            case SERVICE -> servicesByName.remove(ServiceName.of(name));
             default -> throw new IllegalStateException("unhandled kind " + key.kind());
         }
     }
 
     private void addKey(AccessKey key) {
         keysByName.put(key.name(), key);
-        List<AccessKey> same = new ArrayList<>(keys.getOrDefault(key.digest(), List.of()));
+        List<AccessKey> same = new ArrayList<>(keysByDigest.getOrDefault(key.digest(), List.of()));
         same.add(key);
         same.sort(Comparator.comparing(AccessKey::name));
-        keys.put(key.digest(), List.copyOf(same));
+        keysByDigest.put(key.digest(), List.copyOf(same));
     }
 
     private void removeKey(String name) {
@@ -137,13 +137,13 @@
         if (removed == null) {
             return;
         }
-        List<AccessKey> rest = keys.get(removed.digest()).stream()
+        List<AccessKey> rest = keysByDigest.get(removed.digest()).stream()
                 .filter(key -> !key.name().equals(name))
                 .toList();
         if (rest.isEmpty()) {
-            keys.remove(removed.digest());
+            keysByDigest.remove(removed.digest());
         } else {
-            keys.put(removed.digest(), rest);
+            keysByDigest.put(removed.digest(), rest);
         }
     }
 
@@ -165,9 +165,9 @@
 
     private Map<String, Integer> ownedAssignmentsOf(AccountId account) {
         if (ownedAssignments.add(account)) {
-            assigned.put(account, new HashMap<>(assigned.getOrDefault(account, Map.of())));
+            adapterCountsByAccount.put(account, new HashMap<>(adapterCountsByAccount.getOrDefault(account, Map.of())));
         }
-        return assigned.get(account);
+        return adapterCountsByAccount.get(account);
     }
 
     /**
@@ -177,6 +177,6 @@
      * @return the adapters' names, not null
      */
     Set<String> assignedTo(AccountId account) {
-        return assigned.getOrDefault(account, Map.of()).keySet();
+        return adapterCountsByAccount.getOrDefault(account, Map.of()).keySet();
     }
 }
--- a/model/src/main/java/org/geraniumreach/model/record/RecordReader.java
+++ b/model/src/main/java/org/geraniumreach/model/record/RecordReader.java
@@ -36,7 +36,7 @@
     private static final ObjectMapper MAPPER =
             new ObjectMapper().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
-    private static final Map<String, Set<String>> FIELDS = Map.of(
+    private static final Map<String, Set<String>> FIELDS_BY_KIND_AND_VERSION = Map.of(
             "account1", Set.of("rate", "burst"),
             "account2", Set.of("tokensPerSecond", "burstTokens", "priority"),
             "key1", Set.of("account", "digest"),
@@ -79,7 +79,7 @@
     public static void requireNoUnknownFields(RecordKind kind, JsonNode record) throws RecordException {
         List<String> unknown = unknownFields(kind, record);
         if (!unknown.isEmpty()) {
-            Set<String> known = FIELDS.get(kind.label() + schemaVersion(record));
+            Set<String> known = FIELDS_BY_KIND_AND_VERSION.get(kind.label() + schemaVersion(record));
             throw RecordException.invalid(
                     unknown.get(0),
                     "unknown field; known are " + known.stream().sorted().toList());
@@ -95,8 +95,8 @@
      * @throws RecordException if the schema version is not known
      */
     public static List<String> unknownFields(RecordKind kind, JsonNode record) throws RecordException {
-        Set<String> known = FIELDS.get(kind.label() + requireKnownVersion(kind, record));
-        List<String> unknown = iterable(record);
+        Set<String> known = FIELDS_BY_KIND_AND_VERSION.get(kind.label() + requireKnownVersion(kind, record));
+        List<String> unknown = fieldNames(record);
         unknown.removeIf(field -> field.equals(SCHEMA_VERSION) || known.contains(field));
         return unknown;
     }
@@ -111,11 +111,11 @@
      */
     public static ClientAccount account(String name, JsonNode record) throws RecordException {
         boolean first = requireKnownVersion(RecordKind.ACCOUNT, record) == 1;
-        long rate = positive(record, first ? "rate" : "tokensPerSecond");
-        long burst = positive(record, first ? "burst" : "burstTokens");
+        long rate = requirePositive(record, first ? "rate" : "tokensPerSecond");
+        long burst = requirePositive(record, first ? "burst" : "burstTokens");
         int priority = first || !record.has("priority")
                 ? ClientAccount.DEFAULT_PRIORITY
-                : (int) within(record, "priority", 0, ClientAccount.HIGHEST_PRIORITY);
+                : (int) requireInRange(record, "priority", 0, ClientAccount.HIGHEST_PRIORITY);
         return new ClientAccount(AccountId.of(name), rate, burst, priority);
     }
 
@@ -129,8 +129,8 @@
      */
     public static AccessKey key(String name, JsonNode record) throws RecordException {
         requireKnownVersion(RecordKind.KEY, record);
-        AccountId account = named(record, "account", AccountId::of);
-        return new AccessKey(name, account, named(record, "digest", KeyDigest::ofHexadecimal));
+        AccountId account = parseText(record, "account", AccountId::of);
+        return new AccessKey(name, account, parseText(record, "digest", KeyDigest::ofHexadecimal));
     }
 
     /**
@@ -143,7 +143,7 @@
      */
     public static Adapter adapter(String name, JsonNode record) throws RecordException {
         requireKnownVersion(RecordKind.ADAPTER, record);
-        return new Adapter(name, name(record, "baseModel"), names(record, "versions"));
+        return new Adapter(name, requireNameField(record, "baseModel"), requireNameList(record, "versions"));
     }
 
     /**
@@ -156,8 +156,9 @@
      */
     public static Assignment assignment(String name, JsonNode record) throws RecordException {
         boolean first = requireKnownVersion(RecordKind.ASSIGNMENT, record) == 1;
-        AccountId account = named(record, "account", AccountId::of);
-        Set<String> adapters = first ? Set.of(name(record, "adapter")) : names(record, "adapters");
+        AccountId account = parseText(record, "account", AccountId::of);
+        Set<String> adapters =
+                first ? Set.of(requireNameField(record, "adapter")) : requireNameList(record, "adapters");
         return new Assignment(name, account, adapters);
     }
 
@@ -172,15 +173,15 @@
     public static Target target(String name, JsonNode record) throws RecordException {
         requireKnownVersion(RecordKind.TARGET, record);
         Optional<String> baseModel =
-                record.has("baseModel") ? Optional.of(name(record, "baseModel")) : Optional.empty();
+                record.has("baseModel") ? Optional.of(requireNameField(record, "baseModel")) : Optional.empty();
         Optional<ServiceName> service =
-                record.has("service") ? Optional.of(named(record, "service", ServiceName::of)) : Optional.empty();
+                record.has("service") ? Optional.of(parseText(record, "service", ServiceName::of)) : Optional.empty();
         if (baseModel.isPresent() == service.isPresent()) {
             throw RecordException.invalid("baseModel", "a target has either a baseModel or a service");
         }
-        int slots = baseModel.isPresent() ? (int) within(record, "slots", 1, 100_000) : 0;
-        FailureDomain domain = named(record, "failureDomain", FailureDomain::of);
-        return new Target(TargetId.of(name), domain, baseModel, service, slots, truth(record, "checksFence"));
+        int slots = baseModel.isPresent() ? (int) requireInRange(record, "slots", 1, 100_000) : 0;
+        FailureDomain domain = parseText(record, "failureDomain", FailureDomain::of);
+        return new Target(TargetId.of(name), domain, baseModel, service, slots, requireBoolean(record, "checksFence"));
     }
 
     /**
@@ -198,13 +199,15 @@
             throw RecordException.invalid("operations", "must be an object with at least one operation");
         }
         Map<String, Service.Operation> read = new LinkedHashMap<>();
-        for (String operation : iterable(operations)) {
+        for (String operation : fieldNames(operations)) {
             JsonNode node = operations.get(operation);
             requireName("operations." + operation, operation);
             if (!node.isObject()) {
                 throw RecordException.invalid("operations." + operation, "must be an object");
             }
-            read.put(operation, new Service.Operation(truth(node, "repeatable"), positive(node, "tokens")));
+            read.put(
+                    operation,
+                    new Service.Operation(requireBoolean(node, "repeatable"), requirePositive(node, "tokens")));
         }
         return new Service(ServiceName.of(name), read);
     }
@@ -241,14 +244,15 @@
     }
 
     private static int schemaVersion(JsonNode record) throws RecordException {
-        return (int) within(record, SCHEMA_VERSION, 1, Integer.MAX_VALUE);
+        return (int) requireInRange(record, SCHEMA_VERSION, 1, Integer.MAX_VALUE);
     }
 
-    private static long positive(JsonNode record, String field) throws RecordException {
-        return within(record, field, 1, 1_000_000_000_000L);
+    private static long requirePositive(JsonNode record, String field) throws RecordException {
+        return requireInRange(record, field, 1, 1_000_000_000_000L);
     }
 
-    private static long within(JsonNode record, String field, long least, long greatest) throws RecordException {
+    private static long requireInRange(JsonNode record, String field, long least, long greatest)
+            throws RecordException {
         JsonNode node = record.path(field);
         if (!node.isIntegralNumber() || !node.canConvertToLong()) {
             throw RecordException.invalid(field, "must be a whole number from " + least + " to " + greatest);
@@ -260,7 +264,7 @@
         return value;
     }
 
-    private static boolean truth(JsonNode record, String field) throws RecordException {
+    private static boolean requireBoolean(JsonNode record, String field) throws RecordException {
         JsonNode node = record.path(field);
         if (!node.isBoolean()) {
             throw RecordException.invalid(field, "must be true or false");
@@ -268,7 +272,7 @@
         return node.booleanValue();
     }
 
-    private static String text(JsonNode record, String field) throws RecordException {
+    private static String requireText(JsonNode record, String field) throws RecordException {
         JsonNode node = record.path(field);
         if (!node.isTextual()) {
             throw RecordException.invalid(field, "must be text");
@@ -276,8 +280,8 @@
         return node.textValue();
     }
 
-    private static <T> T named(JsonNode record, String field, Function<String, T> factory) throws RecordException {
-        String text = text(record, field);
+    private static <T> T parseText(JsonNode record, String field, Function<String, T> factory) throws RecordException {
+        String text = requireText(record, field);
         try {
             return factory.apply(text);
         } catch (IllegalArgumentException invalid) {
@@ -285,13 +289,13 @@
         }
     }
 
-    private static String name(JsonNode record, String field) throws RecordException {
-        String text = text(record, field);
+    private static String requireNameField(JsonNode record, String field) throws RecordException {
+        String text = requireText(record, field);
         requireName(field, text);
         return text;
     }
 
-    private static Set<String> names(JsonNode record, String field) throws RecordException {
+    private static Set<String> requireNameList(JsonNode record, String field) throws RecordException {
         JsonNode node = record.path(field);
         if (!node.isArray() || node.isEmpty()) {
             throw RecordException.invalid(field, "must be a list with at least one name");
@@ -310,7 +314,7 @@
         }
     }
 
-    private static List<String> iterable(JsonNode node) {
+    private static List<String> fieldNames(JsonNode node) {
         List<String> names = new ArrayList<>();
         node.fieldNames().forEachRemaining(names::add);
         return names;
--- a/model/src/test/java/org/geraniumreach/model/AdapterReferenceTest.java
+++ b/model/src/test/java/org/geraniumreach/model/AdapterReferenceTest.java
@@ -11,12 +11,12 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "a", "@", "a@", "@1", "a@1@2", "a b@1", "a@1/../x", "é@1"})
-    void parseAnswersEmptyForWhatIsNotAdapterAndVersion(String text) {
+    void parseReturnsEmptyForInvalidReference(String text) {
         assertThat(AdapterReference.parse(text)).isEmpty();
     }
 
     @Property(seed = "1")
-    void parseNeverThrowsAndWhatItReadsPrintsTheSame(@ForAll String text) {
+    void parsedReferencePrintsItsInput(@ForAll String text) {
         AdapterReference.parse(text)
                 .ifPresent(reference -> assertThat(reference).hasToString(text));
     }
--- a/model/src/test/java/org/geraniumreach/model/EventCodeTest.java
+++ b/model/src/test/java/org/geraniumreach/model/EventCodeTest.java
@@ -15,7 +15,7 @@
     private static final Path PAGE = Path.of("..", "docs", "EVENTS.md");
 
     @Test
-    void thePageHasOneRowForEachEvent() throws IOException {
+    void documentationListsEveryEvent() throws IOException {
         List<String> rows = Files.readAllLines(PAGE).stream()
                 .filter(line -> line.matches("\\| \\d+ .*"))
                 .toList();
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void noNumberIsGivenTwice() {
+    void numbersAreUnique() {
         assertThat(EventCode.values()).extracting(EventCode::number).doesNotHaveDuplicates();
     }
 }
--- a/model/src/test/java/org/geraniumreach/model/KeyDigestTest.java
+++ b/model/src/test/java/org/geraniumreach/model/KeyDigestTest.java
@@ -10,20 +10,20 @@
 class KeyDigestTest {
 
     @Test
-    void aDigestIsReadBackFromItsTextAndItsBytes() {
+    void digestRoundTripsThroughTextAndBytes() {
         KeyDigest digest = KeyDigest.ofSecret("secret");
         assertThat(KeyDigest.ofHexadecimal(digest.toHexadecimal())).isEqualTo(digest);
         assertThat(KeyDigest.ofBytes(digest.toBytes())).isEqualTo(digest);
     }
 
     @Test
-    void printingADigestTellsNothingOfIt() {
+    void toStringHidesDigest() {
         assertThat(KeyDigest.ofSecret("secret").toString()).isEqualTo("KeyDigest[hidden]");
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "ab", "ZZ"})
-    void whatIsNotADigestIsRefusedWithoutRepeatingIt(String text) {
+    void invalidDigestIsRefusedWithoutRepeatingIt(String text) {
         assertThatThrownBy(() -> KeyDigest.ofHexadecimal(text))
                 .isInstanceOf(IllegalArgumentException.class)
                 .hasMessage("a key digest is 64 lower-case hexadecimal digits");
--- a/model/src/test/java/org/geraniumreach/model/ResultCodeTest.java
+++ b/model/src/test/java/org/geraniumreach/model/ResultCodeTest.java
@@ -15,7 +15,7 @@
     private static final Path PAGE = Path.of("..", "docs", "RESULT-CODES.md");
 
     @Test
-    void thePageHasOneRowForEachCode() throws IOException {
+    void documentationListsEveryCode() throws IOException {
         List<String> rows = Files.readAllLines(PAGE).stream()
                 .filter(line -> line.matches("\\| \\d+ .*"))
                 .toList();
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void noNumberIsGivenTwice() {
+    void numbersAreUnique() {
         assertThat(ResultCode.values()).extracting(ResultCode::number).doesNotHaveDuplicates();
     }
 }
--- a/model/src/test/java/org/geraniumreach/model/record/ConfigurationTest.java
+++ b/model/src/test/java/org/geraniumreach/model/record/ConfigurationTest.java
@@ -30,7 +30,7 @@
      * led there. What a chain of changes answers must equal what a snapshot of the same records answers.
      */
     @Property(tries = 2000, seed = "2")
-    void changesGiveTheSameAnswersAsASnapshotOfTheirOutcome(@ForAll("changes") List<Change> changes) {
+    void incrementalChangesMatchSnapshot(@ForAll("changes") List<Change> changes) {
         Configuration stepwise = Configuration.empty();
         List<LogEntry> all = new ArrayList<>();
         for (Change change : changes) {
@@ -40,10 +40,10 @@
         }
         Configuration atOnce = Configuration.empty().plus(all);
         Configuration snapshot = Configuration.ofSnapshot(stepwise.revision(), stepwise.entries());
-        assertThat(answers(stepwise)).isEqualTo(answers(snapshot)).isEqualTo(answers(atOnce));
+        assertThat(queryAll(stepwise)).isEqualTo(queryAll(snapshot)).isEqualTo(queryAll(atOnce));
     }
 
-    private static List<Object> answers(Configuration configuration) {
+    private static List<Object> queryAll(Configuration configuration) {
         List<Object> answers = new ArrayList<>();
         answers.add(configuration.revision());
         answers.add(configuration.unreadable());
--- a/model/src/test/java/org/geraniumreach/model/record/RecordReaderTest.java
+++ b/model/src/test/java/org/geraniumreach/model/record/RecordReaderTest.java
@@ -20,7 +20,7 @@
         "{\"schemaVersion\":1,\"failureDomain\":\"d\",\"service\":\"s\",\"checksFence\":true}",
         "{\"schemaVersion\":1,\"operations\":{\"book\":{\"repeatable\":false,\"tokens\":1}}}"
     };
-    private static final String PIECES =
+    private static final String FRAGMENTS =
             "{\"schemaVersion\":99999999999,[null,true,-1,1e999,0.5,\"\\u0000\\ud800\",{}],\"rate\":\"5\"}\0 //x";
 
     /*
@@ -28,12 +28,12 @@
      * log. Whatever stands in a record, reading it gives a value or the checked exception with a code of submissions.
      */
     @Property(tries = 20_000, seed = "7")
-    void noTextThrowsAnythingButTheCheckedException(@ForAll long seed) {
+    void malformedRecordsThrowOnlyRecordException(@ForAll long seed) {
         Random random = new Random(seed);
         StringBuilder text = new StringBuilder(RECORDS[random.nextInt(RECORDS.length)]);
         for (int change = 0; change < random.nextInt(4); change++) {
-            int from = random.nextInt(PIECES.length());
-            String piece = PIECES.substring(from, Math.min(PIECES.length(), from + random.nextInt(10)));
+            int from = random.nextInt(FRAGMENTS.length());
+            String piece = FRAGMENTS.substring(from, Math.min(FRAGMENTS.length(), from + random.nextInt(10)));
             int at = random.nextInt(text.length() + 1);
             text.replace(at, Math.min(text.length(), at + random.nextInt(8)), piece);
         }
