--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/Compaction.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/Compaction.java
@@ -11,15 +11,16 @@
 import org.geraniumreach.model.table.Transaction;
 
 /**
- * Plans how snapshots in the table keep the log short, so that a fresh instance does not read every change ever made.
+ * Plans the transactions that write snapshots to the table and delete the log entries they cover, so that a new instance
+ * need not read the whole log.
  *
- * <p>Invariants: the parts of a snapshot depend on the revision alone, so two instances that write the same one at the same
- * time write the same rows; the snapshot's place is written after its parts; only changes that the newest snapshot holds are
- * deleted. Stateless and safe for use by several threads.
+ * <p>Invariants: the parts of a snapshot depend on its revision alone, so instances that write the same snapshot
+ * concurrently write the same rows; the row that points to a snapshot is written after its parts; only changes that the
+ * newest snapshot contains are deleted. Stateless and safe for use by several threads.
  */
 public final class Compaction {
 
-    /** The number of changes that are kept for the history at least. */
+    /** The minimum number of changes that are retained as history. */
     public static final int MIN_RETAINED_CHANGES = 10_000;
 
     private static final int RECORDS_PER_PART = 200;
@@ -28,22 +29,22 @@
     private Compaction() {}
 
     /**
-     * Queries whether a new snapshot is due.
+     * Checks whether a new snapshot is due.
      *
-     * @param revision the revision in force
+     * @param revision the current revision
      * @param newest the newest snapshot in the table, if there is one, not null
-     * @param changes after how many changes one is due
-     * @return true if it is
+     * @param changes the number of changes after which a snapshot is due
+     * @return true if a snapshot is due
      */
     public static boolean isDue(long revision, Optional<SnapshotPlace> newest, int changes) {
         return revision - newest.map(SnapshotPlace::revision).orElse(0L) >= changes;
     }
 
     /**
-     * Plans the writing of a snapshot's parts.
+     * Plans the transactions that write the parts of a snapshot.
      *
-     * @param configuration what the snapshot holds, not null
-     * @return the transactions, one for each part, not null
+     * @param configuration the configuration to write, not null
+     * @return the transactions, one per part, not null
      */
     public static List<Transaction> writeParts(Configuration configuration) {
         List<LogEntry> records = new ArrayList<>(configuration.entries());
@@ -60,22 +61,22 @@
     }
 
     /**
-     * Plans the writing of a snapshot's place.
+     * Plans the transaction that points the snapshot row to a new snapshot.
      *
-     * @param rowVersion the version of the place's row that was read, which must not have changed since
-     * @param place the place, not null
+     * @param rowVersion the version of the snapshot row as read; the transaction requires that it is unchanged
+     * @param pointer the new content, not null
      * @return the transaction, not null
      */
-    public static Transaction writePlace(long rowVersion, SnapshotPlace place) {
+    public static Transaction writePlace(long rowVersion, SnapshotPlace pointer) {
         return Transaction.empty()
                 .withCondition(ConfigurationRows.SNAPSHOT, rowVersion)
-                .withWrite(ConfigurationRows.SNAPSHOT, ConfigurationRows.writePointer(place));
+                .withWrite(ConfigurationRows.SNAPSHOT, ConfigurationRows.writePointer(pointer));
     }
 
     /**
-     * Plans the deletion of a snapshot that a newer one has replaced.
+     * Plans the transactions that delete a snapshot that a newer one has replaced.
      *
-     * @param old the snapshot, not null
+     * @param old the replaced snapshot, not null
      * @return the transactions, not null
      */
     public static List<Transaction> deleteParts(SnapshotPlace old) {
@@ -87,7 +88,7 @@
     }
 
     /**
-     * Plans the deletion of changes that a snapshot holds and that are too old for the history.
+     * Plans the transactions that delete changes that a snapshot contains and that exceed the retained history.
      *
      * @param oldest the oldest changes in the log, not null
      * @param snapshotRevision the revision of the newest snapshot
@@ -105,7 +106,7 @@
         return deletions.transactions();
     }
 
-    /** Joins small transactions into a few. */
+    /** Combines deletions into transactions of limited size. */
     private static final class DeletionBatcher {
 
         private final List<Transaction> transactions = new ArrayList<>();
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/ConfigurationNode.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/ConfigurationNode.java
@@ -17,15 +17,16 @@
 import org.geraniumreach.model.record.LogEntry;
 
 /**
- * Keeps one instance's configuration up to date and knows how current it is.
+ * Replicates the configuration to one instance and determines how long it counts as current.
  *
- * <p>A few entries poll the table; the others hear of changes and confirmations from the peers that they have links with,
- * hand them on, and poll for themselves only when nothing came for two periods. What a link lost is sent again when the
- * next note shows the difference; what no peer can give comes from the table, and while that is down from a peer's snapshot.
+ * <p>A few entries poll the table. The other instances receive changes and confirmations from their linked peers, forward
+ * them, and poll the table themselves only if no confirmation arrived for two periods. Messages lost by a link are sent
+ * again when the next heartbeat shows the difference. Changes that no peer can send are read from the table, or taken from
+ * a peer's snapshot while the table is unavailable.
  *
- * <p>Invariants: the revision of {@link #configuration} never falls, and its content is that of the log at that revision;
- * at a time before {@link #freshUntil} it holds every change that was called accepted more than the freshness limit ago.
- * Each call takes an event and answers with what to do. Not safe for use by several threads.
+ * <p>Invariants: the revision of {@link #configuration} never decreases, and its content is that of the log at that
+ * revision; before {@link #freshUntil} it contains every change that was reported as accepted more than the freshness limit
+ * ago. Event methods return the actions to perform. Not safe for use by several threads.
  */
 public final class ConfigurationNode {
 
@@ -52,10 +53,10 @@
     private long nextSnapshotRequestAt;
 
     /**
-     * Makes a node that knows nothing yet.
+     * Creates a node without a configuration.
      *
      * @param self this instance, not null
-     * @param options how to work, not null
+     * @param options the timing and limits, not null
      * @param clock the clock, not null
      * @param random the source of jitter, not null
      */
@@ -78,9 +79,9 @@
     }
 
     /**
-     * Queries whether a configuration was obtained, from the table or from a peer.
+     * Checks whether a configuration was obtained from the table or from a peer.
      *
-     * @return true if one was, be it an empty one
+     * @return true if one was obtained, even an empty one
      */
     public boolean isObtained() {
         return hasConfiguration;
@@ -91,18 +92,18 @@
     }
 
     /**
-     * Queries whether the store is out of this instance's reach.
+     * Checks whether the store is unreachable from this instance.
      *
-     * @return true if its last reading failed, or one is not answered within a period
+     * @return true if the last poll failed, or the current poll has not been answered within a period
      */
     public boolean isStoreUnreachable() {
         return lastPollFailed || pollInProgress && clock.nanos() - pollStartedAt > periodNanos;
     }
 
     /**
-     * Gets until when the configuration may be taken as current.
+     * Gets the time until which the configuration counts as current.
      *
-     * @return a time of the clock, which may have passed
+     * @return a reading of this node's clock, which may be in the past
      */
     public long freshUntil() {
         if (!hasConfiguration) {
@@ -115,7 +116,7 @@
      * Counts the other entries that are known to hold a revision.
      *
      * @param revision the revision
-     * @return the number of linked entries that said so
+     * @return the number of linked entries that reported this revision or a later one
      */
     public int otherEntriesHolding(long revision) {
         return (int) peers.values().stream()
@@ -124,9 +125,10 @@
     }
 
     /**
-     * Tells which entries are listed.
+     * Handles a new list of entries.
      *
-     * @param entries those listed that did not say that they leave, this instance included if it is one, not null
+     * @param entries the listed entries that have not announced that they are leaving, including this instance if it is an
+     *     entry, not null
      */
     public void listed(Set<InstanceId> entries) {
         freshness.setEntries(entries);
@@ -135,31 +137,31 @@
     }
 
     /**
-     * Tells that a link is open.
+     * Handles the opening of a link.
      *
-     * @param peer the other end, not null
-     * @param entry whether it is an entry
-     * @return what to do, not null
+     * @param peer the peer, not null
+     * @param isEntry whether the peer is an entry
+     * @return the actions to perform, not null
      */
-    public List<NodeAction> opened(InstanceId peer, boolean entry) {
-        PeerState state = new PeerState(entry, clock.nanos());
+    public List<NodeAction> opened(InstanceId peer, boolean isEntry) {
+        PeerState state = new PeerState(isEntry, clock.nanos());
         peers.put(peer, state);
         return List.of(heartbeat(peer, state));
     }
 
     /**
-     * Tells that a link is closed.
+     * Handles the closing of a link.
      *
-     * @param peer the other end, not null
+     * @param peer the peer, not null
      */
     public void closed(InstanceId peer) {
         peers.remove(peer);
     }
 
     /**
-     * Tells that time has passed; to be called several times in a period.
+     * Starts the work that is due. Must be called several times per period.
      *
-     * @return what to do, not null
+     * @return the actions to perform, not null
      */
     public List<NodeAction> tick() {
         long now = clock.nanos();
@@ -198,33 +200,33 @@
         return new NodeAction.Poll(replica.revision());
     }
 
-    /* While the store is out of reach the words of the entries go round in the notes, over several hops. */
+    /* While the store is unreachable, heartbeats carry the reports of the entries over several hops. */
     private long heartbeatIntervalNanos() {
         return isStoreUnreachable() ? periodNanos / 2 : periodNanos;
     }
 
     /**
-     * Takes what a reading of the table brought.
+     * Handles a completed poll of the table.
      *
-     * @param answer the answer, not null
-     * @return what to do, not null
+     * @param result the result, not null
+     * @return the actions to perform, not null
      */
-    public List<NodeAction> polled(PollAnswer answer) {
+    public List<NodeAction> polled(PollAnswer result) {
         pollInProgress = false;
         lastPollFailed = false;
         schedulePoll();
-        replica.recordKnownRevision(answer.headRevision());
-        answer.snapshot().ifPresent(replica::install);
-        List<NodeAction> actions = applyEntries(answer.entries());
-        if (replica.revision() >= answer.headRevision()) {
+        replica.recordKnownRevision(result.headRevision());
+        result.snapshot().ifPresent(replica::install);
+        List<NodeAction> actions = applyEntries(result.entries());
+        if (replica.revision() >= result.headRevision()) {
             hasConfiguration = true;
-            freshness.recordConfirmation(answer.startedAt());
+            freshness.recordConfirmation(result.startedAt());
         }
         actions.addAll(shareConfirmation());
         return actions;
     }
 
-    /** Tells that a reading of the table failed. */
+    /** Handles a failed poll of the table. */
     public void pollFailed() {
         pollInProgress = false;
         lastPollFailed = true;
@@ -236,32 +238,32 @@
     }
 
     /**
-     * Takes changes that this instance itself brought into the log.
+     * Applies changes that this instance committed to the log.
      *
      * @param entries the changes, not null
-     * @return what to do, not null
+     * @return the actions to perform, not null
      */
     public List<NodeAction> committed(Collection<LogEntry> entries) {
         return applyEntries(entries);
     }
 
     /**
-     * Takes a message.
+     * Handles a message; one from a peer without an open link is ignored.
      *
      * @param peer the sender, not null
      * @param message the message, not null
-     * @return what to do, not null
+     * @return the actions to perform, not null
      */
     public List<NodeAction> received(InstanceId peer, NodeMessage message) {
         PeerState state = peers.get(peer);
         if (state == null) {
             return List.of();
         }
-        if (message instanceof NodeMessage.Note note) {
-            return onHeartbeat(peer, state, note);
+        if (message instanceof NodeMessage.Note heartbeat) {
+            return onHeartbeat(peer, state, heartbeat);
         }
-        if (message instanceof NodeMessage.News news) {
-            return onChanges(state, news);
+        if (message instanceof NodeMessage.News changes) {
+            return onChanges(state, changes);
         }
         if (message instanceof NodeMessage.SnapshotRequest request) {
             return answerSnapshotRequest(peer, request.haveRevision());
@@ -272,10 +274,10 @@
                 .orElse(List.of());
     }
 
-    private List<NodeAction> onChanges(PeerState state, NodeMessage.News news) {
-        replica.recordKnownRevision(news.head());
-        news.entries().forEach(entry -> state.recordHeldRevision(entry.revision()));
-        return applyEntries(news.entries());
+    private List<NodeAction> onChanges(PeerState state, NodeMessage.News changes) {
+        replica.recordKnownRevision(changes.head());
+        changes.entries().forEach(entry -> state.recordHeldRevision(entry.revision()));
+        return applyEntries(changes.entries());
     }
 
     private List<NodeAction> onSnapshot(Configuration snapshot) {
@@ -285,37 +287,37 @@
         return onConfigurationChanged();
     }
 
-    private List<NodeAction> onHeartbeat(InstanceId peer, PeerState state, NodeMessage.Note note) {
+    private List<NodeAction> onHeartbeat(InstanceId peer, PeerState state, NodeMessage.Note heartbeat) {
         long now = clock.nanos();
-        state.recordTimestamp(note.stamp(), now);
-        state.recordHeldRevision(note.revision());
-        replica.recordKnownRevision(note.highestHeard());
-        state.earliestSendTime(note.echo(), now).ifPresent(sent -> applyReports(peer, state, note, sent));
+        state.recordTimestamp(heartbeat.stamp(), now);
+        state.recordHeldRevision(heartbeat.revision());
+        replica.recordKnownRevision(heartbeat.highestHeard());
+        state.earliestSendTime(heartbeat.echo(), now).ifPresent(sentAt -> applyReports(peer, state, heartbeat, sentAt));
         List<NodeAction> actions = new ArrayList<>(shareConfirmation());
-        if (note.revision() < replica.revision() && state.maySendChanges(now, periodNanos)) {
+        if (heartbeat.revision() < replica.revision() && state.maySendChanges(now, periodNanos)) {
             state.recordChangesSent(now);
-            replica.entriesAfter(note.revision())
+            replica.entriesAfter(heartbeat.revision())
                     .ifPresent(entries -> actions.add(
                             new NodeAction.Send(peer, new NodeMessage.News(replica.highestKnownRevision(), entries))));
         }
         return actions;
     }
 
-    private void applyReports(InstanceId peer, PeerState state, NodeMessage.Note note, long sent) {
-        note.confirmedAge().ifPresent(age -> state.recordConfirmation(note.revision(), sent - age));
-        if (state.isEntry() && note.saysUnreachable()) {
-            freshness.recordUnreachable(peer, sent);
+    private void applyReports(InstanceId peer, PeerState state, NodeMessage.Note heartbeat, long sentAt) {
+        heartbeat.confirmedAge().ifPresent(age -> state.recordConfirmation(heartbeat.revision(), sentAt - age));
+        if (state.isEntry() && heartbeat.saysUnreachable()) {
+            freshness.recordUnreachable(peer, sentAt);
         } else if (state.isEntry()) {
-            freshness.recordReachable(peer, sent);
+            freshness.recordReachable(peer, sentAt);
         }
-        note.words().forEach(word -> freshness.recordUnreachable(word.entry(), sent - word.age()));
+        heartbeat.words().forEach(report -> freshness.recordUnreachable(report.entry(), sentAt - report.age()));
     }
 
-    private List<NodeAction> answerSnapshotRequest(InstanceId peer, long haveRevision) {
-        if (haveRevision >= replica.revision()) {
+    private List<NodeAction> answerSnapshotRequest(InstanceId peer, long heldRevision) {
+        if (heldRevision >= replica.revision()) {
             return List.of();
         }
-        Optional<List<LogEntry>> entries = replica.entriesAfter(haveRevision);
+        Optional<List<LogEntry>> entries = replica.entriesAfter(heldRevision);
         if (entries.isPresent()) {
             return List.of(
                     new NodeAction.Send(peer, new NodeMessage.News(replica.highestKnownRevision(), entries.get())));
@@ -332,12 +334,12 @@
             return new ArrayList<>();
         }
         List<NodeAction> actions = new ArrayList<>();
-        NodeMessage news = new NodeMessage.News(replica.highestKnownRevision(), applied);
+        NodeMessage changes = new NodeMessage.News(replica.highestKnownRevision(), applied);
         long now = clock.nanos();
         peers.forEach((peer, state) -> {
             if (state.heldRevision() < replica.revision()) {
                 state.recordChangesSent(now);
-                actions.add(new NodeAction.Send(peer, news));
+                actions.add(new NodeAction.Send(peer, changes));
             }
         });
         actions.addAll(onConfigurationChanged());
@@ -352,14 +354,14 @@
         return actions;
     }
 
-    /* Takes over the confirmations of peers that cover what is in force here, and hands a clearly newer one on at once:
-     * with the notes of each period alone it would age by up to a period at each hop. */
+    /* Adopts peers' confirmations that cover the current revision. A confirmation newer by half a period or more is
+     * forwarded immediately: if it waited for the regular heartbeat, it would age by up to a period at each hop. */
     private List<NodeAction> shareConfirmation() {
-        long best = Freshness.NEVER;
+        long newest = Freshness.NEVER;
         for (PeerState state : peers.values()) {
-            best = Math.max(best, state.confirmationFor(replica.revision()));
+            newest = Math.max(newest, state.confirmationFor(replica.revision()));
         }
-        freshness.recordConfirmation(best);
+        freshness.recordConfirmation(newest);
         long confirmedAt = freshness.confirmedAt();
         List<NodeAction> actions = new ArrayList<>();
         peers.forEach((peer, state) -> {
@@ -373,7 +375,7 @@
     private NodeAction heartbeat(InstanceId peer, PeerState state) {
         long now = clock.nanos();
         boolean unreachable = isStoreUnreachable();
-        List<NodeMessage.Word> words = unreachable ? freshness.unreachableReports(now) : List.of();
+        List<NodeMessage.Word> reports = unreachable ? freshness.unreachableReports(now) : List.of();
         state.recordConfirmationSent(freshness.confirmedAt());
         return new NodeAction.Send(
                 peer,
@@ -382,7 +384,7 @@
                         replica.highestKnownRevision(),
                         freshness.confirmationAgeNanos(now),
                         unreachable,
-                        words,
+                        reports,
                         now,
                         state.echo(now)));
     }
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/ConfigurationRows.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/ConfigurationRows.java
@@ -16,12 +16,12 @@
 import org.geraniumreach.model.table.RowKey;
 
 /**
- * Where the configuration lies in the platform's table, and how its rows are written.
+ * The keys and JSON format of the configuration rows in the platform's table.
  *
- * <p>Layout: {@code head} holds the last revision; {@code log/REVISION} one change; {@code
- * record/KIND/NAME} a record's last change; {@code operation/ID} the revision that a
- * submission made; {@code snapshot} the newest snapshot's place; {@code part/REVISION/INDEX} a part of it. Revisions in keys
- * have a fixed number of digits, so keys are ordered as revisions are. Stateless and safe for use by several threads.
+ * <p>Layout: {@code head} holds the last revision; {@code log/REVISION} holds one change; {@code record/KIND/NAME} holds the
+ * last change of a record; {@code operation/ID} holds the revision that a submission created; {@code snapshot} points to the
+ * newest snapshot; {@code part/REVISION/INDEX} holds a part of a snapshot. Revisions in keys are zero-padded, so that the
+ * keys sort by revision. Stateless and safe for use by several threads.
  */
 public final class ConfigurationRows {
 
@@ -31,10 +31,10 @@
     /** The row that holds the last revision. */
     public static final RowKey HEAD = RowKey.of(TABLE, "head");
 
-    /** The row that holds the place of the newest snapshot. */
+    /** The row that points to the newest snapshot. */
     public static final RowKey SNAPSHOT = RowKey.of(TABLE, "snapshot");
 
-    /** What the keys of the log's rows start with. */
+    /** The prefix of the keys of log rows. */
     public static final String LOG_PREFIX = "log/";
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -43,17 +43,17 @@
     private ConfigurationRows() {}
 
     /**
-     * The place of a snapshot.
+     * Identifies a snapshot in the table.
      *
-     * @param revision the revision that it stands at
-     * @param parts the number of its parts
+     * @param revision the revision of the snapshot
+     * @param parts the number of parts
      */
     public record SnapshotPlace(long revision, int parts) {}
 
     /**
-     * Obtains the key of a change's row.
+     * Returns the key of the log row of a change.
      *
-     * @param revision the change's revision
+     * @param revision the revision of the change
      * @return the key, not null
      */
     public static RowKey log(long revision) {
@@ -61,8 +61,8 @@
     }
 
     /**
-     * Obtains the key of the row that holds a record's last change, also after its withdrawal: a submission that is based
-     * on the record as it was before must not bring it back.
+     * Returns the key of the row that holds the last change of a record. The row is kept after the record is withdrawn, so
+     * that a submission based on an older revision cannot restore the record.
      *
      * @param record the record, not null
      * @return the key, not null
@@ -72,9 +72,9 @@
     }
 
     /**
-     * Obtains the key of the row that tells what a submission came to.
+     * Returns the key of the row that holds the outcome of a submission.
      *
-     * @param operation the submission's operation id, not null
+     * @param operation the operation id of the submission, not null
      * @return the key, not null
      */
     public static RowKey operationKey(String operation) {
@@ -82,10 +82,10 @@
     }
 
     /**
-     * Obtains the key of a snapshot's part.
+     * Returns the key of a snapshot part.
      *
-     * @param revision the snapshot's revision
-     * @param index the part's index, from 0
+     * @param revision the revision of the snapshot
+     * @param index the index of the part, from 0
      * @return the key, not null
      */
     public static RowKey partKey(long revision, int index) {
@@ -93,9 +93,9 @@
     }
 
     /**
-     * Obtains what the keys of a snapshot's parts start with.
+     * Returns the key prefix of the parts of a snapshot.
      *
-     * @param revision the snapshot's revision
+     * @param revision the revision of the snapshot
      * @return the prefix, not null
      */
     public static String partPrefix(long revision) {
@@ -103,45 +103,45 @@
     }
 
     /**
-     * Writes a row that holds a revision, such as the head.
+     * Formats the value of a row that holds a revision, such as the head.
      *
      * @param revision the revision
-     * @return the row's value, not null
+     * @return the row value, not null
      */
     public static String writeRevision(long revision) {
         return MAPPER.createObjectNode().put("revision", revision).toString();
     }
 
     /**
-     * Reads a row that holds a revision.
+     * Parses the value of a row that holds a revision.
      *
-     * @param value the row's value, not null
+     * @param value the row value, not null
      * @return the revision
-     * @throws RecordException if the value is of another form
+     * @throws RecordException if the value is malformed
      */
     public static long readRevision(String value) throws RecordException {
         return requireNonNegative(parse(value), "revision");
     }
 
     /**
-     * Writes a snapshot's place.
+     * Formats the value of the row that points to a snapshot.
      *
-     * @param place the place, not null
-     * @return the row's value, not null
+     * @param pointer the revision and number of parts, not null
+     * @return the row value, not null
      */
-    public static String writePointer(SnapshotPlace place) {
+    public static String writePointer(SnapshotPlace pointer) {
         return MAPPER.createObjectNode()
-                .put("revision", place.revision())
-                .put("parts", place.parts())
+                .put("revision", pointer.revision())
+                .put("parts", pointer.parts())
                 .toString();
     }
 
     /**
-     * Reads a snapshot's place.
+     * Parses the value of the row that points to a snapshot.
      *
-     * @param value the row's value, not null
-     * @return the place, not null
-     * @throws RecordException if the value is of another form
+     * @param value the row value, not null
+     * @return the revision and number of parts, not null
+     * @throws RecordException if the value is malformed
      */
     public static SnapshotPlace readPlace(String value) throws RecordException {
         JsonNode node = parse(value);
@@ -149,31 +149,31 @@
     }
 
     /**
-     * Writes a change.
+     * Formats a change as a row value.
      *
      * @param entry the change, not null
-     * @return the row's value, not null
+     * @return the row value, not null
      */
     public static String writeEntry(LogEntry entry) {
         return toJson(entry).toString();
     }
 
     /**
-     * Reads a change.
+     * Parses a change.
      *
-     * @param value the row's value, not null
+     * @param value the row value, not null
      * @return the change, not null
-     * @throws RecordException if the value is of another form
+     * @throws RecordException if the value is malformed
      */
     public static LogEntry readEntry(String value) throws RecordException {
         return toEntry(parse(value));
     }
 
     /**
-     * Writes a snapshot's part.
+     * Formats a snapshot part as a row value.
      *
-     * @param entries the records in it, not null
-     * @return the row's value, not null
+     * @param entries the records of the part, not null
+     * @return the row value, not null
      */
     public static String writePart(List<LogEntry> entries) {
         ArrayNode array = MAPPER.createArrayNode();
@@ -182,11 +182,11 @@
     }
 
     /**
-     * Reads a snapshot's part.
+     * Parses a snapshot part.
      *
-     * @param value the row's value, not null
-     * @return the records in it, not null
-     * @throws RecordException if the value is of another form
+     * @param value the row value, not null
+     * @return the records of the part, not null
+     * @throws RecordException if the value is malformed
      */
     public static List<LogEntry> readPart(String value) throws RecordException {
         JsonNode array = parse(value);
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/Freshness.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/Freshness.java
@@ -10,19 +10,19 @@
 import org.geraniumreach.model.InstanceId;
 
 /**
- * Decides until when the configuration may be taken as current.
+ * Computes the time until which the configuration counts as current.
  *
- * <p>It may while (a) it was confirmed, by a reading of the head here or at a peer, within the limit, or (b) every listed
- * entry said within the limit that the store is out of its reach. Since changes pass through entries only, and a change is
- * told to another entry before it is called accepted, a group for which (b) holds cannot have missed an accepted one; an
- * entry that is cut off hears nothing from the rest, and stops.
+ * <p>The configuration is current while (a) a read of the head, by this instance or a peer, confirmed it within the limit,
+ * or (b) every listed entry reported within the limit that it cannot reach the store. Changes are made through entries only,
+ * and a change is sent to another entry before it is reported as accepted. Instances for which (b) holds therefore cannot
+ * have missed an accepted change. An isolated entry receives no reports from the others and becomes stale.
  *
- * <p>Invariants: times are this process's clock, and never later than what they stand for; the limit is an absolute time,
- * so a process that was frozen finds it passed when it goes on. Not safe for use by several threads.
+ * <p>Invariants: all times are readings of this process's clock and never later than the event they stand for; the result
+ * is an absolute time, so a process that was suspended finds it passed when it resumes. Not safe for use by several threads.
  */
 final class Freshness {
 
-    /** A time before every other. */
+    /** A time before all others. */
     static final long NEVER = Long.MIN_VALUE / 4;
 
     private final InstanceId self;
@@ -44,9 +44,9 @@
     }
 
     /**
-     * Takes a confirmation.
+     * Records that the configuration was current at a time.
      *
-     * @param at a time, at which the log held nothing that is not in force here
+     * @param at a time at which the log held no change that is missing here
      */
     void recordConfirmation(long at) {
         confirmedAt = Math.max(confirmedAt, at);
@@ -61,55 +61,55 @@
     }
 
     /**
-     * Takes an entry's word that the store is out of its reach.
+     * Records an entry's report that it cannot reach the store.
      *
      * @param entry the entry, not null
-     * @param at a time not later than when it said so
+     * @param at a time not later than the report
      */
     void recordUnreachable(InstanceId entry, long at) {
         unreachableReportedAt.merge(entry, at, Math::max);
     }
 
     /**
-     * Takes an entry's word that it reaches the store.
+     * Records an entry's report that it can reach the store.
      *
      * @param entry the entry, not null
-     * @param at a time not later than when it said so
+     * @param at a time not later than the report
      */
     void recordReachable(InstanceId entry, long at) {
         reachableReportedAt.merge(entry, at, Math::max);
     }
 
     /**
-     * Gets the words to hand on.
+     * Gets the reports to forward to peers.
      *
-     * @param now the time
-     * @return the words within the limit, not null
+     * @param now the current time
+     * @return the reports within the limit that no later report of reachability supersedes, not null
      */
     List<NodeMessage.Word> unreachableReports(long now) {
-        List<NodeMessage.Word> words = new ArrayList<>();
+        List<NodeMessage.Word> reports = new ArrayList<>();
         unreachableReportedAt.forEach((entry, at) -> {
             if (now - at < limitNanos && at > reachableReportedAt.getOrDefault(entry, NEVER)) {
-                words.add(new NodeMessage.Word(entry, now - at));
+                reports.add(new NodeMessage.Word(entry, now - at));
             }
         });
-        return words;
+        return reports;
     }
 
     /**
-     * Gets until when the configuration may be taken as current.
+     * Computes the time until which the configuration counts as current.
      *
-     * @param behind whether a newer revision was heard of
-     * @param unreachable whether the store is out of this process's reach
-     * @param now the time
-     * @return the time, which may have passed, and is at most the limit from now
+     * @param isBehind whether a newer revision is known
+     * @param isUnreachable whether this process cannot reach the store
+     * @param now the current time
+     * @return the time, possibly in the past, and at most the limit from now
      */
-    long freshUntil(boolean behind, boolean unreachable, long now) {
-        long confirmed = confirmedAt == NEVER ? NEVER : confirmedAt + limitNanos;
-        if (behind || !unreachable) {
-            return confirmed;
+    long freshUntil(boolean isBehind, boolean isUnreachable, long now) {
+        long freshByConfirmation = confirmedAt == NEVER ? NEVER : confirmedAt + limitNanos;
+        if (isBehind || !isUnreachable) {
+            return freshByConfirmation;
         }
-        return Math.max(confirmed, Math.min(freshUntilByReports(), now + limitNanos));
+        return Math.max(freshByConfirmation, Math.min(freshUntilByReports(), now + limitNanos));
     }
 
     private long freshUntilByReports() {
@@ -118,11 +118,11 @@
             if (entry.equals(self)) {
                 continue;
             }
-            long said = unreachableReportedAt.getOrDefault(entry, NEVER);
-            if (said <= reachableReportedAt.getOrDefault(entry, NEVER)) {
+            long reportedAt = unreachableReportedAt.getOrDefault(entry, NEVER);
+            if (reportedAt <= reachableReportedAt.getOrDefault(entry, NEVER)) {
                 return NEVER;
             }
-            oldest = Math.min(oldest, said);
+            oldest = Math.min(oldest, reportedAt);
         }
         if (oldest == Long.MAX_VALUE) {
             return entries.contains(self) ? Long.MAX_VALUE : NEVER;
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/NodeAction.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/NodeAction.java
@@ -2,11 +2,11 @@
 
 import org.geraniumreach.model.InstanceId;
 
-/** What a {@link ConfigurationNode} wants done. */
+/** An action that a {@link ConfigurationNode} requests from its caller. */
 public sealed interface NodeAction {
 
     /**
-     * Send a message to a peer; it may be lost.
+     * Sends a message to a peer. Delivery is not guaranteed.
      *
      * @param peer the peer
      * @param message the message
@@ -14,9 +14,9 @@
     record Send(InstanceId peer, NodeMessage message) implements NodeAction {}
 
     /**
-     * Read the table; report by {@link ConfigurationNode#polled} or {@link ConfigurationNode#pollFailed}.
+     * Reads the table. The outcome is reported by {@link ConfigurationNode#polled} or {@link ConfigurationNode#pollFailed}.
      *
-     * @param haveRevision the revision in force here
+     * @param haveRevision the current revision of the node
      */
     record Poll(long haveRevision) implements NodeAction {}
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/NodeMessage.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/NodeMessage.java
@@ -7,13 +7,13 @@
 import org.geraniumreach.model.InstanceId;
 import org.geraniumreach.model.record.LogEntry;
 
-/** What configuration nodes tell one another. */
+/** A message between configuration nodes. */
 public sealed interface NodeMessage {
 
     /**
-     * Changes of the configuration.
+     * Sends changes of the configuration.
      *
-     * @param head the highest revision that the sender knows of
+     * @param head the highest revision known to the sender
      * @param entries the changes
      */
     record News(long head, List<LogEntry> entries) implements NodeMessage {
@@ -24,15 +24,15 @@
     }
 
     /**
-     * What the sender knows of the head.
+     * Reports the state of the sender periodically.
      *
-     * @param revision the revision in force at the sender
-     * @param highestHeard the highest revision that the sender knows of
+     * @param revision the sender's current revision
+     * @param highestHeard the highest revision known to the sender
      * @param confirmedAge nanoseconds since the sender's configuration was confirmed as current, empty if it never was
-     * @param saysUnreachable whether the store is out of the sender's reach
-     * @param words what the sender heard of other entries while the store is out of its reach
-     * @param stamp the sender's clock, which the receiver sends back
-     * @param echo the receiver's stamp that came last, with how long ago it came, if one did
+     * @param saysUnreachable whether the sender cannot reach the store
+     * @param words other entries' reports that they cannot reach the store, sent only while the sender cannot reach it
+     * @param stamp the reading of the sender's clock, which the receiver echoes
+     * @param echo the latest timestamp received from the receiver, empty if there is none
      */
     record Note(
             long revision,
@@ -50,35 +50,35 @@
     }
 
     /**
-     * A stamp sent back.
+     * A timestamp returned to its sender.
      *
-     * @param stamp the stamp
-     * @param held nanoseconds between its arrival and the sending of this
+     * @param stamp the timestamp
+     * @param held nanoseconds between the arrival of the timestamp and the sending of this echo
      */
     record Echo(long stamp, long held) {}
 
     /**
-     * That an entry said that the store is out of its reach.
+     * An entry's report that it cannot reach the store.
      *
      * @param entry the entry
-     * @param age the most nanoseconds that have gone by since
+     * @param age an upper bound of the nanoseconds since the report
      */
     record Word(InstanceId entry, long age) {}
 
     /**
-     * Asks for what follows a revision.
+     * Requests the changes after a revision, or a snapshot if the receiver no longer has all of them.
      *
-     * @param haveRevision the revision in force at the sender
+     * @param haveRevision the sender's current revision
      */
     record SnapshotRequest(long haveRevision) implements NodeMessage {}
 
     /**
-     * A part of a snapshot.
+     * Sends a part of a snapshot.
      *
-     * @param revision the revision that it stands at
-     * @param index the part's index, from 0
+     * @param revision the revision of the snapshot
+     * @param index the index of the part, from 0
      * @param parts the number of parts
-     * @param entries the records in it
+     * @param entries the records of the part
      */
     record SnapshotPart(long revision, int index, int parts, List<LogEntry> entries) implements NodeMessage {
 
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/NodeOptions.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/NodeOptions.java
@@ -3,15 +3,15 @@
 import java.time.Duration;
 
 /**
- * How a configuration node works.
+ * The timing and limits of a configuration node.
  *
- * <p>Invariant: the freshness limit is at least three periods, so that one lost message does not stop the service.
- * Immutable and safe for use by several threads.
+ * <p>Invariant: the freshness limit is at least three periods, so that one lost message does not make the configuration
+ * stale. Immutable and safe for use by several threads.
  *
- * @param period the time between two polls of a poller, and between two notes to a peer
- * @param freshnessLimit how old the confirmation of the configuration may be
- * @param pollers how many entries poll the table
- * @param recentChanges how many changes are kept for peers; one that lacks more gets a snapshot
+ * @param period the time between two polls by a poller, and between two heartbeats to a peer
+ * @param freshnessLimit the maximum age of a confirmation for the configuration to count as current
+ * @param pollers the number of entries that poll the table
+ * @param recentChanges the number of changes kept for peers; a peer that lacks more gets a snapshot
  */
 public record NodeOptions(Duration period, Duration freshnessLimit, int pollers, int recentChanges) {
 
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/PollAnswer.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/PollAnswer.java
@@ -7,13 +7,13 @@
 import org.geraniumreach.model.record.LogEntry;
 
 /**
- * What a reading of the table brought.
+ * The result of a poll of the table.
  *
- * <p>Invariant: the head was read after the start. Immutable and safe for use by several threads.
+ * <p>Invariant: the head was read after {@code startedAt}. Immutable and safe for use by several threads.
  *
- * @param startedAt the reader's clock before the head was read
- * @param headRevision the revision of the head
- * @param snapshot a snapshot, if the log did not go back far enough
+ * @param startedAt the reading of the node's clock before the head was read
+ * @param headRevision the last revision in the log
+ * @param snapshot a snapshot, if the log does not reach back to the held revision
  * @param entries the changes read
  */
 public record PollAnswer(long startedAt, long headRevision, Optional<Configuration> snapshot, List<LogEntry> entries) {
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/Replica.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/Replica.java
@@ -14,9 +14,9 @@
 /**
  * One instance's copy of the configuration.
  *
- * <p>Invariants: the revision never falls; entries are applied one apart, so a delayed, repeated or reordered message can
- * neither revert the configuration nor skip a change; entries that came early are kept, up to a limit, until those before
- * them are there. Not safe for use by several threads.
+ * <p>Invariants: the revision never decreases; entries are applied in revision order without gaps, so a delayed, repeated
+ * or reordered message can neither revert the configuration nor skip a change; entries that arrive early are kept, up to a
+ * limit, until the entries before them arrive. Not safe for use by several threads.
  */
 final class Replica {
 
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Gets the highest revision that this instance knows to be in the log.
+     * Gets the highest revision that is known to be in the log.
      *
      * @return the revision, at least {@link #revision}
      */
@@ -58,10 +58,10 @@
     }
 
     /**
-     * Takes entries of the log in any order and applies those that follow one another from the revision on.
+     * Accepts log entries in any order and applies those that continue the current revision without a gap.
      *
      * @param entries the entries, not null
-     * @return the entries applied, in their order, not null
+     * @return the applied entries in revision order, not null
      */
     List<LogEntry> applyInOrder(Collection<LogEntry> entries) {
         for (LogEntry entry : entries) {
@@ -85,10 +85,10 @@
     }
 
     /**
-     * Takes a snapshot unless it is no newer than what is there.
+     * Replaces the configuration by a snapshot if the snapshot is newer.
      *
      * @param snapshot the snapshot, not null
-     * @return true if it is in force now
+     * @return true if the configuration was replaced
      */
     boolean install(Configuration snapshot) {
         if (snapshot.revision() <= revision()) {
@@ -109,10 +109,10 @@
     }
 
     /**
-     * Gets the entries that follow a revision, if this copy still holds all of them.
+     * Gets the entries after a revision, if all of them are retained.
      *
      * @param after the revision
-     * @return the entries in their order, or empty if some are no longer held
+     * @return the entries in revision order, or empty if some are not retained
      */
     Optional<List<LogEntry>> entriesAfter(long after) {
         if (after >= revision()) {
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/SnapshotAssembler.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/SnapshotAssembler.java
@@ -10,17 +10,17 @@
 import org.geraniumreach.model.record.LogEntry;
 
 /**
- * Puts the parts of a peer's snapshot together, in whatever order and however often they come.
+ * Assembles a snapshot from parts that a peer sends, which may arrive in any order and repeatedly.
  *
- * <p>Invariant: parts of different revisions are never mixed; the newest revision is the one collected. Not safe for use by
- * several threads.
+ * <p>Invariant: parts of different revisions are never combined; only the parts of the newest revision are collected. Not
+ * safe for use by several threads.
  */
 final class SnapshotAssembler {
 
-    /** The greatest number of parts. */
+    /** The maximum number of parts of a snapshot. */
     static final int MAX_PARTS = 10_000;
 
-    /** The number of records in a part. */
+    /** The maximum number of records in a part. */
     static final int RECORDS_PER_PART = 200;
 
     private final Map<Integer, List<LogEntry>> receivedParts = new HashMap<>();
@@ -28,10 +28,10 @@
     private int partCount;
 
     /**
-     * Takes a part.
+     * Adds a part; a part that is invalid or of an older revision is ignored.
      *
      * @param part the part, not null
-     * @return the configuration, if this was the last part missing
+     * @return the configuration, if this part completes it
      */
     Optional<Configuration> addPart(NodeMessage.SnapshotPart part) {
         if (part.revision() < revision || !isValid(part)) {
@@ -65,22 +65,22 @@
     }
 
     /**
-     * Cuts a configuration into parts.
+     * Splits a configuration into snapshot parts.
      *
      * @param configuration the configuration, not null
-     * @param partSize the number of records in a part
+     * @param recordsPerPart the maximum number of records in a part
      * @return the parts, at least one, not null
      */
-    static List<NodeMessage.SnapshotPart> split(Configuration configuration, int partSize) {
+    static List<NodeMessage.SnapshotPart> split(Configuration configuration, int recordsPerPart) {
         List<LogEntry> records = List.copyOf(configuration.entries());
-        int parts = Math.max(1, (records.size() + partSize - 1) / partSize);
-        List<NodeMessage.SnapshotPart> cut = new ArrayList<>();
+        int parts = Math.max(1, (records.size() + recordsPerPart - 1) / recordsPerPart);
+        List<NodeMessage.SnapshotPart> split = new ArrayList<>();
         for (int index = 0; index < parts; index++) {
-            int from = index * partSize;
-            int to = Math.min(from + partSize, records.size());
-            cut.add(new NodeMessage.SnapshotPart(
+            int from = index * recordsPerPart;
+            int to = Math.min(from + recordsPerPart, records.size());
+            split.add(new NodeMessage.SnapshotPart(
                     configuration.revision(), index, parts, records.subList(Math.min(from, to), to)));
         }
-        return cut;
+        return split;
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/Submission.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/Submission.java
@@ -7,14 +7,14 @@
 import org.geraniumreach.model.record.RecordKey;
 
 /**
- * A change that an operator asks for.
+ * A change of one record, submitted by an operator.
  *
- * <p>Invariant: the operation id is a valid name; the same id submitted again means the same change. Immutable and safe for
+ * <p>Invariant: the operation id is a valid name; an id that is submitted again means the same change. Immutable and safe for
  * use by several threads.
  *
- * @param operation the operation id that the operator chose
- * @param basedOn the revision at which the operator saw the record; a later change of the record is a conflict
- * @param key the record
+ * @param operation the operation id, chosen by the operator
+ * @param basedOn the revision at which the operator read the record; a later change of the record is a conflict
+ * @param key the key of the record
  * @param body the record's new JSON text, or empty to withdraw it
  */
 public record Submission(String operation, long basedOn, RecordKey key, Optional<String> body) {
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/SubmissionCheck.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/SubmissionCheck.java
@@ -20,9 +20,9 @@
 import org.geraniumreach.model.record.Target;
 
 /**
- * Checks a submission whole against the configuration that it would change.
+ * Validates submissions against the configuration that they would change.
  *
- * <p>Contract: what passes is readable, refers only to records that exist, and leaves no reference without its record.
+ * <p>Contract: an accepted submission is readable, refers only to existing records, and leaves no dangling reference.
  * Stateless and safe for use by several threads.
  */
 public final class SubmissionCheck {
@@ -30,11 +30,11 @@
     private SubmissionCheck() {}
 
     /**
-     * Checks a record by itself.
+     * Validates a record without its references.
      *
-     * @param key the record, not null
-     * @param body its JSON text, not null
-     * @return the record, not null
+     * @param key the key of the record, not null
+     * @param body the JSON text of the record, not null
+     * @return the parsed record, not null
      * @throws RecordException naming the first fault
      */
     public static JsonNode checkRecord(RecordKey key, String body) throws RecordException {
@@ -45,34 +45,35 @@
     }
 
     /**
-     * Checks a submission.
+     * Validates a submission.
      *
      * @param submission the submission, not null
-     * @param before the configuration that it would change, not null
+     * @param current the configuration that it would change, not null
      * @return the body to store, or empty if the record is withdrawn
      * @throws RecordException naming the first fault
      */
-    public static Optional<String> check(Submission submission, Configuration before) throws RecordException {
+    public static Optional<String> check(Submission submission, Configuration current) throws RecordException {
         RecordKey key = submission.key();
-        Optional<LogEntry> stored = before.entry(key);
+        Optional<LogEntry> stored = current.entry(key);
         if (submission.body().isEmpty()) {
             if (stored.isEmpty()) {
                 throw new RecordException(ResultCode.RECORD_UNKNOWN, key + " does not exist");
             }
-            requireUnreferenced(key, before);
+            requireUnreferenced(key, current);
             return Optional.empty();
         }
         JsonNode record = checkRecord(key, submission.body().get());
-        requireReferences(key, record, before);
+        requireReferences(key, record, current);
         return Optional.of(withStoredUnknownFields(key, (ObjectNode) record, stored));
     }
 
     /**
-     * Queries whether a change in the log is what a submission asked for, apart from fields that were carried over.
+     * Checks whether a log entry is the change that a submission requested, ignoring fields carried over from the stored
+     * record.
      *
      * @param submission the submission, not null
-     * @param entry the change, not null
-     * @return true if it is
+     * @param entry the log entry, not null
+     * @return true if the entry matches
      * @throws RecordException if one of the records is malformed
      */
     static boolean isAppliedAs(Submission submission, LogEntry entry) throws RecordException {
@@ -84,18 +85,19 @@
             return true;
         }
         JsonNode stored = RecordReader.parse(entry.body().get());
-        JsonNode asked = RecordReader.parse(submission.body().orElseThrow());
-        Iterable<String> fields = asked::fieldNames;
+        JsonNode requested = RecordReader.parse(submission.body().orElseThrow());
+        Iterable<String> fields = requested::fieldNames;
         for (String field : fields) {
-            if (!asked.get(field).equals(stored.get(field))) {
+            if (!requested.get(field).equals(stored.get(field))) {
                 return false;
             }
         }
         return true;
     }
 
-    /* A newer program may have stored fields that this one does not know: losing them at an older entry's write would undo
-     * half of a fold-in. They are carried over; a whole newer schema version cannot be, so it is not overwritten. */
+    /* A newer program may have stored fields that this one does not know. They are carried over, because losing them in a
+     * write by an older entry would partly revert the newer change. A record of a newer schema version cannot be merged, so
+     * it is not overwritten. */
     private static String withStoredUnknownFields(RecordKey key, ObjectNode record, Optional<LogEntry> stored)
             throws RecordException {
         if (stored.isEmpty()) {
@@ -108,53 +110,54 @@
         return record.toString();
     }
 
-    private static void requireReferences(RecordKey key, JsonNode record, Configuration before) throws RecordException {
+    private static void requireReferences(RecordKey key, JsonNode record, Configuration current)
+            throws RecordException {
         switch (key.kind()) {
-            case KEY -> requireKey(RecordReader.key(key.name(), record), before);
-            case ASSIGNMENT -> requireAssignment(RecordReader.assignment(key.name(), record), before);
-            case TARGET -> requireTarget(RecordReader.target(key.name(), record), before);
+            case KEY -> requireKey(RecordReader.key(key.name(), record), current);
+            case ASSIGNMENT -> requireAssignment(RecordReader.assignment(key.name(), record), current);
+            case TARGET -> requireTarget(RecordReader.target(key.name(), record), current);
             default -> {
-                // the other kinds refer to nothing
+                // other kinds have no references
             }
         }
     }
 
-    private static void requireKey(AccessKey key, Configuration before) throws RecordException {
-        requireRecordExists("account", RecordKind.ACCOUNT, key.account().value(), before);
-        Optional<AccessKey> other = before.key(key.digest());
+    private static void requireKey(AccessKey key, Configuration current) throws RecordException {
+        requireRecordExists("account", RecordKind.ACCOUNT, key.account().value(), current);
+        Optional<AccessKey> other = current.key(key.digest());
         if (other.isPresent() && !other.get().name().equals(key.name())) {
             throw RecordException.invalid(
                     "digest", "is already that of key " + other.get().name());
         }
     }
 
-    private static void requireAssignment(Assignment assignment, Configuration before) throws RecordException {
-        requireRecordExists("account", RecordKind.ACCOUNT, assignment.account().value(), before);
+    private static void requireAssignment(Assignment assignment, Configuration current) throws RecordException {
+        requireRecordExists("account", RecordKind.ACCOUNT, assignment.account().value(), current);
         for (String adapter : assignment.adapters()) {
-            requireRecordExists("adapters", RecordKind.ADAPTER, adapter, before);
+            requireRecordExists("adapters", RecordKind.ADAPTER, adapter, current);
         }
     }
 
-    private static void requireTarget(Target target, Configuration before) throws RecordException {
+    private static void requireTarget(Target target, Configuration current) throws RecordException {
         Optional<String> service = target.service().map(ServiceName::value);
         if (service.isPresent()) {
-            requireRecordExists("service", RecordKind.SERVICE, service.get(), before);
+            requireRecordExists("service", RecordKind.SERVICE, service.get(), current);
         }
     }
 
-    private static void requireRecordExists(String path, RecordKind kind, String name, Configuration before)
+    private static void requireRecordExists(String path, RecordKind kind, String name, Configuration current)
             throws RecordException {
-        if (before.entry(RecordKey.of(kind, name)).isEmpty()) {
+        if (current.entry(RecordKey.of(kind, name)).isEmpty()) {
             throw new RecordException(
                     ResultCode.REFERENCE_DANGLING, path + ": " + kind.label() + " " + name + " does not exist");
         }
     }
 
-    private static void requireUnreferenced(RecordKey key, Configuration before) throws RecordException {
+    private static void requireUnreferenced(RecordKey key, Configuration current) throws RecordException {
         if (key.kind() != RecordKind.ACCOUNT && key.kind() != RecordKind.ADAPTER && key.kind() != RecordKind.SERVICE) {
             return;
         }
-        for (LogEntry entry : before.entries()) {
+        for (LogEntry entry : current.entries()) {
             if (references(entry).contains(key)) {
                 throw new RecordException(
                         ResultCode.REFERENCE_DANGLING, key + " is still referred to by " + entry.key());
@@ -162,8 +165,8 @@
         }
     }
 
-    /* Read from the fields rather than from the values, so that a record in a schema version that is not known here still
-     * holds on to what it names under the same fields. */
+    /* Reads the JSON fields instead of the parsed record, so that references in a record of an unknown schema version are
+     * found if it uses the same fields. */
     private static List<RecordKey> references(LogEntry entry) throws RecordException {
         List<RecordKey> references = new ArrayList<>();
         RecordKind kind = entry.key().kind();
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/SubmissionProcess.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/SubmissionProcess.java
@@ -15,16 +15,18 @@
 import org.geraniumreach.model.table.Transaction;
 
 /**
- * Takes one submission into the log, once.
+ * Commits one submission to the log exactly once.
  *
- * <p>One transaction requires the head row's version and the absence of the operation's row, and writes the record, its row
- * in the log, the operation's row and the head. So of two operators who race one wins, and a change is in the log at most once whatever
- * is repeated. Invariants: OK is said only of a change that was read back or whose commit was answered; a commit whose
- * answer was lost is settled by reading the operation's row, and nothing is written again before the head has moved on, for
- * until then the lost write may still arrive. What cannot be settled in time is SUBMISSION_UNSETTLED, and the same operation
- * id submitted later finds out or goes on.
+ * <p>A single transaction requires the version of the head row and the absence of the operation row, and writes the record,
+ * the log row, the operation row and the head. Of two concurrent submissions one therefore fails, and retries never add a
+ * change to the log twice.
  *
- * <p>Each call answers the next step. Not safe for use by several threads.
+ * <p>Invariants: OK is reported only for a change that was read back or whose commit was answered. A commit whose answer was
+ * lost is resolved by reading the operation row; nothing is written again until the head has changed, because until then the
+ * lost write may still be applied. A submission that cannot be resolved before the deadline ends with SUBMISSION_UNSETTLED;
+ * submitting the same operation id later finds its outcome or continues it.
+ *
+ * <p>Each method returns the next step. Not safe for use by several threads.
  */
 public final class SubmissionProcess {
 
@@ -46,40 +48,40 @@
     private long unsettledHeadVersion = NO_UNSETTLED_WRITE;
 
     /**
-     * Makes the process of a submission; {@link #start} gives its first step.
+     * Creates the process for a submission; {@link #start} returns its first step.
      *
      * @param submission the submission, not null
-     * @param configuration the configuration in force here, not null
+     * @param configuration the current configuration of this instance, not null
      * @param clock the clock, not null
-     * @param random the source of the jitter of waits, not null
-     * @param patience how long to try, not null
+     * @param random the source of jitter for retry delays, not null
+     * @param timeout the time after which the submission ends unresolved, not null
      */
     public SubmissionProcess(
             Submission submission,
             Configuration configuration,
             MonotonicClock clock,
             RandomGenerator random,
-            Duration patience) {
+            Duration timeout) {
         this.submission = Objects.requireNonNull(submission, "submission");
         this.configuration = Objects.requireNonNull(configuration, "configuration");
         this.clock = Objects.requireNonNull(clock, "clock");
         this.random = Objects.requireNonNull(random, "random");
-        this.deadline = clock.nanos() + patience.toNanos();
+        this.deadline = clock.nanos() + timeout.toNanos();
     }
 
     /**
-     * Gets the first step.
+     * Starts the submission.
      *
-     * @return the step, not null
+     * @return the first step, not null
      */
     public SubmissionStep start() {
         return readHead();
     }
 
     /**
-     * Reports a row that was read.
+     * Handles the result of a read.
      *
-     * @param row the row, empty if it does not exist, not null
+     * @param row the row, or empty if it does not exist, not null
      * @return the next step, not null
      */
     public SubmissionStep read(Optional<Row> row) {
@@ -114,8 +116,8 @@
             return readRow(ConfigurationRows.log(
                     ConfigurationRows.readRevision(row.get().value())));
         }
-        /* The lost write required this version of the head. While the head has it, the write may still arrive after the
-         * read of the operation's row, and "not accepted" would be untrue a moment later. */
+        /* The unanswered write requires this version of the head. While the head keeps it, the write may still be applied
+         * after the operation row was read, so the submission cannot be reported as not accepted. */
         if (headVersion == unsettledHeadVersion) {
             return retryAfterDelay();
         }
@@ -145,9 +147,9 @@
     }
 
     /**
-     * Reports that the configuration was brought up to date.
+     * Handles an update of the configuration.
      *
-     * @param current the configuration, not null
+     * @param current the updated configuration, not null
      * @return the next step, not null
      */
     public SubmissionStep caughtUp(Configuration current) {
@@ -156,7 +158,7 @@
     }
 
     /**
-     * Reports that a read was not answered.
+     * Handles a read that was not answered.
      *
      * @return the next step, not null
      */
@@ -165,7 +167,7 @@
     }
 
     /**
-     * Reports that a wait is over.
+     * Handles the end of a wait.
      *
      * @return the next step, not null
      */
@@ -174,9 +176,9 @@
     }
 
     /**
-     * Reports the answer to a commit.
+     * Handles the answer to a commit.
      *
-     * @param tookEffect whether it took effect
+     * @param tookEffect whether the transaction was applied
      * @return the next step, not null
      */
     public SubmissionStep committed(boolean tookEffect) {
@@ -184,9 +186,9 @@
     }
 
     /**
-     * Reports that a commit was not answered.
+     * Handles a commit that was not answered.
      *
-     * @param mayTakeEffect whether it may have taken effect, or may yet
+     * @param mayTakeEffect whether the transaction may have been applied or may still be
      * @return the next step, not null
      */
     public SubmissionStep commitFailed(boolean mayTakeEffect) {
@@ -212,8 +214,8 @@
         Optional<String> body;
         try {
             body = SubmissionCheck.check(submission, configuration);
-        } catch (RecordException wrong) {
-            return refuse(wrong.code(), submission.key() + ": " + wrong.getMessage());
+        } catch (RecordException invalid) {
+            return refuse(invalid.code(), submission.key() + ": " + invalid.getMessage());
         }
         LogEntry entry = new LogEntry(headRevision + 1, submission.operation(), submission.key(), body);
         pendingEntry = Optional.of(entry);
@@ -251,11 +253,11 @@
         if (clock.nanos() - deadline >= 0) {
             return timeOut();
         }
-        long wait = nextRetryDelay.toNanos() / 2 + random.nextLong(nextRetryDelay.toNanos() / 2 + 1);
+        long delayNanos = nextRetryDelay.toNanos() / 2 + random.nextLong(nextRetryDelay.toNanos() / 2 + 1);
         nextRetryDelay = nextRetryDelay.multipliedBy(2).compareTo(MAX_RETRY_DELAY) > 0
                 ? MAX_RETRY_DELAY
                 : nextRetryDelay.multipliedBy(2);
-        return new SubmissionStep.Wait(Duration.ofNanos(wait));
+        return new SubmissionStep.Wait(Duration.ofNanos(delayNanos));
     }
 
     private SubmissionStep timeOut() {
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/SubmissionResult.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/SubmissionResult.java
@@ -7,14 +7,14 @@
 import org.geraniumreach.model.record.LogEntry;
 
 /**
- * What a submission came to.
+ * The outcome of a submission.
  *
- * <p>Invariant: with OK the entry is the change that is in the log; with CONFLICT it is the record's current one, if the
+ * <p>Invariant: with OK the entry is the committed change; with CONFLICT it is the current entry of the record, if the
  * record exists. Immutable and safe for use by several threads.
  *
- * @param code the result
- * @param message what happened, for the operator
- * @param entry the change in the log, or the record that stands against it
+ * @param code the result code
+ * @param message a description of the outcome for the operator
+ * @param entry the committed change, or the entry that conflicts with the submission
  */
 public record SubmissionResult(ResultCode code, String message, Optional<LogEntry> entry) {
 
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/SubmissionStep.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/SubmissionStep.java
@@ -5,42 +5,43 @@
 import org.geraniumreach.model.table.RowKey;
 import org.geraniumreach.model.table.Transaction;
 
-/** What a {@link SubmissionProcess} wants done next; its owner does it and reports what came of it. */
+/** The next step of a {@link SubmissionProcess}, which the caller performs and whose outcome it reports. */
 public sealed interface SubmissionStep {
 
     /**
-     * Read a row; report by {@link SubmissionProcess#read} or {@link SubmissionProcess#readFailed}.
+     * Reads a row. The outcome is reported by {@link SubmissionProcess#read} or {@link SubmissionProcess#readFailed}.
      *
-     * @param key the row
+     * @param key the key of the row
      */
     record Read(RowKey key) implements SubmissionStep {}
 
     /**
-     * Bring the configuration up to a revision from the table; report by {@link SubmissionProcess#caughtUp} or {@link
+     * Updates the configuration from the table. The outcome is reported by {@link SubmissionProcess#caughtUp} or {@link
      * SubmissionProcess#readFailed}.
      *
-     * @param revision the revision
+     * @param revision the revision that the configuration must reach
      */
     record CatchUp(long revision) implements SubmissionStep {}
 
     /**
-     * Apply a transaction once; report by {@link SubmissionProcess#committed} or {@link SubmissionProcess#commitFailed}.
+     * Applies a transaction at most once. The outcome is reported by {@link SubmissionProcess#committed} or {@link
+     * SubmissionProcess#commitFailed}.
      *
      * @param transaction the transaction
      */
     record Commit(Transaction transaction) implements SubmissionStep {}
 
     /**
-     * Wait; report by {@link SubmissionProcess#waited}.
+     * Waits. The end is reported by {@link SubmissionProcess#waited}.
      *
-     * @param duration how long
+     * @param duration the time to wait
      */
     record Wait(Duration duration) implements SubmissionStep {}
 
     /**
-     * Nothing more; the submission is done.
+     * Ends the submission.
      *
-     * @param result what it came to
+     * @param result the outcome
      */
     record Done(SubmissionResult result) implements SubmissionStep {}
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/membership/LinkChoice.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/membership/LinkChoice.java
@@ -7,53 +7,57 @@
 import org.geraniumreach.model.InstanceId;
 
 /**
- * Chooses which links an entry keeps, so that news reach every instance over few hops and no instance has many links.
+ * Selects the links that an entry maintains, so that changes reach every instance over few hops and no instance has many
+ * links.
  *
- * <p>While the fleet is small, an entry keeps a link with every other one. Beyond that, entries stand on several rings, each
- * in an order of its own, and keep links with their successors; the rings together are a graph in which any entry is a few
- * hops from any other. Each companion chooses its entries, so that none is left without one. All who know the same instances
- * choose alike. Immutable and safe for use by several threads.
+ * <p>The entries of a small fleet form a full mesh. In a larger fleet, the entries are arranged on several rings, each with
+ * its own order, and link with their neighbours; the union of the rings is a graph of small diameter. The entries that link
+ * with a companion are selected per companion, so that none is left without a link. Processes that know the same instances
+ * make the same selection. Immutable and safe for use by several threads.
  *
- * @param fullMeshEntries up to how many entries all link with all
- * @param rings the number of rings beyond that
- * @param fullMeshCompanions up to how many companions every entry links with all of them
- * @param entriesOfCompanion how many entries link with each companion beyond that
+ * @param fullMeshEntries the maximum number of entries that form a full mesh
+ * @param rings the number of rings in a larger fleet
+ * @param fullMeshCompanions the maximum number of companions with which every entry links
+ * @param entriesOfCompanion the number of entries that link with each companion in a larger fleet
  */
 public record LinkChoice(int fullMeshEntries, int rings, int fullMeshCompanions, int entriesOfCompanion) {
 
     /**
-     * Chooses the entries with which an entry keeps links; of two entries the one with the lesser name keeps it.
+     * Selects the entries with which an entry maintains links. Of two linked entries, the one with the lesser name maintains
+     * the link.
      *
      * @param self the entry, not null
      * @param entries all entries, not null
-     * @return the entries chosen, not null
+     * @return the selected entries, not null
      */
     public Set<InstanceId> entries(InstanceId self, Set<InstanceId> entries) {
         Set<InstanceId> all = new TreeSet<>(entries);
         all.add(self);
-        Set<InstanceId> chosen = all.size() <= fullMeshEntries ? all : ringNeighbours(self, all);
-        return chosen.stream().filter(other -> self.compareTo(other) < 0).collect(TreeSet::new, Set::add, Set::addAll);
+        Set<InstanceId> selected = all.size() <= fullMeshEntries ? all : ringNeighbours(self, all);
+        return selected.stream()
+                .filter(other -> self.compareTo(other) < 0)
+                .collect(TreeSet::new, Set::add, Set::addAll);
     }
 
     private Set<InstanceId> ringNeighbours(InstanceId self, Set<InstanceId> all) {
         Set<InstanceId> neighbours = new TreeSet<>();
         for (int ring = 0; ring < rings; ring++) {
-            String subject = "ring-" + ring;
-            List<InstanceId> order = Rendezvous.order(subject, all);
-            int place = order.indexOf(self);
-            neighbours.add(order.get((place + 1) % order.size()));
-            neighbours.add(order.get((place + order.size() - 1) % order.size()));
+            String hashKey = "ring-" + ring;
+            List<InstanceId> order = Rendezvous.order(hashKey, all);
+            int position = order.indexOf(self);
+            neighbours.add(order.get((position + 1) % order.size()));
+            neighbours.add(order.get((position + order.size() - 1) % order.size()));
         }
         return neighbours;
     }
 
     /**
-     * Chooses the companions with which an entry keeps links.
+     * Selects the companions with which an entry maintains links.
      *
      * @param self the entry, not null
      * @param entries all entries, not null
      * @param companions all companions, not null
-     * @return the companions chosen, not null
+     * @return the selected companions, not null
      */
     public Set<InstanceId> companions(InstanceId self, Set<InstanceId> entries, Set<InstanceId> companions) {
         if (companions.size() <= fullMeshCompanions) {
@@ -61,12 +65,12 @@
         }
         Set<InstanceId> all = new TreeSet<>(entries);
         all.add(self);
-        Set<InstanceId> chosen = new TreeSet<>();
+        Set<InstanceId> selected = new TreeSet<>();
         for (InstanceId companion : companions) {
             if (Rendezvous.isChosen(companion.value(), all, entriesOfCompanion, self)) {
-                chosen.add(companion);
+                selected.add(companion);
             }
         }
-        return chosen;
+        return selected;
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/membership/LinkedMember.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/membership/LinkedMember.java
@@ -8,15 +8,15 @@
 import org.geraniumreach.model.TargetId;
 
 /**
- * An instance as it described itself when a link with it was opened.
+ * An instance as it described itself when its link was opened.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param instance its name
- * @param role what it does
- * @param failureDomain where it is
- * @param target a companion's target
- * @param incarnation its process, a higher number at each start
+ * @param instance the name of the instance
+ * @param role the role of the instance
+ * @param failureDomain the failure domain of the instance
+ * @param target the target of a companion, empty for an entry
+ * @param incarnation the number of its process, which increases with each start
  */
 public record LinkedMember(
         InstanceId instance,
--- a/coordination/src/main/java/org/geraniumreach/coordination/membership/ListedMember.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/membership/ListedMember.java
@@ -7,15 +7,15 @@
 import org.geraniumreach.model.InstanceId;
 
 /**
- * An instance as the platform's list gives it.
+ * An instance as reported by the platform's instance list.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param instance its name
- * @param role what it does
- * @param failureDomain where it is
- * @param address its link address
- * @param leaving whether the platform is taking it away
+ * @param instance the name of the instance
+ * @param role the role of the instance
+ * @param failureDomain the failure domain of the instance
+ * @param address the address for links to the instance
+ * @param leaving whether the platform is removing the instance
  */
 public record ListedMember(
         InstanceId instance, MemberRole role, FailureDomain failureDomain, InetSocketAddress address, boolean leaving) {
--- a/coordination/src/main/java/org/geraniumreach/coordination/membership/Member.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/membership/Member.java
@@ -10,18 +10,18 @@
 import org.geraniumreach.model.TargetId;
 
 /**
- * An instance as this process sees it.
+ * An instance as known to this process.
  *
- * <p>Invariant: the incarnation is present exactly while a link with the instance is open; a member that is leaving takes
- * no new work. Immutable and safe for use by several threads.
+ * <p>Invariant: the incarnation is present exactly while a link with the instance is open; a leaving member accepts no new
+ * work. Immutable and safe for use by several threads.
  *
- * @param instance its name
- * @param role what it does
- * @param failureDomain where it is
- * @param address its link address, empty if it is connected but not listed
- * @param target a companion's target, known while a link is open
- * @param incarnation its process, known while a link is open
- * @param leaving whether it or the list said that it leaves
+ * @param instance the name of the instance
+ * @param role the role of the instance
+ * @param failureDomain the failure domain of the instance
+ * @param address the address for links to the instance, empty if it is linked but not listed
+ * @param target the target of a companion, present while a link is open
+ * @param incarnation the number of its process, present while a link is open
+ * @param leaving whether the instance or the list announced that it is leaving, or the list dropped it
  */
 public record Member(
         InstanceId instance,
@@ -50,9 +50,9 @@
     }
 
     /**
-     * Queries whether new work may be sent to this member.
+     * Checks whether new work may be sent to this member.
      *
-     * @return true if a link with it is open and it is not leaving
+     * @return true if a link is open and the member is not leaving
      */
     public boolean takesWork() {
         return isLinked() && !leaving;
--- a/coordination/src/main/java/org/geraniumreach/coordination/membership/MemberRole.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/membership/MemberRole.java
@@ -1,6 +1,6 @@
 package org.geraniumreach.coordination.membership;
 
-/** What an instance does. */
+/** The role of an instance. */
 public enum MemberRole {
     ENTRY,
     COMPANION
--- a/coordination/src/main/java/org/geraniumreach/coordination/membership/Membership.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/membership/Membership.java
@@ -13,15 +13,15 @@
 import org.geraniumreach.model.InstanceId;
 
 /**
- * Merges the lagging instance list, open links and the instances' own words into one view.
+ * Merges the delayed instance list, the open links and the instances' leave announcements into one view.
  *
- * <p>Invariants: an instance takes new work only while a link with it is open, so one that is lost gets none from that
- * moment; one that said that it leaves takes none until a later incarnation says Hello, whatever the list says meanwhile; one
- * that the list has dropped takes none, while one that the list does not show yet does. Not safe for use by several threads.
+ * <p>Invariants: an instance accepts new work only while a link with it is open, so a lost instance gets none; an instance
+ * that announced that it is leaving accepts none until a later incarnation opens a link, whatever the list shows; an
+ * instance dropped from the list accepts none, but one not yet listed does. Not safe for use by several threads.
  */
 public final class Membership {
 
-    /** How many processes that left are remembered; beyond it a process left so long ago that its list entry is gone too. */
+    /** The number of leave announcements kept; a process beyond it left so long ago that the list no longer shows it. */
     private static final int MAX_LEFT_INCARNATIONS = 4096;
 
     private final Map<InstanceId, ListedMember> listedMembers = new TreeMap<>();
@@ -37,9 +37,9 @@
     private MembershipView view = MembershipView.empty();
 
     /**
-     * Makes a membership that knows nobody.
+     * Creates a membership without members.
      *
-     * @param self this instance, which is no member of its own view, not null
+     * @param self this instance, which is not a member of its own view, not null
      */
     public Membership(InstanceId self) {
         this.self = self;
@@ -50,11 +50,11 @@
     }
 
     /**
-     * Takes a reading of the list. An empty one is passed over: it would stop all work at once, and the reader itself is on
-     * a list that is right.
+     * Handles a new instance list. An empty list is ignored: it would stop all work, and a correct list contains at least
+     * this instance.
      *
-     * @param members the instances listed, not null
-     * @return the view, not null
+     * @param members the listed instances, not null
+     * @return the new view, not null
      */
     public MembershipView listed(Collection<ListedMember> members) {
         if (members.isEmpty()) {
@@ -71,24 +71,24 @@
     }
 
     /**
-     * Tells that a link is open.
+     * Handles the opening of a link.
      *
-     * @param member the other end, not null
-     * @return the view, not null
+     * @param member the peer, not null
+     * @return the new view, not null
      */
     public MembershipView opened(LinkedMember member) {
-        LinkedMember before = linkedMembers.put(member.instance(), member);
-        if (before == null || before.incarnation() != member.incarnation()) {
+        LinkedMember previous = linkedMembers.put(member.instance(), member);
+        if (previous == null || previous.incarnation() != member.incarnation()) {
             droppedFromList.remove(member.instance());
         }
         return rebuildView();
     }
 
     /**
-     * Tells that the last link with an instance is closed.
+     * Handles the closing of the last link with an instance.
      *
      * @param instance the instance, not null
-     * @return the view, not null
+     * @return the new view, not null
      */
     public MembershipView closed(InstanceId instance) {
         linkedMembers.remove(instance);
@@ -97,11 +97,11 @@
     }
 
     /**
-     * Tells that an instance said that it leaves.
+     * Handles an instance's announcement that it is leaving.
      *
      * @param instance the instance, not null
-     * @param incarnation the process that said so
-     * @return the view, not null
+     * @param incarnation the incarnation that made the announcement
+     * @return the new view, not null
      */
     public MembershipView left(InstanceId instance, long incarnation) {
         leftIncarnations.merge(instance, incarnation, Math::max);
@@ -140,14 +140,15 @@
     }
 
     /**
-     * Queries whether an instance's last known process said that it leaves; it takes no submissions then either.
+     * Checks whether the last known incarnation of an instance announced that it is leaving. Such an instance accepts no
+     * submissions either.
      *
      * @param instance the instance, not null
-     * @return true if it did
+     * @return true if it announced that it is leaving
      */
     public boolean hasLeft(InstanceId instance) {
-        Long left = leftIncarnations.get(instance);
+        Long leftIncarnation = leftIncarnations.get(instance);
         LinkedMember open = linkedMembers.get(instance);
-        return left != null && (open == null || open.incarnation() <= left);
+        return leftIncarnation != null && (open == null || open.incarnation() <= leftIncarnation);
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/membership/MembershipView.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/membership/MembershipView.java
@@ -10,7 +10,7 @@
 import org.geraniumreach.model.TargetId;
 
 /**
- * The instances known at one moment, in the order of their names.
+ * The instances known at a point in time, ordered by name.
  *
  * <p>Immutable and safe for use by several threads.
  */
@@ -25,7 +25,7 @@
     }
 
     /**
-     * Obtains the view before anything is known.
+     * Returns the view without members.
      *
      * @return the view, not null
      */
@@ -34,7 +34,7 @@
     }
 
     /**
-     * Obtains a view of members.
+     * Creates a view of members.
      *
      * @param members the members by instance, not null
      * @return the view, not null
@@ -46,7 +46,7 @@
     /**
      * Gets all members.
      *
-     * @return the members in the order of their names, not null
+     * @return the members ordered by name, not null
      */
     public Collection<Member> members() {
         return List.copyOf(members.values());
@@ -57,9 +57,9 @@
     }
 
     /**
-     * Gets the entries that are listed or connected.
+     * Gets the entries that are listed or linked.
      *
-     * @return the entries in the order of their names, not null
+     * @return the entries ordered by name, not null
      */
     public List<Member> entries() {
         return members.values().stream()
@@ -68,9 +68,9 @@
     }
 
     /**
-     * Gets the companions that new work may be sent to.
+     * Gets the companions that accept new work.
      *
-     * @return the companions in the order of their names, not null
+     * @return the companions ordered by name, not null
      */
     public List<Member> companionsForWork() {
         return members.values().stream()
@@ -79,10 +79,10 @@
     }
 
     /**
-     * Finds the companion that new work for a target may be sent to.
+     * Finds the companion that accepts new work for a target.
      *
      * @param target the target, not null
-     * @return the companion, or empty if none takes work
+     * @return the companion, or empty if none accepts work
      */
     public Optional<Member> availableCompanionFor(TargetId target) {
         return companionsForWork().stream()
--- a/coordination/src/main/java/org/geraniumreach/coordination/membership/Rendezvous.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/membership/Rendezvous.java
@@ -8,8 +8,8 @@
 import org.geraniumreach.model.InstanceId;
 
 /**
- * Chooses among instances by rendezvous hashing, so that all who know the same instances choose the same ones without
- * talking, and one that comes or goes changes few choices.
+ * Selects instances by rendezvous hashing, so that processes that know the same instances make the same selection without
+ * communicating, and an added or removed instance changes few selections.
  *
  * <p>Stateless and safe for use by several threads.
  */
@@ -18,59 +18,59 @@
     private Rendezvous() {}
 
     /**
-     * Gets the first instances in the order that a subject gives them.
+     * Selects the first instances in the order for a hash key.
      *
-     * @param subject what they are chosen for, not null
+     * @param hashKey the hash key, not null
      * @param instances the instances, not null
-     * @param count the greatest number to choose
-     * @return the instances chosen, first choice first, not null
+     * @param count the maximum number to select
+     * @return the selected instances, first choice first, not null
      */
-    public static List<InstanceId> choose(String subject, Collection<InstanceId> instances, int count) {
-        return order(subject, instances).stream().limit(count).toList();
+    public static List<InstanceId> choose(String hashKey, Collection<InstanceId> instances, int count) {
+        return order(hashKey, instances).stream().limit(count).toList();
     }
 
     /**
-     * Gets all instances in the order that a subject gives them.
+     * Orders instances by their weight for a hash key.
      *
-     * @param subject what they are ordered for, not null
+     * @param hashKey the hash key, not null
      * @param instances the instances, not null
      * @return the instances, first choice first, not null
      */
-    public static List<InstanceId> order(String subject, Collection<InstanceId> instances) {
+    public static List<InstanceId> order(String hashKey, Collection<InstanceId> instances) {
         return instances.stream()
-                .map(instance -> new WeightedInstance(weight(subject, instance), instance))
+                .map(instance -> new WeightedInstance(weight(hashKey, instance), instance))
                 .sorted()
                 .map(WeightedInstance::instance)
                 .toList();
     }
 
     /**
-     * Queries whether an instance is among the first in the order that a subject gives.
+     * Checks whether an instance is among the first in the order for a hash key.
      *
-     * <p>An entry asks this for each of hundreds of companions at each reading of the list. Ordering all entries for each
-     * took most of a core at 340 entries and 760 companions; counting those before this one stops early.
+     * <p>An entry calls this for each of hundreds of companions at each reading of the list. Sorting all entries each time
+     * took most of a core with 340 entries and 760 companions; counting the preceding instances can stop early.
      *
-     * @param subject what they are ordered for, not null
+     * @param hashKey the hash key, not null
      * @param instances the instances, not null
-     * @param count how many are chosen
-     * @param self the instance asked for, not null
-     * @return true if fewer than {@code count} others come before it
+     * @param count the number of instances that are selected
+     * @param self the instance to look for, not null
+     * @return true if fewer than {@code count} others precede it
      */
-    public static boolean isChosen(String subject, Collection<InstanceId> instances, int count, InstanceId self) {
-        WeightedInstance own = new WeightedInstance(weight(subject, self), self);
-        int before = 0;
+    public static boolean isChosen(String hashKey, Collection<InstanceId> instances, int count, InstanceId self) {
+        WeightedInstance own = new WeightedInstance(weight(hashKey, self), self);
+        int preceding = 0;
         for (InstanceId instance : instances) {
-            if (new WeightedInstance(weight(subject, instance), instance).compareTo(own) < 0) {
-                before++;
+            if (new WeightedInstance(weight(hashKey, instance), instance).compareTo(own) < 0) {
+                preceding++;
             }
-            if (before >= count) {
+            if (preceding >= count) {
                 return false;
             }
         }
         return true;
     }
 
-    /** An instance with its weight, which is worked out once and not at each comparison. */
+    /** An instance with its weight, which is computed once instead of at each comparison. */
     private record WeightedInstance(long weight, InstanceId instance) implements Comparable<WeightedInstance> {
 
         @Override
@@ -81,14 +81,14 @@
     }
 
     /**
-     * Gets the weight of an instance for a subject; the least is the first choice.
+     * Computes the weight of an instance for a hash key; the instance with the least weight is the first choice.
      *
-     * @param subject the subject, not null
+     * @param hashKey the hash key, not null
      * @param instance the instance, not null
      * @return the weight
      */
-    public static long weight(String subject, InstanceId instance) {
-        byte[] text = (subject + '\n' + instance.value()).getBytes(StandardCharsets.UTF_8);
+    public static long weight(String hashKey, InstanceId instance) {
+        byte[] text = (hashKey + '\n' + instance.value()).getBytes(StandardCharsets.UTF_8);
         return MurmurHash3.hash128x64(text)[0];
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/membership/package-info.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/membership/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Which instances are there and take new work, from a lagging instance list, links and the instances' own words.
+ * Determines which instances exist and accept new work, from the delayed instance list, the open links and the instances'
+ * leave announcements.
  *
- * <p>Holds no socket, thread or sleep.
+ * <p>Uses no sockets, threads or sleeps.
  */
 package org.geraniumreach.coordination.membership;
