--- a/coordination/src/test/java/org/geraniumreach/coordination/SimulatedTable.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/SimulatedTable.java
@@ -9,18 +9,18 @@
 import org.geraniumreach.model.table.RowKey;
 import org.geraniumreach.model.table.Transaction;
 
-/** A table service in memory, whose commits may come late. */
+/** An in-memory table service that can delay commits. */
 public final class SimulatedTable {
 
     private final TreeMap<String, Row> rows = new TreeMap<>();
     private final List<Transaction> delayed = new ArrayList<>();
 
-    private static String textOf(RowKey key) {
+    private static String storageKey(RowKey key) {
         return key.table() + " " + key.key();
     }
 
     public Optional<Row> read(RowKey key) {
-        return Optional.ofNullable(rows.get(textOf(key)));
+        return Optional.ofNullable(rows.get(storageKey(key)));
     }
 
     public List<Row> scan(String table, String after, int limit) {
@@ -32,35 +32,36 @@
     }
 
     public boolean commit(Transaction transaction) {
-        boolean holds = transaction.conditions().stream()
+        boolean conditionsHold = transaction.conditions().stream()
                 .allMatch(condition -> condition.version()
                         == read(condition.key()).map(Row::version).orElse(Transaction.ABSENT));
-        if (holds) {
+        if (conditionsHold) {
             transaction.writes().forEach(this::apply);
         }
-        return holds;
+        return conditionsHold;
     }
 
     private void apply(Transaction.Write write) {
         if (write.value().isEmpty()) {
-            rows.remove(textOf(write.key()));
+            rows.remove(storageKey(write.key()));
             return;
         }
-        // A row that was deleted and written again begins anew, as a table service may do it.
+        // A row that is written after its deletion restarts at version 1, as a table service may do.
         long version = read(write.key()).map(Row::version).orElse(0L) + 1;
         rows.put(
-                textOf(write.key()), new Row(write.key(), version, write.value().get()));
+                storageKey(write.key()),
+                new Row(write.key(), version, write.value().get()));
     }
 
-    /** Keeps a commit back until it is let through. */
+    /** Holds a commit until {@link #applyDelayed} applies it. */
     public void delay(Transaction transaction) {
         delayed.add(transaction);
     }
 
-    /** Lets one of the commits kept back through. */
-    public void applyDelayed(int choice) {
+    /** Applies one of the delayed commits. */
+    public void applyDelayed(int index) {
         if (!delayed.isEmpty()) {
-            commit(delayed.remove(choice % delayed.size()));
+            commit(delayed.remove(index % delayed.size()));
         }
     }
 }
--- a/coordination/src/test/java/org/geraniumreach/coordination/configuration/ConfigurationNodeTest.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/configuration/ConfigurationNodeTest.java
@@ -36,10 +36,10 @@
 
     enum Kind {
         SUBMIT,
-        RACE,
-        CUT_FROM_PEERS,
-        CUT_FROM_TABLE,
-        CUT_OFF,
+        SUBMIT_CONCURRENTLY,
+        DISCONNECT_FROM_PEERS,
+        DISCONNECT_FROM_TABLE,
+        ISOLATE,
         FREEZE,
         RESTART,
         TABLE_DOWN,
@@ -53,81 +53,82 @@
     record Step(Kind kind, int node, int durationMillis) {}
 
     /*
-     * Failure: a key that was withdrawn works on, a configuration falls back, or an accepted change is lost or made twice.
-     * Operators race while nodes are cut off, frozen and restarted, messages are lost, late, repeated and out of order, and
-     * the table is down, slow or loses answers of writes that took effect. The checks run after every event.
+     * Failure: a withdrawn key stays valid, a configuration reverts, or an accepted change is lost or applied twice.
+     * Operators submit concurrently while nodes are isolated, frozen and restarted, messages are lost, delayed, duplicated
+     * and reordered, and the table is down, slow or loses the answers of applied writes. Invariants are checked after every
+     * event.
      */
     @Property(tries = 400, seed = "3")
     void invariantsHoldUnderFaults(@ForAll("steps") List<Step> steps, @ForAll long seed) {
-        SimulatedCluster world = new SimulatedCluster(seed, ENTRIES, 1);
-        world.runFor(Duration.ofSeconds(2));
-        world.submit(FIRST, accountSubmission("account-made", 0));
-        world.runFor(Duration.ofSeconds(1));
+        SimulatedCluster cluster = new SimulatedCluster(seed, ENTRIES, 1);
+        cluster.runFor(Duration.ofSeconds(2));
+        cluster.submit(FIRST, accountSubmission("account-made", 0));
+        cluster.runFor(Duration.ofSeconds(1));
         int number = 0;
         for (Step step : steps) {
-            perform(world, step, number++);
-            world.runFor(Duration.ofMillis(step.durationMillis()));
+            perform(cluster, step, number++);
+            cluster.runFor(Duration.ofMillis(step.durationMillis()));
         }
-        heal(world);
-        world.runFor(Duration.ofSeconds(15));
-        world.assertLogConsistent();
-        assertThat(world.processes.values())
+        heal(cluster);
+        cluster.runFor(Duration.ofSeconds(15));
+        cluster.assertLogConsistent();
+        assertThat(cluster.processes.values())
                 .allSatisfy(process ->
-                        assertThat(process.node.configuration().revision()).isEqualTo(world.table.headRevision()))
-                .allSatisfy(process -> assertThat(world.isFresh(process.id)).isTrue());
+                        assertThat(process.node.configuration().revision()).isEqualTo(cluster.table.headRevision()))
+                .allSatisfy(process -> assertThat(cluster.isFresh(process.id)).isTrue());
     }
 
     /*
-     * Failure: the table is down for minutes and the whole service stops, although no change can have been missed. All
-     * entries hear one another and say that the table does not answer.
+     * Failure: the service stops during a table outage of minutes, although no change can have been missed. All entries
+     * are connected and report that the table does not answer.
      */
     @Test
     void configurationStaysFreshWhenAllEntriesReportTableOutage() {
-        SimulatedCluster world = convergedCluster();
-        world.tableDown = true;
+        SimulatedCluster cluster = convergedCluster();
+        cluster.tableDown = true;
         for (int second = 0; second < 60; second++) {
-            world.runFor(Duration.ofSeconds(1));
-            assertThat(world.processes.keySet()).allMatch(world::isFresh);
+            cluster.runFor(Duration.ofSeconds(1));
+            assertThat(cluster.processes.keySet()).allMatch(cluster::isFresh);
         }
     }
 
     /*
-     * Failure: an entry that is cut off honours keys that were withdrawn elsewhere. It hears neither the table nor the
-     * other entries, so after the limit it must refuse, while the others go on.
+     * Failure: an isolated entry accepts keys that were withdrawn elsewhere. It reaches neither the table nor the other
+     * entries, so it must become stale after the limit, while the others stay fresh.
      */
     @Test
     void isolatedEntryBecomesStale() {
-        SimulatedCluster world = convergedCluster();
-        world.disconnectedFromPeers.add(THIRD);
-        world.disconnectedFromTable.add(THIRD);
-        world.runFor(SimulatedCluster.FRESHNESS_LIMIT);
-        assertThat(world.isFresh(THIRD)).isFalse();
-        assertThat(world.isFresh(FIRST)).isTrue();
-        assertThat(world.isFresh(SECOND)).isTrue();
-        assertThat(world.isFresh(COMPANION)).isTrue();
+        SimulatedCluster cluster = convergedCluster();
+        cluster.disconnectedFromPeers.add(THIRD);
+        cluster.disconnectedFromTable.add(THIRD);
+        cluster.runFor(SimulatedCluster.FRESHNESS_LIMIT);
+        assertThat(cluster.isFresh(THIRD)).isFalse();
+        assertThat(cluster.isFresh(FIRST)).isTrue();
+        assertThat(cluster.isFresh(SECOND)).isTrue();
+        assertThat(cluster.isFresh(COMPANION)).isTrue();
     }
 
     /*
-     * Failure: an entry is cut off during an outage of the table, having heard from all others that they do not reach it.
-     * The table comes back for the others and a key is withdrawn. What the others said long ago must not count for ever.
+     * Failure: an entry is isolated during a table outage, after all others reported that they cannot reach the table. The
+     * table recovers for the others and a key is withdrawn. The old reports must expire.
      */
     @Test
     void entryIsolatedDuringTableOutageBecomesStale() {
-        SimulatedCluster world = convergedCluster();
-        world.tableDown = true;
-        world.runFor(Duration.ofSeconds(10));
-        assertThat(world.isFresh(THIRD)).isTrue();
-        world.disconnectedFromPeers.add(THIRD);
-        world.disconnectedFromTable.add(THIRD);
-        world.tableDown = false;
-        world.runFor(SimulatedCluster.FRESHNESS_LIMIT);
-        assertThat(world.isFresh(THIRD)).isFalse();
-        assertThat(world.isFresh(FIRST)).isTrue();
+        SimulatedCluster cluster = convergedCluster();
+        cluster.tableDown = true;
+        cluster.runFor(Duration.ofSeconds(10));
+        assertThat(cluster.isFresh(THIRD)).isTrue();
+        cluster.disconnectedFromPeers.add(THIRD);
+        cluster.disconnectedFromTable.add(THIRD);
+        cluster.tableDown = false;
+        cluster.runFor(SimulatedCluster.FRESHNESS_LIMIT);
+        assertThat(cluster.isFresh(THIRD)).isFalse();
+        assertThat(cluster.isFresh(FIRST)).isTrue();
     }
 
     /*
-     * Failure: a configuration falls back to an older one. News and parts of snapshots of several revisions come late, more
-     * than once and in any order, as they do from several peers over links that are replaced.
+     * Failure: a configuration reverts to an older revision. Changes and snapshot parts of several revisions arrive late,
+     * repeatedly and in any order, as they do from several peers over links that are replaced.
      */
     @Property(tries = 1000, seed = "4")
     void reorderedMessagesNeverRevertConfiguration(@ForAll long seed) {
@@ -135,11 +136,11 @@
         List<Configuration> history = randomHistory(random, 3 + random.nextInt(8));
         Configuration last = history.get(history.size() - 1);
         List<NodeMessage> messages = new ArrayList<>();
-        for (Configuration at : history) {
-            messages.addAll(SnapshotAssembler.split(at, 2));
-            at.entries().stream()
-                    .filter(entry -> entry.revision() == at.revision())
-                    .forEach(entry -> messages.add(new NodeMessage.News(at.revision(), List.of(entry))));
+        for (Configuration configuration : history) {
+            messages.addAll(SnapshotAssembler.split(configuration, 2));
+            configuration.entries().stream()
+                    .filter(entry -> entry.revision() == configuration.revision())
+                    .forEach(entry -> messages.add(new NodeMessage.News(configuration.revision(), List.of(entry))));
         }
         messages.addAll(messages.subList(0, random.nextInt(messages.size())));
         Collections.shuffle(messages, random);
@@ -174,55 +175,56 @@
     }
 
     /*
-     * Failure: a process that was stopped for longer than the limit serves a withdrawn key in the moment when it goes on,
-     * before it has heard anything.
+     * Failure: a process that was suspended for longer than the limit accepts a withdrawn key when it resumes, before it
+     * receives any message.
      */
     @Test
     void frozenProcessIsStaleWhenItResumes() {
-        SimulatedCluster world = convergedCluster();
-        world.freeze(COMPANION, SimulatedCluster.FRESHNESS_LIMIT.toNanos() + 1);
-        world.nowNanos += SimulatedCluster.FRESHNESS_LIMIT.toNanos() + 1;
-        assertThat(world.isFresh(COMPANION)).isFalse();
+        SimulatedCluster cluster = convergedCluster();
+        cluster.freeze(COMPANION, SimulatedCluster.FRESHNESS_LIMIT.toNanos() + 1);
+        cluster.nowNanos += SimulatedCluster.FRESHNESS_LIMIT.toNanos() + 1;
+        assertThat(cluster.isFresh(COMPANION)).isFalse();
     }
 
     /*
-     * Failure: an instance that starts while the table is down answers from an empty configuration and refuses every key.
-     * It takes the snapshot of a peer instead, and says that it is not ready until then.
+     * Failure: an instance that starts during a table outage serves from an empty configuration and refuses every key. It
+     * must install a peer's snapshot, and have no configuration until then.
      */
     @Test
     void nodeStartedDuringTableOutageInstallsPeerSnapshot() {
-        SimulatedCluster world = convergedCluster();
-        world.tableDown = true;
-        world.runFor(Duration.ofSeconds(5));
-        world.restart(THIRD);
-        assertThat(world.processes.get(THIRD).node.isObtained()).isFalse();
-        world.runFor(Duration.ofSeconds(5));
-        assertThat(world.processes.get(THIRD).node.configuration().revision()).isEqualTo(1);
-        assertThat(world.isFresh(THIRD)).isTrue();
+        SimulatedCluster cluster = convergedCluster();
+        cluster.tableDown = true;
+        cluster.runFor(Duration.ofSeconds(5));
+        cluster.restart(THIRD);
+        assertThat(cluster.processes.get(THIRD).node.isObtained()).isFalse();
+        cluster.runFor(Duration.ofSeconds(5));
+        assertThat(cluster.processes.get(THIRD).node.configuration().revision()).isEqualTo(1);
+        assertThat(cluster.isFresh(THIRD)).isTrue();
     }
 
     /*
-     * Failure: a withdrawal was called accepted, and the others serve the key for the whole outage that follows. Only the
-     * entry that took it knew of it, and it restarted. So accepted is said when another entry holds the change.
+     * Failure: a withdrawal is reported as accepted, but the other entries accept the key throughout the following outage,
+     * because only the committing entry had the change, and it restarted. A change may be reported as accepted only when
+     * another entry holds it.
      */
     @Test
     void changeHeldByOneEntryIsNotReportedAccepted() {
-        SimulatedCluster world = convergedCluster();
-        world.messageLossRate = 1;
-        world.disconnectedFromTable.addAll(List.of(SECOND, THIRD, COMPANION));
-        world.submit(FIRST, accountSubmission("account-changed", 1));
-        world.runFor(Duration.ofMillis(500));
-        assertThat(world.result("account-changed")).isPresent();
-        world.tableDown = true;
-        world.restart(FIRST);
-        world.messageLossRate = 0;
-        world.runFor(Duration.ofSeconds(10));
-        assertThat(world.isFresh(SECOND)).isTrue();
+        SimulatedCluster cluster = convergedCluster();
+        cluster.messageLossRate = 1;
+        cluster.disconnectedFromTable.addAll(List.of(SECOND, THIRD, COMPANION));
+        cluster.submit(FIRST, accountSubmission("account-changed", 1));
+        cluster.runFor(Duration.ofMillis(500));
+        assertThat(cluster.result("account-changed")).isPresent();
+        cluster.tableDown = true;
+        cluster.restart(FIRST);
+        cluster.messageLossRate = 0;
+        cluster.runFor(Duration.ofSeconds(10));
+        assertThat(cluster.isFresh(SECOND)).isTrue();
     }
 
     /*
-     * Failure: a slow table's answer says what the head was when it was asked, ten seconds ago. Taken as of its arrival it
-     * would let a key pass that was withdrawn meanwhile.
+     * Failure: a key withdrawn during a slow poll stays valid. The poll took ten seconds; its result shows the head at the
+     * start of the poll and must not be counted from its arrival.
      */
     @Test
     void slowPollConfirmsItsStartTime() {
@@ -236,8 +238,8 @@
     }
 
     /*
-     * Failure: an instance that lacks changes takes itself for current, since the head was read, or a peer is current, and
-     * serves a key that one of the changes withdrew.
+     * Failure: an instance that lacks changes counts as current because the head was read or a peer is current, and accepts
+     * a key that one of the missing changes withdrew.
      */
     @Test
     void confirmationRequiresAllKnownChanges() {
@@ -258,93 +260,95 @@
 
     @Test
     void nodeWithoutTableOrPeersHasNoConfiguration() {
-        SimulatedCluster world = new SimulatedCluster(1, 1, 0);
-        world.tableDown = true;
-        world.runFor(Duration.ofSeconds(20));
-        assertThat(world.processes.get(FIRST).node.isObtained()).isFalse();
-        assertThat(world.isFresh(FIRST)).isFalse();
+        SimulatedCluster cluster = new SimulatedCluster(1, 1, 0);
+        cluster.tableDown = true;
+        cluster.runFor(Duration.ofSeconds(20));
+        assertThat(cluster.processes.get(FIRST).node.isObtained()).isFalse();
+        assertThat(cluster.isFresh(FIRST)).isFalse();
     }
 
     /*
-     * Failure: with hundreds of entries a change takes longer than seconds to be in force everywhere, or an outage of the
-     * table stops the service, because news and words go over too many hops. The links are those of a large fleet; no
-     * instance links with all others.
+     * Failure: in a large fleet, where no instance links with all others, changes take many seconds to reach every instance,
+     * or a table outage stops the service, because messages travel over too many hops.
      */
     @Test
     void largeFleetReceivesChangesAndStaysFreshDuringOutage() {
-        SimulatedCluster world = new SimulatedCluster(1, 60, 100, new LinkChoice(16, 3, 64, 8));
-        world.runFor(Duration.ofSeconds(3));
-        world.submit(FIRST, accountSubmission("account-made", 0));
-        world.runFor(Duration.ofSeconds(2));
-        assertThat(world.processes.values())
+        SimulatedCluster cluster = new SimulatedCluster(1, 60, 100, new LinkChoice(16, 3, 64, 8));
+        cluster.runFor(Duration.ofSeconds(3));
+        cluster.submit(FIRST, accountSubmission("account-made", 0));
+        cluster.runFor(Duration.ofSeconds(2));
+        assertThat(cluster.processes.values())
                 .allMatch(process -> process.node.configuration().revision() == 1)
-                .allMatch(process -> world.isFresh(process.id));
-        long polls = world.pollCount;
-        world.runFor(Duration.ofSeconds(10));
-        assertThat(world.pollCount - polls).isLessThan(2 * 2 * 10);
-        world.tableDown = true;
+                .allMatch(process -> cluster.isFresh(process.id));
+        long polls = cluster.pollCount;
+        cluster.runFor(Duration.ofSeconds(10));
+        assertThat(cluster.pollCount - polls).isLessThan(2 * 2 * 10);
+        cluster.tableDown = true;
         for (int second = 0; second < 15; second++) {
-            world.runFor(Duration.ofSeconds(1));
-            assertThat(world.processes.keySet()).allMatch(world::isFresh);
+            cluster.runFor(Duration.ofSeconds(1));
+            assertThat(cluster.processes.keySet()).allMatch(cluster::isFresh);
         }
     }
 
     private static SimulatedCluster convergedCluster() {
-        SimulatedCluster world = new SimulatedCluster(1, ENTRIES, 1);
-        world.runFor(Duration.ofSeconds(2));
-        world.submit(FIRST, accountSubmission("account-made", 0));
-        world.runFor(Duration.ofSeconds(3));
-        assertThat(world.processes.keySet()).allMatch(world::isFresh);
-        return world;
+        SimulatedCluster cluster = new SimulatedCluster(1, ENTRIES, 1);
+        cluster.runFor(Duration.ofSeconds(2));
+        cluster.submit(FIRST, accountSubmission("account-made", 0));
+        cluster.runFor(Duration.ofSeconds(3));
+        assertThat(cluster.processes.keySet()).allMatch(cluster::isFresh);
+        return cluster;
     }
 
-    private static void perform(SimulatedCluster world, Step step, int number) {
+    private static void perform(SimulatedCluster cluster, Step step, int number) {
         InstanceId node = InstanceId.of(step.node() < ENTRIES ? "entry-" + step.node() : "companion-0");
         InstanceId entry = InstanceId.of("entry-" + step.node() % ENTRIES);
         InstanceId other = InstanceId.of("entry-" + (step.node() + 1) % ENTRIES);
         long nanos = step.durationMillis() * SimulatedCluster.NANOS_PER_MILLISECOND;
         switch (step.kind()) {
-            case SUBMIT -> world.submit(entry, keySubmission("operation-" + number, step, world.table.headRevision()));
-            case RACE -> {
-                world.submit(entry, keySubmission("operation-" + number + "-one", step, world.table.headRevision()));
-                world.submit(other, keySubmission("operation-" + number + "-two", step, world.table.headRevision()));
+            case SUBMIT -> cluster.submit(
+                    entry, keySubmission("operation-" + number, step, cluster.table.headRevision()));
+            case SUBMIT_CONCURRENTLY -> {
+                cluster.submit(
+                        entry, keySubmission("operation-" + number + "-one", step, cluster.table.headRevision()));
+                cluster.submit(
+                        other, keySubmission("operation-" + number + "-two", step, cluster.table.headRevision()));
             }
-            case CUT_FROM_PEERS -> world.disconnectedFromPeers.add(node);
-            case CUT_FROM_TABLE -> world.disconnectedFromTable.add(node);
-            case CUT_OFF -> {
-                world.disconnectedFromPeers.add(node);
-                world.disconnectedFromTable.add(node);
+            case DISCONNECT_FROM_PEERS -> cluster.disconnectedFromPeers.add(node);
+            case DISCONNECT_FROM_TABLE -> cluster.disconnectedFromTable.add(node);
+            case ISOLATE -> {
+                cluster.disconnectedFromPeers.add(node);
+                cluster.disconnectedFromTable.add(node);
             }
-            case FREEZE -> world.freeze(node, 3 * nanos);
-            case RESTART -> world.restartIfTolerated(node);
+            case FREEZE -> cluster.freeze(node, 3 * nanos);
+            case RESTART -> cluster.restartIfTolerated(node);
             case TABLE_DOWN -> {
-                world.tableDown = true;
+                cluster.tableDown = true;
             }
             case TABLE_SLOW -> {
-                world.maxTableDelayNanos = 2 * nanos;
+                cluster.maxTableDelayNanos = 2 * nanos;
             }
             case TABLE_LOSES_ANSWERS -> {
-                world.tableResponseLossRate = 0.5;
+                cluster.tableResponseLossRate = 0.5;
             }
             case MESSAGES_LOST -> {
-                world.messageLossRate = 0.3;
+                cluster.messageLossRate = 0.3;
             }
             case MESSAGES_LATE -> {
-                world.maxMessageDelayNanos = 3 * nanos;
+                cluster.maxMessageDelayNanos = 3 * nanos;
             }
-            case HEAL -> heal(world);
+            case HEAL -> heal(cluster);
             default -> throw new IllegalStateException("unhandled " + step.kind());
         }
     }
 
-    private static void heal(SimulatedCluster world) {
-        world.disconnectedFromPeers.clear();
-        world.disconnectedFromTable.clear();
-        world.tableDown = false;
-        world.maxTableDelayNanos = 0;
-        world.tableResponseLossRate = 0;
-        world.messageLossRate = 0;
-        world.maxMessageDelayNanos = 0;
+    private static void heal(SimulatedCluster cluster) {
+        cluster.disconnectedFromPeers.clear();
+        cluster.disconnectedFromTable.clear();
+        cluster.tableDown = false;
+        cluster.maxTableDelayNanos = 0;
+        cluster.tableResponseLossRate = 0;
+        cluster.messageLossRate = 0;
+        cluster.maxMessageDelayNanos = 0;
     }
 
     private static Submission accountSubmission(String operation, long basedOn) {
@@ -366,7 +370,7 @@
     @Provide
     Arbitrary<List<Step>> steps() {
         Arbitrary<Kind> kinds = Arbitraries.frequencyOf(
-                Tuple.of(3, Arbitraries.of(Kind.SUBMIT, Kind.RACE)), Tuple.of(4, Arbitraries.of(Kind.values())));
+                Tuple.of(3, Arbitraries.of(Kind.SUBMIT, Kind.SUBMIT_CONCURRENTLY)), Tuple.of(4, Arbitraries.of(Kind.values())));
         return Combinators.combine(
                         kinds,
                         Arbitraries.integers().between(0, ENTRIES),
--- a/coordination/src/test/java/org/geraniumreach/coordination/configuration/ConfigurationRowsTest.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/configuration/ConfigurationRowsTest.java
@@ -28,14 +28,14 @@
                 .isEqualTo(withdrawal);
         assertThat(ConfigurationRows.readPart(ConfigurationRows.writePart(List.of(ENTRY))))
                 .containsExactly(ENTRY);
-        SnapshotPlace place = new SnapshotPlace(9, 2);
-        assertThat(ConfigurationRows.readPlace(ConfigurationRows.writePointer(place)))
-                .isEqualTo(place);
+        SnapshotPlace pointer = new SnapshotPlace(9, 2);
+        assertThat(ConfigurationRows.readPlace(ConfigurationRows.writePointer(pointer)))
+                .isEqualTo(pointer);
     }
 
     /*
-     * Failure: one damaged row of the table stops every instance that reads it. Whatever stands in a row, reading it gives a
-     * value or the checked exception.
+     * Failure: one malformed row of the table stops every instance that reads it. Any row content must be parsed or refused
+     * with the checked exception.
      */
     @Property(tries = 10_000, seed = "8")
     void malformedRowsThrowOnlyRecordException(@ForAll long seed) {
@@ -43,9 +43,9 @@
         StringBuilder text = new StringBuilder(ConfigurationRows.writePart(List.of(ENTRY)));
         for (int change = 0; change < 1 + random.nextInt(4); change++) {
             int from = random.nextInt(FRAGMENTS.length());
-            String piece = FRAGMENTS.substring(from, Math.min(FRAGMENTS.length(), from + random.nextInt(10)));
+            String fragment = FRAGMENTS.substring(from, Math.min(FRAGMENTS.length(), from + random.nextInt(10)));
             int at = random.nextInt(text.length() + 1);
-            text.replace(at, Math.min(text.length(), at + random.nextInt(8)), piece);
+            text.replace(at, Math.min(text.length(), at + random.nextInt(8)), fragment);
         }
         String row = random.nextBoolean() ? text.toString() : text.substring(1, Math.max(1, text.length() - 1));
         readOrRefuse(() -> ConfigurationRows.readPart(row));
@@ -54,14 +54,13 @@
         readOrRefuse(() -> ConfigurationRows.readPlace(row));
     }
 
-    /** Reads a row. */
     private interface RowReader {
         Object read() throws RecordException;
     }
 
-    private static void readOrRefuse(RowReader reading) {
+    private static void readOrRefuse(RowReader reader) {
         try {
-            assertThat(reading.read()).isNotNull();
+            assertThat(reader.read()).isNotNull();
         } catch (RecordException refused) {
             assertThat(refused.getMessage()).isNotBlank();
         }
--- a/coordination/src/test/java/org/geraniumreach/coordination/configuration/InMemoryTable.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/configuration/InMemoryTable.java
@@ -10,7 +10,7 @@
 import org.geraniumreach.model.table.RowKey;
 import org.geraniumreach.model.table.Transaction;
 
-/** The platform's table, in memory, answering at once. */
+/** An in-memory version of the platform's table that answers immediately. */
 final class InMemoryTable {
 
     private final TreeMap<String, Row> rows = new TreeMap<>();
@@ -59,9 +59,9 @@
         }
     }
 
-    PollAnswer poll(long startedAt, long haveRevision) {
+    PollAnswer poll(long startedAt, long heldRevision) {
         List<LogEntry> entries =
-                log().stream().filter(entry -> entry.revision() > haveRevision).toList();
+                log().stream().filter(entry -> entry.revision() > heldRevision).toList();
         return new PollAnswer(startedAt, headRevision(), Optional.empty(), entries);
     }
 }
--- a/coordination/src/test/java/org/geraniumreach/coordination/configuration/SimulatedCluster.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/configuration/SimulatedCluster.java
@@ -23,8 +23,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * Some configuration nodes around a table, with the clock, the network and the table in the hands of a test; after every
- * event it checks what must hold.
+ * A deterministic simulation of configuration nodes with a shared table, in which a test controls the clock, the network and
+ * the table. Checks the invariants after every event.
  */
 final class SimulatedCluster {
 
@@ -62,12 +62,12 @@
 
     record Event(long dueAt, long order, Runnable action) {}
 
-    /** One process; a restart makes a new one. */
+    /** A simulated process; a restart creates a new one. */
     static final class Process {
         final InstanceId id;
         final ConfigurationNode node;
         long frozenUntil;
-        boolean dead;
+        boolean isDead;
         long lastRevision;
 
         Process(InstanceId id, ConfigurationNode node) {
@@ -80,8 +80,8 @@
         this(seed, entryCount, companionCount, new LinkChoice(entryCount, 2, companionCount, entryCount));
     }
 
-    SimulatedCluster(long seed, int entryCount, int companionCount, LinkChoice links) {
-        this.linkSelector = links;
+    SimulatedCluster(long seed, int entryCount, int companionCount, LinkChoice linkSelector) {
+        this.linkSelector = linkSelector;
         random = new Random(seed);
         for (int index = 0; index < entryCount; index++) {
             entries.add(InstanceId.of("entry-" + index));
@@ -107,33 +107,33 @@
         tick(process);
     }
 
-    private boolean keepsLink(InstanceId keeper, InstanceId other) {
-        return entries.contains(keeper)
-                && selectedPeers.computeIfAbsent(keeper, this::selectPeers).contains(other);
+    private boolean keepsLink(InstanceId owner, InstanceId other) {
+        return entries.contains(owner)
+                && selectedPeers.computeIfAbsent(owner, this::selectPeers).contains(other);
     }
 
-    private Set<InstanceId> selectPeers(InstanceId keeper) {
-        Set<InstanceId> choice = new HashSet<>(linkSelector.entries(keeper, entries));
-        choice.addAll(linkSelector.companions(keeper, entries, companions));
-        return choice;
+    private Set<InstanceId> selectPeers(InstanceId owner) {
+        Set<InstanceId> selection = new HashSet<>(linkSelector.entries(owner, entries));
+        selection.addAll(linkSelector.companions(owner, entries, companions));
+        return selection;
     }
 
     void restart(InstanceId id) {
         Process old = processes.remove(id);
-        old.dead = true;
+        old.isDead = true;
         processes.values().forEach(process -> process.node.closed(id));
         start(id);
     }
 
     /**
-     * Restarts a process, unless another has restarted since all were last known to be up to date: what only two processes
-     * hold in memory while the table is away is lost when both go, which is outside of the promise.
+     * Restarts a process unless another one has restarted since all were last up to date. A change that only two processes
+     * hold in memory during a table outage is lost if both restart; that case is not guaranteed.
      */
     void restartIfTolerated(InstanceId id) {
-        boolean settled = processes.values().stream()
+        boolean converged = processes.values().stream()
                 .allMatch(process ->
                         process.node.configuration().revision() == table.headRevision() && isFresh(process.id));
-        if (settled) {
+        if (converged) {
             restartedSinceConvergence = false;
         }
         if (!restartedSinceConvergence) {
@@ -162,9 +162,9 @@
         events.add(new Event(nowNanos + delay, nextEventOrder++, action));
     }
 
-    /** Runs what a process does, once it is not frozen, and not at all if it is dead. */
+    /** Runs an action of a process, after its suspension ends if it is frozen, and not at all if it is dead. */
     private void runUnlessFrozen(Process process, Runnable action) {
-        if (process.dead) {
+        if (process.isDead) {
             return;
         }
         if (process.frozenUntil > nowNanos) {
@@ -199,9 +199,9 @@
     }
 
     private void send(Process from, NodeAction.Send send) {
-        if (send.message() instanceof NodeMessage.Note note) {
+        if (send.message() instanceof NodeMessage.Note heartbeat) {
             heartbeatCount++;
-            reportCount += note.words().size();
+            reportCount += heartbeat.words().size();
         }
         Process to = processes.get(send.peer());
         if (to == null || random.nextDouble() < messageLossRate) {
@@ -216,8 +216,8 @@
     }
 
     private void deliver(Process from, Process to, NodeMessage message) {
-        boolean cut = disconnectedFromPeers.contains(from.id) != disconnectedFromPeers.contains(to.id);
-        if (cut || from.dead) {
+        boolean isPartitioned = disconnectedFromPeers.contains(from.id) != disconnectedFromPeers.contains(to.id);
+        if (isPartitioned || from.isDead) {
             return;
         }
         runUnlessFrozen(to, () -> perform(to, to.node.received(from.id, message)));
@@ -227,7 +227,7 @@
         return !tableDown && !disconnectedFromTable.contains(process.id);
     }
 
-    /** Calls the table: the effect comes after a delay, and the answer after another or never. */
+    /** Calls the table. The effect occurs after a delay; the answer follows after the same delay or is lost. */
     private <T> void callTable(Process process, Supplier<T> effect, Consumer<T> answer, Runnable failure) {
         long delay = NANOS_PER_MILLISECOND + (maxTableDelayNanos == 0 ? 0 : random.nextLong(maxTableDelayNanos));
         boolean[] finished = {false};
@@ -257,53 +257,61 @@
         });
     }
 
-    private void poll(Process process, long haveRevision, Runnable then) {
+    private void poll(Process process, long heldRevision, Runnable continuation) {
         pollCount++;
         long startedAt = nowNanos;
         callTable(
                 process,
-                () -> table.poll(startedAt, haveRevision),
+                () -> table.poll(startedAt, heldRevision),
                 answer -> {
                     perform(process, process.node.polled(answer));
-                    then.run();
+                    continuation.run();
                 },
                 () -> {
                     process.node.pollFailed();
-                    then.run();
+                    continuation.run();
                 });
     }
 
     void submit(InstanceId at, Submission submission) {
         Process process = processes.get(at);
         runUnlessFrozen(process, () -> {
-            SubmissionProcess running = new SubmissionProcess(
+            SubmissionProcess submissionProcess = new SubmissionProcess(
                     submission, process.node.configuration(), () -> nowNanos, random, Duration.ofSeconds(5));
-            performStep(process, submission, running, running.start());
+            performStep(process, submission, submissionProcess, submissionProcess.start());
         });
     }
 
-    private void performStep(Process process, Submission submission, SubmissionProcess running, SubmissionStep step) {
+    private void performStep(
+            Process process, Submission submission, SubmissionProcess submissionProcess, SubmissionStep step) {
         if (step instanceof SubmissionStep.Read read) {
             callTable(
                     process,
                     () -> table.read(read.key()),
-                    row -> performStep(process, submission, running, running.read(row)),
-                    () -> performStep(process, submission, running, running.readFailed()));
+                    row -> performStep(process, submission, submissionProcess, submissionProcess.read(row)),
+                    () -> performStep(process, submission, submissionProcess, submissionProcess.readFailed()));
         } else if (step instanceof SubmissionStep.Commit commit) {
             callTable(
                     process,
                     () -> table.commit(commit.transaction()),
-                    done -> performStep(process, submission, running, running.committed(done)),
-                    () -> performStep(process, submission, running, running.commitFailed(true)));
+                    tookEffect -> performStep(
+                            process, submission, submissionProcess, submissionProcess.committed(tookEffect)),
+                    () -> performStep(process, submission, submissionProcess, submissionProcess.commitFailed(true)));
         } else if (step instanceof SubmissionStep.CatchUp) {
             poll(
                     process,
                     process.node.configuration().revision(),
-                    () -> performStep(process, submission, running, running.caughtUp(process.node.configuration())));
+                    () -> performStep(
+                            process,
+                            submission,
+                            submissionProcess,
+                            submissionProcess.caughtUp(process.node.configuration())));
         } else if (step instanceof SubmissionStep.Wait wait) {
             schedule(
                     wait.duration().toNanos(),
-                    () -> runUnlessFrozen(process, () -> performStep(process, submission, running, running.waited())));
+                    () -> runUnlessFrozen(
+                            process,
+                            () -> performStep(process, submission, submissionProcess, submissionProcess.waited())));
         } else if (step instanceof SubmissionStep.Done done) {
             onSubmissionDone(process, submission, done.result());
         }
@@ -320,7 +328,7 @@
         }
     }
 
-    /** Says accepted to the operator when another entry holds the change. */
+    /** Reports the change as accepted once another entry holds it, unless the deadline passes first. */
     private void awaitReplication(Process process, long revision, long deadline) {
         if (process.node.otherEntriesHolding(revision) > 0) {
             acceptedAtByRevision.putIfAbsent(revision, nowNanos);
@@ -348,16 +356,16 @@
             process.lastRevision = revision;
         }
         if (nowNanos < node.freshUntil()) {
-            long due = acceptedAtByRevision.entrySet().stream()
+            long requiredRevision = acceptedAtByRevision.entrySet().stream()
                     .filter(accepted -> accepted.getValue() <= nowNanos - FRESHNESS_LIMIT.toNanos())
                     .mapToLong(Map.Entry::getKey)
                     .max()
                     .orElse(0);
-            assertThat(revision).as("revision served by %s", process.id).isGreaterThanOrEqualTo(due);
+            assertThat(revision).as("revision served by %s", process.id).isGreaterThanOrEqualTo(requiredRevision);
         }
     }
 
-    /** Checks that the log is contiguous and holds each operation once. */
+    /** Checks that the log is contiguous, holds each operation once and agrees with the reported results. */
     void assertLogConsistent() {
         List<LogEntry> log = table.log();
         Set<String> operations = new HashSet<>();
@@ -371,9 +379,9 @@
         }
         results.forEach((operation, result) -> {
             boolean logged = operations.contains(operation);
-            boolean known = result.isAccepted() || result.code() == ResultCode.SUBMISSION_UNSETTLED;
+            boolean reported = result.isAccepted() || result.code() == ResultCode.SUBMISSION_UNSETTLED;
             if (logged) {
-                assertThat(known)
+                assertThat(reported)
                         .as("result of logged %s: %s", operation, result)
                         .isTrue();
             } else {
--- a/coordination/src/test/java/org/geraniumreach/coordination/configuration/SubmissionProcessTest.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/configuration/SubmissionProcessTest.java
@@ -24,7 +24,7 @@
     private static final String ASSIGNMENT = "{'schemaVersion':1,'account':'acme','adapter':'welder'}";
     private static final String KEY = "{'schemaVersion':1,'account':'acme','digest':'" + "0".repeat(64) + "'}";
 
-    /** What becomes of a commit. */
+    /** How the table treats a commit. */
     private enum CommitOutcome {
         ANSWERED,
         APPLIED_WITHOUT_ANSWER,
@@ -55,8 +55,8 @@
             } else if (step instanceof SubmissionStep.Wait wait) {
                 nowNanos += wait.duration().toNanos();
                 step = process.waited();
-            } else if (step instanceof SubmissionStep.Commit asked) {
-                step = commit(process, asked.transaction());
+            } else if (step instanceof SubmissionStep.Commit commit) {
+                step = commit(process, commit.transaction());
             }
         }
     }
@@ -92,8 +92,8 @@
     }
 
     /*
-     * Failure: two operators change one record at the same time, and the change of the first is lost without a word. Both
-     * saw revision 4. The second must hear of the conflict and of the record as it is now.
+     * Failure: two operators change one record concurrently, and the first change is silently lost. Both read revision 4.
+     * The second must get a conflict and the current record.
      */
     @Test
     void concurrentChangeIsRefusedWithCurrentRecord() {
@@ -108,8 +108,8 @@
     }
 
     /*
-     * Failure: a withdrawn key works again. One operator withdraws it while another, who still sees it, changes it; the
-     * change would bring it back.
+     * Failure: a withdrawn key becomes valid again, because an operator who read it before the withdrawal changes it
+     * afterwards.
      */
     @Test
     void changeBasedOnWithdrawnRecordIsRefused() {
@@ -121,7 +121,7 @@
     }
 
     /*
-     * Failure: an operator is told that a change failed although it is in force, or it is made twice. The table applies the
+     * Failure: a change is reported as failed although it was applied, or is applied twice. The table applies the
      * transaction and its answer is lost.
      */
     @Test
@@ -134,8 +134,8 @@
     }
 
     /*
-     * Failure: an operator is told that nothing was changed, and a moment later the change is in force. The write is on its
-     * way for longer than the submission is tried. Submitted again under its operation id it is found, and made once.
+     * Failure: a submission is reported as not applied and is applied later, because the write is delayed beyond the
+     * deadline. Submitting its operation id again must find the change, applied once.
      */
     @Test
     void delayedWriteIsUnsettledAndFoundByOperationIdLater() {
@@ -145,14 +145,14 @@
         assertThat(commitCount).isEqualTo(1);
         assertThat(table.commit(delayedCommit.orElseThrow())).isTrue();
         commitOutcome = CommitOutcome.ANSWERED;
-        SubmissionResult again = submit("one", 0, RecordKind.ACCOUNT, "acme", ACCOUNT);
-        assertThat(again.isAccepted()).isTrue();
-        assertThat(table.log()).containsExactly(again.entry().orElseThrow());
+        SubmissionResult resubmitted = submit("one", 0, RecordKind.ACCOUNT, "acme", ACCOUNT);
+        assertThat(resubmitted.isAccepted()).isTrue();
+        assertThat(table.log()).containsExactly(resubmitted.entry().orElseThrow());
     }
 
     /*
-     * Failure: a change is made twice. The first write is still on its way while the operator submits the same operation
-     * again and succeeds; then the first write arrives.
+     * Failure: a change is applied twice. The first write is delayed while the operator submits the same operation again
+     * and succeeds; then the first write arrives.
      */
     @Test
     void resubmittedOperationIsAppliedOnce() {
@@ -185,8 +185,8 @@
     }
 
     /*
-     * Failure: a newer program stored a field that this one does not know, and an operator's change through this one loses
-     * it without a word.
+     * Failure: a field that a newer program stored is silently lost when an operator changes the record through a program
+     * that does not know the field.
      */
     @Test
     void unknownStoredFieldsAreKept() {
--- a/coordination/src/test/java/org/geraniumreach/coordination/membership/LinkSelectorTest.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/membership/LinkSelectorTest.java
@@ -27,12 +27,12 @@
     }
 
     /*
-     * Failure: a part of the fleet does not hear of changes, or hears of them after many hops, because the links between
-     * entries do not connect them. Every entry must be few hops from every other, over few links.
+     * Failure: changes do not reach part of the fleet, or only over many hops, because the links between entries do not
+     * connect them closely. Every entry must reach every other over few hops, with few links.
      */
     @ParameterizedTest
     @CsvSource({"3,1,2", "16,1,15", "17,4,6", "100,5,6", "340,6,6"})
-    void entriesAreConnectedWithinFewHops(int count, int mostHops, int mostLinks) {
+    void entriesAreConnectedWithinFewHops(int count, int maxHops, int maxLinks) {
         Set<InstanceId> entries = instances("entry-", count);
         Map<InstanceId, Set<InstanceId>> links = new TreeMap<>();
         entries.forEach(entry -> links.put(entry, new TreeSet<>()));
@@ -42,11 +42,11 @@
                 assertThat(links.get(other).add(entry)).isTrue();
             }
         }
-        assertThat(links.values()).allMatch(neighbours -> neighbours.size() <= mostLinks);
+        assertThat(links.values()).allMatch(neighbours -> neighbours.size() <= maxLinks);
         for (InstanceId entry : entries) {
             Map<InstanceId, Integer> hops = hopsFrom(entry, links);
             assertThat(hops.keySet()).isEqualTo(entries);
-            assertThat(hops.values()).allMatch(distance -> distance <= mostHops);
+            assertThat(hops.values()).allMatch(distance -> distance <= maxHops);
         }
     }
 
@@ -65,21 +65,21 @@
     }
 
     /*
-     * Failure: a companion is left without any entry and its target without work, when each entry chooses some companions
-     * by itself. Each companion has its number of entries, and no entry many more companions than another.
+     * Failure: a companion has no entry, and its target no work, because each entry selects companions on its own. Each
+     * companion must have the configured number of entries, and the companions must be spread evenly over the entries.
      */
     @Test
     void everyCompanionHasConfiguredNumberOfEntries() {
         Set<InstanceId> entries = instances("entry-", 340);
         Set<InstanceId> companions = instances("companion-", 760);
-        Map<InstanceId, Integer> entriesOf = new HashMap<>();
+        Map<InstanceId, Integer> entryCounts = new HashMap<>();
         for (InstanceId entry : entries) {
-            Set<InstanceId> chosen = SELECTOR.companions(entry, entries, companions);
-            assertThat(chosen.size()).isBetween(1, 40);
-            chosen.forEach(companion -> entriesOf.merge(companion, 1, Integer::sum));
+            Set<InstanceId> selected = SELECTOR.companions(entry, entries, companions);
+            assertThat(selected.size()).isBetween(1, 40);
+            selected.forEach(companion -> entryCounts.merge(companion, 1, Integer::sum));
         }
-        assertThat(entriesOf.keySet()).isEqualTo(companions);
-        assertThat(entriesOf.values()).allMatch(count -> count == 8);
+        assertThat(entryCounts.keySet()).isEqualTo(companions);
+        assertThat(entryCounts.values()).allMatch(count -> count == 8);
     }
 
     @Test
--- a/coordination/src/test/java/org/geraniumreach/coordination/membership/MembershipTest.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/membership/MembershipTest.java
@@ -40,16 +40,16 @@
     record Event(Kind kind, InstanceId instance) {}
 
     /*
-     * Failure: work is sent to an instance that leaves or is lost, and is cut off there. The list lags behind, links open
-     * and close, processes say that they leave and are replaced under the same name.
+     * Failure: work is sent to an instance that is leaving or lost, and is aborted. The list is delayed, links open and
+     * close, and processes announce that they are leaving and are replaced under the same name.
      */
     @Property(tries = 3000, seed = "5")
     void onlyLinkedMembersThatAreNotLeavingAcceptWork(@ForAll("events") List<Event> events) {
         Membership membership = new Membership(SELF);
         Map<InstanceId, ListedMember> list = new HashMap<>();
-        Map<InstanceId, Long> open = new HashMap<>();
+        Map<InstanceId, Long> openIncarnations = new HashMap<>();
         Map<InstanceId, Long> incarnations = new HashMap<>();
-        Set<List<Object>> left = new HashSet<>();
+        Set<List<Object>> leftIncarnations = new HashSet<>();
         for (Event event : events) {
             InstanceId instance = event.instance();
             long incarnation = incarnations.getOrDefault(instance, 1L);
@@ -57,22 +57,26 @@
                 case LIST -> list.put(instance, listed(instance, false));
                 case LIST_AS_LEAVING -> list.put(instance, listed(instance, true));
                 case DROP_FROM_LIST -> list.remove(instance);
-                case OPEN -> open.put(instance, incarnation);
+                case OPEN -> openIncarnations.put(instance, incarnation);
                 case OPEN_NEW_INCARNATION -> {
                     incarnations.put(instance, incarnation + 1);
-                    open.put(instance, incarnation + 1);
+                    openIncarnations.put(instance, incarnation + 1);
                 }
-                case CLOSE -> open.remove(instance);
-                case LEAVE -> left.add(List.of(instance, incarnation));
+                case CLOSE -> openIncarnations.remove(instance);
+                case LEAVE -> leftIncarnations.add(List.of(instance, incarnation));
                 default -> throw new IllegalStateException("unhandled " + event.kind());
             }
             applyEvent(membership, event, incarnations.getOrDefault(instance, 1L), list);
             for (Member member : membership.view().members()) {
-                boolean leaves = list.containsKey(member.instance())
+                boolean listedAsLeaving = list.containsKey(member.instance())
                         && list.get(member.instance()).leaving();
-                Long linked = open.get(member.instance());
-                boolean may = linked != null && !left.contains(List.of(member.instance(), linked)) && !leaves;
-                assertThat(member.takesWork() && !may).as("%s", member).isFalse();
+                Long linkedIncarnation = openIncarnations.get(member.instance());
+                boolean mayAcceptWork = linkedIncarnation != null
+                        && !leftIncarnations.contains(List.of(member.instance(), linkedIncarnation))
+                        && !listedAsLeaving;
+                assertThat(member.takesWork() && !mayAcceptWork)
+                        .as("%s", member)
+                        .isFalse();
             }
         }
     }
@@ -102,8 +106,8 @@
     }
 
     /*
-     * Failure: a companion that drains gets new work again. It said that it leaves; the list still shows it as live for
-     * seconds, and the link to it is opened again.
+     * Failure: a draining companion gets new work. It announced that it is leaving, but the list shows it as live for some
+     * seconds and a link to it is opened again.
      */
     @Test
     void staleListDoesNotRestoreLeavingProcess() {
