--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/Compaction.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/Compaction.java
@@ -24,7 +24,7 @@
     public static final int MIN_RETAINED_CHANGES = 10_000;
 
     private static final int RECORDS_PER_PART = 200;
-    private static final int DELETIONS_PER_TRANSACTION = 50;
+    private static final int DELETION_BATCH_SIZE = 50;
 
     private Compaction() {}
 
@@ -114,7 +114,7 @@
 
         void add(Transaction deletion) {
             writes.addAll(deletion.writes());
-            if (writes.size() >= DELETIONS_PER_TRANSACTION) {
+            if (writes.size() >= DELETION_BATCH_SIZE) {
                 flush();
             }
         }
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/ConfigurationNode.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/ConfigurationNode.java
@@ -200,7 +200,7 @@
         return new NodeAction.Poll(replica.revision());
     }
 
-    /* While the store is unreachable, heartbeats carry the reports of the entries over several hops. */
+    /* Heartbeats are more frequent while the store is unreachable, because they carry reports over several hops. */
     private long heartbeatIntervalNanos() {
         return isStoreUnreachable() ? periodNanos / 2 : periodNanos;
     }
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/NodeMessage.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/NodeMessage.java
@@ -28,9 +28,9 @@
      *
      * @param revision the sender's current revision
      * @param highestHeard the highest revision known to the sender
-     * @param confirmedAge nanoseconds since the sender's configuration was confirmed as current, empty if it never was
+     * @param confirmedAge nanoseconds since the sender's configuration was last confirmed, empty if it never was
      * @param saysUnreachable whether the sender cannot reach the store
-     * @param words other entries' reports that they cannot reach the store, sent only while the sender cannot reach it
+     * @param words reports of entries that cannot reach the store, sent while the sender cannot reach it either
      * @param stamp the reading of the sender's clock, which the receiver echoes
      * @param echo the latest timestamp received from the receiver, empty if there is none
      */
--- a/coordination/src/main/java/org/geraniumreach/coordination/membership/Rendezvous.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/membership/Rendezvous.java
@@ -48,7 +48,7 @@
      * Checks whether an instance is among the first in the order for a hash key.
      *
      * <p>An entry calls this for each of hundreds of companions at each reading of the list. Sorting all entries each time
-     * took most of a core with 340 entries and 760 companions; counting the preceding instances can stop early.
+     * takes most of a core with 340 entries and 760 companions; counting the preceding instances can stop early.
      *
      * @param hashKey the hash key, not null
      * @param instances the instances, not null
--- a/model/src/main/java/org/geraniumreach/model/record/ClientAccount.java
+++ b/model/src/main/java/org/geraniumreach/model/record/ClientAccount.java
@@ -5,8 +5,8 @@
 /**
  * The rate limit and priority of a client account.
  *
- * <p>Invariant: the rate and burst are positive; the priority ranges from 0 (lowest) to 9 (highest). Immutable and safe for use by several
- * threads.
+ * <p>Invariant: the rate and burst are positive; the priority ranges from 0 (lowest) to 9 (highest). Immutable
+ * and safe for use by several threads.
  *
  * @param id the name of the account
  * @param tokensPerSecond the rate limit over all instances
--- a/model/src/main/java/org/geraniumreach/model/record/ConfigurationIndex.java
+++ b/model/src/main/java/org/geraniumreach/model/record/ConfigurationIndex.java
@@ -38,7 +38,7 @@
     private final Map<String, AccessKey> keysByName;
     private final Map<String, Assignment> assignmentsByName;
 
-    /** The accounts whose map in {@link #adapterCountsByAccount} is owned by this index and not shared with the one it was copied source. */
+    /** The accounts whose map in {@link #adapterCountsByAccount} this index owns, rather than shares with its source. */
     private final Set<AccountId> ownedAssignments = new HashSet<>();
 
     ConfigurationIndex() {
