--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/ConfigurationNode.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/ConfigurationNode.java
@@ -17,20 +17,21 @@
 import org.geraniumreach.model.record.LogEntry;
 
 /**
- * Keeps one instance's configuration up to date and knows how current it is.
+ * Replicates the configuration to one instance and determines how long it counts as current.
  *
- * <p>A few entries poll the table; the others hear of changes and confirmations from the peers that they have links with,
- * hand them on, and poll for themselves only when nothing came for two periods. What a link lost is sent again when the
- * next note shows the difference; what no peer can give comes from the table, and while that is down from a peer's snapshot.
+ * <p>A few entries poll the table. The other instances receive changes and confirmations from their linked peers, forward
+ * them, and poll the table themselves only if no confirmation arrived for two periods. Messages lost by a link are sent
+ * again when the next heartbeat shows the difference. Changes that no peer can send are read from the table, or taken from
+ * a peer's snapshot while the table is unavailable.
  *
- * <p>Invariants: the revision of {@link #configuration} never falls, and its content is that of the log at that revision;
- * at a time before {@link #freshUntil} it holds every change that was called accepted more than the freshness limit ago.
- * Each call takes an event and answers with what to do. Not safe for use by several threads.
+ * <p>Invariants: the revision of {@link #configuration} never decreases, and its content is that of the log at that
+ * revision; before {@link #freshUntil} it contains every change that was reported as accepted more than the freshness limit
+ * ago. Event methods return the actions to perform. Not safe for use by several threads.
  */
 public final class ConfigurationNode {
 
-    private static final int FETCH_PERIODS = 4;
-    private static final String POLLER_SUBJECT = "configuration-poller";
+    private static final int SNAPSHOT_REQUEST_PERIODS = 4;
+    private static final String POLLER_HASH_KEY = "configuration-poller";
 
     private final InstanceId self;
     private final NodeOptions options;
@@ -38,24 +39,24 @@
     private final RandomGenerator random;
     private final Replica replica;
     private final Freshness freshness;
-    private final SnapshotAssembly assembly = new SnapshotAssembly();
+    private final SnapshotAssembler snapshotAssembler = new SnapshotAssembler();
     private final Map<InstanceId, PeerState> peers = new TreeMap<>();
-    private final long period;
+    private final long periodNanos;
 
-    private boolean obtained;
-    private boolean poller;
-    private boolean polling;
-    private boolean pollFailing;
+    private boolean hasConfiguration;
+    private boolean isPoller;
+    private boolean pollInProgress;
+    private boolean lastPollFailed;
     private long pollStartedAt;
     private long nextPollAt;
-    private long nextNoteAt;
-    private long nextFetchAt;
+    private long nextHeartbeatAt;
+    private long nextSnapshotRequestAt;
 
     /**
-     * Makes a node that knows nothing yet.
+     * Creates a node without a configuration.
      *
      * @param self this instance, not null
-     * @param options how to work, not null
+     * @param options the timing and limits, not null
      * @param clock the clock, not null
      * @param random the source of jitter, not null
      */
@@ -65,12 +66,12 @@
         this.clock = Objects.requireNonNull(clock, "clock");
         this.random = Objects.requireNonNull(random, "random");
         this.replica = new Replica(options.recentChanges());
-        this.period = options.period().toNanos();
+        this.periodNanos = options.period().toNanos();
         this.freshness = new Freshness(self, options.freshnessLimit().toNanos());
         long now = clock.nanos();
         this.nextPollAt = now;
-        this.nextNoteAt = now;
-        this.nextFetchAt = now;
+        this.nextHeartbeatAt = now;
+        this.nextSnapshotRequestAt = now;
     }
 
     public Configuration configuration() {
@@ -78,101 +79,103 @@
     }
 
     /**
-     * Queries whether a configuration was obtained, from the table or from a peer.
+     * Checks whether a configuration was obtained from the table or from a peer.
      *
-     * @return true if one was, be it an empty one
+     * @return true if one was obtained, even an empty one
      */
     public boolean isObtained() {
-        return obtained;
+        return hasConfiguration;
     }
 
     public boolean isPoller() {
-        return poller;
+        return isPoller;
     }
 
     /**
-     * Queries whether the store is out of this instance's reach.
+     * Checks whether the store is unreachable from this instance.
      *
-     * @return true if its last reading failed, or one is not answered within a period
+     * @return true if the last poll failed, or the current poll has not been answered within a period
      */
     public boolean isStoreUnreachable() {
-        return pollFailing || polling && clock.nanos() - pollStartedAt > period;
+        return lastPollFailed || pollInProgress && clock.nanos() - pollStartedAt > periodNanos;
     }
 
     /**
-     * Gets until when the configuration may be taken as current.
+     * Gets the time until which the configuration counts as current.
      *
-     * @return a time of the clock, which may have passed
+     * @return a reading of this node's clock, which may be in the past
      */
     public long freshUntil() {
-        if (!obtained) {
+        if (!hasConfiguration) {
             return Freshness.NEVER;
         }
-        return freshness.until(replica.isBehind(), isStoreUnreachable(), clock.nanos());
+        return freshness.freshUntil(replica.isBehind(), isStoreUnreachable(), clock.nanos());
     }
 
     /**
      * Counts the other entries that are known to hold a revision.
      *
      * @param revision the revision
-     * @return the number of linked entries that said so
+     * @return the number of linked entries that reported this revision or a later one
      */
     public int otherEntriesHolding(long revision) {
         return (int) peers.values().stream()
-                .filter(peer -> peer.isEntry() && peer.revision() >= revision)
+                .filter(peer -> peer.isEntry() && peer.heldRevision() >= revision)
                 .count();
     }
 
     /**
-     * Tells which entries are listed.
+     * Handles a new list of entries.
      *
-     * @param entries those listed that did not say that they leave, this instance included if it is one, not null
+     * @param entries the listed entries that have not announced that they are leaving, including this instance if it is an
+     *     entry, not null
      */
     public void listed(Set<InstanceId> entries) {
-        freshness.listed(entries);
-        poller = Rendezvous.choose(POLLER_SUBJECT, entries, options.pollers()).contains(self);
+        freshness.setEntries(entries);
+        isPoller =
+                Rendezvous.choose(POLLER_HASH_KEY, entries, options.pollers()).contains(self);
     }
 
     /**
-     * Tells that a link is open.
+     * Handles the opening of a link.
      *
-     * @param peer the other end, not null
-     * @param entry whether it is an entry
-     * @return what to do, not null
+     * @param peer the peer, not null
+     * @param isEntry whether the peer is an entry
+     * @return the actions to perform, not null
      */
-    public List<NodeAction> opened(InstanceId peer, boolean entry) {
-        PeerState state = new PeerState(entry, clock.nanos());
+    public List<NodeAction> opened(InstanceId peer, boolean isEntry) {
+        PeerState state = new PeerState(isEntry, clock.nanos());
         peers.put(peer, state);
-        return List.of(note(peer, state));
+        return List.of(heartbeat(peer, state));
     }
 
     /**
-     * Tells that a link is closed.
+     * Handles the closing of a link.
      *
-     * @param peer the other end, not null
+     * @param peer the peer, not null
      */
     public void closed(InstanceId peer) {
         peers.remove(peer);
     }
 
     /**
-     * Tells that time has passed; to be called several times in a period.
+     * Starts the work that is due. Must be called several times per period.
      *
-     * @return what to do, not null
+     * @return the actions to perform, not null
      */
     public List<NodeAction> tick() {
         long now = clock.nanos();
         List<NodeAction> actions = new ArrayList<>();
         if (isPollDue(now)) {
-            actions.add(poll(now));
+            actions.add(startPoll(now));
         }
-        if (now >= nextNoteAt) {
-            nextNoteAt = now + noteInterval();
-            peers.forEach((peer, state) -> actions.add(note(peer, state)));
+        if (now >= nextHeartbeatAt) {
+            nextHeartbeatAt = now + heartbeatIntervalNanos();
+            peers.forEach((peer, state) -> actions.add(heartbeat(peer, state)));
         }
-        if (isFetchDue(now)) {
-            nextFetchAt = now + FETCH_PERIODS * period;
-            bestPeer()
+        if (isSnapshotRequestDue(now)) {
+            nextSnapshotRequestAt = now + SNAPSHOT_REQUEST_PERIODS * periodNanos;
+            mostAdvancedPeer()
                     .ifPresent(peer -> actions.add(
                             new NodeAction.Send(peer, new NodeMessage.SnapshotRequest(replica.revision()))));
         }
@@ -180,215 +183,217 @@
     }
 
     private boolean isPollDue(long now) {
-        if (polling || now < nextPollAt) {
+        if (pollInProgress || now < nextPollAt) {
             return false;
         }
-        return poller || !obtained || now - freshness.confirmedAt() >= 2 * period;
+        return isPoller || !hasConfiguration || now - freshness.confirmedAt() >= 2 * periodNanos;
     }
 
-    private boolean isFetchDue(long now) {
-        boolean awaitsTable = polling && !isStoreUnreachable();
-        return (replica.isBehind() || !obtained) && !awaitsTable && now >= nextFetchAt;
+    private boolean isSnapshotRequestDue(long now) {
+        boolean awaitsTable = pollInProgress && !isStoreUnreachable();
+        return (replica.isBehind() || !hasConfiguration) && !awaitsTable && now >= nextSnapshotRequestAt;
     }
 
-    private NodeAction poll(long now) {
-        polling = true;
+    private NodeAction startPoll(long now) {
+        pollInProgress = true;
         pollStartedAt = now;
         return new NodeAction.Poll(replica.revision());
     }
 
-    /* While the store is out of reach the words of the entries go round in the notes, over several hops. */
-    private long noteInterval() {
-        return isStoreUnreachable() ? period / 2 : period;
+    /* Heartbeats are more frequent while the store is unreachable, because they carry reports over several hops. */
+    private long heartbeatIntervalNanos() {
+        return isStoreUnreachable() ? periodNanos / 2 : periodNanos;
     }
 
     /**
-     * Takes what a reading of the table brought.
+     * Handles a completed poll of the table.
      *
-     * @param answer the answer, not null
-     * @return what to do, not null
+     * @param result the result, not null
+     * @return the actions to perform, not null
      */
-    public List<NodeAction> polled(PollAnswer answer) {
-        polling = false;
-        pollFailing = false;
+    public List<NodeAction> polled(PollAnswer result) {
+        pollInProgress = false;
+        lastPollFailed = false;
         schedulePoll();
-        replica.heardOf(answer.head());
-        answer.snapshot().ifPresent(replica::install);
-        List<NodeAction> actions = apply(answer.entries());
-        if (replica.revision() >= answer.head()) {
-            obtained = true;
-            freshness.confirmed(answer.startedAt());
+        replica.recordKnownRevision(result.headRevision());
+        result.snapshot().ifPresent(replica::install);
+        List<NodeAction> actions = applyEntries(result.entries());
+        if (replica.revision() >= result.headRevision()) {
+            hasConfiguration = true;
+            freshness.recordConfirmation(result.startedAt());
         }
         actions.addAll(shareConfirmation());
         return actions;
     }
 
-    /** Tells that a reading of the table failed. */
+    /** Handles a failed poll of the table. */
     public void pollFailed() {
-        polling = false;
-        pollFailing = true;
+        pollInProgress = false;
+        lastPollFailed = true;
         schedulePoll();
     }
 
     private void schedulePoll() {
-        nextPollAt = clock.nanos() + period * 3 / 4 + random.nextLong(period / 2 + 1);
+        nextPollAt = clock.nanos() + periodNanos * 3 / 4 + random.nextLong(periodNanos / 2 + 1);
     }
 
     /**
-     * Takes changes that this instance itself brought into the log.
+     * Applies changes that this instance committed to the log.
      *
      * @param entries the changes, not null
-     * @return what to do, not null
+     * @return the actions to perform, not null
      */
     public List<NodeAction> committed(Collection<LogEntry> entries) {
-        return apply(entries);
+        return applyEntries(entries);
     }
 
     /**
-     * Takes a message.
+     * Handles a message; one from a peer without an open link is ignored.
      *
      * @param peer the sender, not null
      * @param message the message, not null
-     * @return what to do, not null
+     * @return the actions to perform, not null
      */
     public List<NodeAction> received(InstanceId peer, NodeMessage message) {
         PeerState state = peers.get(peer);
         if (state == null) {
             return List.of();
         }
-        if (message instanceof NodeMessage.Note note) {
-            return noteReceived(peer, state, note);
+        if (message instanceof NodeMessage.Note heartbeat) {
+            return onHeartbeat(peer, state, heartbeat);
         }
-        if (message instanceof NodeMessage.News news) {
-            return newsReceived(state, news);
+        if (message instanceof NodeMessage.News changes) {
+            return onChanges(state, changes);
         }
         if (message instanceof NodeMessage.SnapshotRequest request) {
-            return answer(peer, request.haveRevision());
+            return answerSnapshotRequest(peer, request.haveRevision());
         }
-        return assembly.take((NodeMessage.SnapshotPart) message)
-                .map(this::snapshotReceived)
+        return snapshotAssembler
+                .addPart((NodeMessage.SnapshotPart) message)
+                .map(this::onSnapshot)
                 .orElse(List.of());
     }
 
-    private List<NodeAction> newsReceived(PeerState state, NodeMessage.News news) {
-        replica.heardOf(news.head());
-        news.entries().forEach(entry -> state.holds(entry.revision()));
-        return apply(news.entries());
+    private List<NodeAction> onChanges(PeerState state, NodeMessage.News changes) {
+        replica.recordKnownRevision(changes.head());
+        changes.entries().forEach(entry -> state.recordHeldRevision(entry.revision()));
+        return applyEntries(changes.entries());
     }
 
-    private List<NodeAction> snapshotReceived(Configuration snapshot) {
+    private List<NodeAction> onSnapshot(Configuration snapshot) {
         if (!replica.install(snapshot)) {
             return List.of();
         }
-        return afterChange();
+        return onConfigurationChanged();
     }
 
-    private List<NodeAction> noteReceived(InstanceId peer, PeerState state, NodeMessage.Note note) {
+    private List<NodeAction> onHeartbeat(InstanceId peer, PeerState state, NodeMessage.Note heartbeat) {
         long now = clock.nanos();
-        state.received(note.stamp(), now);
-        state.holds(note.revision());
-        replica.heardOf(note.highestHeard());
-        state.sentNotBefore(note.echo(), now).ifPresent(sent -> takeWords(peer, state, note, sent));
+        state.recordTimestamp(heartbeat.stamp(), now);
+        state.recordHeldRevision(heartbeat.revision());
+        replica.recordKnownRevision(heartbeat.highestHeard());
+        state.earliestSendTime(heartbeat.echo(), now).ifPresent(sentAt -> applyReports(peer, state, heartbeat, sentAt));
         List<NodeAction> actions = new ArrayList<>(shareConfirmation());
-        if (note.revision() < replica.revision() && state.mayRepair(now, period)) {
-            state.repaired(now);
-            replica.entriesAfter(note.revision())
+        if (heartbeat.revision() < replica.revision() && state.maySendChanges(now, periodNanos)) {
+            state.recordChangesSent(now);
+            replica.entriesAfter(heartbeat.revision())
                     .ifPresent(entries -> actions.add(
-                            new NodeAction.Send(peer, new NodeMessage.News(replica.highestHeard(), entries))));
+                            new NodeAction.Send(peer, new NodeMessage.News(replica.highestKnownRevision(), entries))));
         }
         return actions;
     }
 
-    private void takeWords(InstanceId peer, PeerState state, NodeMessage.Note note, long sent) {
-        note.confirmedAge().ifPresent(age -> state.offers(note.revision(), sent - age));
-        if (state.isEntry() && note.saysUnreachable()) {
-            freshness.saidUnreachable(peer, sent);
+    private void applyReports(InstanceId peer, PeerState state, NodeMessage.Note heartbeat, long sentAt) {
+        heartbeat.confirmedAge().ifPresent(age -> state.recordConfirmation(heartbeat.revision(), sentAt - age));
+        if (state.isEntry() && heartbeat.saysUnreachable()) {
+            freshness.recordUnreachable(peer, sentAt);
         } else if (state.isEntry()) {
-            freshness.saidReachable(peer, sent);
+            freshness.recordReachable(peer, sentAt);
         }
-        note.words().forEach(word -> freshness.saidUnreachable(word.entry(), sent - word.age()));
+        heartbeat.words().forEach(report -> freshness.recordUnreachable(report.entry(), sentAt - report.age()));
     }
 
-    private List<NodeAction> answer(InstanceId peer, long haveRevision) {
-        if (haveRevision >= replica.revision()) {
+    private List<NodeAction> answerSnapshotRequest(InstanceId peer, long heldRevision) {
+        if (heldRevision >= replica.revision()) {
             return List.of();
         }
-        Optional<List<LogEntry>> entries = replica.entriesAfter(haveRevision);
+        Optional<List<LogEntry>> entries = replica.entriesAfter(heldRevision);
         if (entries.isPresent()) {
-            return List.of(new NodeAction.Send(peer, new NodeMessage.News(replica.highestHeard(), entries.get())));
+            return List.of(
+                    new NodeAction.Send(peer, new NodeMessage.News(replica.highestKnownRevision(), entries.get())));
         }
         List<NodeAction> actions = new ArrayList<>();
-        SnapshotAssembly.cut(replica.configuration(), SnapshotAssembly.PART_SIZE)
+        SnapshotAssembler.split(replica.configuration(), SnapshotAssembler.RECORDS_PER_PART)
                 .forEach(part -> actions.add(new NodeAction.Send(peer, part)));
         return actions;
     }
 
-    private List<NodeAction> apply(Collection<LogEntry> entries) {
-        List<LogEntry> applied = replica.take(entries);
+    private List<NodeAction> applyEntries(Collection<LogEntry> entries) {
+        List<LogEntry> applied = replica.applyInOrder(entries);
         if (applied.isEmpty()) {
             return new ArrayList<>();
         }
         List<NodeAction> actions = new ArrayList<>();
-        NodeMessage news = new NodeMessage.News(replica.highestHeard(), applied);
+        NodeMessage changes = new NodeMessage.News(replica.highestKnownRevision(), applied);
         long now = clock.nanos();
         peers.forEach((peer, state) -> {
-            if (state.revision() < replica.revision()) {
-                state.repaired(now);
-                actions.add(new NodeAction.Send(peer, news));
+            if (state.heldRevision() < replica.revision()) {
+                state.recordChangesSent(now);
+                actions.add(new NodeAction.Send(peer, changes));
             }
         });
-        actions.addAll(afterChange());
+        actions.addAll(onConfigurationChanged());
         return actions;
     }
 
-    private List<NodeAction> afterChange() {
-        obtained |= !replica.isBehind();
+    private List<NodeAction> onConfigurationChanged() {
+        hasConfiguration |= !replica.isBehind();
         List<NodeAction> actions = new ArrayList<>();
         shareConfirmation();
-        peers.forEach((peer, state) -> actions.add(note(peer, state)));
+        peers.forEach((peer, state) -> actions.add(heartbeat(peer, state)));
         return actions;
     }
 
-    /* Takes over the confirmations of peers that cover what is in force here, and hands a clearly newer one on at once:
-     * with the notes of each period alone it would age by up to a period at each hop. */
+    /* Adopts peers' confirmations that cover the current revision. A confirmation newer by half a period or more is
+     * forwarded immediately: if it waited for the regular heartbeat, it would age by up to a period at each hop. */
     private List<NodeAction> shareConfirmation() {
-        long best = Freshness.NEVER;
+        long newest = Freshness.NEVER;
         for (PeerState state : peers.values()) {
-            best = Math.max(best, state.confirmationFor(replica.revision()));
+            newest = Math.max(newest, state.confirmationFor(replica.revision()));
         }
-        freshness.confirmed(best);
+        freshness.recordConfirmation(newest);
         long confirmedAt = freshness.confirmedAt();
         List<NodeAction> actions = new ArrayList<>();
         peers.forEach((peer, state) -> {
-            if (confirmedAt - state.knownConfirmedAt() >= period / 2) {
-                actions.add(note(peer, state));
+            if (confirmedAt - state.knownConfirmedAt() >= periodNanos / 2) {
+                actions.add(heartbeat(peer, state));
             }
         });
         return actions;
     }
 
-    private NodeAction note(InstanceId peer, PeerState state) {
+    private NodeAction heartbeat(InstanceId peer, PeerState state) {
         long now = clock.nanos();
         boolean unreachable = isStoreUnreachable();
-        List<NodeMessage.Word> words = unreachable ? freshness.words(now) : List.of();
-        state.told(freshness.confirmedAt());
+        List<NodeMessage.Word> reports = unreachable ? freshness.unreachableReports(now) : List.of();
+        state.recordConfirmationSent(freshness.confirmedAt());
         return new NodeAction.Send(
                 peer,
                 new NodeMessage.Note(
                         replica.revision(),
-                        replica.highestHeard(),
-                        freshness.confirmedAge(now),
+                        replica.highestKnownRevision(),
+                        freshness.confirmationAgeNanos(now),
                         unreachable,
-                        words,
+                        reports,
                         now,
                         state.echo(now)));
     }
 
-    private Optional<InstanceId> bestPeer() {
+    private Optional<InstanceId> mostAdvancedPeer() {
         return peers.entrySet().stream()
-                .filter(peer -> peer.getValue().revision() > replica.revision())
-                .max((one, other) ->
-                        Long.compare(one.getValue().revision(), other.getValue().revision()))
+                .filter(peer -> peer.getValue().heldRevision() > replica.revision())
+                .max((one, other) -> Long.compare(
+                        one.getValue().heldRevision(), other.getValue().heldRevision()))
                 .map(Map.Entry::getKey);
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/Replica.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/Replica.java
@@ -14,22 +14,22 @@
 /**
  * One instance's copy of the configuration.
  *
- * <p>Invariants: the revision never falls; entries are applied one apart, so a delayed, repeated or reordered message can
- * neither revert the configuration nor skip a change; entries that came early are kept, up to a limit, until those before
- * them are there. Not safe for use by several threads.
+ * <p>Invariants: the revision never decreases; entries are applied in revision order without gaps, so a delayed, repeated
+ * or reordered message can neither revert the configuration nor skip a change; entries that arrive early are kept, up to a
+ * limit, until the entries before them arrive. Not safe for use by several threads.
  */
 final class Replica {
 
-    private static final int EARLY_LIMIT = 1024;
+    private static final int MAX_PENDING_ENTRIES = 1024;
 
-    private final TreeMap<Long, LogEntry> early = new TreeMap<>();
-    private final Deque<LogEntry> recent = new ArrayDeque<>();
-    private final int recentLimit;
+    private final TreeMap<Long, LogEntry> pendingEntries = new TreeMap<>();
+    private final Deque<LogEntry> recentEntries = new ArrayDeque<>();
+    private final int maxRecentEntries;
     private Configuration configuration = Configuration.empty();
-    private long highestHeard;
+    private long highestKnownRevision;
 
     Replica(int recentLimit) {
-        this.recentLimit = recentLimit;
+        this.maxRecentEntries = recentLimit;
     }
 
     Configuration configuration() {
@@ -41,87 +41,87 @@
     }
 
     /**
-     * Gets the highest revision that this instance knows to be in the log.
+     * Gets the highest revision that is known to be in the log.
      *
      * @return the revision, at least {@link #revision}
      */
-    long highestHeard() {
-        return Math.max(highestHeard, revision());
+    long highestKnownRevision() {
+        return Math.max(highestKnownRevision, revision());
     }
 
-    void heardOf(long revision) {
-        highestHeard = Math.max(highestHeard, revision);
+    void recordKnownRevision(long revision) {
+        highestKnownRevision = Math.max(highestKnownRevision, revision);
     }
 
     boolean isBehind() {
-        return highestHeard() > revision();
+        return highestKnownRevision() > revision();
     }
 
     /**
-     * Takes entries of the log in any order and applies those that follow one another from the revision on.
+     * Accepts log entries in any order and applies those that continue the current revision without a gap.
      *
      * @param entries the entries, not null
-     * @return the entries applied, in their order, not null
+     * @return the applied entries in revision order, not null
      */
-    List<LogEntry> take(Collection<LogEntry> entries) {
+    List<LogEntry> applyInOrder(Collection<LogEntry> entries) {
         for (LogEntry entry : entries) {
-            heardOf(entry.revision());
+            recordKnownRevision(entry.revision());
             if (entry.revision() > revision()) {
-                early.putIfAbsent(entry.revision(), entry);
+                pendingEntries.putIfAbsent(entry.revision(), entry);
             }
         }
         List<LogEntry> next = new ArrayList<>();
-        while (!early.isEmpty() && early.firstKey() == revision() + next.size() + 1) {
-            next.add(early.pollFirstEntry().getValue());
+        while (!pendingEntries.isEmpty() && pendingEntries.firstKey() == revision() + next.size() + 1) {
+            next.add(pendingEntries.pollFirstEntry().getValue());
         }
-        while (early.size() > EARLY_LIMIT) {
-            early.pollLastEntry();
+        while (pendingEntries.size() > MAX_PENDING_ENTRIES) {
+            pendingEntries.pollLastEntry();
         }
         if (!next.isEmpty()) {
             configuration = configuration.plus(next);
-            next.forEach(this::remember);
+            next.forEach(this::addRecent);
         }
         return next;
     }
 
     /**
-     * Takes a snapshot unless it is no newer than what is there.
+     * Replaces the configuration by a snapshot if the snapshot is newer.
      *
      * @param snapshot the snapshot, not null
-     * @return true if it is in force now
+     * @return true if the configuration was replaced
      */
     boolean install(Configuration snapshot) {
         if (snapshot.revision() <= revision()) {
             return false;
         }
         configuration = snapshot;
-        heardOf(snapshot.revision());
-        recent.clear();
-        early.headMap(snapshot.revision(), true).clear();
+        recordKnownRevision(snapshot.revision());
+        recentEntries.clear();
+        pendingEntries.headMap(snapshot.revision(), true).clear();
         return true;
     }
 
-    private void remember(LogEntry entry) {
-        recent.addLast(entry);
-        if (recent.size() > recentLimit) {
-            recent.removeFirst();
+    private void addRecent(LogEntry entry) {
+        recentEntries.addLast(entry);
+        if (recentEntries.size() > maxRecentEntries) {
+            recentEntries.removeFirst();
         }
     }
 
     /**
-     * Gets the entries that follow a revision, if this copy still holds all of them.
+     * Gets the entries after a revision, if all of them are retained.
      *
      * @param after the revision
-     * @return the entries in their order, or empty if some are no longer held
+     * @return the entries in revision order, or empty if some are not retained
      */
     Optional<List<LogEntry>> entriesAfter(long after) {
         if (after >= revision()) {
             return Optional.of(List.of());
         }
-        if (recent.isEmpty() || recent.peekFirst().revision() > after + 1) {
+        if (recentEntries.isEmpty() || recentEntries.peekFirst().revision() > after + 1) {
             return Optional.empty();
         }
         return Optional.of(
-                recent.stream().filter(entry -> entry.revision() > after).toList());
+                recentEntries.stream().filter(entry -> entry.revision() > after).toList());
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/SubmissionProcess.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/SubmissionProcess.java
@@ -15,22 +15,24 @@
 import org.geraniumreach.model.table.Transaction;
 
 /**
- * Takes one submission into the log, once.
+ * Commits one submission to the log exactly once.
  *
- * <p>One transaction requires the head row's version and the absence of the operation's row, and writes the record, its row
- * in the log, the operation's row and the head. So of two operators who race one wins, and a change is in the log at most once whatever
- * is repeated. Invariants: OK is said only of a change that was read back or whose commit was answered; a commit whose
- * answer was lost is settled by reading the operation's row, and nothing is written again before the head has moved on, for
- * until then the lost write may still arrive. What cannot be settled in time is SUBMISSION_UNSETTLED, and the same operation
- * id submitted later finds out or goes on.
+ * <p>A single transaction requires the version of the head row and the absence of the operation row, and writes the record,
+ * the log row, the operation row and the head. Of two concurrent submissions one therefore fails, and retries never add a
+ * change to the log twice.
  *
- * <p>Each call answers the next step. Not safe for use by several threads.
+ * <p>Invariants: OK is reported only for a change that was read back or whose commit was answered. A commit whose answer was
+ * lost is resolved by reading the operation row; nothing is written again until the head has changed, because until then the
+ * lost write may still be applied. A submission that cannot be resolved before the deadline ends with SUBMISSION_UNSETTLED;
+ * submitting the same operation id later finds its outcome or continues it.
+ *
+ * <p>Each method returns the next step. Not safe for use by several threads.
  */
 public final class SubmissionProcess {
 
-    private static final long SETTLED = -1;
-    private static final Duration FIRST_WAIT = Duration.ofMillis(50);
-    private static final Duration LONGEST_WAIT = Duration.ofMillis(800);
+    private static final long NO_UNSETTLED_WRITE = -1;
+    private static final Duration INITIAL_RETRY_DELAY = Duration.ofMillis(50);
+    private static final Duration MAX_RETRY_DELAY = Duration.ofMillis(800);
 
     private final Submission submission;
     private final MonotonicClock clock;
@@ -38,116 +40,116 @@
     private final long deadline;
 
     private Configuration configuration;
-    private Duration nextWait = FIRST_WAIT;
-    private Optional<RowKey> reading = Optional.empty();
-    private Optional<LogEntry> pending = Optional.empty();
+    private Duration nextRetryDelay = INITIAL_RETRY_DELAY;
+    private Optional<RowKey> rowBeingRead = Optional.empty();
+    private Optional<LogEntry> pendingEntry = Optional.empty();
     private long headVersion;
     private long headRevision;
-    private long unsettledHeadVersion = SETTLED;
+    private long unsettledHeadVersion = NO_UNSETTLED_WRITE;
 
     /**
-     * Makes the process of a submission; {@link #start} gives its first step.
+     * Creates the process for a submission; {@link #start} returns its first step.
      *
      * @param submission the submission, not null
-     * @param configuration the configuration in force here, not null
+     * @param configuration the current configuration of this instance, not null
      * @param clock the clock, not null
-     * @param random the source of the jitter of waits, not null
-     * @param patience how long to try, not null
+     * @param random the source of jitter for retry delays, not null
+     * @param timeout the time after which the submission ends unresolved, not null
      */
     public SubmissionProcess(
             Submission submission,
             Configuration configuration,
             MonotonicClock clock,
             RandomGenerator random,
-            Duration patience) {
+            Duration timeout) {
         this.submission = Objects.requireNonNull(submission, "submission");
         this.configuration = Objects.requireNonNull(configuration, "configuration");
         this.clock = Objects.requireNonNull(clock, "clock");
         this.random = Objects.requireNonNull(random, "random");
-        this.deadline = clock.nanos() + patience.toNanos();
+        this.deadline = clock.nanos() + timeout.toNanos();
     }
 
     /**
-     * Gets the first step.
+     * Starts the submission.
      *
-     * @return the step, not null
+     * @return the first step, not null
      */
     public SubmissionStep start() {
         return readHead();
     }
 
     /**
-     * Reports a row that was read.
+     * Handles the result of a read.
      *
-     * @param row the row, empty if it does not exist, not null
+     * @param row the row, or empty if it does not exist, not null
      * @return the next step, not null
      */
     public SubmissionStep read(Optional<Row> row) {
-        RowKey key = reading.orElseThrow();
+        RowKey key = rowBeingRead.orElseThrow();
         try {
             if (key.equals(ConfigurationRows.HEAD)) {
-                return headRead(row);
+                return onHeadRead(row);
             }
-            if (key.equals(ConfigurationRows.operation(submission.operation()))) {
-                return operationRead(row);
+            if (key.equals(ConfigurationRows.operationKey(submission.operation()))) {
+                return onOperationRead(row);
             }
-            if (key.equals(ConfigurationRows.record(submission.key()))) {
-                return recordRead(row);
+            if (key.equals(ConfigurationRows.recordKey(submission.key()))) {
+                return onRecordRead(row);
             }
             return row.isPresent()
-                    ? settled(ConfigurationRows.readEntry(row.get().value()))
-                    : trimmed();
+                    ? finishWithEntry(ConfigurationRows.readEntry(row.get().value()))
+                    : refuseTrimmedOperation();
         } catch (RecordException malformed) {
             return refuse(ResultCode.INTERNAL_ERROR, "row " + key.key() + " is malformed: " + malformed.getMessage());
         }
     }
 
-    private SubmissionStep headRead(Optional<Row> row) throws RecordException {
+    private SubmissionStep onHeadRead(Optional<Row> row) throws RecordException {
         headVersion = row.map(Row::version).orElse(Transaction.ABSENT);
         headRevision =
                 row.isPresent() ? ConfigurationRows.readRevision(row.get().value()) : 0;
-        return read(ConfigurationRows.operation(submission.operation()));
+        return readRow(ConfigurationRows.operationKey(submission.operation()));
     }
 
-    private SubmissionStep operationRead(Optional<Row> row) throws RecordException {
+    private SubmissionStep onOperationRead(Optional<Row> row) throws RecordException {
         if (row.isPresent()) {
-            return read(ConfigurationRows.log(
+            return readRow(ConfigurationRows.log(
                     ConfigurationRows.readRevision(row.get().value())));
         }
-        /* The lost write required this version of the head. While the head has it, the write may still arrive after the
-         * read of the operation's row, and "not accepted" would be untrue a moment later. */
+        /* The unanswered write requires this version of the head. While the head keeps it, the write may still be applied
+         * after the operation row was read, so the submission cannot be reported as not accepted. */
         if (headVersion == unsettledHeadVersion) {
-            return pause();
+            return retryAfterDelay();
         }
-        unsettledHeadVersion = SETTLED;
+        unsettledHeadVersion = NO_UNSETTLED_WRITE;
         if (headRevision > configuration.revision()) {
             return new SubmissionStep.CatchUp(headRevision);
         }
-        return read(ConfigurationRows.record(submission.key()));
+        return readRow(ConfigurationRows.recordKey(submission.key()));
     }
 
-    private SubmissionStep recordRead(Optional<Row> row) throws RecordException {
+    private SubmissionStep onRecordRead(Optional<Row> row) throws RecordException {
         Optional<LogEntry> current = Optional.empty();
         if (row.isPresent()) {
             current = Optional.of(ConfigurationRows.readEntry(row.get().value()));
         }
         if (current.isPresent() && current.get().operation().equals(submission.operation())) {
-            return settled(current.get());
+            return finishWithEntry(current.get());
         }
         if (current.isPresent() && current.get().revision() > submission.basedOn()) {
             String message = submission.key() + " was changed after revision " + submission.basedOn();
-            return done(new SubmissionResult(ResultCode.CONFLICT, message, current));
+            return finish(new SubmissionResult(ResultCode.CONFLICT, message, current));
         }
         if (headRevision != configuration.revision()) {
-            return pause();
+            return retryAfterDelay();
         }
         return commit();
     }
 
     /**
-     * Reports that the configuration was brought up to date.
+     * Handles an update of the configuration.
      *
-     * @param current the configuration, not null
+     * @param current the updated configuration, not null
      * @return the next step, not null
      */
     public SubmissionStep caughtUp(Configuration current) {
@@ -156,16 +158,16 @@
     }
 
     /**
-     * Reports that a read was not answered.
+     * Handles a read that was not answered.
      *
      * @return the next step, not null
      */
     public SubmissionStep readFailed() {
-        return pause();
+        return retryAfterDelay();
     }
 
     /**
-     * Reports that a wait is over.
+     * Handles the end of a wait.
      *
      * @return the next step, not null
      */
@@ -174,37 +176,37 @@
     }
 
     /**
-     * Reports the answer to a commit.
+     * Handles the answer to a commit.
      *
-     * @param tookEffect whether it took effect
+     * @param tookEffect whether the transaction was applied
      * @return the next step, not null
      */
     public SubmissionStep committed(boolean tookEffect) {
-        return tookEffect ? done(SubmissionResult.accepted(pending.orElseThrow())) : readHead();
+        return tookEffect ? finish(SubmissionResult.accepted(pendingEntry.orElseThrow())) : readHead();
     }
 
     /**
-     * Reports that a commit was not answered.
+     * Handles a commit that was not answered.
      *
-     * @param mayTakeEffect whether it may have taken effect, or may yet
+     * @param mayTakeEffect whether the transaction may have been applied or may still be
      * @return the next step, not null
      */
     public SubmissionStep commitFailed(boolean mayTakeEffect) {
         if (mayTakeEffect) {
             unsettledHeadVersion = headVersion;
         }
-        return pause();
+        return retryAfterDelay();
     }
 
     private SubmissionStep readHead() {
         if (clock.nanos() - deadline >= 0) {
-            return outOfTime();
+            return timeOut();
         }
-        return read(ConfigurationRows.HEAD);
+        return readRow(ConfigurationRows.HEAD);
     }
 
-    private SubmissionStep read(RowKey key) {
-        reading = Optional.of(key);
+    private SubmissionStep readRow(RowKey key) {
+        rowBeingRead = Optional.of(key);
         return new SubmissionStep.Read(key);
     }
 
@@ -212,52 +214,54 @@
         Optional<String> body;
         try {
             body = SubmissionCheck.check(submission, configuration);
-        } catch (RecordException wrong) {
-            return refuse(wrong.code(), submission.key() + ": " + wrong.getMessage());
+        } catch (RecordException invalid) {
+            return refuse(invalid.code(), submission.key() + ": " + invalid.getMessage());
         }
         LogEntry entry = new LogEntry(headRevision + 1, submission.operation(), submission.key(), body);
-        pending = Optional.of(entry);
+        pendingEntry = Optional.of(entry);
         return new SubmissionStep.Commit(transaction(entry));
     }
 
     private Transaction transaction(LogEntry entry) {
         String value = ConfigurationRows.writeEntry(entry);
-        RowKey operation = ConfigurationRows.operation(entry.operation());
+        RowKey operation = ConfigurationRows.operationKey(entry.operation());
         return Transaction.empty()
                 .withCondition(ConfigurationRows.HEAD, headVersion)
                 .withCondition(operation, Transaction.ABSENT)
                 .withWrite(ConfigurationRows.log(entry.revision()), value)
-                .withWrite(ConfigurationRows.record(entry.key()), value)
+                .withWrite(ConfigurationRows.recordKey(entry.key()), value)
                 .withWrite(operation, ConfigurationRows.writeRevision(entry.revision()))
                 .withWrite(ConfigurationRows.HEAD, ConfigurationRows.writeRevision(entry.revision()));
     }
 
-    private SubmissionStep settled(LogEntry entry) throws RecordException {
-        if (!SubmissionCheck.isOutcome(submission, entry)) {
+    private SubmissionStep finishWithEntry(LogEntry entry) throws RecordException {
+        if (!SubmissionCheck.isAppliedAs(submission, entry)) {
             return refuse(
                     ResultCode.OPERATION_REUSED,
                     "operation " + submission.operation() + " was used for another change, of " + entry.key());
         }
-        return done(SubmissionResult.accepted(entry));
+        return finish(SubmissionResult.accepted(entry));
     }
 
-    private SubmissionStep trimmed() {
+    private SubmissionStep refuseTrimmedOperation() {
         return refuse(
                 ResultCode.OPERATION_REUSED,
                 "operation " + submission.operation() + " was accepted so long ago that the log does not hold it");
     }
 
-    private SubmissionStep pause() {
+    private SubmissionStep retryAfterDelay() {
         if (clock.nanos() - deadline >= 0) {
-            return outOfTime();
+            return timeOut();
         }
-        long wait = nextWait.toNanos() / 2 + random.nextLong(nextWait.toNanos() / 2 + 1);
-        nextWait = nextWait.multipliedBy(2).compareTo(LONGEST_WAIT) > 0 ? LONGEST_WAIT : nextWait.multipliedBy(2);
-        return new SubmissionStep.Wait(Duration.ofNanos(wait));
+        long delayNanos = nextRetryDelay.toNanos() / 2 + random.nextLong(nextRetryDelay.toNanos() / 2 + 1);
+        nextRetryDelay = nextRetryDelay.multipliedBy(2).compareTo(MAX_RETRY_DELAY) > 0
+                ? MAX_RETRY_DELAY
+                : nextRetryDelay.multipliedBy(2);
+        return new SubmissionStep.Wait(Duration.ofNanos(delayNanos));
     }
 
-    private SubmissionStep outOfTime() {
-        if (unsettledHeadVersion != SETTLED) {
+    private SubmissionStep timeOut() {
+        if (unsettledHeadVersion != NO_UNSETTLED_WRITE) {
             return refuse(
                     ResultCode.SUBMISSION_UNSETTLED,
                     "the table's answer was lost; submit operation " + submission.operation() + " again to find out");
@@ -266,10 +270,10 @@
     }
 
     private SubmissionStep refuse(ResultCode code, String message) {
-        return done(SubmissionResult.refused(code, message));
+        return finish(SubmissionResult.refused(code, message));
     }
 
-    private static SubmissionStep done(SubmissionResult result) {
+    private static SubmissionStep finish(SubmissionResult result) {
         return new SubmissionStep.Done(result);
     }
 }
--- a/coordination/src/test/java/org/geraniumreach/coordination/membership/MembershipTest.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/membership/MembershipTest.java
@@ -32,7 +32,7 @@
         LIST_AS_LEAVING,
         DROP_FROM_LIST,
         OPEN,
-        OPEN_ANEW,
+        OPEN_NEW_INCARNATION,
         CLOSE,
         LEAVE
     }
@@ -40,16 +40,16 @@
     record Event(Kind kind, InstanceId instance) {}
 
     /*
-     * Failure: work is sent to an instance that leaves or is lost, and is cut off there. The list lags behind, links open
-     * and close, processes say that they leave and are replaced under the same name.
+     * Failure: work is sent to an instance that is leaving or lost, and is aborted. The list is delayed, links open and
+     * close, and processes announce that they are leaving and are replaced under the same name.
      */
     @Property(tries = 3000, seed = "5")
-    void whoTakesWorkIsLinkedAndHasNotLeft(@ForAll("events") List<Event> events) {
+    void onlyLinkedMembersThatAreNotLeavingAcceptWork(@ForAll("events") List<Event> events) {
         Membership membership = new Membership(SELF);
         Map<InstanceId, ListedMember> list = new HashMap<>();
-        Map<InstanceId, Long> open = new HashMap<>();
+        Map<InstanceId, Long> openIncarnations = new HashMap<>();
         Map<InstanceId, Long> incarnations = new HashMap<>();
-        Set<List<Object>> left = new HashSet<>();
+        Set<List<Object>> leftIncarnations = new HashSet<>();
         for (Event event : events) {
             InstanceId instance = event.instance();
             long incarnation = incarnations.getOrDefault(instance, 1L);
@@ -57,29 +57,34 @@
                 case LIST -> list.put(instance, listed(instance, false));
                 case LIST_AS_LEAVING -> list.put(instance, listed(instance, true));
                 case DROP_FROM_LIST -> list.remove(instance);
-                case OPEN -> open.put(instance, incarnation);
-                case OPEN_ANEW -> {
+                case OPEN -> openIncarnations.put(instance, incarnation);
+                case OPEN_NEW_INCARNATION -> {
                     incarnations.put(instance, incarnation + 1);
-                    open.put(instance, incarnation + 1);
+                    openIncarnations.put(instance, incarnation + 1);
                 }
-                case CLOSE -> open.remove(instance);
-                case LEAVE -> left.add(List.of(instance, incarnation));
+                case CLOSE -> openIncarnations.remove(instance);
+                case LEAVE -> leftIncarnations.add(List.of(instance, incarnation));
                 default -> throw new IllegalStateException("unhandled " + event.kind());
             }
-            tell(membership, event, incarnations.getOrDefault(instance, 1L), list);
+            applyEvent(membership, event, incarnations.getOrDefault(instance, 1L), list);
             for (Member member : membership.view().members()) {
-                boolean leaves = list.containsKey(member.instance())
+                boolean listedAsLeaving = list.containsKey(member.instance())
                         && list.get(member.instance()).leaving();
-                Long linked = open.get(member.instance());
-                boolean may = linked != null && !left.contains(List.of(member.instance(), linked)) && !leaves;
-                assertThat(member.takesWork() && !may).as("%s", member).isFalse();
+                Long linkedIncarnation = openIncarnations.get(member.instance());
+                boolean mayAcceptWork = linkedIncarnation != null
+                        && !leftIncarnations.contains(List.of(member.instance(), linkedIncarnation))
+                        && !listedAsLeaving;
+                assertThat(member.takesWork() && !mayAcceptWork)
+                        .as("%s", member)
+                        .isFalse();
             }
         }
     }
 
-    private static void tell(Membership membership, Event event, long incarnation, Map<InstanceId, ListedMember> list) {
+    private static void applyEvent(
+            Membership membership, Event event, long incarnation, Map<InstanceId, ListedMember> list) {
         switch (event.kind()) {
-            case OPEN, OPEN_ANEW -> membership.opened(linked(event.instance(), incarnation));
+            case OPEN, OPEN_NEW_INCARNATION -> membership.opened(linked(event.instance(), incarnation));
             case CLOSE -> membership.closed(event.instance());
             case LEAVE -> membership.left(event.instance(), incarnation);
             default -> {
@@ -101,11 +106,11 @@
     }
 
     /*
-     * Failure: a companion that drains gets new work again. It said that it leaves; the list still shows it as live for
-     * seconds, and the link to it is opened again.
+     * Failure: a draining companion gets new work. It announced that it is leaving, but the list shows it as live for some
+     * seconds and a link to it is opened again.
      */
     @Test
-    void aLateListDoesNotBringALeftProcessBack() {
+    void staleListDoesNotRestoreLeavingProcess() {
         Membership membership = new Membership(SELF);
         membership.listed(List.of(listed(COMPANION, false)));
         membership.opened(linked(COMPANION, 7));
@@ -120,7 +125,7 @@
     }
 
     @Test
-    void anInstanceThatTheListHasDroppedTakesNoWorkAndOneThatItDoesNotShowYetDoes() {
+    void instanceDroppedFromListGetsNoWorkButUnlistedInstanceDoes() {
         Membership membership = new Membership(SELF);
         membership.opened(linked(COMPANION, 7));
         assertThat(membership.view().companionsForWork()).hasSize(1);
@@ -130,7 +135,7 @@
     }
 
     @Test
-    void anEmptyListIsPassedOver() {
+    void emptyListIsIgnored() {
         Membership membership = new Membership(SELF);
         membership.listed(List.of(listed(COMPANION, false)));
         membership.opened(linked(COMPANION, 7));
--- a/model/src/main/java/org/geraniumreach/model/record/ConfigurationIndex.java
+++ b/model/src/main/java/org/geraniumreach/model/record/ConfigurationIndex.java
@@ -15,75 +15,74 @@
 import org.geraniumreach.model.TargetId;
 
 /**
- * What the records of a configuration say, by what is asked for.
+ * Indexes the parsed records of a configuration by their query keys.
  *
- * <p>Invariants: each record is parsed once, when it is added; what the index answers depends on the records that it holds
- * and not on the order in which they came, so that all instances agree. A copy shares the parsed values and copies only the
- * maps of the kinds that change. Filled while a configuration is made and never changed afterwards; not safe for use by
- * several threads until then.
+ * <p>Invariants: each record is parsed once, when it is added; the content depends on the records and not on the order in
+ * which they were added, so that all instances agree. A copy shares the parsed values and copies only the maps of the kinds
+ * that change. Modified only while a configuration is built, and not safe for use by several threads until then.
  */
 final class ConfigurationIndex {
 
-    final Map<AccountId, ClientAccount> accounts;
-    /** The keys of each digest in the order of their names; the first is the one that counts. */
-    final Map<KeyDigest, List<AccessKey>> keys;
+    final Map<AccountId, ClientAccount> accountsById;
+    /** The keys with each digest, ordered by name; the first one is effective. */
+    final Map<KeyDigest, List<AccessKey>> keysByDigest;
 
-    final Map<String, Adapter> adapters;
-    /** For each client account the adapters assigned to it, each with the number of assignments that name it. */
-    final Map<AccountId, Map<String, Integer>> assigned;
+    final Map<String, Adapter> adaptersByName;
+    /** For each client account, the assigned adapters and the number of assignments that name each of them. */
+    final Map<AccountId, Map<String, Integer>> adapterCountsByAccount;
 
-    final Map<TargetId, Target> targets;
-    final Map<ServiceName, Service> services;
-    final Map<RecordKey, String> unreadable;
+    final Map<TargetId, Target> targetsById;
+    final Map<ServiceName, Service> servicesByName;
+    final Map<RecordKey, String> unreadableReasons;
 
     private final Map<String, AccessKey> keysByName;
     private final Map<String, Assignment> assignmentsByName;
 
-    /** The accounts whose map in {@link #assigned} is this index's own, and not shared with the one it was copied from. */
+    /** The accounts whose map in {@link #adapterCountsByAccount} this index owns, rather than shares with its source. */
     private final Set<AccountId> ownedAssignments = new HashSet<>();
 
     ConfigurationIndex() {
-        accounts = new HashMap<>();
-        keys = new HashMap<>();
-        adapters = new HashMap<>();
-        assigned = new HashMap<>();
-        targets = new HashMap<>();
-        services = new HashMap<>();
-        unreadable = new HashMap<>();
+        accountsById = new HashMap<>();
+        keysByDigest = new HashMap<>();
+        adaptersByName = new HashMap<>();
+        adapterCountsByAccount = new HashMap<>();
+        targetsById = new HashMap<>();
+        servicesByName = new HashMap<>();
+        unreadableReasons = new HashMap<>();
         keysByName = new HashMap<>();
         assignmentsByName = new HashMap<>();
     }
 
-    private ConfigurationIndex(ConfigurationIndex from, Set<RecordKind> changing) {
-        accounts = copyIf(changing.contains(RecordKind.ACCOUNT), from.accounts);
-        keys = copyIf(changing.contains(RecordKind.KEY), from.keys);
-        keysByName = copyIf(changing.contains(RecordKind.KEY), from.keysByName);
-        adapters = copyIf(changing.contains(RecordKind.ADAPTER), from.adapters);
-        assigned = copyIf(changing.contains(RecordKind.ASSIGNMENT), from.assigned);
-        assignmentsByName = copyIf(changing.contains(RecordKind.ASSIGNMENT), from.assignmentsByName);
-        targets = copyIf(changing.contains(RecordKind.TARGET), from.targets);
-        services = copyIf(changing.contains(RecordKind.SERVICE), from.services);
-        unreadable = new HashMap<>(from.unreadable);
+    private ConfigurationIndex(ConfigurationIndex source, Set<RecordKind> changedKinds) {
+        accountsById = copyIf(changedKinds.contains(RecordKind.ACCOUNT), source.accountsById);
+        keysByDigest = copyIf(changedKinds.contains(RecordKind.KEY), source.keysByDigest);
+        keysByName = copyIf(changedKinds.contains(RecordKind.KEY), source.keysByName);
+        adaptersByName = copyIf(changedKinds.contains(RecordKind.ADAPTER), source.adaptersByName);
+        adapterCountsByAccount = copyIf(changedKinds.contains(RecordKind.ASSIGNMENT), source.adapterCountsByAccount);
+        assignmentsByName = copyIf(changedKinds.contains(RecordKind.ASSIGNMENT), source.assignmentsByName);
+        targetsById = copyIf(changedKinds.contains(RecordKind.TARGET), source.targetsById);
+        servicesByName = copyIf(changedKinds.contains(RecordKind.SERVICE), source.servicesByName);
+        unreadableReasons = new HashMap<>(source.unreadableReasons);
     }
 
-    private static <K, V> Map<K, V> copyIf(boolean changes, Map<K, V> map) {
-        return changes ? new HashMap<>(map) : map;
+    private static <K, V> Map<K, V> copyIf(boolean isChanged, Map<K, V> map) {
+        return isChanged ? new HashMap<>(map) : map;
     }
 
     /**
-     * Gets a copy in which records of some kinds may be put and removed.
+     * Creates a copy in which records of some kinds may be added and removed.
      *
-     * @param changing the kinds, not null
+     * @param changedKinds the kinds, not null
      * @return the copy, not null
      */
-    ConfigurationIndex copyFor(Set<RecordKind> changing) {
-        return new ConfigurationIndex(this, changing);
+    ConfigurationIndex copyFor(Set<RecordKind> changedKinds) {
+        return new ConfigurationIndex(this, changedKinds);
     }
 
     /**
-     * Puts a record in the place of the one with its key, if there is one.
+     * Adds a record, replacing the one with the same key if there is one.
      *
-     * @param entry the record's last entry, with a body, not null
+     * @param entry the last entry of the record, with a body, not null
      */
     void put(LogEntry entry) {
         remove(entry.key());
@@ -91,45 +90,45 @@
         try {
             JsonNode record = RecordReader.parse(entry.body().orElseThrow());
             switch (entry.key().kind()) {
-                case ACCOUNT -> accounts.put(AccountId.of(name), RecordReader.account(name, record));
+                case ACCOUNT -> accountsById.put(AccountId.of(name), RecordReader.account(name, record));
                 case KEY -> addKey(RecordReader.key(name, record));
-                case ADAPTER -> adapters.put(name, RecordReader.adapter(name, record));
+                case ADAPTER -> adaptersByName.put(name, RecordReader.adapter(name, record));
                 case ASSIGNMENT -> addAssignment(RecordReader.assignment(name, record));
-                case TARGET -> targets.put(TargetId.of(name), RecordReader.target(name, record));
-                case SERVICE -> services.put(ServiceName.of(name), RecordReader.service(name, record));
+                case TARGET -> targetsById.put(TargetId.of(name), RecordReader.target(name, record));
+                case SERVICE -> servicesByName.put(ServiceName.of(name), RecordReader.service(name, record));
                 default -> throw new IllegalStateException(
                         "unhandled kind " + entry.key().kind());
             }
         } catch (RecordException invalid) {
-            unreadable.put(entry.key(), invalid.getMessage());
+            unreadableReasons.put(entry.key(), invalid.getMessage());
         }
     }
 
     /**
-     * Removes a record; one that is not there is passed over.
+     * Removes a record if it is present.
      *
-     * @param key the record, not null
+     * @param key the key of the record, not null
      */
     void remove(RecordKey key) {
-        unreadable.remove(key);
+        unreadableReasons.remove(key);
         String name = key.name();
         switch (key.kind()) {
-            case ACCOUNT -> accounts.remove(AccountId.of(name));
+            case ACCOUNT -> accountsById.remove(AccountId.of(name));
             case KEY -> removeKey(name);
-            case ADAPTER -> adapters.remove(name);
+            case ADAPTER -> adaptersByName.remove(name);
             case ASSIGNMENT -> removeAssignment(name);
-            case TARGET -> targets.remove(TargetId.of(name));
-            case SERVICE -> services.remove(ServiceName.of(name));
+            case TARGET -> targetsById.remove(TargetId.of(name));
+            case SERVICE -> servicesByName.remove(ServiceName.of(name));
             default -> throw new IllegalStateException("unhandled kind " + key.kind());
         }
     }
 
     private void addKey(AccessKey key) {
         keysByName.put(key.name(), key);
-        List<AccessKey> same = new ArrayList<>(keys.getOrDefault(key.digest(), List.of()));
-        same.add(key);
-        same.sort(Comparator.comparing(AccessKey::name));
-        keys.put(key.digest(), List.copyOf(same));
+        List<AccessKey> keysWithDigest = new ArrayList<>(keysByDigest.getOrDefault(key.digest(), List.of()));
+        keysWithDigest.add(key);
+        keysWithDigest.sort(Comparator.comparing(AccessKey::name));
+        keysByDigest.put(key.digest(), List.copyOf(keysWithDigest));
     }
 
     private void removeKey(String name) {
@@ -137,13 +136,13 @@
         if (removed == null) {
             return;
         }
-        List<AccessKey> rest = keys.get(removed.digest()).stream()
+        List<AccessKey> remaining = keysByDigest.get(removed.digest()).stream()
                 .filter(key -> !key.name().equals(name))
                 .toList();
-        if (rest.isEmpty()) {
-            keys.remove(removed.digest());
+        if (remaining.isEmpty()) {
+            keysByDigest.remove(removed.digest());
         } else {
-            keys.put(removed.digest(), rest);
+            keysByDigest.put(removed.digest(), remaining);
         }
     }
 
@@ -165,18 +164,18 @@
 
     private Map<String, Integer> ownedAssignmentsOf(AccountId account) {
         if (ownedAssignments.add(account)) {
-            assigned.put(account, new HashMap<>(assigned.getOrDefault(account, Map.of())));
+            adapterCountsByAccount.put(account, new HashMap<>(adapterCountsByAccount.getOrDefault(account, Map.of())));
         }
-        return assigned.get(account);
+        return adapterCountsByAccount.get(account);
     }
 
     /**
      * Gets the adapters that are assigned to a client account.
      *
      * @param account the account, not null
-     * @return the adapters' names, not null
+     * @return the names of the adapters, not null
      */
     Set<String> assignedTo(AccountId account) {
-        return assigned.getOrDefault(account, Map.of()).keySet();
+        return adapterCountsByAccount.getOrDefault(account, Map.of()).keySet();
     }
 }
--- a/model/src/main/java/org/geraniumreach/model/record/RecordReader.java
+++ b/model/src/main/java/org/geraniumreach/model/record/RecordReader.java
@@ -22,21 +22,21 @@
 import org.geraniumreach.model.TargetId;
 
 /**
- * Reads the JSON of records, in every schema version that this program knows, into their values.
+ * Parses the JSON of records in all schema versions that this program knows.
  *
- * <p>Contract: a reader of stored records passes over fields that it does not know, since a newer program may have written
- * them; {@link #requireNoUnknownFields} is for submissions, where an unknown field is a mistake. Every fault is named with
- * its path. Stateless and safe for use by several threads.
+ * <p>Contract: unknown fields are ignored, because a newer program may have written the stored record; {@link
+ * #requireNoUnknownFields} is for submissions, where an unknown field is an error. Every fault is reported with its path.
+ * Stateless and safe for use by several threads.
  */
 public final class RecordReader {
 
-    /** The field of each record that carries its schema version. */
+    /** The field that holds the schema version of a record. */
     public static final String SCHEMA_VERSION = "schemaVersion";
 
     private static final ObjectMapper MAPPER =
             new ObjectMapper().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
 
-    private static final Map<String, Set<String>> FIELDS = Map.of(
+    private static final Map<String, Set<String>> FIELDS_BY_KIND_AND_VERSION = Map.of(
             "account1", Set.of("rate", "burst"),
             "account2", Set.of("tokensPerSecond", "burstTokens", "priority"),
             "key1", Set.of("account", "digest"),
@@ -49,10 +49,10 @@
     private RecordReader() {}
 
     /**
-     * Reads a record's JSON.
+     * Parses the JSON of a record.
      *
      * @param text the JSON, not null
-     * @return the object, not null
+     * @return the JSON object, not null
      * @throws RecordException if the text is not a JSON object with a schema version
      */
     public static JsonNode parse(String text) throws RecordException {
@@ -70,16 +70,16 @@
     }
 
     /**
-     * Refuses fields that the record's schema version does not have.
+     * Requires that a record has only fields of its schema version.
      *
-     * @param kind the record's kind, not null
+     * @param kind the kind of the record, not null
      * @param record the record, not null
-     * @throws RecordException naming the first such field
+     * @throws RecordException naming the first unknown field
      */
     public static void requireNoUnknownFields(RecordKind kind, JsonNode record) throws RecordException {
         List<String> unknown = unknownFields(kind, record);
         if (!unknown.isEmpty()) {
-            Set<String> known = FIELDS.get(kind.label() + schemaVersion(record));
+            Set<String> known = FIELDS_BY_KIND_AND_VERSION.get(kind.label() + schemaVersion(record));
             throw RecordException.invalid(
                     unknown.get(0),
                     "unknown field; known are " + known.stream().sorted().toList());
@@ -87,109 +87,110 @@
     }
 
     /**
-     * Gets the fields that the record's schema version does not have, as far as this program knows.
+     * Gets the fields of a record that its schema version does not define.
      *
-     * @param kind the record's kind, not null
+     * @param kind the kind of the record, not null
      * @param record the record, not null
-     * @return the fields in their order, not null
+     * @return the fields in document order, not null
      * @throws RecordException if the schema version is not known
      */
     public static List<String> unknownFields(RecordKind kind, JsonNode record) throws RecordException {
-        Set<String> known = FIELDS.get(kind.label() + requireKnownVersion(kind, record));
-        List<String> unknown = iterable(record);
+        Set<String> known = FIELDS_BY_KIND_AND_VERSION.get(kind.label() + requireKnownVersion(kind, record));
+        List<String> unknown = fieldNames(record);
         unknown.removeIf(field -> field.equals(SCHEMA_VERSION) || known.contains(field));
         return unknown;
     }
 
     /**
-     * Reads a client account.
+     * Parses a client account.
      *
-     * @param name the record's name, not null
+     * @param name the name of the record, not null
      * @param record the record, not null
      * @return the account, not null
-     * @throws RecordException if the record is wrong
+     * @throws RecordException if the record is invalid
      */
     public static ClientAccount account(String name, JsonNode record) throws RecordException {
-        boolean first = requireKnownVersion(RecordKind.ACCOUNT, record) == 1;
-        long rate = positive(record, first ? "rate" : "tokensPerSecond");
-        long burst = positive(record, first ? "burst" : "burstTokens");
-        int priority = first || !record.has("priority")
+        boolean isFirstVersion = requireKnownVersion(RecordKind.ACCOUNT, record) == 1;
+        long rate = requirePositive(record, isFirstVersion ? "rate" : "tokensPerSecond");
+        long burst = requirePositive(record, isFirstVersion ? "burst" : "burstTokens");
+        int priority = isFirstVersion || !record.has("priority")
                 ? ClientAccount.DEFAULT_PRIORITY
-                : (int) within(record, "priority", 0, ClientAccount.HIGHEST_PRIORITY);
+                : (int) requireInRange(record, "priority", 0, ClientAccount.HIGHEST_PRIORITY);
         return new ClientAccount(AccountId.of(name), rate, burst, priority);
     }
 
     /**
-     * Reads a key.
+     * Parses a key.
      *
-     * @param name the record's name, not null
+     * @param name the name of the record, not null
      * @param record the record, not null
      * @return the key, not null
-     * @throws RecordException if the record is wrong
+     * @throws RecordException if the record is invalid
      */
     public static AccessKey key(String name, JsonNode record) throws RecordException {
         requireKnownVersion(RecordKind.KEY, record);
-        AccountId account = named(record, "account", AccountId::of);
-        return new AccessKey(name, account, named(record, "digest", KeyDigest::ofHexadecimal));
+        AccountId account = parseText(record, "account", AccountId::of);
+        return new AccessKey(name, account, parseText(record, "digest", KeyDigest::ofHexadecimal));
     }
 
     /**
-     * Reads an adapter.
+     * Parses an adapter.
      *
-     * @param name the record's name, not null
+     * @param name the name of the record, not null
      * @param record the record, not null
      * @return the adapter, not null
-     * @throws RecordException if the record is wrong
+     * @throws RecordException if the record is invalid
      */
     public static Adapter adapter(String name, JsonNode record) throws RecordException {
         requireKnownVersion(RecordKind.ADAPTER, record);
-        return new Adapter(name, name(record, "baseModel"), names(record, "versions"));
+        return new Adapter(name, requireNameField(record, "baseModel"), requireNameList(record, "versions"));
     }
 
     /**
-     * Reads an assignment.
+     * Parses an assignment.
      *
-     * @param name the record's name, not null
+     * @param name the name of the record, not null
      * @param record the record, not null
      * @return the assignment, not null
-     * @throws RecordException if the record is wrong
+     * @throws RecordException if the record is invalid
      */
     public static Assignment assignment(String name, JsonNode record) throws RecordException {
-        boolean first = requireKnownVersion(RecordKind.ASSIGNMENT, record) == 1;
-        AccountId account = named(record, "account", AccountId::of);
-        Set<String> adapters = first ? Set.of(name(record, "adapter")) : names(record, "adapters");
+        boolean isFirstVersion = requireKnownVersion(RecordKind.ASSIGNMENT, record) == 1;
+        AccountId account = parseText(record, "account", AccountId::of);
+        Set<String> adapters =
+                isFirstVersion ? Set.of(requireNameField(record, "adapter")) : requireNameList(record, "adapters");
         return new Assignment(name, account, adapters);
     }
 
     /**
-     * Reads a target.
+     * Parses a target.
      *
-     * @param name the record's name, not null
+     * @param name the name of the record, not null
      * @param record the record, not null
      * @return the target, not null
-     * @throws RecordException if the record is wrong
+     * @throws RecordException if the record is invalid
      */
     public static Target target(String name, JsonNode record) throws RecordException {
         requireKnownVersion(RecordKind.TARGET, record);
         Optional<String> baseModel =
-                record.has("baseModel") ? Optional.of(name(record, "baseModel")) : Optional.empty();
+                record.has("baseModel") ? Optional.of(requireNameField(record, "baseModel")) : Optional.empty();
         Optional<ServiceName> service =
-                record.has("service") ? Optional.of(named(record, "service", ServiceName::of)) : Optional.empty();
+                record.has("service") ? Optional.of(parseText(record, "service", ServiceName::of)) : Optional.empty();
         if (baseModel.isPresent() == service.isPresent()) {
             throw RecordException.invalid("baseModel", "a target has either a baseModel or a service");
         }
-        int slots = baseModel.isPresent() ? (int) within(record, "slots", 1, 100_000) : 0;
-        FailureDomain domain = named(record, "failureDomain", FailureDomain::of);
-        return new Target(TargetId.of(name), domain, baseModel, service, slots, truth(record, "checksFence"));
+        int slots = baseModel.isPresent() ? (int) requireInRange(record, "slots", 1, 100_000) : 0;
+        FailureDomain domain = parseText(record, "failureDomain", FailureDomain::of);
+        return new Target(TargetId.of(name), domain, baseModel, service, slots, requireBoolean(record, "checksFence"));
     }
 
     /**
-     * Reads a plain service.
+     * Parses a plain service.
      *
-     * @param name the record's name, not null
+     * @param name the name of the record, not null
      * @param record the record, not null
      * @return the service, not null
-     * @throws RecordException if the record is wrong
+     * @throws RecordException if the record is invalid
      */
     public static Service service(String name, JsonNode record) throws RecordException {
         requireKnownVersion(RecordKind.SERVICE, record);
@@ -197,24 +198,26 @@
         if (!operations.isObject() || operations.isEmpty()) {
             throw RecordException.invalid("operations", "must be an object with at least one operation");
         }
-        Map<String, Service.Operation> read = new LinkedHashMap<>();
-        for (String operation : iterable(operations)) {
+        Map<String, Service.Operation> parsed = new LinkedHashMap<>();
+        for (String operation : fieldNames(operations)) {
             JsonNode node = operations.get(operation);
             requireName("operations." + operation, operation);
             if (!node.isObject()) {
                 throw RecordException.invalid("operations." + operation, "must be an object");
             }
-            read.put(operation, new Service.Operation(truth(node, "repeatable"), positive(node, "tokens")));
+            parsed.put(
+                    operation,
+                    new Service.Operation(requireBoolean(node, "repeatable"), requirePositive(node, "tokens")));
         }
-        return new Service(ServiceName.of(name), read);
+        return new Service(ServiceName.of(name), parsed);
     }
 
     /**
-     * Reads a record for its faults only.
+     * Validates a record.
      *
-     * @param key the record's key, not null
+     * @param key the key of the record, not null
      * @param record the record, not null
-     * @throws RecordException if the record is wrong
+     * @throws RecordException if the record is invalid
      */
     public static void check(RecordKey key, JsonNode record) throws RecordException {
         String name = key.name();
@@ -241,26 +244,27 @@
     }
 
     private static int schemaVersion(JsonNode record) throws RecordException {
-        return (int) within(record, SCHEMA_VERSION, 1, Integer.MAX_VALUE);
+        return (int) requireInRange(record, SCHEMA_VERSION, 1, Integer.MAX_VALUE);
     }
 
-    private static long positive(JsonNode record, String field) throws RecordException {
-        return within(record, field, 1, 1_000_000_000_000L);
+    private static long requirePositive(JsonNode record, String field) throws RecordException {
+        return requireInRange(record, field, 1, 1_000_000_000_000L);
     }
 
-    private static long within(JsonNode record, String field, long least, long greatest) throws RecordException {
+    private static long requireInRange(JsonNode record, String field, long minimum, long maximum)
+            throws RecordException {
         JsonNode node = record.path(field);
         if (!node.isIntegralNumber() || !node.canConvertToLong()) {
-            throw RecordException.invalid(field, "must be a whole number from " + least + " to " + greatest);
+            throw RecordException.invalid(field, "must be a whole number from " + minimum + " to " + maximum);
         }
         long value = node.longValue();
-        if (value < least || value > greatest) {
-            throw RecordException.invalid(field, value + " is not from " + least + " to " + greatest);
+        if (value < minimum || value > maximum) {
+            throw RecordException.invalid(field, value + " is not from " + minimum + " to " + maximum);
         }
         return value;
     }
 
-    private static boolean truth(JsonNode record, String field) throws RecordException {
+    private static boolean requireBoolean(JsonNode record, String field) throws RecordException {
         JsonNode node = record.path(field);
         if (!node.isBoolean()) {
             throw RecordException.invalid(field, "must be true or false");
@@ -268,7 +272,7 @@
         return node.booleanValue();
     }
 
-    private static String text(JsonNode record, String field) throws RecordException {
+    private static String requireText(JsonNode record, String field) throws RecordException {
         JsonNode node = record.path(field);
         if (!node.isTextual()) {
             throw RecordException.invalid(field, "must be text");
@@ -276,8 +280,8 @@
         return node.textValue();
     }
 
-    private static <T> T named(JsonNode record, String field, Function<String, T> factory) throws RecordException {
-        String text = text(record, field);
+    private static <T> T parseText(JsonNode record, String field, Function<String, T> factory) throws RecordException {
+        String text = requireText(record, field);
         try {
             return factory.apply(text);
         } catch (IllegalArgumentException invalid) {
@@ -285,13 +289,13 @@
         }
     }
 
-    private static String name(JsonNode record, String field) throws RecordException {
-        String text = text(record, field);
+    private static String requireNameField(JsonNode record, String field) throws RecordException {
+        String text = requireText(record, field);
         requireName(field, text);
         return text;
     }
 
-    private static Set<String> names(JsonNode record, String field) throws RecordException {
+    private static Set<String> requireNameList(JsonNode record, String field) throws RecordException {
         JsonNode node = record.path(field);
         if (!node.isArray() || node.isEmpty()) {
             throw RecordException.invalid(field, "must be a list with at least one name");
@@ -310,7 +314,7 @@
         }
     }
 
-    private static List<String> iterable(JsonNode node) {
+    private static List<String> fieldNames(JsonNode node) {
         List<String> names = new ArrayList<>();
         node.fieldNames().forEachRemaining(names::add);
         return names;
