--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/MemoryTable.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/MemoryTable.java
@@ -29,7 +29,7 @@
     boolean commit(Transaction transaction) {
         commits++;
         for (Transaction.Condition condition : transaction.conditions()) {
-            long version = read(condition.key()).map(Row::version).orElse(Transaction.ABSENT);
+            long version = read(condition.key()).map(Row::version).orElse(Transaction.ABSENT_VERSION);
             if (version != condition.version()) {
                 return false;
             }
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/CompanionBenchmark.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/CompanionBenchmark.java
@@ -16,8 +16,8 @@
 import org.geraniumreach.serving.queue.QueueWeights;
 import org.geraniumreach.serving.queue.QueuedRequest;
 import org.geraniumreach.serving.queue.RequestQueue;
+import org.geraniumreach.serving.residency.AdapterLoadCommand;
 import org.geraniumreach.serving.residency.FleetLoads;
-import org.geraniumreach.serving.residency.LoadOrder;
 import org.geraniumreach.serving.residency.Pin;
 import org.geraniumreach.serving.residency.Residency;
 import org.geraniumreach.serving.residency.ResidencySettings;
@@ -72,7 +72,7 @@
     private static Residency residency() {
         MonotonicClock clock = MonotonicClock.system();
         FleetLoads fleet = FleetLoads.create(clock, Duration.ofDays(1));
-        fleet.news(TargetId.of("other"), Integer.MAX_VALUE / 2, 0, 0);
+        fleet.onReport(TargetId.of("other"), Integer.MAX_VALUE / 2, 0, 0);
         return Residency.create(ResidencySettings.standard(FleetSize.SLOTS), fleet, clock);
     }
 
@@ -111,7 +111,7 @@
                 .pin(running.attempt(), running.adapter().orElseThrow())
                 .orElseThrow();
         pin.release();
-        queue.finished(running.attempt(), TOKENS, 1);
+        queue.onFinished(running.attempt(), TOKENS, 1);
         return running;
     }
 
@@ -121,7 +121,7 @@
      * @return no orders
      */
     @Benchmark
-    public List<LoadOrder> ordersAmongColdAdapters() {
-        return coldResidency.orders();
+    public List<AdapterLoadCommand> ordersAmongColdAdapters() {
+        return coldResidency.startLoads();
     }
 }
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/MemoryMain.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/MemoryMain.java
@@ -47,7 +47,7 @@
             print("fleet view, by target", size, size.targets(), () -> Fleets.fleet(size, adapters));
             FleetView fleet = Fleets.fleet(size, adapters);
             print("router after one request for each adapter, by adapter", size, size.adapters(), () -> {
-                Router router = RoutingPolicy.AFFINITY.router(
+                Router router = RoutingPolicy.AFFINITY.createRouter(
                         fleet,
                         TargetFilter.all(),
                         PrefixDirectory.none(),
@@ -78,7 +78,7 @@
         PrefixDirectory directory =
                 DecayingPrefixDirectory.create(MonotonicClock.system(), Duration.ofMinutes(1), 2 * PREFIXES);
         for (int number = 0; number < PREFIXES; number++) {
-            directory.ended(new PrefixDigest(number * 0x9E3779B97F4A7C15L, number), Fleets.target(0), true);
+            directory.onRequestEnded(new PrefixDigest(number * 0x9E3779B97F4A7C15L, number), Fleets.target(0), true);
         }
         return directory;
     }
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/RoutingBenchmark.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/RoutingBenchmark.java
@@ -61,7 +61,7 @@
     }
 
     private Router router(RoutingPolicy policy) {
-        return policy.router(
+        return policy.createRouter(
                 fleet,
                 TargetFilter.all(),
                 PrefixDirectory.none(),
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/CompanionModel.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/CompanionModel.java
@@ -15,9 +15,9 @@
 import org.geraniumreach.serving.queue.ConcurrencyLimit;
 import org.geraniumreach.serving.queue.QueuedRequest;
 import org.geraniumreach.serving.queue.RequestQueue;
-import org.geraniumreach.serving.residency.Answer;
+import org.geraniumreach.serving.residency.AdapterLoadCommand;
+import org.geraniumreach.serving.residency.AdapterRequestResult;
 import org.geraniumreach.serving.residency.FleetLoads;
-import org.geraniumreach.serving.residency.LoadOrder;
 import org.geraniumreach.serving.residency.Pin;
 import org.geraniumreach.serving.residency.Residency;
 import org.geraniumreach.serving.routing.TargetStatus;
@@ -70,8 +70,9 @@
 
     void receive(TrialRequest request) {
         request.queuedAt = loop.nanos();
-        Answer answer = residency.request(request.attempt, request.accountId, request.adapter, request.tokens());
-        request.stalled = answer.state() == Answer.State.WAITING;
+        AdapterRequestResult answer =
+                residency.request(request.attempt, request.accountId, request.adapter, request.tokens());
+        request.stalled = answer.state() == AdapterRequestResult.State.WAITING;
         waiting.put(request.attempt, request);
         queue.offer(new QueuedRequest<>(
                 request.attempt,
@@ -87,7 +88,7 @@
 
     void tick() {
         for (QueuedRequest<TrialRequest> expired : queue.removeExpired()) {
-            residency.withdraw(expired.attempt());
+            residency.cancel(expired.attempt());
             waiting.remove(expired.attempt());
             metrics.expired(expired.payload(), loop.nanos());
             ended.accept(expired.payload());
@@ -101,7 +102,7 @@
                 next = queue.take(residency::isReady)) {
             start(next.get().payload());
         }
-        List<LoadOrder> orders = residency.orders();
+        List<AdapterLoadCommand> orders = residency.startLoads();
         orders.forEach(order -> store.load(() -> loaded(order)));
         if (orders.stream().anyMatch(order -> order.evicted().isPresent())) {
             changed.run();
@@ -113,15 +114,15 @@
         waiting.remove(request.attempt);
         engine.start(request, done -> {
             pin.release();
-            queue.finished(done.attempt, done.tokens(), done.generatedTokens);
+            queue.onFinished(done.attempt, done.tokens(), done.generatedTokens);
             metrics.ended(done, loop.nanos());
             ended.accept(done);
             pump();
         });
     }
 
-    private void loaded(LoadOrder order) {
-        residency.loaded(order);
+    private void loaded(AdapterLoadCommand order) {
+        residency.onLoaded(order);
         metrics.loaded(loop.nanos());
         for (TrialRequest request : new ArrayList<>(waiting.values())) {
             if (request.adapter.equals(order.adapter()) && request.readyAt < 0) {
@@ -137,8 +138,8 @@
                 target,
                 ++sequence,
                 1,
-                queue.running(),
-                queue.waiting(),
+                queue.runningCount(),
+                queue.waitingCount(),
                 queue.waitingTokens(),
                 queue.concurrencyLimit(),
                 workload.slots(),
@@ -151,12 +152,12 @@
     }
 
     void tell(Collection<CompanionModel> companions) {
-        int inTransit = residency.inTransit();
-        int waitingLoads = residency.waiting();
-        long waitingWork = residency.waitingWork();
+        int inTransit = residency.loadsInProgress();
+        int waitingLoads = residency.waitingLoads();
+        long waitingWork = residency.waitingWorkNanos();
         for (CompanionModel other : companions) {
             if (other != this) {
-                other.fleetLoads.news(target, inTransit, waitingLoads, waitingWork);
+                other.fleetLoads.onReport(target, inTransit, waitingLoads, waitingWork);
             }
         }
     }
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/EntryModel.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/EntryModel.java
@@ -15,7 +15,7 @@
 import org.geraniumreach.serving.routing.RouteRequest;
 import org.geraniumreach.serving.routing.Router;
 import org.geraniumreach.serving.routing.RouterSettings;
-import org.geraniumreach.serving.routing.Sending;
+import org.geraniumreach.serving.routing.SentRequest;
 import org.geraniumreach.serving.routing.TargetFilter;
 
 /** An entry; confined to the trial's thread. */
@@ -26,12 +26,12 @@
 
     private final FleetView fleet;
     private final Router router;
-    private final Map<AttemptId, Sending> sendings = new HashMap<>();
+    private final Map<AttemptId, SentRequest> sendings = new HashMap<>();
 
     EntryModel(EventLoop loop, Policies policies, long seed) {
         this.fleet = FleetView.create(loop);
         this.router = policies.routing()
-                .router(
+                .createRouter(
                         fleet,
                         TargetFilter.all(),
                         PrefixDirectory.none(),
@@ -54,15 +54,15 @@
         TargetId target = router.route(RouteRequest.ofAdapter(MODEL, request.adapter))
                 .orElseThrow()
                 .target();
-        sendings.put(request.attempt, fleet.sent(target));
+        sendings.put(request.attempt, fleet.recordSent(target));
         return target;
     }
 
     void accepted(TrialRequest request) {
-        sendings.get(request.attempt).accepted();
+        sendings.get(request.attempt).onAccepted();
     }
 
     void ended(TrialRequest request) {
-        sendings.remove(request.attempt).ended();
+        sendings.remove(request.attempt).onEnded();
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/ShareKeeper.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/ShareKeeper.java
@@ -332,7 +332,7 @@
             Optional<ShareTransfer> transfer,
             Optional<ShareTransfer.Plan> plan,
             long now) {
-        long version = known.map(Known::version).orElse(Transaction.ABSENT);
+        long version = known.map(Known::version).orElse(Transaction.ABSENT_VERSION);
         long renewals = known.map(Known::renewals).orElse(0L) + 1;
         Transaction whole =
                 more.withCondition(ownKey(), version).withWrite(ownKey(), new HolderRow(self, renewals, after).write());
@@ -451,7 +451,7 @@
         ShareSet after = answered.plan().map(ShareTransfer.Plan::sharesAfter).orElse(currentShares());
         // The table service does not say which version the commit has made; the next commit needs it.
         mustRead = true;
-        long version = known.map(Known::version).orElse(Transaction.ABSENT);
+        long version = known.map(Known::version).orElse(Transaction.ABSENT_VERSION);
         known = Optional.of(new Known(version, known.map(Known::renewals).orElse(0L) + 1, after));
         unsettled = Optional.empty();
         renewedAt = answered.sentAt();
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/ShareTransfer.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/ShareTransfer.java
@@ -132,6 +132,6 @@
     }
 
     private Transaction condition(Optional<Row> found) {
-        return Transaction.empty().withCondition(other, found.map(Row::version).orElse(Transaction.ABSENT));
+        return Transaction.empty().withCondition(other, found.map(Row::version).orElse(Transaction.ABSENT_VERSION));
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/Compaction.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/Compaction.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 
-import org.geraniumreach.coordination.configuration.ConfigurationRows.SnapshotPlace;
+import org.geraniumreach.coordination.configuration.ConfigurationRows.SnapshotPointer;
 import org.geraniumreach.model.record.Configuration;
 import org.geraniumreach.model.record.LogEntry;
 import org.geraniumreach.model.table.Transaction;
@@ -36,8 +36,8 @@
      * @param changes the number of changes after which a snapshot is due
      * @return true if a snapshot is due
      */
-    public static boolean isDue(long revision, Optional<SnapshotPlace> newest, int changes) {
-        return revision - newest.map(SnapshotPlace::revision).orElse(0L) >= changes;
+    public static boolean isDue(long revision, Optional<SnapshotPointer> newest, int changes) {
+        return revision - newest.map(SnapshotPointer::revision).orElse(0L) >= changes;
     }
 
     /**
@@ -46,7 +46,7 @@
      * @param configuration the configuration to write, not null
      * @return the transactions, one per part, not null
      */
-    public static List<Transaction> writeParts(Configuration configuration) {
+    public static List<Transaction> planPartWrites(Configuration configuration) {
         List<LogEntry> records = new ArrayList<>(configuration.entries());
         records.sort(Comparator.comparing((LogEntry entry) -> entry.key().kind())
                 .thenComparing(entry -> entry.key().name()));
@@ -67,7 +67,7 @@
      * @param pointer the new content, not null
      * @return the transaction, not null
      */
-    public static Transaction writePlace(long rowVersion, SnapshotPlace pointer) {
+    public static Transaction planPointerWrite(long rowVersion, SnapshotPointer pointer) {
         return Transaction.empty()
                 .withCondition(ConfigurationRows.SNAPSHOT, rowVersion)
                 .withWrite(ConfigurationRows.SNAPSHOT, ConfigurationRows.writePointer(pointer));
@@ -79,7 +79,7 @@
      * @param old the replaced snapshot, not null
      * @return the transactions, not null
      */
-    public static List<Transaction> deleteParts(SnapshotPlace old) {
+    public static List<Transaction> planPartDeletions(SnapshotPointer old) {
         DeletionBatcher deletions = new DeletionBatcher();
         for (int index = 0; index < old.parts(); index++) {
             deletions.add(Transaction.empty().withDelete(ConfigurationRows.partKey(old.revision(), index)));
@@ -94,12 +94,12 @@
      * @param snapshotRevision the revision of the newest snapshot
      * @return the transactions, not null
      */
-    public static List<Transaction> deleteChanges(List<LogEntry> oldest, long snapshotRevision) {
+    public static List<Transaction> planChangeDeletions(List<LogEntry> oldest, long snapshotRevision) {
         DeletionBatcher deletions = new DeletionBatcher();
         for (LogEntry entry : oldest) {
             if (entry.revision() <= snapshotRevision - MIN_RETAINED_CHANGES) {
                 deletions.add(Transaction.empty()
-                        .withDelete(ConfigurationRows.log(entry.revision()))
+                        .withDelete(ConfigurationRows.logKey(entry.revision()))
                         .withDelete(ConfigurationRows.operationKey(entry.operation())));
             }
         }
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/ConfigurationNode.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/ConfigurationNode.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
 
-import org.geraniumreach.coordination.membership.Rendezvous;
+import org.geraniumreach.coordination.membership.RendezvousHashing;
 import org.geraniumreach.model.InstanceId;
 import org.geraniumreach.model.MonotonicClock;
 import org.geraniumreach.model.record.Configuration;
@@ -83,7 +83,7 @@
      *
      * @return true if one was obtained, even an empty one
      */
-    public boolean isObtained() {
+    public boolean hasConfiguration() {
         return hasConfiguration;
     }
 
@@ -118,7 +118,7 @@
      * @param revision the revision
      * @return the number of linked entries that reported this revision or a later one
      */
-    public int otherEntriesHolding(long revision) {
+    public int countOtherEntriesHolding(long revision) {
         return (int) peers.values().stream()
                 .filter(peer -> peer.isEntry() && peer.heldRevision() >= revision)
                 .count();
@@ -130,10 +130,10 @@
      * @param entries the listed entries that have not announced that they are leaving, including this instance if it is an
      *     entry, not null
      */
-    public void listed(Set<InstanceId> entries) {
+    public void onEntriesListed(Set<InstanceId> entries) {
         freshness.setEntries(entries);
-        isPoller =
-                Rendezvous.choose(POLLER_HASH_KEY, entries, options.pollers()).contains(self);
+        isPoller = RendezvousHashing.choose(POLLER_HASH_KEY, entries, options.pollers())
+                .contains(self);
     }
 
     /**
@@ -143,7 +143,7 @@
      * @param isEntry whether the peer is an entry
      * @return the actions to perform, not null
      */
-    public List<NodeAction> opened(InstanceId peer, boolean isEntry) {
+    public List<NodeAction> onLinkOpened(InstanceId peer, boolean isEntry) {
         PeerState state = new PeerState(isEntry, clock.nanos());
         peers.put(peer, state);
         return List.of(heartbeat(peer, state));
@@ -154,7 +154,7 @@
      *
      * @param peer the peer, not null
      */
-    public void closed(InstanceId peer) {
+    public void onLinkClosed(InstanceId peer) {
         peers.remove(peer);
     }
 
@@ -163,7 +163,7 @@
      *
      * @return the actions to perform, not null
      */
-    public List<NodeAction> tick() {
+    public List<NodeAction> onTick() {
         long now = clock.nanos();
         List<NodeAction> actions = new ArrayList<>();
         if (isPollDue(now)) {
@@ -211,7 +211,7 @@
      * @param result the result, not null
      * @return the actions to perform, not null
      */
-    public List<NodeAction> polled(PollAnswer result) {
+    public List<NodeAction> onPollCompleted(PollResult result) {
         pollInProgress = false;
         lastPollFailed = false;
         schedulePoll();
@@ -227,7 +227,7 @@
     }
 
     /** Handles a failed poll of the table. */
-    public void pollFailed() {
+    public void onPollFailed() {
         pollInProgress = false;
         lastPollFailed = true;
         schedulePoll();
@@ -243,7 +243,7 @@
      * @param entries the changes, not null
      * @return the actions to perform, not null
      */
-    public List<NodeAction> committed(Collection<LogEntry> entries) {
+    public List<NodeAction> onCommitted(Collection<LogEntry> entries) {
         return applyEntries(entries);
     }
 
@@ -254,19 +254,19 @@
      * @param message the message, not null
      * @return the actions to perform, not null
      */
-    public List<NodeAction> received(InstanceId peer, NodeMessage message) {
+    public List<NodeAction> onMessage(InstanceId peer, NodeMessage message) {
         PeerState state = peers.get(peer);
         if (state == null) {
             return List.of();
         }
-        if (message instanceof NodeMessage.Note heartbeat) {
+        if (message instanceof NodeMessage.Heartbeat heartbeat) {
             return onHeartbeat(peer, state, heartbeat);
         }
-        if (message instanceof NodeMessage.News changes) {
+        if (message instanceof NodeMessage.Changes changes) {
             return onChanges(state, changes);
         }
         if (message instanceof NodeMessage.SnapshotRequest request) {
-            return answerSnapshotRequest(peer, request.haveRevision());
+            return answerSnapshotRequest(peer, request.heldRevision());
         }
         return snapshotAssembler
                 .addPart((NodeMessage.SnapshotPart) message)
@@ -274,8 +274,8 @@
                 .orElse(List.of());
     }
 
-    private List<NodeAction> onChanges(PeerState state, NodeMessage.News changes) {
-        replica.recordKnownRevision(changes.head());
+    private List<NodeAction> onChanges(PeerState state, NodeMessage.Changes changes) {
+        replica.recordKnownRevision(changes.highestKnownRevision());
         changes.entries().forEach(entry -> state.recordHeldRevision(entry.revision()));
         return applyEntries(changes.entries());
     }
@@ -287,30 +287,32 @@
         return onConfigurationChanged();
     }
 
-    private List<NodeAction> onHeartbeat(InstanceId peer, PeerState state, NodeMessage.Note heartbeat) {
+    private List<NodeAction> onHeartbeat(InstanceId peer, PeerState state, NodeMessage.Heartbeat heartbeat) {
         long now = clock.nanos();
-        state.recordTimestamp(heartbeat.stamp(), now);
+        state.recordTimestamp(heartbeat.timestamp(), now);
         state.recordHeldRevision(heartbeat.revision());
-        replica.recordKnownRevision(heartbeat.highestHeard());
+        replica.recordKnownRevision(heartbeat.highestKnownRevision());
         state.earliestSendTime(heartbeat.echo(), now).ifPresent(sentAt -> applyReports(peer, state, heartbeat, sentAt));
         List<NodeAction> actions = new ArrayList<>(shareConfirmation());
         if (heartbeat.revision() < replica.revision() && state.maySendChanges(now, periodNanos)) {
             state.recordChangesSent(now);
             replica.entriesAfter(heartbeat.revision())
-                    .ifPresent(entries -> actions.add(
-                            new NodeAction.Send(peer, new NodeMessage.News(replica.highestKnownRevision(), entries))));
+                    .ifPresent(entries -> actions.add(new NodeAction.Send(
+                            peer, new NodeMessage.Changes(replica.highestKnownRevision(), entries))));
         }
         return actions;
     }
 
-    private void applyReports(InstanceId peer, PeerState state, NodeMessage.Note heartbeat, long sentAt) {
-        heartbeat.confirmedAge().ifPresent(age -> state.recordConfirmation(heartbeat.revision(), sentAt - age));
-        if (state.isEntry() && heartbeat.saysUnreachable()) {
+    private void applyReports(InstanceId peer, PeerState state, NodeMessage.Heartbeat heartbeat, long sentAt) {
+        heartbeat.confirmationAgeNanos().ifPresent(age -> state.recordConfirmation(heartbeat.revision(), sentAt - age));
+        if (state.isEntry() && heartbeat.isStoreUnreachable()) {
             freshness.recordUnreachable(peer, sentAt);
         } else if (state.isEntry()) {
             freshness.recordReachable(peer, sentAt);
         }
-        heartbeat.words().forEach(report -> freshness.recordUnreachable(report.entry(), sentAt - report.age()));
+        heartbeat
+                .unreachableReports()
+                .forEach(report -> freshness.recordUnreachable(report.entry(), sentAt - report.ageNanos()));
     }
 
     private List<NodeAction> answerSnapshotRequest(InstanceId peer, long heldRevision) {
@@ -320,7 +322,7 @@
         Optional<List<LogEntry>> entries = replica.entriesAfter(heldRevision);
         if (entries.isPresent()) {
             return List.of(
-                    new NodeAction.Send(peer, new NodeMessage.News(replica.highestKnownRevision(), entries.get())));
+                    new NodeAction.Send(peer, new NodeMessage.Changes(replica.highestKnownRevision(), entries.get())));
         }
         List<NodeAction> actions = new ArrayList<>();
         SnapshotAssembler.split(replica.configuration(), SnapshotAssembler.RECORDS_PER_PART)
@@ -334,7 +336,7 @@
             return new ArrayList<>();
         }
         List<NodeAction> actions = new ArrayList<>();
-        NodeMessage changes = new NodeMessage.News(replica.highestKnownRevision(), applied);
+        NodeMessage changes = new NodeMessage.Changes(replica.highestKnownRevision(), applied);
         long now = clock.nanos();
         peers.forEach((peer, state) -> {
             if (state.heldRevision() < replica.revision()) {
@@ -375,11 +377,11 @@
     private NodeAction heartbeat(InstanceId peer, PeerState state) {
         long now = clock.nanos();
         boolean unreachable = isStoreUnreachable();
-        List<NodeMessage.Word> reports = unreachable ? freshness.unreachableReports(now) : List.of();
+        List<NodeMessage.UnreachableReport> reports = unreachable ? freshness.unreachableReports(now) : List.of();
         state.recordConfirmationSent(freshness.confirmedAt());
         return new NodeAction.Send(
                 peer,
-                new NodeMessage.Note(
+                new NodeMessage.Heartbeat(
                         replica.revision(),
                         replica.highestKnownRevision(),
                         freshness.confirmationAgeNanos(now),
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/ConfigurationRows.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/ConfigurationRows.java
@@ -48,7 +48,7 @@
      * @param revision the revision of the snapshot
      * @param parts the number of parts
      */
-    public record SnapshotPlace(long revision, int parts) {}
+    public record SnapshotPointer(long revision, int parts) {}
 
     /**
      * Returns the key of the log row of a change.
@@ -56,7 +56,7 @@
      * @param revision the revision of the change
      * @return the key, not null
      */
-    public static RowKey log(long revision) {
+    public static RowKey logKey(long revision) {
         return RowKey.of(TABLE, LOG_PREFIX + String.format(REVISION_FORMAT, revision));
     }
 
@@ -129,7 +129,7 @@
      * @param pointer the revision and number of parts, not null
      * @return the row value, not null
      */
-    public static String writePointer(SnapshotPlace pointer) {
+    public static String writePointer(SnapshotPointer pointer) {
         return MAPPER.createObjectNode()
                 .put("revision", pointer.revision())
                 .put("parts", pointer.parts())
@@ -143,9 +143,9 @@
      * @return the revision and number of parts, not null
      * @throws RecordException if the value is malformed
      */
-    public static SnapshotPlace readPlace(String value) throws RecordException {
+    public static SnapshotPointer readPointer(String value) throws RecordException {
         JsonNode node = parse(value);
-        return new SnapshotPlace(requireNonNegative(node, "revision"), (int) requireNonNegative(node, "parts"));
+        return new SnapshotPointer(requireNonNegative(node, "revision"), (int) requireNonNegative(node, "parts"));
     }
 
     /**
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/Freshness.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/Freshness.java
@@ -86,11 +86,11 @@
      * @param now the current time
      * @return the reports within the limit that no later report of reachability supersedes, not null
      */
-    List<NodeMessage.Word> unreachableReports(long now) {
-        List<NodeMessage.Word> reports = new ArrayList<>();
+    List<NodeMessage.UnreachableReport> unreachableReports(long now) {
+        List<NodeMessage.UnreachableReport> reports = new ArrayList<>();
         unreachableReportedAt.forEach((entry, at) -> {
             if (now - at < limitNanos && at > reachableReportedAt.getOrDefault(entry, NEVER)) {
-                reports.add(new NodeMessage.Word(entry, now - at));
+                reports.add(new NodeMessage.UnreachableReport(entry, now - at));
             }
         });
         return reports;
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/NodeAction.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/NodeAction.java
@@ -14,9 +14,9 @@
     record Send(InstanceId peer, NodeMessage message) implements NodeAction {}
 
     /**
-     * Reads the table. The outcome is reported by {@link ConfigurationNode#polled} or {@link ConfigurationNode#pollFailed}.
+     * Reads the table. The outcome is reported by {@link ConfigurationNode#onPollCompleted} or {@link ConfigurationNode#onPollFailed}.
      *
-     * @param haveRevision the current revision of the node
+     * @param heldRevision the current revision of the node
      */
-    record Poll(long haveRevision) implements NodeAction {}
+    record Poll(long heldRevision) implements NodeAction {}
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/NodeMessage.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/NodeMessage.java
@@ -13,12 +13,12 @@
     /**
      * Sends changes of the configuration.
      *
-     * @param head the highest revision known to the sender
+     * @param highestKnownRevision the highest revision known to the sender
      * @param entries the changes
      */
-    record News(long head, List<LogEntry> entries) implements NodeMessage {
+    record Changes(long highestKnownRevision, List<LogEntry> entries) implements NodeMessage {
 
-        public News {
+        public Changes {
             entries = List.copyOf(entries);
         }
     }
@@ -27,50 +27,50 @@
      * Reports the state of the sender periodically.
      *
      * @param revision the sender's current revision
-     * @param highestHeard the highest revision known to the sender
-     * @param confirmedAge nanoseconds since the sender's configuration was last confirmed, empty if it never was
-     * @param saysUnreachable whether the sender cannot reach the store
-     * @param words reports of entries that cannot reach the store, sent while the sender cannot reach it either
-     * @param stamp the reading of the sender's clock, which the receiver echoes
+     * @param highestKnownRevision the highest revision known to the sender
+     * @param confirmationAgeNanos nanoseconds since the sender's configuration was last confirmed, empty if it never was
+     * @param isStoreUnreachable whether the sender cannot reach the store
+     * @param unreachableReports reports of entries that cannot reach the store, sent while the sender cannot reach it either
+     * @param timestamp the reading of the sender's clock, which the receiver echoes
      * @param echo the latest timestamp received from the receiver, empty if there is none
      */
-    record Note(
+    record Heartbeat(
             long revision,
-            long highestHeard,
-            OptionalLong confirmedAge,
-            boolean saysUnreachable,
-            List<Word> words,
-            long stamp,
-            Optional<Echo> echo)
+            long highestKnownRevision,
+            OptionalLong confirmationAgeNanos,
+            boolean isStoreUnreachable,
+            List<UnreachableReport> unreachableReports,
+            long timestamp,
+            Optional<TimestampEcho> echo)
             implements NodeMessage {
 
-        public Note {
-            words = List.copyOf(words);
+        public Heartbeat {
+            unreachableReports = List.copyOf(unreachableReports);
         }
     }
 
     /**
      * A timestamp returned to its sender.
      *
-     * @param stamp the timestamp
-     * @param held nanoseconds between the arrival of the timestamp and the sending of this echo
+     * @param timestamp the timestamp
+     * @param heldNanos nanoseconds between the arrival of the timestamp and the sending of this echo
      */
-    record Echo(long stamp, long held) {}
+    record TimestampEcho(long timestamp, long heldNanos) {}
 
     /**
      * An entry's report that it cannot reach the store.
      *
      * @param entry the entry
-     * @param age an upper bound of the nanoseconds since the report
+     * @param ageNanos an upper bound of the nanoseconds since the report
      */
-    record Word(InstanceId entry, long age) {}
+    record UnreachableReport(InstanceId entry, long ageNanos) {}
 
     /**
      * Requests the changes after a revision, or a snapshot if the receiver no longer has all of them.
      *
-     * @param haveRevision the sender's current revision
+     * @param heldRevision the sender's current revision
      */
-    record SnapshotRequest(long haveRevision) implements NodeMessage {}
+    record SnapshotRequest(long heldRevision) implements NodeMessage {}
 
     /**
      * Sends a part of a snapshot.
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/PeerState.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/PeerState.java
@@ -46,9 +46,9 @@
         }
     }
 
-    Optional<NodeMessage.Echo> echo(long now) {
+    Optional<NodeMessage.TimestampEcho> echo(long now) {
         return hasTimestamp
-                ? Optional.of(new NodeMessage.Echo(latestTimestamp, now - timestampReceivedAt))
+                ? Optional.of(new NodeMessage.TimestampEcho(latestTimestamp, now - timestampReceivedAt))
                 : Optional.empty();
     }
 
@@ -59,11 +59,11 @@
      * @param now the current time
      * @return a time not later than the sending, or empty if no bound is known
      */
-    Optional<Long> earliestSendTime(Optional<NodeMessage.Echo> echo, long now) {
+    Optional<Long> earliestSendTime(Optional<NodeMessage.TimestampEcho> echo, long now) {
         /* A heartbeat may wait in buffers for any time while the network or this process is stalled. Counting its age from
          * its arrival would make an old confirmation look new; counting from the echoed timestamp can only overestimate it. */
-        return echo.filter(received -> received.held() >= 0 && received.stamp() >= linkOpenedAt)
-                .map(received -> received.stamp() + received.held())
+        return echo.filter(received -> received.heldNanos() >= 0 && received.timestamp() >= linkOpenedAt)
+                .map(received -> received.timestamp() + received.heldNanos())
                 .filter(bound -> bound <= now);
     }
 
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/PollAnswer.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/PollResult.java
@@ -16,9 +16,9 @@
  * @param snapshot a snapshot, if the log does not reach back to the held revision
  * @param entries the changes read
  */
-public record PollAnswer(long startedAt, long headRevision, Optional<Configuration> snapshot, List<LogEntry> entries) {
+public record PollResult(long startedAt, long headRevision, Optional<Configuration> snapshot, List<LogEntry> entries) {
 
-    public PollAnswer {
+    public PollResult {
         entries = List.copyOf(entries);
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/SubmissionProcess.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/SubmissionProcess.java
@@ -84,7 +84,7 @@
      * @param row the row, or empty if it does not exist, not null
      * @return the next step, not null
      */
-    public SubmissionStep read(Optional<Row> row) {
+    public SubmissionStep onRowRead(Optional<Row> row) {
         RowKey key = rowBeingRead.orElseThrow();
         try {
             if (key.equals(ConfigurationRows.HEAD)) {
@@ -105,7 +105,7 @@
     }
 
     private SubmissionStep onHeadRead(Optional<Row> row) throws RecordException {
-        headVersion = row.map(Row::version).orElse(Transaction.ABSENT);
+        headVersion = row.map(Row::version).orElse(Transaction.ABSENT_VERSION);
         headRevision =
                 row.isPresent() ? ConfigurationRows.readRevision(row.get().value()) : 0;
         return readRow(ConfigurationRows.operationKey(submission.operation()));
@@ -113,7 +113,7 @@
 
     private SubmissionStep onOperationRead(Optional<Row> row) throws RecordException {
         if (row.isPresent()) {
-            return readRow(ConfigurationRows.log(
+            return readRow(ConfigurationRows.logKey(
                     ConfigurationRows.readRevision(row.get().value())));
         }
         /* The unanswered write requires this version of the head. While the head keeps it, the write may still be applied
@@ -152,7 +152,7 @@
      * @param current the updated configuration, not null
      * @return the next step, not null
      */
-    public SubmissionStep caughtUp(Configuration current) {
+    public SubmissionStep onCaughtUp(Configuration current) {
         configuration = current;
         return readHead();
     }
@@ -162,7 +162,7 @@
      *
      * @return the next step, not null
      */
-    public SubmissionStep readFailed() {
+    public SubmissionStep onReadFailed() {
         return retryAfterDelay();
     }
 
@@ -171,7 +171,7 @@
      *
      * @return the next step, not null
      */
-    public SubmissionStep waited() {
+    public SubmissionStep onWaitFinished() {
         return readHead();
     }
 
@@ -181,7 +181,7 @@
      * @param tookEffect whether the transaction was applied
      * @return the next step, not null
      */
-    public SubmissionStep committed(boolean tookEffect) {
+    public SubmissionStep onCommitAnswered(boolean tookEffect) {
         return tookEffect ? finish(SubmissionResult.accepted(pendingEntry.orElseThrow())) : readHead();
     }
 
@@ -191,7 +191,7 @@
      * @param mayTakeEffect whether the transaction may have been applied or may still be
      * @return the next step, not null
      */
-    public SubmissionStep commitFailed(boolean mayTakeEffect) {
+    public SubmissionStep onCommitFailed(boolean mayTakeEffect) {
         if (mayTakeEffect) {
             unsettledHeadVersion = headVersion;
         }
@@ -227,8 +227,8 @@
         RowKey operation = ConfigurationRows.operationKey(entry.operation());
         return Transaction.empty()
                 .withCondition(ConfigurationRows.HEAD, headVersion)
-                .withCondition(operation, Transaction.ABSENT)
-                .withWrite(ConfigurationRows.log(entry.revision()), value)
+                .withCondition(operation, Transaction.ABSENT_VERSION)
+                .withWrite(ConfigurationRows.logKey(entry.revision()), value)
                 .withWrite(ConfigurationRows.recordKey(entry.key()), value)
                 .withWrite(operation, ConfigurationRows.writeRevision(entry.revision()))
                 .withWrite(ConfigurationRows.HEAD, ConfigurationRows.writeRevision(entry.revision()));
--- a/coordination/src/main/java/org/geraniumreach/coordination/configuration/SubmissionStep.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/configuration/SubmissionStep.java
@@ -9,30 +9,30 @@
 public sealed interface SubmissionStep {
 
     /**
-     * Reads a row. The outcome is reported by {@link SubmissionProcess#read} or {@link SubmissionProcess#readFailed}.
+     * Reads a row. The outcome is reported by {@link SubmissionProcess#onRowRead} or {@link SubmissionProcess#onReadFailed}.
      *
      * @param key the key of the row
      */
     record Read(RowKey key) implements SubmissionStep {}
 
     /**
-     * Updates the configuration from the table. The outcome is reported by {@link SubmissionProcess#caughtUp} or {@link
-     * SubmissionProcess#readFailed}.
+     * Updates the configuration from the table. The outcome is reported by {@link SubmissionProcess#onCaughtUp} or {@link
+     * SubmissionProcess#onReadFailed}.
      *
      * @param revision the revision that the configuration must reach
      */
     record CatchUp(long revision) implements SubmissionStep {}
 
     /**
-     * Applies a transaction at most once. The outcome is reported by {@link SubmissionProcess#committed} or {@link
-     * SubmissionProcess#commitFailed}.
+     * Applies a transaction at most once. The outcome is reported by {@link SubmissionProcess#onCommitAnswered} or {@link
+     * SubmissionProcess#onCommitFailed}.
      *
      * @param transaction the transaction
      */
     record Commit(Transaction transaction) implements SubmissionStep {}
 
     /**
-     * Waits. The end is reported by {@link SubmissionProcess#waited}.
+     * Waits. The end is reported by {@link SubmissionProcess#onWaitFinished}.
      *
      * @param duration the time to wait
      */
--- a/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerAction.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerAction.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 
 import org.geraniumreach.model.AttemptId;
-import org.geraniumreach.model.Ran;
+import org.geraniumreach.model.ExecutionStatus;
 import org.geraniumreach.model.ResultCode;
 import org.geraniumreach.model.table.RowKey;
 import org.geraniumreach.model.table.Transaction;
@@ -83,7 +83,8 @@
      * @param retryAfter when to come back, if that would help
      * @param message what happened
      */
-    record Refuse(ResultCode code, Ran ran, Optional<Duration> retryAfter, String message) implements LedgerAction {}
+    record Refuse(ResultCode code, ExecutionStatus ran, Optional<Duration> retryAfter, String message)
+            implements LedgerAction {}
 
     /** Nothing more; the call is done. */
     record Done() implements LedgerAction {}
--- a/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerCall.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerCall.java
@@ -10,7 +10,7 @@
 
 import org.geraniumreach.coordination.ledger.LedgerRowFormat.UnreadableRowException;
 import org.geraniumreach.model.AttemptId;
-import org.geraniumreach.model.Ran;
+import org.geraniumreach.model.ExecutionStatus;
 import org.geraniumreach.model.ResultCode;
 import org.geraniumreach.model.table.Row;
 import org.geraniumreach.model.table.RowKey;
@@ -22,7 +22,7 @@
  * <p>Invariants: {@link LedgerAction.Send} is given at most once for an attempt, and only after the row was seen to hold
  * that attempt, put there by this call; an attempt takes the place of another one only after the other's companion has
  * said that it never started and never will; once a row is FINISHED or UNKNOWN no attempt takes its place. So all calls
- * with one key together run the request at most once. A refusal with {@link Ran#NO} is given only while every attempt of
+ * with one key together run the request at most once. A refusal with {@link ExecutionStatus#NO} is given only while every attempt of
  * this call is unsent, sealed or refused by its companion as not run.
  *
  * <p>One event is answered by one action, and the next event is the answer to that action. Not safe for use by several
@@ -39,7 +39,7 @@
     private static final int SEAL_TRIES = 3;
     private static final int TRIES_AFTER_REPLY = 100;
     private static final LedgerAction.Refuse NEVER_STARTED = new LedgerAction.Refuse(
-            ResultCode.NOT_RUN, Ran.NO, Optional.empty(), "the request was given up before it started");
+            ResultCode.NOT_RUN, ExecutionStatus.NO, Optional.empty(), "the request was given up before it started");
 
     private final RowKey key;
     private final String requestDigest;
@@ -113,7 +113,7 @@
     public LedgerAction start() {
         Optional<Companion> companion = view.chooser().get();
         // Without a target a call that has run already still gets its answer.
-        return companion.isPresent() ? claim(Transaction.ABSENT, companion.get()) : look(Step.LOOKING);
+        return companion.isPresent() ? claim(Transaction.ABSENT_VERSION, companion.get()) : look(Step.LOOKING);
     }
 
     /** Puts a new attempt into the row, if the row has still the version given. */
@@ -228,7 +228,7 @@
         }
         return refuse(
                 ResultCode.STORE_UNAVAILABLE,
-                otherMayHaveRun ? Ran.UNKNOWN : Ran.NO,
+                otherMayHaveRun ? ExecutionStatus.UNKNOWN : ExecutionStatus.NO,
                 Optional.of(OUTAGE_RETRY),
                 "the table service cannot be reached; this call has sent nothing, but an earlier one with its key may have"
                         + " run");
@@ -249,7 +249,7 @@
             version = found.get().version();
             return step == Step.SETTLING_RECORD ? settleRecord(stored) : decide(stored);
         } catch (UnreadableRowException unreadable) {
-            return refuse(ResultCode.OUTCOME_UNKNOWN, Ran.UNKNOWN, unreadable.getMessage());
+            return refuse(ResultCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN, unreadable.getMessage());
         }
     }
 
@@ -257,7 +257,7 @@
         if (step == Step.SETTLING_RECORD) {
             return recorded();
         }
-        version = Transaction.ABSENT;
+        version = Transaction.ABSENT_VERSION;
         if (step == Step.SETTLING_CLAIM && storeTriesLeft > 0) {
             // The commit has not taken effect but may yet. The same attempt is put there again: whichever commit
             // wins, the row holds this call's attempt or another call's, and never both.
@@ -274,7 +274,9 @@
         }
         if (!stored.requestDigest().equals(requestDigest)) {
             return refuse(
-                    ResultCode.IDEMPOTENCY_KEY_REUSED, Ran.NO, "the idempotency key was used with another request");
+                    ResultCode.IDEMPOTENCY_KEY_REUSED,
+                    ExecutionStatus.NO,
+                    "the idempotency key was used with another request");
         }
         if (isSpent(stored)) {
             return claimAgain();
@@ -300,12 +302,12 @@
         if (companion.isPresent()) {
             return claim(version, companion.get());
         }
-        if (row != null && spent.equals(Optional.of(row.attempt())) && version != Transaction.ABSENT) {
+        if (row != null && spent.equals(Optional.of(row.attempt())) && version != Transaction.ABSENT_VERSION) {
             return record(LedgerRow.State.NOT_RUN, verdict);
         }
         return verdict != null
                 ? finish(verdict)
-                : refuse(ResultCode.NO_TARGET, Ran.NO, "no live target offers the operation");
+                : refuse(ResultCode.NO_TARGET, ExecutionStatus.NO, "no live target offers the operation");
     }
 
     private boolean isOrphaned(LedgerRow stored) {
@@ -327,7 +329,7 @@
     private LedgerAction inProgress() {
         return refuse(
                 ResultCode.IN_PROGRESS,
-                Ran.UNKNOWN,
+                ExecutionStatus.UNKNOWN,
                 Optional.of(policy.patience()),
                 "a request with this idempotency key is running");
     }
@@ -393,7 +395,7 @@
 
     private LedgerAction unsettled(String message) {
         LedgerAction.Refuse refusal = new LedgerAction.Refuse(
-                ResultCode.OUTCOME_UNKNOWN, Ran.UNKNOWN, Optional.of(policy.patience()), message);
+                ResultCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN, Optional.of(policy.patience()), message);
         return record(LedgerRow.State.UNSETTLED, refusal);
     }
 
@@ -417,7 +419,7 @@
      * @return what to do, not null
      */
     public LedgerAction refused(LedgerAction.Refuse refusal) {
-        if (refusal.ran() != Ran.NO) {
+        if (refusal.ran() != ExecutionStatus.NO) {
             return recordUnknown(refusal.code() + ": " + refusal.message());
         }
         return resumed ? seal(row) : neverStarted(refusal);
@@ -429,9 +431,9 @@
      * @param ran NO only if no byte of the attempt was sent or the companion has sealed it, not null
      * @return what to do, not null
      */
-    public LedgerAction lost(Ran ran) {
+    public LedgerAction lost(ExecutionStatus ran) {
         // That a resume was not sent says nothing of the attempt, which another call has sent.
-        return ran == Ran.NO && !resumed ? neverStarted(NEVER_STARTED) : seal(row);
+        return ran == ExecutionStatus.NO && !resumed ? neverStarted(NEVER_STARTED) : seal(row);
     }
 
     private LedgerAction neverStarted(LedgerAction.Refuse refusal) {
@@ -444,7 +446,7 @@
 
     private LedgerAction recordUnknown(String message) {
         LedgerAction.Refuse refusal =
-                new LedgerAction.Refuse(ResultCode.OUTCOME_UNKNOWN, Ran.UNKNOWN, Optional.empty(), message);
+                new LedgerAction.Refuse(ResultCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN, Optional.empty(), message);
         return record(LedgerRow.State.UNKNOWN, refusal);
     }
 
@@ -495,14 +497,14 @@
     }
 
     private LedgerAction outcomeUnknown(String message) {
-        return refuse(ResultCode.OUTCOME_UNKNOWN, Ran.UNKNOWN, message);
+        return refuse(ResultCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN, message);
     }
 
-    private LedgerAction refuse(ResultCode code, Ran ran, String message) {
+    private LedgerAction refuse(ResultCode code, ExecutionStatus ran, String message) {
         return refuse(code, ran, Optional.empty(), message);
     }
 
-    private LedgerAction refuse(ResultCode code, Ran ran, Optional<Duration> retryAfter, String message) {
+    private LedgerAction refuse(ResultCode code, ExecutionStatus ran, Optional<Duration> retryAfter, String message) {
         return finish(new LedgerAction.Refuse(code, ran, retryAfter, message));
     }
 
--- a/coordination/src/main/java/org/geraniumreach/coordination/membership/LinkChoice.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/membership/LinkSelector.java
@@ -20,7 +20,7 @@
  * @param fullMeshCompanions the maximum number of companions with which every entry links
  * @param entriesOfCompanion the number of entries that link with each companion in a larger fleet
  */
-public record LinkChoice(int fullMeshEntries, int rings, int fullMeshCompanions, int entriesOfCompanion) {
+public record LinkSelector(int fullMeshEntries, int rings, int fullMeshCompanions, int entriesOfCompanion) {
 
     /**
      * Selects the entries with which an entry maintains links. Of two linked entries, the one with the lesser name maintains
@@ -30,7 +30,7 @@
      * @param entries all entries, not null
      * @return the selected entries, not null
      */
-    public Set<InstanceId> entries(InstanceId self, Set<InstanceId> entries) {
+    public Set<InstanceId> selectEntries(InstanceId self, Set<InstanceId> entries) {
         Set<InstanceId> all = new TreeSet<>(entries);
         all.add(self);
         Set<InstanceId> selected = all.size() <= fullMeshEntries ? all : ringNeighbours(self, all);
@@ -43,7 +43,7 @@
         Set<InstanceId> neighbours = new TreeSet<>();
         for (int ring = 0; ring < rings; ring++) {
             String hashKey = "ring-" + ring;
-            List<InstanceId> order = Rendezvous.order(hashKey, all);
+            List<InstanceId> order = RendezvousHashing.order(hashKey, all);
             int position = order.indexOf(self);
             neighbours.add(order.get((position + 1) % order.size()));
             neighbours.add(order.get((position + order.size() - 1) % order.size()));
@@ -59,7 +59,7 @@
      * @param companions all companions, not null
      * @return the selected companions, not null
      */
-    public Set<InstanceId> companions(InstanceId self, Set<InstanceId> entries, Set<InstanceId> companions) {
+    public Set<InstanceId> selectCompanions(InstanceId self, Set<InstanceId> entries, Set<InstanceId> companions) {
         if (companions.size() <= fullMeshCompanions) {
             return new TreeSet<>(companions);
         }
@@ -67,7 +67,7 @@
         all.add(self);
         Set<InstanceId> selected = new TreeSet<>();
         for (InstanceId companion : companions) {
-            if (Rendezvous.isChosen(companion.value(), all, entriesOfCompanion, self)) {
+            if (RendezvousHashing.isChosen(companion.value(), all, entriesOfCompanion, self)) {
                 selected.add(companion);
             }
         }
--- a/coordination/src/main/java/org/geraniumreach/coordination/membership/Member.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/membership/Member.java
@@ -54,7 +54,7 @@
      *
      * @return true if a link is open and the member is not leaving
      */
-    public boolean takesWork() {
+    public boolean acceptsWork() {
         return isLinked() && !leaving;
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/membership/Membership.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/membership/Membership.java
@@ -56,7 +56,7 @@
      * @param members the listed instances, not null
      * @return the new view, not null
      */
-    public MembershipView listed(Collection<ListedMember> members) {
+    public MembershipView onListRead(Collection<ListedMember> members) {
         if (members.isEmpty()) {
             return view;
         }
@@ -76,7 +76,7 @@
      * @param member the peer, not null
      * @return the new view, not null
      */
-    public MembershipView opened(LinkedMember member) {
+    public MembershipView onLinkOpened(LinkedMember member) {
         LinkedMember previous = linkedMembers.put(member.instance(), member);
         if (previous == null || previous.incarnation() != member.incarnation()) {
             droppedFromList.remove(member.instance());
@@ -90,7 +90,7 @@
      * @param instance the instance, not null
      * @return the new view, not null
      */
-    public MembershipView closed(InstanceId instance) {
+    public MembershipView onLinkClosed(InstanceId instance) {
         linkedMembers.remove(instance);
         droppedFromList.remove(instance);
         return rebuildView();
@@ -103,7 +103,7 @@
      * @param incarnation the incarnation that made the announcement
      * @return the new view, not null
      */
-    public MembershipView left(InstanceId instance, long incarnation) {
+    public MembershipView onLeaving(InstanceId instance, long incarnation) {
         leftIncarnations.merge(instance, incarnation, Math::max);
         return rebuildView();
     }
--- a/coordination/src/main/java/org/geraniumreach/coordination/membership/MembershipView.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/membership/MembershipView.java
@@ -72,9 +72,9 @@
      *
      * @return the companions ordered by name, not null
      */
-    public List<Member> companionsForWork() {
+    public List<Member> availableCompanions() {
         return members.values().stream()
-                .filter(member -> member.role() == MemberRole.COMPANION && member.takesWork())
+                .filter(member -> member.role() == MemberRole.COMPANION && member.acceptsWork())
                 .toList();
     }
 
@@ -85,7 +85,7 @@
      * @return the companion, or empty if none accepts work
      */
     public Optional<Member> availableCompanionFor(TargetId target) {
-        return companionsForWork().stream()
+        return availableCompanions().stream()
                 .filter(member -> member.target().filter(target::equals).isPresent())
                 .findFirst();
     }
--- a/coordination/src/main/java/org/geraniumreach/coordination/membership/Rendezvous.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/membership/RendezvousHashing.java
@@ -13,9 +13,9 @@
  *
  * <p>Stateless and safe for use by several threads.
  */
-public final class Rendezvous {
+public final class RendezvousHashing {
 
-    private Rendezvous() {}
+    private RendezvousHashing() {}
 
     /**
      * Selects the first instances in the order for a hash key.
--- a/coordination/src/test/java/org/geraniumreach/coordination/SimulatedTable.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/SimulatedTable.java
@@ -34,7 +34,7 @@
     public boolean commit(Transaction transaction) {
         boolean conditionsHold = transaction.conditions().stream()
                 .allMatch(condition -> condition.version()
-                        == read(condition.key()).map(Row::version).orElse(Transaction.ABSENT));
+                        == read(condition.key()).map(Row::version).orElse(Transaction.ABSENT_VERSION));
         if (conditionsHold) {
             transaction.writes().forEach(this::apply);
         }
--- a/coordination/src/test/java/org/geraniumreach/coordination/configuration/ConfigurationNodeTest.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/configuration/ConfigurationNodeTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 import net.jqwik.api.Tuple;
-import org.geraniumreach.coordination.membership.LinkChoice;
+import org.geraniumreach.coordination.membership.LinkSelector;
 import org.geraniumreach.model.InstanceId;
 import org.geraniumreach.model.record.Configuration;
 import org.geraniumreach.model.record.LogEntry;
@@ -140,7 +140,7 @@
             messages.addAll(SnapshotAssembler.split(configuration, 2));
             configuration.entries().stream()
                     .filter(entry -> entry.revision() == configuration.revision())
-                    .forEach(entry -> messages.add(new NodeMessage.News(configuration.revision(), List.of(entry))));
+                    .forEach(entry -> messages.add(new NodeMessage.Changes(configuration.revision(), List.of(entry))));
         }
         messages.addAll(messages.subList(0, random.nextInt(messages.size())));
         Collections.shuffle(messages, random);
@@ -149,10 +149,10 @@
                 new NodeOptions(SimulatedCluster.PERIOD, SimulatedCluster.FRESHNESS_LIMIT, 2, 2),
                 () -> 0,
                 random);
-        node.opened(SECOND, true);
+        node.onLinkOpened(SECOND, true);
         for (NodeMessage message : messages) {
             long before = node.configuration().revision();
-            node.received(SECOND, message);
+            node.onMessage(SECOND, message);
             long after = node.configuration().revision();
             assertThat(after).isGreaterThanOrEqualTo(before);
             assertThat(Set.copyOf(node.configuration().entries()))
@@ -196,7 +196,7 @@
         cluster.tableDown = true;
         cluster.runFor(Duration.ofSeconds(5));
         cluster.restart(THIRD);
-        assertThat(cluster.processes.get(THIRD).node.isObtained()).isFalse();
+        assertThat(cluster.processes.get(THIRD).node.hasConfiguration()).isFalse();
         cluster.runFor(Duration.ofSeconds(5));
         assertThat(cluster.processes.get(THIRD).node.configuration().revision()).isEqualTo(1);
         assertThat(cluster.isFresh(THIRD)).isTrue();
@@ -231,9 +231,9 @@
         long[] now = {0};
         ConfigurationNode node = node(now);
         now[0] = Duration.ofSeconds(10).toNanos();
-        node.polled(new PollAnswer(0, 0, Optional.empty(), List.of()));
+        node.onPollCompleted(new PollResult(0, 0, Optional.empty(), List.of()));
         assertThat(node.freshUntil()).isLessThanOrEqualTo(now[0]);
-        node.polled(new PollAnswer(now[0], 0, Optional.empty(), List.of()));
+        node.onPollCompleted(new PollResult(now[0], 0, Optional.empty(), List.of()));
         assertThat(node.freshUntil()).isEqualTo(now[0] + SimulatedCluster.FRESHNESS_LIMIT.toNanos());
     }
 
@@ -245,11 +245,12 @@
     void confirmationRequiresAllKnownChanges() {
         long[] now = {0};
         ConfigurationNode node = node(now);
-        node.polled(new PollAnswer(0, 3, Optional.empty(), List.of()));
+        node.onPollCompleted(new PollResult(0, 3, Optional.empty(), List.of()));
         assertThat(node.freshUntil()).isNegative();
-        NodeMessage.Echo echo = new NodeMessage.Echo(0, 0);
-        node.opened(SECOND, true);
-        node.received(SECOND, new NodeMessage.Note(3, 3, OptionalLong.of(0), false, List.of(), 0, Optional.of(echo)));
+        NodeMessage.TimestampEcho echo = new NodeMessage.TimestampEcho(0, 0);
+        node.onLinkOpened(SECOND, true);
+        node.onMessage(
+                SECOND, new NodeMessage.Heartbeat(3, 3, OptionalLong.of(0), false, List.of(), 0, Optional.of(echo)));
         assertThat(node.freshUntil()).isNegative();
     }
 
@@ -263,7 +264,7 @@
         SimulatedCluster cluster = new SimulatedCluster(1, 1, 0);
         cluster.tableDown = true;
         cluster.runFor(Duration.ofSeconds(20));
-        assertThat(cluster.processes.get(FIRST).node.isObtained()).isFalse();
+        assertThat(cluster.processes.get(FIRST).node.hasConfiguration()).isFalse();
         assertThat(cluster.isFresh(FIRST)).isFalse();
     }
 
@@ -273,7 +274,7 @@
      */
     @Test
     void largeFleetReceivesChangesAndStaysFreshDuringOutage() {
-        SimulatedCluster cluster = new SimulatedCluster(1, 60, 100, new LinkChoice(16, 3, 64, 8));
+        SimulatedCluster cluster = new SimulatedCluster(1, 60, 100, new LinkSelector(16, 3, 64, 8));
         cluster.runFor(Duration.ofSeconds(3));
         cluster.submit(FIRST, accountSubmission("account-made", 0));
         cluster.runFor(Duration.ofSeconds(2));
--- a/coordination/src/test/java/org/geraniumreach/coordination/configuration/ConfigurationRowsTest.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/configuration/ConfigurationRowsTest.java
@@ -6,7 +6,7 @@
 
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.geraniumreach.coordination.configuration.ConfigurationRows.SnapshotPlace;
+import org.geraniumreach.coordination.configuration.ConfigurationRows.SnapshotPointer;
 import org.geraniumreach.model.record.LogEntry;
 import org.geraniumreach.model.record.RecordException;
 import org.geraniumreach.model.record.RecordKey;
@@ -28,8 +28,8 @@
                 .isEqualTo(withdrawal);
         assertThat(ConfigurationRows.readPart(ConfigurationRows.writePart(List.of(ENTRY))))
                 .containsExactly(ENTRY);
-        SnapshotPlace pointer = new SnapshotPlace(9, 2);
-        assertThat(ConfigurationRows.readPlace(ConfigurationRows.writePointer(pointer)))
+        SnapshotPointer pointer = new SnapshotPointer(9, 2);
+        assertThat(ConfigurationRows.readPointer(ConfigurationRows.writePointer(pointer)))
                 .isEqualTo(pointer);
     }
 
@@ -51,7 +51,7 @@
         readOrRefuse(() -> ConfigurationRows.readPart(row));
         readOrRefuse(() -> ConfigurationRows.readEntry(row));
         readOrRefuse(() -> ConfigurationRows.readRevision(row));
-        readOrRefuse(() -> ConfigurationRows.readPlace(row));
+        readOrRefuse(() -> ConfigurationRows.readPointer(row));
     }
 
     private interface RowReader {
--- a/coordination/src/test/java/org/geraniumreach/coordination/configuration/InMemoryTable.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/configuration/InMemoryTable.java
@@ -21,12 +21,12 @@
 
     boolean commit(Transaction transaction) {
         for (Transaction.Condition condition : transaction.conditions()) {
-            if (read(condition.key()).map(Row::version).orElse(Transaction.ABSENT) != condition.version()) {
+            if (read(condition.key()).map(Row::version).orElse(Transaction.ABSENT_VERSION) != condition.version()) {
                 return false;
             }
         }
         for (Transaction.Write write : transaction.writes()) {
-            long version = read(write.key()).map(Row::version).orElse(Transaction.ABSENT) + 1;
+            long version = read(write.key()).map(Row::version).orElse(Transaction.ABSENT_VERSION) + 1;
             write.value()
                     .ifPresentOrElse(
                             value -> rows.put(write.key().key(), new Row(write.key(), version, value)),
@@ -59,9 +59,9 @@
         }
     }
 
-    PollAnswer poll(long startedAt, long heldRevision) {
+    PollResult poll(long startedAt, long heldRevision) {
         List<LogEntry> entries =
                 log().stream().filter(entry -> entry.revision() > heldRevision).toList();
-        return new PollAnswer(startedAt, headRevision(), Optional.empty(), entries);
+        return new PollResult(startedAt, headRevision(), Optional.empty(), entries);
     }
 }
--- a/coordination/src/test/java/org/geraniumreach/coordination/configuration/SimulatedCluster.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/configuration/SimulatedCluster.java
@@ -15,7 +15,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-import org.geraniumreach.coordination.membership.LinkChoice;
+import org.geraniumreach.coordination.membership.LinkSelector;
 import org.geraniumreach.model.InstanceId;
 import org.geraniumreach.model.ResultCode;
 import org.geraniumreach.model.record.LogEntry;
@@ -52,7 +52,7 @@
     private final Set<InstanceId> entries = new HashSet<>();
     private final Set<InstanceId> companions = new HashSet<>();
     private final Map<InstanceId, Set<InstanceId>> selectedPeers = new HashMap<>();
-    private final LinkChoice linkSelector;
+    private final LinkSelector linkSelector;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::dueAt).thenComparingLong(Event::order));
     private final Map<Long, Set<LogEntry>> contentByRevision = new HashMap<>();
@@ -77,10 +77,10 @@
     }
 
     SimulatedCluster(long seed, int entryCount, int companionCount) {
-        this(seed, entryCount, companionCount, new LinkChoice(entryCount, 2, companionCount, entryCount));
+        this(seed, entryCount, companionCount, new LinkSelector(entryCount, 2, companionCount, entryCount));
     }
 
-    SimulatedCluster(long seed, int entryCount, int companionCount, LinkChoice linkSelector) {
+    SimulatedCluster(long seed, int entryCount, int companionCount, LinkSelector linkSelector) {
         this.linkSelector = linkSelector;
         random = new Random(seed);
         for (int index = 0; index < entryCount; index++) {
@@ -97,7 +97,7 @@
         ConfigurationNode node = new ConfigurationNode(
                 id, new NodeOptions(PERIOD, FRESHNESS_LIMIT, 2, 2), () -> nowNanos, new Random(random.nextLong()));
         Process process = new Process(id, node);
-        node.listed(entries);
+        node.onEntriesListed(entries);
         for (Process other : List.copyOf(processes.values())) {
             if (keepsLink(id, other.id) || keepsLink(other.id, id)) {
                 connect(process, other);
@@ -113,15 +113,15 @@
     }
 
     private Set<InstanceId> selectPeers(InstanceId owner) {
-        Set<InstanceId> selection = new HashSet<>(linkSelector.entries(owner, entries));
-        selection.addAll(linkSelector.companions(owner, entries, companions));
+        Set<InstanceId> selection = new HashSet<>(linkSelector.selectEntries(owner, entries));
+        selection.addAll(linkSelector.selectCompanions(owner, entries, companions));
         return selection;
     }
 
     void restart(InstanceId id) {
         Process old = processes.remove(id);
         old.isDead = true;
-        processes.values().forEach(process -> process.node.closed(id));
+        processes.values().forEach(process -> process.node.onLinkClosed(id));
         start(id);
     }
 
@@ -147,13 +147,13 @@
     }
 
     private void connect(Process one, Process other) {
-        runUnlessFrozen(one, () -> perform(one, one.node.opened(other.id, entries.contains(other.id))));
-        runUnlessFrozen(other, () -> perform(other, other.node.opened(one.id, entries.contains(one.id))));
+        runUnlessFrozen(one, () -> perform(one, one.node.onLinkOpened(other.id, entries.contains(other.id))));
+        runUnlessFrozen(other, () -> perform(other, other.node.onLinkOpened(one.id, entries.contains(one.id))));
     }
 
     private void tick(Process process) {
         runUnlessFrozen(process, () -> {
-            perform(process, process.node.tick());
+            perform(process, process.node.onTick());
             schedule(100 * NANOS_PER_MILLISECOND, () -> tick(process));
         });
     }
@@ -193,15 +193,15 @@
             if (action instanceof NodeAction.Send send) {
                 send(process, send);
             } else if (action instanceof NodeAction.Poll poll) {
-                poll(process, poll.haveRevision(), () -> {});
+                poll(process, poll.heldRevision(), () -> {});
             }
         }
     }
 
     private void send(Process from, NodeAction.Send send) {
-        if (send.message() instanceof NodeMessage.Note heartbeat) {
+        if (send.message() instanceof NodeMessage.Heartbeat heartbeat) {
             heartbeatCount++;
-            reportCount += heartbeat.words().size();
+            reportCount += heartbeat.unreachableReports().size();
         }
         Process to = processes.get(send.peer());
         if (to == null || random.nextDouble() < messageLossRate) {
@@ -220,7 +220,7 @@
         if (isPartitioned || from.isDead) {
             return;
         }
-        runUnlessFrozen(to, () -> perform(to, to.node.received(from.id, message)));
+        runUnlessFrozen(to, () -> perform(to, to.node.onMessage(from.id, message)));
     }
 
     private boolean canReachTable(Process process) {
@@ -264,11 +264,11 @@
                 process,
                 () -> table.poll(startedAt, heldRevision),
                 answer -> {
-                    perform(process, process.node.polled(answer));
+                    perform(process, process.node.onPollCompleted(answer));
                     continuation.run();
                 },
                 () -> {
-                    process.node.pollFailed();
+                    process.node.onPollFailed();
                     continuation.run();
                 });
     }
@@ -288,15 +288,15 @@
             callTable(
                     process,
                     () -> table.read(read.key()),
-                    row -> performStep(process, submission, submissionProcess, submissionProcess.read(row)),
-                    () -> performStep(process, submission, submissionProcess, submissionProcess.readFailed()));
+                    row -> performStep(process, submission, submissionProcess, submissionProcess.onRowRead(row)),
+                    () -> performStep(process, submission, submissionProcess, submissionProcess.onReadFailed()));
         } else if (step instanceof SubmissionStep.Commit commit) {
             callTable(
                     process,
                     () -> table.commit(commit.transaction()),
                     tookEffect -> performStep(
-                            process, submission, submissionProcess, submissionProcess.committed(tookEffect)),
-                    () -> performStep(process, submission, submissionProcess, submissionProcess.commitFailed(true)));
+                            process, submission, submissionProcess, submissionProcess.onCommitAnswered(tookEffect)),
+                    () -> performStep(process, submission, submissionProcess, submissionProcess.onCommitFailed(true)));
         } else if (step instanceof SubmissionStep.CatchUp) {
             poll(
                     process,
@@ -305,13 +305,14 @@
                             process,
                             submission,
                             submissionProcess,
-                            submissionProcess.caughtUp(process.node.configuration())));
+                            submissionProcess.onCaughtUp(process.node.configuration())));
         } else if (step instanceof SubmissionStep.Wait wait) {
             schedule(
                     wait.duration().toNanos(),
                     () -> runUnlessFrozen(
                             process,
-                            () -> performStep(process, submission, submissionProcess, submissionProcess.waited())));
+                            () -> performStep(
+                                    process, submission, submissionProcess, submissionProcess.onWaitFinished())));
         } else if (step instanceof SubmissionStep.Done done) {
             onSubmissionDone(process, submission, done.result());
         }
@@ -323,14 +324,14 @@
             LogEntry entry = result.entry().orElseThrow();
             assertThat(table.log().stream().filter(other -> other.operation().equals(submission.operation())))
                     .containsExactly(entry);
-            perform(process, process.node.committed(List.of(entry)));
+            perform(process, process.node.onCommitted(List.of(entry)));
             awaitReplication(process, entry.revision(), nowNanos + 1_000 * NANOS_PER_MILLISECOND);
         }
     }
 
     /** Reports the change as accepted once another entry holds it, unless the deadline passes first. */
     private void awaitReplication(Process process, long revision, long deadline) {
-        if (process.node.otherEntriesHolding(revision) > 0) {
+        if (process.node.countOtherEntriesHolding(revision) > 0) {
             acceptedAtByRevision.putIfAbsent(revision, nowNanos);
         } else if (nowNanos < deadline) {
             schedule(
--- a/coordination/src/test/java/org/geraniumreach/coordination/configuration/SubmissionProcessTest.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/configuration/SubmissionProcessTest.java
@@ -49,12 +49,12 @@
             if (step instanceof SubmissionStep.Done done) {
                 return done.result();
             } else if (step instanceof SubmissionStep.Read read) {
-                step = process.read(table.read(read.key()));
+                step = process.onRowRead(table.read(read.key()));
             } else if (step instanceof SubmissionStep.CatchUp) {
-                step = process.caughtUp(configuration());
+                step = process.onCaughtUp(configuration());
             } else if (step instanceof SubmissionStep.Wait wait) {
                 nowNanos += wait.duration().toNanos();
-                step = process.waited();
+                step = process.onWaitFinished();
             } else if (step instanceof SubmissionStep.Commit commit) {
                 step = commit(process, commit.transaction());
             }
@@ -65,15 +65,15 @@
         commitCount++;
         switch (commitOutcome) {
             case ANSWERED:
-                return process.committed(table.commit(transaction));
+                return process.onCommitAnswered(table.commit(transaction));
             case APPLIED_WITHOUT_ANSWER:
                 table.commit(transaction);
-                return process.commitFailed(true);
+                return process.onCommitFailed(true);
             case APPLIED_AFTER_DEADLINE:
                 delayedCommit = Optional.of(transaction);
-                return process.commitFailed(true);
+                return process.onCommitFailed(true);
             default:
-                return process.commitFailed(false);
+                return process.onCommitFailed(false);
         }
     }
 
@@ -209,7 +209,7 @@
         table.commit(Transaction.empty()
                 .withWrite(ConfigurationRows.HEAD, ConfigurationRows.writeRevision(entry.revision()))
                 .withWrite(ConfigurationRows.recordKey(entry.key()), ConfigurationRows.writeEntry(entry))
-                .withWrite(ConfigurationRows.log(entry.revision()), ConfigurationRows.writeEntry(entry)));
+                .withWrite(ConfigurationRows.logKey(entry.revision()), ConfigurationRows.writeEntry(entry)));
     }
 
     @ParameterizedTest
--- a/coordination/src/test/java/org/geraniumreach/coordination/ledger/LedgerWorld.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/ledger/LedgerWorld.java
@@ -14,8 +14,8 @@
 import org.geraniumreach.coordination.SimulatedTable;
 import org.geraniumreach.model.AccountId;
 import org.geraniumreach.model.AttemptId;
+import org.geraniumreach.model.ExecutionStatus;
 import org.geraniumreach.model.InstanceId;
-import org.geraniumreach.model.Ran;
 import org.geraniumreach.model.ResultCode;
 import org.geraniumreach.model.table.Row;
 import org.geraniumreach.model.table.RowKey;
@@ -269,7 +269,7 @@
             sent(call, send, outcome);
         } else if (action instanceof LedgerAction.Resume resume) {
             if (outcome == 2) {
-                call.pending = call.core.lost(Ran.NO);
+                call.pending = call.core.lost(ExecutionStatus.NO);
             } else {
                 follow(call, resume.attempt(), resume.companion(), outcome);
             }
@@ -297,7 +297,7 @@
     /** Sends the attempt, or follows it once it was sent. */
     private void sent(Call call, LedgerAction.Send send, int outcome) {
         if (!call.sent.contains(send.attempt()) && outcome == 1) {
-            call.pending = call.core.lost(Ran.NO);
+            call.pending = call.core.lost(ExecutionStatus.NO);
         } else if (call.sent.add(send.attempt())) {
             frames.add(new Frame(send.attempt(), send.companion(), send.notAfter()));
         } else {
@@ -308,15 +308,15 @@
     private void follow(Call call, AttemptId attempt, Companion where, int outcome) {
         Optional<SimulatedCompanion> companion = find(where);
         if (outcome == 1 || companion.isEmpty()) {
-            call.pending = call.core.lost(Ran.UNKNOWN);
+            call.pending = call.core.lost(ExecutionStatus.UNKNOWN);
         } else if (companion.get().ended.contains(attempt)) {
             call.pending = call.core.answered(new StoredAnswer.Inline("answer of " + attempt));
         } else if (companion.get().sealed.containsKey(attempt)) {
             call.pending = call.core.refused(
-                    new LedgerAction.Refuse(ResultCode.DRAINING, Ran.NO, Optional.empty(), "refused"));
+                    new LedgerAction.Refuse(ResultCode.DRAINING, ExecutionStatus.NO, Optional.empty(), "refused"));
         } else if (frames.stream().noneMatch(frame -> frame.attempt().equals(attempt))
                 && !companion.get().started.containsKey(attempt)) {
-            call.pending = call.core.lost(Ran.UNKNOWN);
+            call.pending = call.core.lost(ExecutionStatus.UNKNOWN);
         }
     }
 
@@ -345,7 +345,7 @@
 
     private void note(Call call) {
         if (call.pending instanceof LedgerAction.Refuse refuse) {
-            call.refusedAsNotRun |= refuse.ran() == Ran.NO;
+            call.refusedAsNotRun |= refuse.ran() == ExecutionStatus.NO;
         } else if (call.pending instanceof LedgerAction.Reply reply) {
             List<AttemptId> ran = runs.getOrDefault(call.key, List.of());
             assertThat(reply.answer())
--- a/coordination/src/test/java/org/geraniumreach/coordination/membership/LinkSelectorTest.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/membership/LinkSelectorTest.java
@@ -18,7 +18,7 @@
 
 class LinkSelectorTest {
 
-    private static final LinkChoice SELECTOR = new LinkChoice(16, 3, 64, 8);
+    private static final LinkSelector SELECTOR = new LinkSelector(16, 3, 64, 8);
 
     private static Set<InstanceId> instances(String prefix, int count) {
         return IntStream.range(0, count)
@@ -37,7 +37,7 @@
         Map<InstanceId, Set<InstanceId>> links = new TreeMap<>();
         entries.forEach(entry -> links.put(entry, new TreeSet<>()));
         for (InstanceId entry : entries) {
-            for (InstanceId other : SELECTOR.entries(entry, entries)) {
+            for (InstanceId other : SELECTOR.selectEntries(entry, entries)) {
                 assertThat(links.get(entry).add(other)).isTrue();
                 assertThat(links.get(other).add(entry)).isTrue();
             }
@@ -74,7 +74,7 @@
         Set<InstanceId> companions = instances("companion-", 760);
         Map<InstanceId, Integer> entryCounts = new HashMap<>();
         for (InstanceId entry : entries) {
-            Set<InstanceId> selected = SELECTOR.companions(entry, entries, companions);
+            Set<InstanceId> selected = SELECTOR.selectCompanions(entry, entries, companions);
             assertThat(selected.size()).isBetween(1, 40);
             selected.forEach(companion -> entryCounts.merge(companion, 1, Integer::sum));
         }
@@ -87,7 +87,7 @@
         Set<InstanceId> entries = instances("entry-", 3);
         Set<InstanceId> companions = instances("companion-", 16);
         InstanceId first = InstanceId.of("entry-0");
-        assertThat(SELECTOR.companions(first, entries, companions)).isEqualTo(companions);
-        assertThat(SELECTOR.entries(first, entries)).hasSize(2);
+        assertThat(SELECTOR.selectCompanions(first, entries, companions)).isEqualTo(companions);
+        assertThat(SELECTOR.selectEntries(first, entries)).hasSize(2);
     }
 }
--- a/coordination/src/test/java/org/geraniumreach/coordination/membership/MembershipTest.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/membership/MembershipTest.java
@@ -74,7 +74,7 @@
                 boolean mayAcceptWork = linkedIncarnation != null
                         && !leftIncarnations.contains(List.of(member.instance(), linkedIncarnation))
                         && !listedAsLeaving;
-                assertThat(member.takesWork() && !mayAcceptWork)
+                assertThat(member.acceptsWork() && !mayAcceptWork)
                         .as("%s", member)
                         .isFalse();
             }
@@ -84,13 +84,13 @@
     private static void applyEvent(
             Membership membership, Event event, long incarnation, Map<InstanceId, ListedMember> list) {
         switch (event.kind()) {
-            case OPEN, OPEN_NEW_INCARNATION -> membership.opened(linked(event.instance(), incarnation));
-            case CLOSE -> membership.closed(event.instance());
-            case LEAVE -> membership.left(event.instance(), incarnation);
+            case OPEN, OPEN_NEW_INCARNATION -> membership.onLinkOpened(linked(event.instance(), incarnation));
+            case CLOSE -> membership.onLinkClosed(event.instance());
+            case LEAVE -> membership.onLeaving(event.instance(), incarnation);
             default -> {
                 Map<InstanceId, ListedMember> withSelf = new HashMap<>(list);
                 withSelf.put(SELF, listed(SELF, false));
-                membership.listed(withSelf.values());
+                membership.onListRead(withSelf.values());
             }
         }
     }
@@ -112,35 +112,35 @@
     @Test
     void staleListDoesNotRestoreLeavingProcess() {
         Membership membership = new Membership(SELF);
-        membership.listed(List.of(listed(COMPANION, false)));
-        membership.opened(linked(COMPANION, 7));
-        assertThat(membership.view().companionsForWork()).hasSize(1);
-        membership.left(COMPANION, 7);
-        membership.closed(COMPANION);
-        membership.listed(List.of(listed(COMPANION, false)));
-        membership.opened(linked(COMPANION, 7));
-        assertThat(membership.view().companionsForWork()).isEmpty();
-        membership.opened(linked(COMPANION, 8));
-        assertThat(membership.view().companionsForWork()).hasSize(1);
+        membership.onListRead(List.of(listed(COMPANION, false)));
+        membership.onLinkOpened(linked(COMPANION, 7));
+        assertThat(membership.view().availableCompanions()).hasSize(1);
+        membership.onLeaving(COMPANION, 7);
+        membership.onLinkClosed(COMPANION);
+        membership.onListRead(List.of(listed(COMPANION, false)));
+        membership.onLinkOpened(linked(COMPANION, 7));
+        assertThat(membership.view().availableCompanions()).isEmpty();
+        membership.onLinkOpened(linked(COMPANION, 8));
+        assertThat(membership.view().availableCompanions()).hasSize(1);
     }
 
     @Test
     void instanceDroppedFromListGetsNoWorkButUnlistedInstanceDoes() {
         Membership membership = new Membership(SELF);
-        membership.opened(linked(COMPANION, 7));
-        assertThat(membership.view().companionsForWork()).hasSize(1);
-        membership.listed(List.of(listed(SELF, false), listed(COMPANION, false)));
-        membership.listed(List.of(listed(SELF, false)));
-        assertThat(membership.view().companionsForWork()).isEmpty();
+        membership.onLinkOpened(linked(COMPANION, 7));
+        assertThat(membership.view().availableCompanions()).hasSize(1);
+        membership.onListRead(List.of(listed(SELF, false), listed(COMPANION, false)));
+        membership.onListRead(List.of(listed(SELF, false)));
+        assertThat(membership.view().availableCompanions()).isEmpty();
     }
 
     @Test
     void emptyListIsIgnored() {
         Membership membership = new Membership(SELF);
-        membership.listed(List.of(listed(COMPANION, false)));
-        membership.opened(linked(COMPANION, 7));
-        membership.listed(List.of());
-        assertThat(membership.view().companionsForWork()).hasSize(1);
+        membership.onListRead(List.of(listed(COMPANION, false)));
+        membership.onLinkOpened(linked(COMPANION, 7));
+        membership.onListRead(List.of());
+        assertThat(membership.view().availableCompanions()).hasSize(1);
     }
 
     private static ListedMember listed(InstanceId instance, boolean leaving) {
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/AdapterLoads.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/AdapterLoads.java
@@ -14,7 +14,7 @@
 import org.geraniumreach.ports.ModelEngine.Order;
 import org.geraniumreach.ports.PlatformException;
 import org.geraniumreach.serving.queue.RequestQueue;
-import org.geraniumreach.serving.residency.LoadOrder;
+import org.geraniumreach.serving.residency.AdapterLoadCommand;
 import org.geraniumreach.serving.residency.Residency;
 
 /**
@@ -56,7 +56,7 @@
      *
      * @param order the order, not null
      */
-    void carryOut(LoadOrder order) {
+    void carryOut(AdapterLoadCommand order) {
         try {
             if (order.evicted().isPresent()) {
                 engine.unload(order.evicted().get(), permitted());
@@ -65,7 +65,7 @@
             engine.load(order.adapter(), permitted());
             loadedAt.keySet().retainAll(residency.resident());
             loadedAt.put(order.adapter(), clock.nanos());
-            residency.loaded(order);
+            residency.onLoaded(order);
             EventLog.write(EventCode.ADAPTER_LOADED, "{}", order.adapter());
         } catch (PlatformException failure) {
             failed(order, failure);
@@ -81,13 +81,13 @@
                         null));
     }
 
-    private void failed(LoadOrder order, PlatformException failure) {
+    private void failed(AdapterLoadCommand order, PlatformException failure) {
         EventLog.write(EventCode.ADAPTER_LOAD_FAILED, "{}: {}", order.adapter(), failure.getMessage());
         if (failure.reason() == PlatformException.Reason.FENCED) {
             permit.fencedOut();
         }
         watch.invalidate();
-        for (AttemptId waiter : residency.failed(order)) {
+        for (AttemptId waiter : residency.onLoadFailed(order)) {
             queue.remove(waiter)
                     .ifPresent(request -> outcomes.refused(
                             request.payload(),
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/EngineRunner.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/EngineRunner.java
@@ -16,8 +16,8 @@
 import org.geraniumreach.model.AdapterReference;
 import org.geraniumreach.model.AttemptId;
 import org.geraniumreach.model.EventCode;
+import org.geraniumreach.model.ExecutionStatus;
 import org.geraniumreach.model.MonotonicClock;
-import org.geraniumreach.model.Ran;
 import org.geraniumreach.model.ResultCode;
 import org.geraniumreach.model.ServingException;
 import org.geraniumreach.ports.ModelEngine;
@@ -25,8 +25,8 @@
 import org.geraniumreach.ports.PlatformException;
 import org.geraniumreach.serving.queue.QueuedRequest;
 import org.geraniumreach.serving.queue.RequestQueue;
-import org.geraniumreach.serving.residency.Answer;
-import org.geraniumreach.serving.residency.LoadOrder;
+import org.geraniumreach.serving.residency.AdapterLoadCommand;
+import org.geraniumreach.serving.residency.AdapterRequestResult;
 import org.geraniumreach.serving.residency.Pin;
 import org.geraniumreach.serving.residency.Residency;
 
@@ -173,8 +173,9 @@
 
     private boolean enqueue(QueuedRequest<CompanionAttempt> request) {
         AdapterReference adapter = adapterOf(request);
-        Answer answer = residency.request(request.attempt(), request.account(), adapter, request.tokens());
-        if (answer.state() == Answer.State.REFUSED) {
+        AdapterRequestResult answer =
+                residency.request(request.attempt(), request.account(), adapter, request.tokens());
+        if (answer.state() == AdapterRequestResult.State.REFUSED) {
             outcomes.refused(
                     request.payload(),
                     ServingException.notRun(ResultCode.LOAD_FAILED, "the load of " + adapter + " failed a moment ago")
@@ -192,7 +193,7 @@
     @Override
     public void withdraw(CompanionAttempt attempt) {
         queue.remove(attempt.id());
-        residency.withdraw(attempt.id());
+        residency.cancel(attempt.id());
         dispatch();
     }
 
@@ -202,7 +203,7 @@
         synchronized (dispatching) {
             takeRequests(started);
             if (left.isEmpty()) {
-                residency.orders().forEach(order -> started.add(() -> loads.execute(() -> load(order))));
+                residency.startLoads().forEach(order -> started.add(() -> loads.execute(() -> load(order))));
             }
         }
         started.forEach(Runnable::run);
@@ -215,7 +216,7 @@
             QueuedRequest<CompanionAttempt> request = next.get();
             Optional<Pin> pin = residency.pin(request.attempt(), adapterOf(request));
             if (pin.isEmpty()) {
-                queue.finished(request.attempt(), 0, 0);
+                queue.onFinished(request.attempt(), 0, 0);
                 queue.offer(request);
                 return;
             }
@@ -229,7 +230,7 @@
         EngineAnswer answer = answerOf(request, pin, incarnation);
         if (!watch.confirm()) {
             end(answer, 0, 0);
-            refuse(answer, ResultCode.TARGET_FAILED, Ran.NO, "the engine does not answer");
+            refuse(answer, ResultCode.TARGET_FAILED, ExecutionStatus.NO, "the engine does not answer");
             return;
         }
         if (watch.incarnation() != incarnation) {
@@ -239,7 +240,7 @@
         Optional<Order> order = permit.order(clock.nanos());
         if (order.isEmpty()) {
             end(answer, 0, 0);
-            refuse(answer, ResultCode.FENCED, Ran.NO, "this companion may not give the target orders");
+            refuse(answer, ResultCode.FENCED, ExecutionStatus.NO, "this companion may not give the target orders");
             return;
         }
         running.put(request.attempt(), answer);
@@ -273,7 +274,7 @@
         end(answer, 0, 0);
         CompanionAttempt attempt = answer.attempt();
         if (attempt.countPutBack() > GREATEST_PUT_BACKS) {
-            refuse(answer, ResultCode.TARGET_FAILED, Ran.NO, "the engine does not keep the adapter");
+            refuse(answer, ResultCode.TARGET_FAILED, ExecutionStatus.NO, "the engine does not keep the adapter");
             return;
         }
         attempt.forgetDemand();
@@ -295,10 +296,10 @@
             return;
         }
         running.remove(answer.attempt().id(), answer);
-        queue.finished(answer.attempt().id(), tokensUsed, generated);
+        queue.onFinished(answer.attempt().id(), tokensUsed, generated);
     }
 
-    private void refuse(EngineAnswer answer, ResultCode code, Ran ran, String message) {
+    private void refuse(EngineAnswer answer, ResultCode code, ExecutionStatus ran, String message) {
         outcomes.refused(answer.attempt(), ServingException.of(code, ran, message));
         dispatch();
     }
@@ -324,7 +325,7 @@
                 answer.attempt(),
                 ServingException.of(
                         ResultCode.WRONG_ADAPTER_SERVED,
-                        Ran.YES,
+                        ExecutionStatus.YES,
                         "the target ran " + served + " in place of " + named));
         watch.invalidate();
         stop(answer);
@@ -344,12 +345,12 @@
             case FENCED -> {
                 permit.fencedOut();
                 end(answer, 0, 0);
-                refuse(answer, ResultCode.FENCED, Ran.NO, "a newer companion has taken over the target");
+                refuse(answer, ResultCode.FENCED, ExecutionStatus.NO, "a newer companion has taken over the target");
             }
             default -> {
                 watch.invalidate();
                 end(answer, 0, 0);
-                refuse(answer, ResultCode.TARGET_FAILED, Ran.NO, failure.getMessage());
+                refuse(answer, ResultCode.TARGET_FAILED, ExecutionStatus.NO, failure.getMessage());
             }
         }
     }
@@ -371,8 +372,8 @@
         timer.schedule(() -> sends.execute(() -> resume(answer)), RETRY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private static Ran ranSoFar(EngineAnswer answer) {
-        return answer.hasBegun() ? Ran.YES : Ran.UNKNOWN;
+    private static ExecutionStatus ranSoFar(EngineAnswer answer) {
+        return answer.hasBegun() ? ExecutionStatus.YES : ExecutionStatus.UNKNOWN;
     }
 
     private void resume(EngineAnswer answer) {
@@ -433,7 +434,7 @@
         timer.schedule(() -> stop(answer), RETRY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void load(LoadOrder order) {
+    private void load(AdapterLoadCommand order) {
         adapterLoads.carryOut(order);
         dispatch();
     }
@@ -451,8 +452,8 @@
 
     @Override
     public void describe(Status.Builder status) {
-        status.setRunning(queue.running())
-                .setQueued(queue.waiting())
+        status.setRunning(queue.runningCount())
+                .setQueued(queue.waitingCount())
                 .setQueuedTokens(queue.waitingTokens())
                 .setConcurrencyLimit(queue.concurrencyLimit())
                 .setEngineIncarnation(watch.incarnation());
@@ -462,6 +463,6 @@
 
     @Override
     public int unfinished() {
-        return queue.running() + queue.waiting();
+        return queue.runningCount() + queue.waitingCount();
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/FenceTaker.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/FenceTaker.java
@@ -58,7 +58,7 @@
             }
         }
         long number = row.isPresent() ? parse(row.get()).number() + 1 : 1;
-        long version = row.map(Row::version).orElse(Transaction.ABSENT);
+        long version = row.map(Row::version).orElse(Transaction.ABSENT_VERSION);
         String value = JSON.createObjectNode()
                 .put("number", number)
                 .put("holder", holder)
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/Frames.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/Frames.java
@@ -31,7 +31,7 @@
                         .setAttempt(attempt.value())
                         .setCode(refusal.code().number())
                         .setMessage(refusal.getMessage())
-                        .setRan(refusal.ran().ordinal())
+                        .setRan(refusal.executionStatus().ordinal())
                         .setRetryAfterMillis(refusal.retryAfter()
                                 .map(delay -> delay.toMillis())
                                 .orElse(0L)))
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/Outcomes.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/Outcomes.java
@@ -3,7 +3,7 @@
 import org.geraniumreach.daemon.event.EventLog;
 import org.geraniumreach.messages.End;
 import org.geraniumreach.model.EventCode;
-import org.geraniumreach.model.Ran;
+import org.geraniumreach.model.ExecutionStatus;
 import org.geraniumreach.model.ServingException;
 
 /**
@@ -60,9 +60,10 @@
      * @param refusal why, and whether it ran, not null
      */
     void refused(CompanionAttempt attempt, ServingException refusal) {
-        attempts.end(attempt.id(), refusal.ran() != Ran.NO);
+        attempts.end(attempt.id(), refusal.executionStatus() != ExecutionStatus.NO);
         attempt.finish(Frames.refused(attempt.id(), refusal));
-        EventCode event = refusal.ran() == Ran.NO ? EventCode.REQUEST_REFUSED : EventCode.REQUEST_FAILED;
+        EventCode event =
+                refusal.executionStatus() == ExecutionStatus.NO ? EventCode.REQUEST_REFUSED : EventCode.REQUEST_FAILED;
         EventLog.write(event, "{} of {}: {}", attempt.id(), attempt.account(), refusal.code());
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/Requests.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/Requests.java
@@ -13,7 +13,7 @@
 import org.geraniumreach.messages.Run;
 import org.geraniumreach.messages.Seal;
 import org.geraniumreach.model.AttemptId;
-import org.geraniumreach.model.Ran;
+import org.geraniumreach.model.ExecutionStatus;
 import org.geraniumreach.model.ResultCode;
 import org.geraniumreach.model.ServingException;
 
@@ -116,7 +116,8 @@
         if (run.getNotAfterMillis() != 0 && parts.timeOfDay().millis() > run.getNotAfterMillis()) {
             // A sender that was frozen sends an attempt that was sealed and forgotten, or that ran and was forgotten.
             // It must not start, and nothing shows that it has not run.
-            throw ServingException.of(ResultCode.OUTCOME_UNKNOWN, Ran.UNKNOWN, "the request has come too late");
+            throw ServingException.of(
+                    ResultCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN, "the request has come too late");
         }
         TargetRunner runner = runners.forNewWork();
         if (runner.unfinished() >= settings.queue().limit()) {
@@ -143,7 +144,9 @@
         if (held.isPresent()) {
             if (!held.get().resume(peer, next, credit)) {
                 peer.send(Frames.refused(
-                        id, ServingException.of(ResultCode.ANSWER_INTERRUPTED, Ran.YES, "chunk " + next + " is gone")));
+                        id,
+                        ServingException.of(
+                                ResultCode.ANSWER_INTERRUPTED, ExecutionStatus.YES, "chunk " + next + " is gone")));
                 return;
             }
             runners.current().ifPresent(runner -> runner.acknowledged(held.get()));
@@ -158,8 +161,9 @@
             case NEVER_STARTED -> ServingException.notRun(
                     ResultCode.NOT_RUN, "the request never started and never will");
             case ENDED -> ServingException.of(
-                    ResultCode.ANSWER_INTERRUPTED, Ran.YES, "the answer is not kept any more");
-            default -> ServingException.of(ResultCode.OUTCOME_UNKNOWN, Ran.UNKNOWN, "nothing is known of the request");
+                    ResultCode.ANSWER_INTERRUPTED, ExecutionStatus.YES, "the answer is not kept any more");
+            default -> ServingException.of(
+                    ResultCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN, "nothing is known of the request");
         };
     }
 
@@ -250,7 +254,9 @@
      */
     private static void refuseFormer(Peer peer, AttemptId id) {
         peer.send(Frames.refused(
-                id, ServingException.of(ResultCode.OUTCOME_UNKNOWN, Ran.UNKNOWN, "the companion has been restarted")));
+                id,
+                ServingException.of(
+                        ResultCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN, "the companion has been restarted")));
     }
 
     private static long ageNanos(long ageMillis) {
@@ -307,7 +313,7 @@
         // The attempt's own last frame may wait behind chunks without credit, or for the end of a call that cannot be
         // taken back, and goes over the link that was resumed last. Whoever cancels waits for none of these.
         boolean neverStarted = attempts.find(id).equals(Optional.of(AttemptTable.Seen.NEVER_STARTED));
-        Ran ran = neverStarted ? Ran.NO : Ran.YES;
+        ExecutionStatus ran = neverStarted ? ExecutionStatus.NO : ExecutionStatus.YES;
         peer.send(Frames.refused(id, ServingException.of(ResultCode.CANCELLED, ran, cancel.getReason())));
     }
 
@@ -331,7 +337,7 @@
         if (!attempt.named().getRepeatable()) {
             return;
         }
-        outcomes.refused(attempt, ServingException.of(code, Ran.YES, reason));
+        outcomes.refused(attempt, ServingException.of(code, ExecutionStatus.YES, reason));
         runners.current().ifPresent(runner -> runner.cancel(attempt));
     }
 
@@ -349,7 +355,8 @@
                 attempt,
                 neverStarted
                         ? ServingException.notRun(ResultCode.DRAINING, "the companion stops")
-                        : ServingException.of(ResultCode.ANSWER_INTERRUPTED, Ran.UNKNOWN, "the companion stops"));
+                        : ServingException.of(
+                                ResultCode.ANSWER_INTERRUPTED, ExecutionStatus.UNKNOWN, "the companion stops"));
     }
 
     /** Ends what has passed its deadline or lost its entry, and forgets what nobody will ask for. */
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/ServiceRunner.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/ServiceRunner.java
@@ -6,8 +6,8 @@
 import com.google.protobuf.ByteString;
 import org.geraniumreach.messages.End;
 import org.geraniumreach.messages.Status;
+import org.geraniumreach.model.ExecutionStatus;
 import org.geraniumreach.model.MonotonicClock;
-import org.geraniumreach.model.Ran;
 import org.geraniumreach.model.ResultCode;
 import org.geraniumreach.model.ServingException;
 import org.geraniumreach.ports.PlainService;
@@ -89,7 +89,7 @@
         try {
             run(attempt);
         } finally {
-            queue.finished(attempt.id(), 1, 0);
+            queue.onFinished(attempt.id(), 1, 0);
             dispatch();
         }
     }
@@ -134,7 +134,7 @@
     private void failed(CompanionAttempt attempt, PlatformException failure) {
         boolean notRun = failure.effect() == PlatformException.Effect.NONE;
         ResultCode code = notRun ? ResultCode.TARGET_FAILED : ResultCode.OUTCOME_UNKNOWN;
-        Ran ran = notRun ? Ran.NO : Ran.UNKNOWN;
+        ExecutionStatus ran = notRun ? ExecutionStatus.NO : ExecutionStatus.UNKNOWN;
         outcomes.refused(attempt, ServingException.of(code, ran, failure.getMessage()));
     }
 
@@ -145,14 +145,14 @@
 
     @Override
     public void describe(Status.Builder status) {
-        status.setRunning(queue.running())
-                .setQueued(queue.waiting())
+        status.setRunning(queue.runningCount())
+                .setQueued(queue.waitingCount())
                 .setQueuedTokens(queue.waitingTokens())
                 .setConcurrencyLimit(queue.concurrencyLimit());
     }
 
     @Override
     public int unfinished() {
-        return queue.running() + queue.waiting();
+        return queue.runningCount() + queue.waitingCount();
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/Compactor.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/Compactor.java
@@ -7,7 +7,7 @@
 
 import org.geraniumreach.coordination.configuration.Compaction;
 import org.geraniumreach.coordination.configuration.ConfigurationRows;
-import org.geraniumreach.coordination.configuration.ConfigurationRows.SnapshotPlace;
+import org.geraniumreach.coordination.configuration.ConfigurationRows.SnapshotPointer;
 import org.geraniumreach.model.record.Configuration;
 import org.geraniumreach.model.record.LogEntry;
 import org.geraniumreach.model.record.RecordException;
@@ -48,26 +48,26 @@
             return;
         }
         Optional<Row> row = table.read(ConfigurationRows.SNAPSHOT);
-        Optional<SnapshotPlace> newest = Optional.empty();
+        Optional<SnapshotPointer> newest = Optional.empty();
         if (row.isPresent()) {
-            newest = Optional.of(ConfigurationRows.readPlace(row.get().value()));
+            newest = Optional.of(ConfigurationRows.readPointer(row.get().value()));
         }
         if (!Compaction.isDue(configuration.revision(), newest, changes)) {
             notBefore = newest.orElseThrow().revision() + changes;
             return;
         }
-        List<Transaction> parts = Compaction.writeParts(configuration);
+        List<Transaction> parts = Compaction.planPartWrites(configuration);
         commit(parts);
-        SnapshotPlace place = new SnapshotPlace(configuration.revision(), parts.size());
-        long version = row.map(Row::version).orElse(Transaction.ABSENT);
-        if (!table.commit(Compaction.writePlace(version, place))) {
+        SnapshotPointer place = new SnapshotPointer(configuration.revision(), parts.size());
+        long version = row.map(Row::version).orElse(Transaction.ABSENT_VERSION);
+        if (!table.commit(Compaction.planPointerWrite(version, place))) {
             return;
         }
         notBefore = configuration.revision() + changes;
         if (newest.isPresent()) {
-            commit(Compaction.deleteParts(newest.get()));
+            commit(Compaction.planPartDeletions(newest.get()));
         }
-        commit(Compaction.deleteChanges(oldestChanges(), configuration.revision()));
+        commit(Compaction.planChangeDeletions(oldestChanges(), configuration.revision()));
     }
 
     private void commit(List<Transaction> transactions) throws PlatformException {
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/ConfigurationReader.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/ConfigurationReader.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 
 import org.geraniumreach.coordination.configuration.ConfigurationRows;
-import org.geraniumreach.coordination.configuration.PollAnswer;
+import org.geraniumreach.coordination.configuration.PollResult;
 import org.geraniumreach.model.MonotonicClock;
 import org.geraniumreach.model.record.Configuration;
 import org.geraniumreach.model.record.LogEntry;
@@ -41,20 +41,20 @@
      * @throws PlatformException if there was no answer
      * @throws RecordException if a row is malformed
      */
-    PollAnswer read(long haveRevision) throws PlatformException, RecordException {
+    PollResult read(long haveRevision) throws PlatformException, RecordException {
         long startedAt = clock.nanos();
         Optional<Row> row = table.read(ConfigurationRows.HEAD);
         long head = row.isPresent() ? ConfigurationRows.readRevision(row.get().value()) : 0;
         if (head <= haveRevision) {
-            return new PollAnswer(startedAt, head, Optional.empty(), List.of());
+            return new PollResult(startedAt, head, Optional.empty(), List.of());
         }
         List<LogEntry> entries = log(haveRevision);
         if (!entries.isEmpty() && entries.get(0).revision() == haveRevision + 1) {
-            return new PollAnswer(startedAt, head, Optional.empty(), entries);
+            return new PollResult(startedAt, head, Optional.empty(), entries);
         }
         Optional<Configuration> snapshot = snapshot();
         long after = snapshot.map(Configuration::revision).orElse(haveRevision);
-        return new PollAnswer(startedAt, head, snapshot, log(after));
+        return new PollResult(startedAt, head, snapshot, log(after));
     }
 
     /**
@@ -67,7 +67,7 @@
      */
     List<LogEntry> log(long after) throws PlatformException, RecordException {
         List<LogEntry> entries = new ArrayList<>();
-        String last = ConfigurationRows.log(after).key();
+        String last = ConfigurationRows.logKey(after).key();
         while (true) {
             List<Row> rows = table.scan(ConfigurationRows.TABLE, ConfigurationRows.LOG_PREFIX, last, SCAN_LIMIT);
             for (Row row : rows) {
@@ -85,8 +85,8 @@
         if (row.isEmpty()) {
             return Optional.empty();
         }
-        ConfigurationRows.SnapshotPlace place =
-                ConfigurationRows.readPlace(row.get().value());
+        ConfigurationRows.SnapshotPointer place =
+                ConfigurationRows.readPointer(row.get().value());
         List<LogEntry> records = new ArrayList<>();
         String prefix = ConfigurationRows.partPrefix(place.revision());
         String last = "";
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/ConfigurationState.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/ConfigurationState.java
@@ -26,7 +26,7 @@
     static ConfigurationState of(ConfigurationNode node) {
         return new ConfigurationState(
                 node.configuration(),
-                node.isObtained(),
+                node.hasConfiguration(),
                 node.freshUntil(),
                 node.isPoller(),
                 node.isStoreUnreachable(),
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/NodeFrames.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/NodeFrames.java
@@ -38,14 +38,14 @@
     private NodeFrames() {}
 
     static Frame frame(InstanceId self, NodeMessage message) {
-        if (message instanceof NodeMessage.News news) {
-            ConfigurationNews.Builder builder = ConfigurationNews.newBuilder().setHead(news.head());
+        if (message instanceof NodeMessage.Changes news) {
+            ConfigurationNews.Builder builder = ConfigurationNews.newBuilder().setHead(news.highestKnownRevision());
             news.entries().forEach(entry -> builder.addEntries(wire(entry)));
             return Frame.newBuilder().setConfigurationNews(builder).build();
         }
         if (message instanceof NodeMessage.SnapshotRequest request) {
             return Frame.newBuilder()
-                    .setSnapshotRequest(SnapshotRequest.newBuilder().setHaveRevision(request.haveRevision()))
+                    .setSnapshotRequest(SnapshotRequest.newBuilder().setHaveRevision(request.heldRevision()))
                     .build();
         }
         if (message instanceof NodeMessage.SnapshotPart part) {
@@ -57,25 +57,26 @@
             return Frame.newBuilder().setSnapshotPart(builder).build();
         }
         return Frame.newBuilder()
-                .setFreshness(note(self, (NodeMessage.Note) message))
+                .setFreshness(note(self, (NodeMessage.Heartbeat) message))
                 .build();
     }
 
-    private static Freshness note(InstanceId self, NodeMessage.Note note) {
+    private static Freshness note(InstanceId self, NodeMessage.Heartbeat note) {
         Freshness.Builder builder = Freshness.newBuilder()
                 .setInstance(self.value())
                 .setRevision(note.revision())
-                .setHighestRevision(note.highestHeard())
+                .setHighestRevision(note.highestKnownRevision())
                 .setConfirmedAgeMillis(
-                        note.confirmedAge().isPresent()
-                                ? roundUp(note.confirmedAge().getAsLong())
+                        note.confirmationAgeNanos().isPresent()
+                                ? roundUp(note.confirmationAgeNanos().getAsLong())
                                 : NEVER_CONFIRMED)
-                .setStoreReachable(!note.saysUnreachable())
-                .setStamp(note.stamp());
-        note.words().forEach(word -> builder.addHeard(word.entry().value()).addHeardAgeMillis(roundUp(word.age())));
+                .setStoreReachable(!note.isStoreUnreachable())
+                .setStamp(note.timestamp());
+        note.unreachableReports()
+                .forEach(word -> builder.addHeard(word.entry().value()).addHeardAgeMillis(roundUp(word.ageNanos())));
         note.echo().ifPresent(echo -> builder.setEchoes(true)
-                .setEcho(echo.stamp())
-                .setEchoHeldMillis(TimeUnit.NANOSECONDS.toMillis(echo.held())));
+                .setEcho(echo.timestamp())
+                .setEchoHeldMillis(TimeUnit.NANOSECONDS.toMillis(echo.heldNanos())));
         return builder.build();
     }
 
@@ -105,7 +106,7 @@
         switch (frame.getBodyCase()) {
             case CONFIGURATION_NEWS:
                 ConfigurationNews news = frame.getConfigurationNews();
-                return new NodeMessage.News(news.getHead(), entries(news.getEntriesList()));
+                return new NodeMessage.Changes(news.getHead(), entries(news.getEntriesList()));
             case SNAPSHOT_REQUEST:
                 return new NodeMessage.SnapshotRequest(
                         frame.getSnapshotRequest().getHaveRevision());
@@ -120,17 +121,17 @@
         }
     }
 
-    private static NodeMessage.Note note(Freshness freshness) {
+    private static NodeMessage.Heartbeat note(Freshness freshness) {
         if (freshness.getHeardCount() != freshness.getHeardAgeMillisCount()) {
             throw new IllegalArgumentException("entries heard and their ages differ in number");
         }
-        List<NodeMessage.Word> words = new ArrayList<>();
+        List<NodeMessage.UnreachableReport> words = new ArrayList<>();
         for (int index = 0; index < freshness.getHeardCount(); index++) {
-            words.add(new NodeMessage.Word(
+            words.add(new NodeMessage.UnreachableReport(
                     InstanceId.of(freshness.getHeard(index)), nanos(freshness.getHeardAgeMillis(index))));
         }
         long age = freshness.getConfirmedAgeMillis();
-        return new NodeMessage.Note(
+        return new NodeMessage.Heartbeat(
                 freshness.getRevision(),
                 freshness.getHighestRevision(),
                 age < 0 ? OptionalLong.empty() : OptionalLong.of(nanos(age)),
@@ -138,7 +139,8 @@
                 words,
                 freshness.getStamp(),
                 freshness.getEchoes()
-                        ? Optional.of(new NodeMessage.Echo(freshness.getEcho(), nanos(freshness.getEchoHeldMillis())))
+                        ? Optional.of(new NodeMessage.TimestampEcho(
+                                freshness.getEcho(), nanos(freshness.getEchoHeldMillis())))
                         : Optional.empty());
     }
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/ReplicatedConfiguration.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/ReplicatedConfiguration.java
@@ -23,8 +23,8 @@
 import org.geraniumreach.coordination.configuration.ConfigurationNode;
 import org.geraniumreach.coordination.configuration.NodeAction;
 import org.geraniumreach.coordination.configuration.NodeMessage;
-import org.geraniumreach.coordination.configuration.PollAnswer;
-import org.geraniumreach.coordination.membership.Rendezvous;
+import org.geraniumreach.coordination.configuration.PollResult;
+import org.geraniumreach.coordination.membership.RendezvousHashing;
 import org.geraniumreach.daemon.event.EventLog;
 import org.geraniumreach.daemon.membership.MembershipService;
 import org.geraniumreach.link.FrameHandler;
@@ -174,9 +174,9 @@
      * @return the configuration, not null
      * @throws InterruptedException if the process ends
      */
-    Configuration take(PollAnswer answer) throws InterruptedException {
+    Configuration take(PollResult answer) throws InterruptedException {
         ask(() -> {
-            handle(() -> node.polled(answer));
+            handle(() -> node.onPollCompleted(answer));
             return true;
         });
         return current();
@@ -190,13 +190,13 @@
      */
     void committed(LogEntry entry) throws InterruptedException {
         ask(() -> {
-            handle(() -> node.committed(List.of(entry)));
+            handle(() -> node.onCommitted(List.of(entry)));
             return true;
         });
     }
 
     int otherEntriesHolding(long revision) throws InterruptedException {
-        return ask(() -> node.otherEntriesHolding(revision));
+        return ask(() -> node.countOtherEntriesHolding(revision));
     }
 
     boolean hasOtherEntries() {
@@ -219,8 +219,8 @@
 
     private void tick() {
         handle(() -> {
-            node.listed(membership.submittingEntries());
-            return node.tick();
+            node.onEntriesListed(membership.submittingEntries());
+            return node.onTick();
         });
     }
 
@@ -257,7 +257,7 @@
                 peer.send(NodeFrames.frame(self, send.message()));
             }
         } else if (action instanceof NodeAction.Poll poll) {
-            pollers.execute(() -> poll(poll.haveRevision()));
+            pollers.execute(() -> poll(poll.heldRevision()));
         }
     }
 
@@ -276,16 +276,16 @@
 
     private void poll(long haveRevision) {
         try {
-            PollAnswer answer = reader.read(haveRevision);
+            PollResult answer = reader.read(haveRevision);
             enqueue(() -> {
                 storeAnswered(true, null);
-                return node.polled(answer);
+                return node.onPollCompleted(answer);
             });
             compact();
         } catch (PlatformException | RecordException | RuntimeException failure) {
             enqueue(() -> {
                 storeAnswered(false, failure);
-                node.pollFailed();
+                node.onPollFailed();
                 return List.of();
             });
         }
@@ -294,7 +294,7 @@
     /* One entry is enough; two that take themselves for it write the same rows. A run that fails is made good by the next,
      * and says nothing of whether the head could be read. */
     private void compact() {
-        boolean chosen = Rendezvous.choose(COMPACTOR_SUBJECT, membership.submittingEntries(), 1)
+        boolean chosen = RendezvousHashing.choose(COMPACTOR_SUBJECT, membership.submittingEntries(), 1)
                 .contains(self);
         if (!chosen || !state.obtained()) {
             return;
@@ -378,8 +378,8 @@
                         && known.hello().getIncarnation() == peer.hello().getIncarnation()) {
                     return List.of();
                 }
-                node.closed(instance);
-                return node.opened(instance, peer.hello().getRole().equals("entry"));
+                node.onLinkClosed(instance);
+                return node.onLinkOpened(instance, peer.hello().getRole().equals("entry"));
             });
         }
 
@@ -393,7 +393,7 @@
                     return List.of();
                 }
                 try {
-                    return node.received(instance, NodeFrames.message(frame));
+                    return node.onMessage(instance, NodeFrames.message(frame));
                 } catch (IllegalArgumentException malformed) {
                     EventLog.write(EventCode.FRAME_REFUSED, malformed, "of the configuration, from {}", instance);
                     peer.close("a malformed frame of the configuration");
@@ -425,7 +425,7 @@
                     peers.put(instance, other.get());
                 } else {
                     peers.remove(instance);
-                    node.closed(instance);
+                    node.onLinkClosed(instance);
                 }
                 return List.of();
             });
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/Submitter.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/Submitter.java
@@ -96,27 +96,27 @@
     private SubmissionStep perform(SubmissionProcess process, SubmissionStep step) throws InterruptedException {
         if (step instanceof SubmissionStep.Wait wait) {
             Thread.sleep(wait.duration().toMillis());
-            return process.waited();
+            return process.onWaitFinished();
         }
         if (step instanceof SubmissionStep.Commit commit) {
             return commit(process, commit);
         }
         try {
             if (step instanceof SubmissionStep.Read read) {
-                return process.read(table.read(read.key()));
+                return process.onRowRead(table.read(read.key()));
             }
-            return process.caughtUp(
+            return process.onCaughtUp(
                     configuration.take(reader.read(configuration.current().revision())));
         } catch (PlatformException | RecordException unanswered) {
-            return process.readFailed();
+            return process.onReadFailed();
         }
     }
 
     private SubmissionStep commit(SubmissionProcess process, SubmissionStep.Commit commit) {
         try {
-            return process.committed(table.commit(commit.transaction()));
+            return process.onCommitAnswered(table.commit(commit.transaction()));
         } catch (PlatformException unanswered) {
-            return process.commitFailed(unanswered.effect() == PlatformException.Effect.UNKNOWN);
+            return process.onCommitFailed(unanswered.effect() == PlatformException.Effect.UNKNOWN);
         }
     }
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/EntryDaemon.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/EntryDaemon.java
@@ -169,7 +169,8 @@
                 routing.weights(),
                 Optional.of(FailureDomain.of(settings.node().failureDomain())),
                 routing.rememberedAdapters());
-        Router router = routing.policy().router(view, health::admits, prefixes, routerSettings, foundation.random());
+        Router router =
+                routing.policy().createRouter(view, health::admits, prefixes, routerSettings, foundation.random());
         return new Fleet(view, router, health, prefixes);
     }
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/Fleet.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/Fleet.java
@@ -30,7 +30,7 @@
 import org.geraniumreach.serving.routing.Route;
 import org.geraniumreach.serving.routing.RouteRequest;
 import org.geraniumreach.serving.routing.Router;
-import org.geraniumreach.serving.routing.Sending;
+import org.geraniumreach.serving.routing.SentRequest;
 import org.geraniumreach.serving.routing.TargetStatus;
 
 /**
@@ -79,7 +79,7 @@
      */
     private Map<TargetId, Member> owners() {
         Map<TargetId, Member> owners = new HashMap<>();
-        for (Member member : membership.companionsForWork()) {
+        for (Member member : membership.availableCompanions()) {
             member.target()
                     .filter(target -> configuration.target(target).isPresent())
                     .ifPresent(target -> owners.merge(target, member, this::withHigherFence));
@@ -114,8 +114,8 @@
     private void leave(TargetId target) {
         known.remove(target);
         view.leave(target);
-        health.forget(target);
-        prefixes.forget(target);
+        health.remove(target);
+        prefixes.invalidate(target);
     }
 
     @Override
@@ -192,22 +192,22 @@
         return router.route(request);
     }
 
-    Sending sent(TargetId target) {
-        return view.sent(target);
+    SentRequest sent(TargetId target) {
+        return view.recordSent(target);
     }
 
     void prefixEnded(PrefixDigest prefix, TargetId target, boolean hit) {
-        prefixes.ended(prefix, target, hit);
+        prefixes.onRequestEnded(prefix, target, hit);
     }
 
     void succeeded(TargetId target) {
-        if (health.succeeded(target) == TargetHealth.Change.RESTORED) {
+        if (health.onSuccess(target) == TargetHealth.Change.RESTORED) {
             EventLog.write(EventCode.TARGET_RESTORED, "{}", target);
         }
     }
 
     void failed(TargetId target) {
-        if (health.failed(target) == TargetHealth.Change.EJECTED) {
+        if (health.onFailure(target) == TargetHealth.Change.EJECTED) {
             EventLog.write(EventCode.TARGET_EJECTED, "{}", target);
         }
     }
@@ -220,7 +220,7 @@
      */
     static long companions(MembershipView membership) {
         return membership.members().stream()
-                .filter(member -> member.role() == MemberRole.COMPANION && member.takesWork())
+                .filter(member -> member.role() == MemberRole.COMPANION && member.acceptsWork())
                 .count();
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/GenerationCall.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/GenerationCall.java
@@ -21,7 +21,7 @@
 import org.geraniumreach.model.AdapterReference;
 import org.geraniumreach.model.AttemptId;
 import org.geraniumreach.model.EventCode;
-import org.geraniumreach.model.Ran;
+import org.geraniumreach.model.ExecutionStatus;
 import org.geraniumreach.model.ResultCode;
 import org.geraniumreach.model.ServingException;
 import org.geraniumreach.model.TargetId;
@@ -29,7 +29,7 @@
 import org.geraniumreach.serving.retry.RetryPolicy;
 import org.geraniumreach.serving.routing.Route;
 import org.geraniumreach.serving.routing.RouteRequest;
-import org.geraniumreach.serving.routing.Sending;
+import org.geraniumreach.serving.routing.SentRequest;
 
 /**
  * One caller's generation, from its budget to its end.
@@ -172,11 +172,11 @@
     private final class Try implements AttemptListener {
 
         private final Route route;
-        private final Sending sending;
+        private final SentRequest sending;
         private Optional<AttemptHandle> handle = Optional.empty();
         private int owed;
 
-        Try(Route route, Sending sending) {
+        Try(Route route, SentRequest sending) {
             this.route = route;
             this.sending = sending;
         }
@@ -196,7 +196,7 @@
 
         @Override
         public void accepted() {
-            sending.accepted();
+            sending.onAccepted();
         }
 
         @Override
@@ -221,7 +221,7 @@
 
         @Override
         public void ended(End end) {
-            sending.ended();
+            sending.onEnded();
             parts.fleet().succeeded(route.target());
             prefix.ifPresent(digest -> parts.fleet().prefixEnded(digest, route.target(), end.getPrefixHit()));
             synchronized (GenerationCall.this) {
@@ -233,7 +233,7 @@
 
         @Override
         public void refused(Refused refused) {
-            sending.ended();
+            sending.onEnded();
             ResultCode code = ResultCode.ofNumber(refused.getCode()).orElse(ResultCode.INTERNAL_ERROR);
             ServingException failure = ServingException.of(code, ranOf(refused.getRan()), refused.getMessage());
             if (refused.getRetryAfterMillis() > 0) {
@@ -243,8 +243,8 @@
         }
 
         @Override
-        public void lost(Ran ran, String reason) {
-            sending.ended();
+        public void lost(ExecutionStatus ran, String reason) {
+            sending.onEnded();
             failed(ServingException.of(ResultCode.ANSWER_INTERRUPTED, ran, reason), true, true);
         }
 
@@ -265,15 +265,15 @@
         }
     }
 
-    private static Ran ranOf(int number) {
-        return number == 0 ? Ran.NO : Ran.UNKNOWN;
+    private static ExecutionStatus ranOf(int number) {
+        return number == 0 ? ExecutionStatus.NO : ExecutionStatus.UNKNOWN;
     }
 
     private void retryOrFail(ServingException failure, boolean mayHelp) {
         lastFailure = Optional.of(failure);
-        mayHaveRun |= failure.ran() != Ran.NO;
-        RetryPolicy.Failure facts =
-                new RetryPolicy.Failure(true, failure.ran(), sink.hasBegun(), failures, deadlineLeft());
+        mayHaveRun |= failure.executionStatus() != ExecutionStatus.NO;
+        RetryPolicy.FailedAttempt facts = new RetryPolicy.FailedAttempt(
+                true, failure.executionStatus(), sink.hasBegun(), failures, deadlineLeft());
         Optional<Duration> delay = mayHelp ? parts.retries().decide(facts) : Optional.empty();
         if (delay.isEmpty()) {
             fail(failure);
@@ -283,7 +283,7 @@
         current = Optional.empty();
         sink.restart();
         partsSeen = 0;
-        if (failure.ran() != Ran.NO) {
+        if (failure.executionStatus() != ExecutionStatus.NO) {
             // The failed try may have used all of its tokens. Another try on the same reservation could bring the
             // client account above its rate, so it needs one of its own.
             reservation.ifPresent(used -> used.settle(used.tokens()));
@@ -316,7 +316,7 @@
 
     private void finish(End end) {
         close(end.getPromptTokens() + (long) end.getGeneratedTokens());
-        parts.retryBudget().succeeded();
+        parts.retryBudget().onSuccess();
         meters.tokens(end.getPromptTokens(), end.getGeneratedTokens());
         meters.waits(end.getQueueMicros(), end.getLoadMicros());
         meters.result(ResultCode.OK);
@@ -328,8 +328,8 @@
             return;
         }
         // One try may have run and a later one not: "not run" is true of the request only if it is true of every try.
-        mayHaveRun |= failure.ran() != Ran.NO;
-        ServingException told = mayHaveRun ? failure.withRan(Ran.UNKNOWN) : failure;
+        mayHaveRun |= failure.executionStatus() != ExecutionStatus.NO;
+        ServingException told = mayHaveRun ? failure.withExecutionStatus(ExecutionStatus.UNKNOWN) : failure;
         // What a try may have used is counted as used, so that a failing target never lets an account above its rate.
         close(mayHaveRun ? reservation.map(Reservation::tokens).orElse(0L) : 0);
         meters.result(told.code());
@@ -355,8 +355,8 @@
         giveUp(ServingException.of(ResultCode.DEADLINE_EXCEEDED, ranSoFar(), "the deadline has passed"));
     }
 
-    private Ran ranSoFar() {
-        return tried.isEmpty() ? Ran.NO : Ran.UNKNOWN;
+    private ExecutionStatus ranSoFar() {
+        return tried.isEmpty() ? ExecutionStatus.NO : ExecutionStatus.UNKNOWN;
     }
 
     /** Gives the call up because its caller went away. */
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/ServiceCall.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/ServiceCall.java
@@ -22,8 +22,8 @@
 import org.geraniumreach.daemon.metrics.RequestMeters;
 import org.geraniumreach.messages.Run;
 import org.geraniumreach.model.AttemptId;
+import org.geraniumreach.model.ExecutionStatus;
 import org.geraniumreach.model.InstanceId;
-import org.geraniumreach.model.Ran;
 import org.geraniumreach.model.ResultCode;
 import org.geraniumreach.model.ServiceName;
 import org.geraniumreach.model.ServingException;
@@ -106,7 +106,7 @@
         Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
         return cause instanceof ServingException refusal
                 ? refusal
-                : ServingException.of(ResultCode.INTERNAL_ERROR, Ran.UNKNOWN, "a fault of the system")
+                : ServingException.of(ResultCode.INTERNAL_ERROR, ExecutionStatus.UNKNOWN, "a fault of the system")
                         .withCause(cause);
     }
 
@@ -119,7 +119,7 @@
     }
 
     private void fail(ServingException failure, Reservation reservation) {
-        reservation.settle(failure.ran() == Ran.NO ? 0 : tokens);
+        reservation.settle(failure.executionStatus() == ExecutionStatus.NO ? 0 : tokens);
         refused(failure);
     }
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/http/ErrorBody.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/http/ErrorBody.java
@@ -32,7 +32,7 @@
         error.put("name", failure.code().name());
         error.put("type", failure.code().name().toLowerCase(Locale.ROOT));
         error.put("message", failure.getMessage());
-        error.put("ran", failure.ran().name().toLowerCase(Locale.ROOT));
+        error.put("ran", failure.executionStatus().name().toLowerCase(Locale.ROOT));
         failure.retryAfter().ifPresent(delay -> error.put("retry_after_ms", delay.toMillis()));
         return body;
     }
--- a/daemon/src/main/java/org/geraniumreach/daemon/http/HttpFront.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/http/HttpFront.java
@@ -14,7 +14,7 @@
 import org.geraniumreach.httpserver.BodyReader;
 import org.geraniumreach.httpserver.UpgradeOffers;
 import org.geraniumreach.model.EventCode;
-import org.geraniumreach.model.Ran;
+import org.geraniumreach.model.ExecutionStatus;
 import org.geraniumreach.model.ResultCode;
 import org.geraniumreach.model.ServingException;
 import org.glassfish.grizzly.http.server.HttpHandler;
@@ -142,7 +142,7 @@
             call.fail(refused);
         } catch (RuntimeException fault) {
             EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "{} endpoint", name);
-            call.fail(ServingException.of(ResultCode.INTERNAL_ERROR, Ran.UNKNOWN, "a fault of the system"));
+            call.fail(ServingException.of(ResultCode.INTERNAL_ERROR, ExecutionStatus.UNKNOWN, "a fault of the system"));
         }
     }
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/ledger/AnswerCollector.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/ledger/AnswerCollector.java
@@ -10,7 +10,7 @@
 import org.geraniumreach.link.AttemptListener;
 import org.geraniumreach.messages.End;
 import org.geraniumreach.messages.Refused;
-import org.geraniumreach.model.Ran;
+import org.geraniumreach.model.ExecutionStatus;
 import org.geraniumreach.model.ResultCode;
 
 /**
@@ -53,7 +53,7 @@
          *
          * @param ran what is known
          */
-        record Lost(Ran ran) implements Ending {}
+        record Lost(ExecutionStatus ran) implements Ending {}
     }
 
     AnswerCollector(long largestAnswer, Consumer<Ending> ending) {
@@ -78,7 +78,10 @@
         }
         if (body.size() + (long) payload.size() > largestAnswer) {
             finish(new Ending.GivenUp(refusal(
-                    ResultCode.TARGET_FAILED, Ran.YES, Optional.empty(), "the answer is above " + largestAnswer)));
+                    ResultCode.TARGET_FAILED,
+                    ExecutionStatus.YES,
+                    Optional.empty(),
+                    "the answer is above " + largestAnswer)));
             return;
         }
         body = body.concat(payload);
@@ -93,7 +96,7 @@
     public void ended(End end) {
         if (end.getCount() != chunks) {
             // A part of an answer must never be kept as the answer: every later call with the key would get it.
-            finish(new Ending.Lost(Ran.UNKNOWN));
+            finish(new Ending.Lost(ExecutionStatus.UNKNOWN));
             return;
         }
         finish(new Ending.Whole(body.toByteArray()));
@@ -109,17 +112,17 @@
     }
 
     private static LedgerAction.Refuse refusal(
-            ResultCode code, Ran ran, Optional<Duration> retryAfter, String message) {
+            ResultCode code, ExecutionStatus ran, Optional<Duration> retryAfter, String message) {
         return new LedgerAction.Refuse(code, ran, retryAfter, message);
     }
 
-    private static Ran ranOf(int number) {
-        Ran[] values = Ran.values();
-        return number >= 0 && number < values.length ? values[number] : Ran.UNKNOWN;
+    private static ExecutionStatus ranOf(int number) {
+        ExecutionStatus[] values = ExecutionStatus.values();
+        return number >= 0 && number < values.length ? values[number] : ExecutionStatus.UNKNOWN;
     }
 
     @Override
-    public void lost(Ran ran, String reason) {
+    public void lost(ExecutionStatus ran, String reason) {
         finish(new Ending.Lost(ran));
     }
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/ledger/CallRunner.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/ledger/CallRunner.java
@@ -15,7 +15,7 @@
 import org.geraniumreach.messages.Run;
 import org.geraniumreach.model.AttemptId;
 import org.geraniumreach.model.EventCode;
-import org.geraniumreach.model.Ran;
+import org.geraniumreach.model.ExecutionStatus;
 import org.geraniumreach.model.ResultCode;
 import org.geraniumreach.model.ServingException;
 import org.geraniumreach.model.table.Row;
@@ -69,7 +69,7 @@
         } catch (RuntimeException fault) {
             EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "ledger call");
             future.completeExceptionally(
-                    ServingException.of(ResultCode.INTERNAL_ERROR, Ran.UNKNOWN, "fault in the ledger")
+                    ServingException.of(ResultCode.INTERNAL_ERROR, ExecutionStatus.UNKNOWN, "fault in the ledger")
                             .withCause(fault));
         }
     }
@@ -218,9 +218,10 @@
                     .objects()
                     .get(key)
                     .orElseThrow(() -> ServingException.of(
-                            ResultCode.STORE_UNAVAILABLE, Ran.YES, "the kept answer is missing: " + key));
+                            ResultCode.STORE_UNAVAILABLE, ExecutionStatus.YES, "the kept answer is missing: " + key));
         } catch (PlatformException failure) {
-            throw ServingException.of(ResultCode.STORE_UNAVAILABLE, Ran.YES, "the kept answer cannot be read now")
+            throw ServingException.of(
+                            ResultCode.STORE_UNAVAILABLE, ExecutionStatus.YES, "the kept answer cannot be read now")
                     .withRetryAfter(settings.patience())
                     .withCause(failure);
         }
--- a/daemon/src/main/java/org/geraniumreach/daemon/membership/LinkedMembership.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/membership/LinkedMembership.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-import org.geraniumreach.coordination.membership.LinkChoice;
+import org.geraniumreach.coordination.membership.LinkSelector;
 import org.geraniumreach.coordination.membership.LinkedMember;
 import org.geraniumreach.coordination.membership.ListedMember;
 import org.geraniumreach.coordination.membership.Member;
@@ -40,7 +40,7 @@
 /**
  * The membership of a process with links: reads the list, keeps links and publishes the view.
  *
- * <p>Invariants: an entry keeps links as {@link LinkChoice} says, a companion keeps none and is linked by entries. A list
+ * <p>Invariants: an entry keeps links as {@link LinkSelector} says, a companion keeps none and is linked by entries. A list
  * that does not answer leaves the last view standing. The core is guarded by one lock, and listeners are told by one thread.
  * Safe for use by several threads.
  */
@@ -154,7 +154,7 @@
                 EventLog.write(EventCode.PLATFORM_REACHABLE, "instance list");
             }
             lastReading = Optional.of(new InstanceListReading(asked, instances));
-            update(() -> membership.listed(
+            update(() -> membership.onListRead(
                     instances.stream().map(LinkedMembership::member).toList()));
             if (role == MemberRole.ENTRY) {
                 keepLinks(instances);
@@ -186,9 +186,9 @@
                 (listed.role() == ListedInstance.Role.ENTRY ? entries : companions).put(listed.instance(), listed);
             }
         }
-        LinkChoice choice = settings.linkChoice();
-        Set<InstanceId> wanted = new HashSet<>(choice.entries(self, entries.keySet()));
-        wanted.addAll(choice.companions(self, entries.keySet(), companions.keySet()));
+        LinkSelector choice = settings.linkChoice();
+        Set<InstanceId> wanted = new HashSet<>(choice.selectEntries(self, entries.keySet()));
+        wanted.addAll(choice.selectCompanions(self, entries.keySet(), companions.keySet()));
         releaseUnwanted(wanted);
         for (InstanceId instance : wanted) {
             keep(entries.getOrDefault(instance, companions.get(instance)));
@@ -265,15 +265,15 @@
     private static void logChanges(MembershipView before, MembershipView after) {
         for (Member member : after.members()) {
             boolean did =
-                    before.member(member.instance()).filter(Member::takesWork).isPresent();
-            if (member.takesWork() && !did) {
+                    before.member(member.instance()).filter(Member::acceptsWork).isPresent();
+            if (member.acceptsWork() && !did) {
                 EventLog.write(EventCode.INSTANCE_JOINED, "{}", member.instance());
-            } else if (did && !member.takesWork()) {
+            } else if (did && !member.acceptsWork()) {
                 EventLog.write(EventCode.INSTANCE_LEFT, "{} leaving: {}", member.instance(), member.leaving());
             }
         }
         for (Member member : before.members()) {
-            if (member.takesWork() && after.member(member.instance()).isEmpty()) {
+            if (member.acceptsWork() && after.member(member.instance()).isEmpty()) {
                 EventLog.write(EventCode.INSTANCE_LEFT, "{} gone", member.instance());
             }
         }
@@ -286,7 +286,7 @@
         public void opened(Peer peer) {
             try {
                 LinkedMember member = linkedMember(peer.hello());
-                update(() -> membership.opened(member));
+                update(() -> membership.onLinkOpened(member));
             } catch (IllegalArgumentException invalid) {
                 peer.close("its Hello is wrong: " + invalid.getMessage());
                 return;
@@ -308,14 +308,14 @@
         @Override
         public void received(Peer peer, Frame frame) {
             InstanceId instance = InstanceId.of(peer.hello().getInstance());
-            update(() -> membership.left(instance, frame.getLeaving().getIncarnation()));
+            update(() -> membership.onLeaving(instance, frame.getLeaving().getIncarnation()));
         }
 
         @Override
         public void closed(Peer peer, String reason) {
             InstanceId instance = InstanceId.of(peer.hello().getInstance());
             if (links.find(instance).isEmpty()) {
-                update(() -> membership.closed(instance));
+                update(() -> membership.onLinkClosed(instance));
             }
         }
     }
--- a/daemon/src/main/java/org/geraniumreach/daemon/membership/MembershipSettings.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/membership/MembershipSettings.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-import org.geraniumreach.coordination.membership.LinkChoice;
+import org.geraniumreach.coordination.membership.LinkSelector;
 import org.geraniumreach.daemon.settings.Setting;
 
 /**
@@ -40,7 +40,7 @@
                         about = "How many entries link with each companion beyond that.")
                 int entriesOfCompanion) {
 
-    LinkChoice linkChoice() {
-        return new LinkChoice(fullMeshEntries, rings, fullMeshCompanions, entriesOfCompanion);
+    LinkSelector linkChoice() {
+        return new LinkSelector(fullMeshEntries, rings, fullMeshCompanions, entriesOfCompanion);
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/operator/OperatorEndpoints.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/operator/OperatorEndpoints.java
@@ -18,8 +18,8 @@
 import org.geraniumreach.daemon.http.Endpoint;
 import org.geraniumreach.daemon.http.ErrorBody;
 import org.geraniumreach.daemon.http.Routes;
+import org.geraniumreach.model.ExecutionStatus;
 import org.geraniumreach.model.KeyDigest;
-import org.geraniumreach.model.Ran;
 import org.geraniumreach.model.ResultCode;
 import org.geraniumreach.model.ServingException;
 import org.geraniumreach.model.record.Configuration;
@@ -120,7 +120,7 @@
         } catch (InterruptedException ending) {
             Thread.currentThread().interrupt();
             String message = "this instance ends; submit operation " + submission.operation() + " elsewhere";
-            throw ServingException.of(ResultCode.SUBMISSION_UNSETTLED, Ran.UNKNOWN, message);
+            throw ServingException.of(ResultCode.SUBMISSION_UNSETTLED, ExecutionStatus.UNKNOWN, message);
         }
     }
 
@@ -131,7 +131,8 @@
     }
 
     private static ObjectNode failure(SubmissionResult result) {
-        Ran ran = result.code() == ResultCode.SUBMISSION_UNSETTLED ? Ran.UNKNOWN : Ran.NO;
+        ExecutionStatus ran =
+                result.code() == ResultCode.SUBMISSION_UNSETTLED ? ExecutionStatus.UNKNOWN : ExecutionStatus.NO;
         ObjectNode json = ErrorBody.of(ServingException.of(result.code(), ran, result.message()));
         result.entry().ifPresent(current -> json.set("current", RecordJson.of(current)));
         return json;
--- a/daemon/src/test/java/org/geraniumreach/daemon/FaultyTable.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/FaultyTable.java
@@ -68,7 +68,7 @@
 
     private boolean holds(Transaction.Condition condition) {
         Row row = rows.get(textOf(condition.key()));
-        return condition.version() == (row == null ? Transaction.ABSENT : row.version());
+        return condition.version() == (row == null ? Transaction.ABSENT_VERSION : row.version());
     }
 
     private void apply(Transaction.Write write) {
--- a/daemon/src/test/java/org/geraniumreach/daemon/budget/BudgetServiceTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/budget/BudgetServiceTest.java
@@ -15,10 +15,10 @@
 
 import org.geraniumreach.daemon.FaultyTable;
 import org.geraniumreach.model.AccountId;
+import org.geraniumreach.model.ExecutionStatus;
 import org.geraniumreach.model.FailureDomain;
 import org.geraniumreach.model.InstanceId;
 import org.geraniumreach.model.MonotonicClock;
-import org.geraniumreach.model.Ran;
 import org.geraniumreach.model.ResultCode;
 import org.geraniumreach.model.ServingException;
 import org.geraniumreach.model.record.Configuration;
@@ -58,7 +58,7 @@
     void aRequestAboveTheBurstIsRefused() throws Exception {
         ServingException refusal = refusalOf(reserve(startAndAwaitShare("one"), 1001));
         assertThat(refusal.code()).isEqualTo(ResultCode.REQUEST_ABOVE_BURST);
-        assertThat(refusal.ran()).isEqualTo(Ran.NO);
+        assertThat(refusal.executionStatus()).isEqualTo(ExecutionStatus.NO);
     }
 
     @Test
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/CompanionNodeTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/CompanionNodeTest.java
@@ -9,7 +9,7 @@
 import org.geraniumreach.messages.Run;
 import org.geraniumreach.model.AdapterReference;
 import org.geraniumreach.model.AttemptId;
-import org.geraniumreach.model.Ran;
+import org.geraniumreach.model.ExecutionStatus;
 import org.geraniumreach.model.ResultCode;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -138,7 +138,7 @@
             fixture.engine.restart();
             CompanionFixture.await(answer::isOver);
             assertThat(answer.refusal()).contains(ResultCode.ANSWER_INTERRUPTED);
-            assertThat(answer.ran()).contains(Ran.YES);
+            assertThat(answer.ran()).contains(ExecutionStatus.YES);
         }
     }
 
@@ -186,7 +186,7 @@
             for (RecordedAnswer answer : answers) {
                 CompanionFixture.await(answer::isOver);
                 assertThat(answer.refusal()).contains(ResultCode.LOAD_FAILED);
-                assertThat(answer.ran()).contains(Ran.NO);
+                assertThat(answer.ran()).contains(ExecutionStatus.NO);
             }
             assertThat(fixture.engine.started()).isEmpty();
         }
@@ -214,7 +214,7 @@
             CompanionFixture.await(answer::isOver);
             assertThat(outcomes).containsExactly(SealOutcome.NEVER_STARTED);
             assertThat(answer.refusal()).contains(ResultCode.NOT_RUN);
-            assertThat(answer.ran()).contains(Ran.NO);
+            assertThat(answer.ran()).contains(ExecutionStatus.NO);
             assertThat(fixture.engine.started()).isEmpty();
         }
     }
@@ -233,7 +233,7 @@
             CompanionFixture.await(late::isOver);
             assertThat(open.refusal()).contains(ResultCode.KEY_REFUSED);
             assertThat(late.refusal()).contains(ResultCode.KEY_REFUSED);
-            assertThat(late.ran()).contains(Ran.NO);
+            assertThat(late.ran()).contains(ExecutionStatus.NO);
             CompanionFixture.await(() -> fixture.engine.cancelled().contains(AttemptId.of(run.getAttempt())));
             assertThat(fixture.engine.started()).hasSize(1);
         }
@@ -251,7 +251,7 @@
             fixture.engine.holdLoads(false);
             CompanionFixture.await(answer::isOver);
             assertThat(answer.refusal()).contains(ResultCode.NOT_FRESH);
-            assertThat(answer.ran()).contains(Ran.NO);
+            assertThat(answer.ran()).contains(ExecutionStatus.NO);
             assertThat(fixture.engine.started()).isEmpty();
         }
     }
@@ -268,7 +268,7 @@
             RecordedAnswer late = fixture.send(fixture.generation("a", 10).build());
             CompanionFixture.await(late::isOver);
             assertThat(late.refusal()).contains(ResultCode.DRAINING);
-            assertThat(late.ran()).contains(Ran.NO);
+            assertThat(late.ran()).contains(ExecutionStatus.NO);
             // The refusal counts, too, until the entry's acknowledgement of it has come, which the entry sends after
             // its own end.
             CompanionFixture.await(() -> fixture.companion.unfinished() == 1);
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/CompanionTakeoverTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/CompanionTakeoverTest.java
@@ -8,7 +8,7 @@
 import org.geraniumreach.model.AccountId;
 import org.geraniumreach.model.AdapterReference;
 import org.geraniumreach.model.AttemptId;
-import org.geraniumreach.model.Ran;
+import org.geraniumreach.model.ExecutionStatus;
 import org.geraniumreach.model.ResultCode;
 import org.geraniumreach.model.TargetId;
 import org.geraniumreach.ports.ModelEngine.Generation;
@@ -76,7 +76,7 @@
             RecordedAnswer answer = fixture.send(fixture.generation("a", 10).build());
             CompanionFixture.await(answer::isOver);
             assertThat(answer.refusal()).contains(ResultCode.FENCED);
-            assertThat(answer.ran()).contains(Ran.NO);
+            assertThat(answer.ran()).contains(ExecutionStatus.NO);
             assertThat(fixture.engine.started()).isEmpty();
         } catch (PlatformException impossible) {
             throw new AssertionError(impossible);
@@ -93,7 +93,7 @@
             RecordedAnswer answer = fixture.send(fixture.generation("a", 10).build());
             CompanionFixture.await(answer::isOver);
             assertThat(answer.refusal()).contains(ResultCode.FENCED);
-            assertThat(answer.ran()).contains(Ran.NO);
+            assertThat(answer.ran()).contains(ExecutionStatus.NO);
             assertThat(fixture.companion.reasonNotReady()).isPresent();
         }
     }
@@ -117,7 +117,7 @@
             RecordedAnswer early = fixture.send(fixture.generation("a", 10).build());
             CompanionFixture.await(early::isOver);
             assertThat(early.refusal()).contains(ResultCode.NO_TARGET);
-            assertThat(early.ran()).contains(Ran.NO);
+            assertThat(early.ran()).contains(ExecutionStatus.NO);
             CompanionFixture.await(() -> fixture.companion.reasonNotReady().isEmpty());
             RecordedAnswer answer = fixture.send(fixture.generation("a", 10).build());
             CompanionFixture.await(answer::isOver);
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/ExchangeWorld.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/ExchangeWorld.java
@@ -23,9 +23,9 @@
 import org.geraniumreach.messages.Run;
 import org.geraniumreach.messages.Status;
 import org.geraniumreach.model.AttemptId;
+import org.geraniumreach.model.ExecutionStatus;
 import org.geraniumreach.model.InstanceId;
 import org.geraniumreach.model.KeyDigest;
-import org.geraniumreach.model.Ran;
 import org.geraniumreach.model.TargetId;
 import org.geraniumreach.model.record.RecordKind;
 
@@ -148,7 +148,7 @@
         }
 
         private void notRun(int ran) {
-            if (ran == Ran.NO.ordinal()) {
+            if (ran == ExecutionStatus.NO.ordinal()) {
                 saidNotRun.add(id);
             }
         }
@@ -180,7 +180,7 @@
         }
 
         @Override
-        public void lost(Ran ran, String reason) {
+        public void lost(ExecutionStatus ran, String reason) {
             notRun(ran.ordinal());
             ends++;
         }
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/FakeTable.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/FakeTable.java
@@ -35,7 +35,7 @@
     @Override
     public synchronized boolean commit(Transaction transaction) throws PlatformException {
         for (Transaction.Condition condition : transaction.conditions()) {
-            long version = read(condition.key()).map(Row::version).orElse(Transaction.ABSENT);
+            long version = read(condition.key()).map(Row::version).orElse(Transaction.ABSENT_VERSION);
             if (version != condition.version()) {
                 return false;
             }
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/RecordedAnswer.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/RecordedAnswer.java
@@ -7,7 +7,7 @@
 import org.geraniumreach.link.AttemptListener;
 import org.geraniumreach.messages.End;
 import org.geraniumreach.messages.Refused;
-import org.geraniumreach.model.Ran;
+import org.geraniumreach.model.ExecutionStatus;
 import org.geraniumreach.model.ResultCode;
 
 /** What a caller at an entry receives; it asks for a chunk more with each that came, unless it is slow. */
@@ -22,7 +22,7 @@
     private boolean accepted;
     private End end;
     private ResultCode refusal;
-    private Ran ran;
+    private ExecutionStatus ran;
 
     RecordedAnswer(boolean slow) {
         this.slow = slow;
@@ -75,11 +75,11 @@
     public synchronized void refused(Refused refused) {
         ends++;
         refusal = ResultCode.ofNumber(refused.getCode()).orElseThrow();
-        ran = Ran.values()[refused.getRan()];
+        ran = ExecutionStatus.values()[refused.getRan()];
     }
 
     @Override
-    public synchronized void lost(Ran lostRan, String reason) {
+    public synchronized void lost(ExecutionStatus lostRan, String reason) {
         ends++;
         ran = lostRan;
     }
@@ -112,7 +112,7 @@
         return Optional.ofNullable(refusal);
     }
 
-    synchronized Optional<Ran> ran() {
+    synchronized Optional<ExecutionStatus> ran() {
         return Optional.ofNullable(ran);
     }
 }
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/ServiceCompanionTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/ServiceCompanionTest.java
@@ -8,7 +8,7 @@
 
 import org.geraniumreach.messages.Run;
 import org.geraniumreach.model.AttemptId;
-import org.geraniumreach.model.Ran;
+import org.geraniumreach.model.ExecutionStatus;
 import org.geraniumreach.model.ResultCode;
 import org.geraniumreach.ports.PlainService;
 import org.geraniumreach.ports.PlatformException;
@@ -45,7 +45,7 @@
 
     @ParameterizedTest
     @CsvSource({"NONE, TARGET_FAILED, NO", "UNKNOWN, OUTCOME_UNKNOWN, UNKNOWN"})
-    void failedCallIsNotMadeAgain(Effect effect, ResultCode code, Ran ran) throws IOException {
+    void failedCallIsNotMadeAgain(Effect effect, ResultCode code, ExecutionStatus ran) throws IOException {
         // The service's answer is lost. The booking may have been made; another call could make it twice. So there is
         // no other call, and the caller is told what is known.
         PlainService failing = (attempt, account, operation, body) -> {
@@ -109,7 +109,7 @@
             RecordedAnswer answer =
                     fixture.send(fixture.booking().setNotAfterMillis(1).build());
             CompanionFixture.await(answer::isOver);
-            assertThat(answer.ran()).contains(Ran.UNKNOWN);
+            assertThat(answer.ran()).contains(ExecutionStatus.UNKNOWN);
             assertThat(calls).isEmpty();
         }
     }
@@ -129,7 +129,7 @@
             CompanionFixture.await(() -> !calls.isEmpty());
             fixture.replaceCompanion();
             CompanionFixture.await(answer::isOver);
-            assertThat(answer.ran()).contains(Ran.UNKNOWN);
+            assertThat(answer.ran()).contains(ExecutionStatus.UNKNOWN);
             assertThat(calls).hasSize(1);
         }
     }
--- a/daemon/src/test/java/org/geraniumreach/daemon/configuration/MemoryTable.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/configuration/MemoryTable.java
@@ -60,6 +60,6 @@
     }
 
     private long version(RowKey key) {
-        return Optional.ofNullable(rows.get(key.key())).map(Row::version).orElse(Transaction.ABSENT);
+        return Optional.ofNullable(rows.get(key.key())).map(Row::version).orElse(Transaction.ABSENT_VERSION);
     }
 }
--- a/daemon/src/test/java/org/geraniumreach/daemon/configuration/ReplicatedConfigurationTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/configuration/ReplicatedConfigurationTest.java
@@ -124,7 +124,7 @@
         }
         start("entry-2", secondLinks);
         await(() -> isThere(ConfigurationRows.SNAPSHOT));
-        deleteLogTo(ConfigurationRows.readPlace(
+        deleteLogTo(ConfigurationRows.readPointer(
                         table.read(ConfigurationRows.SNAPSHOT).orElseThrow().value())
                 .revision());
         ReplicatedConfiguration fresh = start("entry-2", new MemoryLinks("entry-2", "entry"));
@@ -143,7 +143,7 @@
 
     private void deleteLogTo(long revision) throws Exception {
         for (long old = 1; old <= revision; old++) {
-            table.commit(Transaction.empty().withDelete(ConfigurationRows.log(old)));
+            table.commit(Transaction.empty().withDelete(ConfigurationRows.logKey(old)));
         }
     }
 
--- a/daemon/src/test/java/org/geraniumreach/daemon/entry/OpenAiRequestsTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/entry/OpenAiRequestsTest.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
-import org.geraniumreach.model.Ran;
+import org.geraniumreach.model.ExecutionStatus;
 import org.geraniumreach.model.ResultCode;
 import org.geraniumreach.model.ServingException;
 import org.junit.jupiter.api.Test;
@@ -40,7 +40,7 @@
         var node = mapper.readTree(body.replace('\'', '"'));
         ServingException refused = catchThrowableOfType(ServingException.class, () -> requests.completion(node));
         assertThat(refused.code()).isEqualTo(code);
-        assertThat(refused.ran()).isEqualTo(Ran.NO);
+        assertThat(refused.executionStatus()).isEqualTo(ExecutionStatus.NO);
         assertThat(refused).hasMessageStartingWith(message);
     }
 
--- a/daemon/src/test/java/org/geraniumreach/daemon/ledger/LedgerServiceTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/ledger/LedgerServiceTest.java
@@ -26,8 +26,8 @@
 import org.geraniumreach.messages.Run;
 import org.geraniumreach.model.AccountId;
 import org.geraniumreach.model.AttemptId;
+import org.geraniumreach.model.ExecutionStatus;
 import org.geraniumreach.model.InstanceId;
-import org.geraniumreach.model.Ran;
 import org.geraniumreach.model.ResultCode;
 import org.geraniumreach.model.ServingException;
 import org.geraniumreach.ports.ObjectStore;
@@ -74,7 +74,7 @@
         fault.set(Fault.UNREACHABLE);
         ServingException refusal = failureOf(service().perform(request("body"), dispatch()));
         assertThat(refusal.code()).isEqualTo(ResultCode.STORE_UNAVAILABLE);
-        assertThat(refusal.ran()).isEqualTo(Ran.NO);
+        assertThat(refusal.executionStatus()).isEqualTo(ExecutionStatus.NO);
         assertThat(runs).hasValue(0);
     }
 
@@ -191,7 +191,7 @@
         @Override
         public AttemptHandle resume(
                 InstanceId companion, String attempt, long incarnation, long nextSequence, AttemptListener listener) {
-            listener.lost(Ran.UNKNOWN, "not kept");
+            listener.lost(ExecutionStatus.UNKNOWN, "not kept");
             return new IdleHandle();
         }
 
--- a/gateway/src/main/java/org/geraniumreach/gateway/adapter/AdapterSlots.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/adapter/AdapterSlots.java
@@ -79,7 +79,7 @@
     private OptionalLong acceptedOrders = OptionalLong.empty();
     private long earliestCallAt;
     private boolean callInProgress;
-    private Optional<Step.Send> unansweredOrder = Optional.empty();
+    private Optional<Call.SendOrder> unansweredOrder = Optional.empty();
     private int sendAttempts;
 
     /**
@@ -99,21 +99,21 @@
          * @param adapter the adapter, not null
          * @param version the loaded version
          */
-        void arrived(AdapterName adapter, long version);
+        void onAdapterLoaded(AdapterName adapter, long version);
 
         /**
          * Called when an adapter is unloaded or starts to be unloaded, so that it cannot serve new requests.
          *
          * @param adapter the adapter, not null
          */
-        void leaves(AdapterName adapter);
+        void onAdapterUnavailable(AdapterName adapter);
 
         /** Called when the base model is loaded. */
-        void modelArrived();
+        void onModelLoaded();
     }
 
     /** A call to the target. */
-    public sealed interface Step {
+    public sealed interface Call {
 
         /**
          * Sends an order.
@@ -122,10 +122,11 @@
          * @param adapter the adapter, empty for the base model
          * @param expectedOrders the number of orders accepted before this one
          */
-        record Send(Order.Operation operation, Optional<AdapterName> adapter, long expectedOrders) implements Step {}
+        record SendOrder(Order.Operation operation, Optional<AdapterName> adapter, long expectedOrders)
+                implements Call {}
 
         /** Reads the target's report. */
-        record ReadReport() implements Step {}
+        record ReadReport() implements Call {}
     }
 
     /**
@@ -163,7 +164,7 @@
     public void enqueue(AdapterName adapter, OptionalLong deadline, long now) {
         frequency.recordUses(adapter, 1, now);
         if (isLoaded(adapter)) {
-            listener.arrived(adapter, resident.get(adapter));
+            listener.onAdapterLoaded(adapter, resident.get(adapter));
             return;
         }
         loadQueue.enqueue(adapter, deadline, now);
@@ -188,7 +189,7 @@
      * @param count the number of requests
      * @param now the current time, in nanoseconds
      */
-    public void used(AdapterName adapter, int count, long now) {
+    public void recordUses(AdapterName adapter, int count, long now) {
         frequency.recordUses(adapter, count, now);
     }
 
@@ -199,7 +200,7 @@
      * @param adapters the adapters, not null
      * @param now the current time, in nanoseconds
      */
-    public void running(String entry, Set<AdapterName> adapters, long now) {
+    public void updateRunning(String entry, Set<AdapterName> adapters, long now) {
         running.update(entry, adapters, now);
     }
 
@@ -234,16 +235,16 @@
      * @param now the current time, in nanoseconds
      * @return the call, or empty if none is due or one is in progress
      */
-    public Optional<Step> next(long now) {
+    public Optional<Call> nextCall(long now) {
         if (callInProgress || now < earliestCallAt) {
             return Optional.empty();
         }
-        Optional<Step> call = acceptedOrders.isEmpty() ? Optional.of(new Step.ReadReport()) : nextOrder(now);
+        Optional<Call> call = acceptedOrders.isEmpty() ? Optional.of(new Call.ReadReport()) : nextOrder(now);
         callInProgress = call.isPresent();
         return call;
     }
 
-    private Optional<Step> nextOrder(long now) {
+    private Optional<Call> nextOrder(long now) {
         if (unansweredOrder.isPresent()) {
             return Optional.of(unansweredOrder.get());
         }
@@ -264,7 +265,7 @@
         return nextLoadRequest(now);
     }
 
-    private Optional<Step> pollDeferredOrder(long now) {
+    private Optional<Call> pollDeferredOrder(long now) {
         if (nextPollAt.getOrDefault(deferredAdapter.get(), now) > now) {
             return Optional.empty();
         }
@@ -275,7 +276,7 @@
         return unloading.contains(adapter) ? Order.Operation.UNLOAD : Order.Operation.LOAD;
     }
 
-    private Optional<Step> nextLoadRequest(long now) {
+    private Optional<Call> nextLoadRequest(long now) {
         if (loadQueue.isEmpty() || loadingCount() >= MAX_CONCURRENT_LOADS) {
             return Optional.empty();
         }
@@ -336,8 +337,8 @@
         return outdated ? -1 : frequency.score(adapter, now);
     }
 
-    private Optional<Step> orderCall(Order.Operation operation, Optional<AdapterName> adapter) {
-        return Optional.of(new Step.Send(operation, adapter, acceptedOrders.getAsLong()));
+    private Optional<Call> orderCall(Order.Operation operation, Optional<AdapterName> adapter) {
+        return Optional.of(new Call.SendOrder(operation, adapter, acceptedOrders.getAsLong()));
     }
 
     /**
@@ -347,7 +348,7 @@
      * @param result the result, not null
      * @param now the current time, in nanoseconds
      */
-    public void answered(Step.Send sent, OrderResult result, long now) {
+    public void onOrderResult(Call.SendOrder sent, OrderResult result, long now) {
         callInProgress = false;
         sendAttempts++;
         if (result == OrderResult.UNKNOWN && mayRepeat(sent)) {
@@ -366,13 +367,13 @@
     }
 
     /** Model loads are repeated in any case, and a poll is not a new order. */
-    private boolean mayRepeat(Step.Send sent) {
+    private boolean mayRepeat(Call.SendOrder sent) {
         boolean known = sent.adapter().isEmpty()
                 || nextPollAt.containsKey(sent.adapter().get());
         return !known && sendAttempts < MAX_SEND_ATTEMPTS;
     }
 
-    private void onAccepted(Step.Send sent, long now) {
+    private void onAccepted(Call.SendOrder sent, long now) {
         if (sent.adapter().isEmpty()) {
             if (!modelLoading) {
                 modelLoading = true;
@@ -396,7 +397,7 @@
         }
         nextPollAt.put(adapter, now + pollDelay(adapter, deferred, repeated));
         if (sent.operation() == Order.Operation.UNLOAD && unloading.add(adapter)) {
-            listener.leaves(adapter);
+            listener.onAdapterUnavailable(adapter);
         }
     }
 
@@ -416,11 +417,11 @@
                 .orElse(POLL_INTERVAL.toNanos());
     }
 
-    private void onAlreadyDone(Step.Send sent, boolean wasUnanswered, long now) {
+    private void onAlreadyDone(Call.SendOrder sent, boolean wasUnanswered, long now) {
         if (sent.adapter().isEmpty()) {
             modelLoading = false;
             modelLoaded = true;
-            listener.modelArrived();
+            listener.onModelLoaded();
             return;
         }
         AdapterName adapter = sent.adapter().get();
@@ -433,7 +434,7 @@
             unloading.remove(adapter);
             resident.remove(adapter);
             addCachedAtTarget(adapter);
-            listener.leaves(adapter);
+            listener.onAdapterUnavailable(adapter);
             if (orderCountUncertain) {
                 requireReport(now);
             }
@@ -451,7 +452,7 @@
         resident.put(adapter, version);
         loadQueue.remove(adapter);
         frequency.recordUses(adapter, 0, now);
-        listener.arrived(adapter, version);
+        listener.onAdapterLoaded(adapter, version);
         if (orderCountUncertain && replaced) {
             requireReport(now);
         }
@@ -469,7 +470,7 @@
         }
     }
 
-    private void onRefused(Step.Send sent, long now) {
+    private void onRefused(Call.SendOrder sent, long now) {
         sent.adapter().ifPresent(loadQueue::remove);
         earliestCallAt = now + REFUSAL_DELAY.toNanos();
     }
@@ -497,7 +498,7 @@
      * @param report the report, not null
      * @param now the current time, in nanoseconds
      */
-    public void reported(TargetReport report, long now) {
+    public void onReport(TargetReport report, long now) {
         callInProgress = false;
         acceptedOrders = OptionalLong.of(report.acceptedOrders());
         modelLoaded = report.models().containsKey(model);
@@ -515,8 +516,8 @@
         nextPollAt.clear();
         report.loading()
                 .forEach(adapter -> nextPollAt.put(new AdapterName(model, adapter), now + POLL_INTERVAL.toNanos()));
-        removed.forEach(listener::leaves);
-        loaded.forEach(listener::arrived);
+        removed.forEach(listener::onAdapterUnavailable);
+        loaded.forEach(listener::onAdapterLoaded);
     }
 
     /**
@@ -524,7 +525,7 @@
      *
      * @param now the current time, in nanoseconds
      */
-    public void reportFailed(long now) {
+    public void onReportFailed(long now) {
         callInProgress = false;
         earliestCallAt = now + REFUSAL_DELAY.toNanos();
     }
--- a/gateway/src/main/java/org/geraniumreach/gateway/adapter/Lease.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/adapter/Lease.java
@@ -49,7 +49,7 @@
      * @param nanos the monotonic clock, in nanoseconds
      * @param offsetMillis the time of day minus the monotonic clock, in milliseconds
      */
-    public record Sending(long nanos, long offsetMillis) {}
+    public record RenewalStart(long nanos, long offsetMillis) {}
 
     /**
      * Creates a lease that is invalid until its first renewal.
@@ -67,9 +67,9 @@
      *
      * @return the time, to be passed to {@link #renewed} when the renewal is acknowledged, not null
      */
-    public Sending sending() {
+    public RenewalStart startRenewal() {
         long now = clock.nanos();
-        return new Sending(now, offset(now));
+        return new RenewalStart(now, offset(now));
     }
 
     /**
@@ -77,7 +77,7 @@
      *
      * @param start the time before the renewal was sent, not null
      */
-    public void renewed(Sending start) {
+    public void onRenewed(RenewalStart start) {
         renewed = true;
         renewedAt = start.nanos();
         offsetMillis = start.offsetMillis();
--- a/gateway/src/main/java/org/geraniumreach/gateway/adapter/TargetOwnership.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/adapter/TargetOwnership.java
@@ -29,10 +29,10 @@
 public final class TargetOwnership {
 
     /** The table of rows that the entries share, such as the owners of targets. */
-    public static final String TABLE = "fleet";
+    public static final String FLEET_TABLE = "fleet";
 
     /** The table of leases; separate, so that renewals do not complete the long polls of the fleet's table. */
-    public static final String LEASES = "leases";
+    public static final String LEASES_TABLE = "leases";
 
     private static final String HOLDER_KEY_PREFIX = "holder/";
 
@@ -52,7 +52,7 @@
     private final Map<TargetId, VersionedRow> holderRows = new HashMap<>();
     private final Map<String, ObservedLease> observedLeases = new HashMap<>();
     private final Map<TargetId, Long> claimableSince = new HashMap<>();
-    private EntryCapacity capacity = EntryCapacity.alike();
+    private EntryCapacity capacity = EntryCapacity.uniform();
 
     private record VersionedRow(HolderRow row, long version) {}
 
@@ -78,7 +78,7 @@
      *
      * @param newCapacity the capacities, not null
      */
-    public void weigh(EntryCapacity newCapacity) {
+    public void setCapacity(EntryCapacity newCapacity) {
         capacity = Objects.requireNonNull(newCapacity, "newCapacity");
     }
 
@@ -92,7 +92,7 @@
     }
 
     /**
-     * Returns whether a row of {@link #TABLE} names the owner of a target.
+     * Returns whether a row of {@link #FLEET_TABLE} names the owner of a target.
      *
      * @param key the row's key, not null
      * @return true if it does
@@ -107,7 +107,7 @@
      * @param key the row's key, not null
      * @param row the row, or empty if it was removed, not null
      */
-    public void put(String key, Optional<Row> row) {
+    public void updateHolder(String key, Optional<Row> row) {
         TargetId target = TargetId.of(key.substring(HOLDER_KEY_PREFIX.length()));
         Optional<VersionedRow> updated = row.flatMap(
                 present -> HolderRow.parse(present.value()).map(parsed -> new VersionedRow(parsed, present.version())));
@@ -126,7 +126,7 @@
      * @param version the row's version
      * @param releasedBy the incarnation of the entry's process that has released the lease, empty if none has, not null
      */
-    public void seenLease(String node, long version, OptionalLong releasedBy) {
+    public void updateLease(String node, long version, OptionalLong releasedBy) {
         ObservedLease previous = observedLeases.get(node);
         if (previous == null || previous.version() != version) {
             observedLeases.put(node, new ObservedLease(version, releasedBy, clock.nanos()));
@@ -169,7 +169,7 @@
      * @param reachable whether an entry can be reached, not null
      * @return true if one of the targets is owned by an entry that cannot be reached
      */
-    public boolean wantsLeases(List<TargetId> targets, Predicate<String> reachable) {
+    public boolean shouldReadLeases(List<TargetId> targets, Predicate<String> reachable) {
         return targets.stream()
                 .map(holderRows::get)
                 .anyMatch(holder -> holder != null
@@ -235,7 +235,7 @@
      * @param limit the time without a change after which an entry counts as ended, not null
      * @return the versions of their leases by instance, not null
      */
-    public Map<String, Long> endedFor(Duration limit) {
+    public Map<String, Long> endedEntries(Duration limit) {
         long now = clock.nanos();
         Map<String, Long> ended = new HashMap<>();
         observedLeases.forEach((node, observed) -> {
@@ -259,15 +259,15 @@
         List<String> formerOwners = new ArrayList<>();
         for (TargetId target : targets) {
             VersionedRow holder = holderRows.get(target);
-            RowKey key = RowKey.of(TABLE, HOLDER_KEY_PREFIX + target.value());
+            RowKey key = RowKey.of(FLEET_TABLE, HOLDER_KEY_PREFIX + target.value());
             transaction = transaction
-                    .withCondition(key, holder == null ? Transaction.ABSENT : holder.version())
+                    .withCondition(key, holder == null ? Transaction.ABSENT_VERSION : holder.version())
                     .withWrite(key, new HolderRow(self, incarnation).toText());
             boolean ownedByOther = holder != null && !holder.row().node().equals(self);
             if (ownedByOther && !formerOwners.contains(holder.row().node())) {
                 formerOwners.add(holder.row().node());
                 transaction = transaction.withCondition(
-                        RowKey.of(LEASES, holder.row().node()),
+                        RowKey.of(LEASES_TABLE, holder.row().node()),
                         observedLeases.get(holder.row().node()).version());
             }
         }
--- a/gateway/src/main/java/org/geraniumreach/gateway/adapter/UsageReports.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/adapter/UsageReports.java
@@ -19,7 +19,7 @@
  */
 public final class UsageReports {
 
-    /** Interval at which {@link #due} is to be called. */
+    /** Interval at which {@link #takeDue} is to be called. */
     public static final Duration CHECK_INTERVAL = Duration.ofMillis(200);
 
     static final Duration RENEWAL_INTERVAL = Duration.ofSeconds(1);
@@ -30,10 +30,10 @@
      * A report to the owner of a target.
      *
      * @param target the target
-     * @param began the adapter of each request that has started since the last report
+     * @param started the adapter of each request that has started since the last report
      * @param running the adapters used by running requests
      */
-    public record Report(Target target, List<AdapterName> began, Set<AdapterName> running) {}
+    public record Report(Target target, List<AdapterName> started, Set<AdapterName> running) {}
 
     private static final class Usage {
         private final Map<AdapterName, Integer> running = new HashMap<>();
@@ -57,7 +57,7 @@
      * @param target the target, not null
      * @param adapter the request's adapter, not null
      */
-    public void began(Target target, AdapterName adapter) {
+    public void onRequestStarted(Target target, AdapterName adapter) {
         Usage usage = usages.computeIfAbsent(target, missing -> new Usage());
         usage.running.merge(adapter, 1, Integer::sum);
         usage.started.add(adapter);
@@ -69,7 +69,7 @@
      * @param target the target, not null
      * @param adapter the request's adapter, not null
      */
-    public void ended(Target target, AdapterName adapter) {
+    public void onRequestEnded(Target target, AdapterName adapter) {
         Usage usage = usages.get(target);
         if (usage != null) {
             usage.running.computeIfPresent(adapter, (name, count) -> count > 1 ? count - 1 : null);
@@ -81,7 +81,7 @@
      *
      * @param target the target, not null
      */
-    public void forget(Target target) {
+    public void remove(Target target) {
         usages.remove(target);
     }
 
@@ -91,7 +91,7 @@
      * @param now the current time, in nanoseconds
      * @return the reports, at most one per target, not null
      */
-    public List<Report> due(long now) {
+    public List<Report> takeDue(long now) {
         List<Report> reports = new ArrayList<>();
         Iterator<Map.Entry<Target, Usage>> iterator = usages.entrySet().iterator();
         while (iterator.hasNext()) {
--- a/gateway/src/main/java/org/geraniumreach/gateway/capacity/EntryCapacity.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/capacity/EntryCapacity.java
@@ -23,7 +23,7 @@
      *
      * @return the capacities, not null
      */
-    static EntryCapacity alike() {
+    static EntryCapacity uniform() {
         return entry -> 1;
     }
 
--- a/gateway/src/main/java/org/geraniumreach/gateway/cold/ColdTargets.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/cold/ColdStartLimiter.java
@@ -25,7 +25,7 @@
  * became cold. A process sends cold targets nothing during its first window, since its former incarnation may have used up the share. Confined to
  * the event loop.
  */
-public final class ColdTargets implements TargetRegistry.Listener {
+public final class ColdStartLimiter implements TargetRegistry.Listener {
 
     /** Longer than the second that the limit applies to, since requests take different times to arrive. */
     static final Duration WINDOW = Duration.ofMillis(1_100);
@@ -66,7 +66,7 @@
      * @param clock the clock, not null
      * @param log receives decisions, not null
      */
-    public ColdTargets(
+    public ColdStartLimiter(
             Function<String, Optional<ServiceDefinition>> findService,
             Tolerance tolerance,
             LimitDivision division,
@@ -81,12 +81,12 @@
     }
 
     @Override
-    public void joined(Target target) {
-        changed(target);
+    public void onJoined(Target target) {
+        onChanged(target);
     }
 
     @Override
-    public void changed(Target target) {
+    public void onChanged(Target target) {
         long now = clock.nanos();
         Duration remaining = target.description().coldFor().orElseGet(() -> estimateColdTime(target));
         if (remaining.isZero()) {
@@ -104,13 +104,13 @@
                 .apply(target.description().service())
                 .map(ServiceDefinition::coldStart)
                 .orElse(ServiceDefinition.ColdStart.NONE)
-                .length();
+                .warmUpTime();
         Duration age = Duration.ofNanos(clock.nanos() - target.joinedAt());
         return age.compareTo(coldStart) < 0 ? coldStart.minus(age) : Duration.ZERO;
     }
 
     @Override
-    public void left(Target target) {
+    public void onLeft(Target target) {
         coldUntil.remove(target);
     }
 
@@ -131,13 +131,13 @@
      * @param target the target, not null
      * @return true if the target is warm or this entry's share is not used up
      */
-    public boolean mayBeSent(Target target) {
+    public boolean maySendTo(Target target) {
         if (!isCold(target)) {
             return true;
         }
         long now = clock.nanos();
         boolean firstWindowOver = now - createdAt >= WINDOW.toNanos();
-        return firstWindowOver && target.sentWithin(WINDOW, now) < share(target).orElse(0);
+        return firstWindowOver && target.countSends(WINDOW, now) < share(target).orElse(0);
     }
 
     /** Returns this entry's share, empty if the rate is unknown because the service is not configured. */
--- a/gateway/src/main/java/org/geraniumreach/gateway/evacuation/Evacuations.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/evacuation/Evacuations.java
@@ -19,9 +19,9 @@
 /**
  * Tracks the failure domains that the operator has evacuated.
  *
- * <p>Intended for evacuations that take effect some seconds after they are requested. Until then the domain is {@link Phase#EMPTYING}: its targets
+ * <p>Intended for evacuations that take effect some seconds after they are requested. Until then the domain is {@link Phase#DRAINING}: its targets
  * still serve the adapters that no other target has loaded, while these are loaded elsewhere, so that they are not all fetched from the weight
- * store at once. Afterwards it is {@link Phase#EMPTY}, and no requests are sent there.
+ * store at once. Afterwards it is {@link Phase#DRAINED}, and no requests are sent there.
  *
  * <p>Invariant: a domain reaches the last phase {@link #DRAIN_FRACTION} of the limit after the last read of the store that did not show its
  * evacuation yet, or at once if there was no earlier read. Confined to the event loop.
@@ -41,9 +41,9 @@
         /** The domain is not evacuated. */
         IN_USE,
         /** Only requests that no target of another domain can serve. */
-        EMPTYING,
+        DRAINING,
         /** No requests. */
-        EMPTY
+        DRAINED
     }
 
     /**
@@ -66,7 +66,7 @@
      * @param update the changed rows, or all of them, not null
      * @param previousReadAt the time of the previous read by the clock, in nanoseconds, empty if there was none, not null
      */
-    public void onNews(StorePort.News<OperatorItem> update, OptionalLong previousReadAt) {
+    public void onOperatorItems(StorePort.TableUpdate<OperatorItem> update, OptionalLong previousReadAt) {
         Set<FailureDomain> listed = new HashSet<>();
         for (OperatorItem item : update.items()) {
             if (item instanceof OperatorItem.Evacuation evacuation) {
@@ -77,7 +77,7 @@
                 end(ended.domain());
             }
         }
-        if (update.whole()) {
+        if (update.snapshot()) {
             Set.copyOf(drainedFrom.keySet()).stream()
                     .filter(domain -> !listed.contains(domain))
                     .forEach(this::end);
@@ -121,6 +121,6 @@
         if (drainedAt == null) {
             return Phase.IN_USE;
         }
-        return clock.nanos() >= drainedAt ? Phase.EMPTY : Phase.EMPTYING;
+        return clock.nanos() >= drainedAt ? Phase.DRAINED : Phase.DRAINING;
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/meter/DemandRate.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/meter/DemandRate.java
@@ -30,8 +30,8 @@
      * @param units the number of units
      * @param now the current time, in nanoseconds
      */
-    public void asked(double units, long now) {
-        perSecond = at(now) + units * NANOS_PER_SECOND / TIME_CONSTANT_NANOS;
+    public void add(double units, long now) {
+        perSecond = rateAt(now) + units * NANOS_PER_SECOND / TIME_CONSTANT_NANOS;
         updatedAt = now;
     }
 
@@ -42,8 +42,8 @@
      * @param now the current time, in nanoseconds
      * @return units per second, not negative
      */
-    public double without(double units, long now) {
-        return Math.max(0, at(now) - units * NANOS_PER_SECOND / TIME_CONSTANT_NANOS);
+    public double rateExcluding(double units, long now) {
+        return Math.max(0, rateAt(now) - units * NANOS_PER_SECOND / TIME_CONSTANT_NANOS);
     }
 
     /**
@@ -52,7 +52,7 @@
      * @param now the current time, in nanoseconds
      * @return units per second
      */
-    public double at(long now) {
+    public double rateAt(long now) {
         return perSecond * Math.exp(-(now - updatedAt) / TIME_CONSTANT_NANOS);
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/pacing/OwnerAdmission.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/pacing/OwnerAdmission.java
@@ -69,7 +69,7 @@
     public Cancellable admit(Target target, long promptTokens, Duration maxDelay, Consumer<Decision> callback) {
         if (isOwned(target)) {
             callback.accept(admitLocally(target, promptTokens, maxDelay));
-            return Cancellable.NOTHING;
+            return Cancellable.NOOP;
         }
         long number = ++lastRequestNumber;
         Optional<String> owner = ownership.holder(target.id()).filter(entry -> !entry.equals(ownership.self()));
@@ -77,9 +77,9 @@
                 owner.isPresent() && peers.requestAdmission(owner.get(), number, target.id(), promptTokens, maxDelay);
         if (!sent) {
             callback.accept(Decision.IMMEDIATE);
-            return Cancellable.NOTHING;
+            return Cancellable.NOOP;
         }
-        Cancellable timeout = timers.after(ANSWER_TIMEOUT, () -> onAnswer(number, Decision.IMMEDIATE));
+        Cancellable timeout = timers.schedule(ANSWER_TIMEOUT, () -> onAnswer(number, Decision.IMMEDIATE));
         pendingRequests.put(number, new PendingRequest(callback, timeout));
         return () -> cancel(number);
     }
@@ -110,7 +110,7 @@
      * @param maxDelay the longest time that the prompt may be delayed, not null
      * @return the decision; {@link Decision#IMMEDIATE} if this entry does not own the target, not null
      */
-    public Decision decide(TargetId id, long promptTokens, Duration maxDelay) {
+    public Decision decideForPeer(TargetId id, long promptTokens, Duration maxDelay) {
         return registry.find(id)
                 .filter(this::isOwned)
                 .map(target -> admitLocally(target, Math.max(0, promptTokens), maxDelay))
@@ -132,17 +132,17 @@
     }
 
     @Override
-    public void joined(Target target) {
+    public void onJoined(Target target) {
         // The pacer is created with the first prompt.
     }
 
     @Override
-    public void changed(Target target) {
+    public void onChanged(Target target) {
         // The pacer does not depend on the target's row.
     }
 
     @Override
-    public void left(Target target) {
+    public void onLeft(Target target) {
         pacers.remove(target);
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/pacing/TargetAdmission.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/pacing/TargetAdmission.java
@@ -53,7 +53,7 @@
     static TargetAdmission unpaced() {
         return (target, promptTokens, maxDelay, callback) -> {
             callback.accept(Decision.IMMEDIATE);
-            return Cancellable.NOTHING;
+            return Cancellable.NOOP;
         };
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/placement/AdapterDemand.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/placement/AdapterDemand.java
@@ -25,15 +25,15 @@
     }
 
     void recordRequest(AdapterName adapter, long promptTokens, long now) {
-        totalRate.asked(promptTokens, now);
+        totalRate.add(promptTokens, now);
         if (ratesByAdapter.size() > PRUNING_THRESHOLD_ADAPTERS) {
-            ratesByAdapter.values().removeIf(rate -> rate.at(now) < MINIMUM_KEPT_TOKENS_PER_SECOND);
+            ratesByAdapter.values().removeIf(rate -> rate.rateAt(now) < MINIMUM_KEPT_TOKENS_PER_SECOND);
         }
-        ratesByAdapter.computeIfAbsent(adapter, missing -> new DemandRate(now)).asked(promptTokens, now);
+        ratesByAdapter.computeIfAbsent(adapter, missing -> new DemandRate(now)).add(promptTokens, now);
     }
 
     double totalTokensPerSecond(long now) {
-        return totalRate.at(now);
+        return totalRate.rateAt(now);
     }
 
     /**
@@ -44,6 +44,6 @@
      */
     double otherTokensPerSecond(AdapterName adapter, long promptTokens, long now) {
         DemandRate rate = ratesByAdapter.get(adapter);
-        return rate == null ? 0 : rate.without(promptTokens, now);
+        return rate == null ? 0 : rate.rateExcluding(promptTokens, now);
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/placement/Placement.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/placement/Placement.java
@@ -264,7 +264,7 @@
      * @param service the service, not null
      * @return the tokens per millisecond, above 0; the initial estimate until enough prompts were recorded
      */
-    public double readingSpeed(String service) {
+    public double netPrefillTokensPerMilli(String service) {
         return prefillRate(service).netTokensPerMilli();
     }
 
--- a/gateway/src/main/java/org/geraniumreach/gateway/placement/Target.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/placement/Target.java
@@ -185,7 +185,7 @@
      * @param promptTokens the tokens of its prompt, 0 if it has none
      * @param now the current time
      */
-    public void sent(long promptTokens, long now) {
+    public void onRequestSent(long promptTokens, long now) {
         outstanding++;
         discardOldSends(now);
         sendTimes.addLast(now);
@@ -202,7 +202,7 @@
      * @param now the current time
      * @return the number of requests
      */
-    public int sentWithin(Duration window, long now) {
+    public int countSends(Duration window, long now) {
         discardOldSends(now);
         return (int) sendTimes.stream()
                 .filter(sentAt -> now - sentAt < window.toNanos())
--- a/gateway/src/main/java/org/geraniumreach/gateway/placement/TargetConditions.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/placement/TargetConditions.java
@@ -40,7 +40,7 @@
     }
 
     boolean isEvacuated(Target target) {
-        return phase(target) == Evacuations.Phase.EMPTY;
+        return phase(target) == Evacuations.Phase.DRAINED;
     }
 
     boolean isInUse(Target target) {
--- a/gateway/src/main/java/org/geraniumreach/gateway/placement/TargetRegistry.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/placement/TargetRegistry.java
@@ -64,21 +64,21 @@
          *
          * @param target the target, not null
          */
-        void joined(Target target);
+        void onJoined(Target target);
 
         /**
          * Called when a target was removed, together with everything that it held.
          *
          * @param target the target, not null
          */
-        void left(Target target);
+        void onLeft(Target target);
 
         /**
          * Called when the row of a known target was updated.
          *
          * @param target the target, not null
          */
-        void changed(Target target);
+        void onChanged(Target target);
     }
 
     /**
@@ -95,12 +95,12 @@
      *
      * @param listener the listener, not null
      */
-    public void listen(Listener listener) {
+    public void addListener(Listener listener) {
         listeners.add(listener);
     }
 
     /** Records that the rows of the targets cannot be read. */
-    public void storeLost() {
+    public void onStoreUnavailable() {
         if (!storeUnavailable) {
             storeUnavailable = true;
             storeUnavailableSince = clock.nanos();
@@ -108,7 +108,7 @@
     }
 
     /** Records that the rows of the targets were read successfully. */
-    public void storeAnswers() {
+    public void onStoreAvailable() {
         if (storeUnavailable) {
             boolean mayHaveLapsed = isOutageLapsing();
             storeUnavailable = false;
@@ -128,7 +128,7 @@
         if (known != null && known.description().isSameIncarnation(description)) {
             lapsedHeartbeats.computeIfPresent(description.id(), (id, heartbeats) -> nextHeartbeatCount(heartbeats));
             known.update(description, clock.nanos());
-            listeners.forEach(listener -> listener.changed(known));
+            listeners.forEach(listener -> listener.onChanged(known));
             return;
         }
         if (known != null && known.description().startedAt() > description.startedAt()) {
@@ -143,7 +143,7 @@
         Target target = new Target(description, clock.nanos());
         targets.put(target.id(), target);
         targetsByService.remove(description.service());
-        listeners.forEach(listener -> listener.joined(target));
+        listeners.forEach(listener -> listener.onJoined(target));
     }
 
     private static Integer nextHeartbeatCount(int heartbeats) {
@@ -155,7 +155,7 @@
      *
      * @param id the name of the target, not null
      */
-    public void removed(TargetId id) {
+    public void onRowRemoved(TargetId id) {
         Target target = targets.get(id);
         if (target == null) {
             departedTargets.resetHeartbeats(id);
@@ -178,7 +178,7 @@
         rows.forEach(description -> listed.add(description.id()));
         List<TargetId> missing =
                 targets.keySet().stream().filter(id -> !listed.contains(id)).toList();
-        missing.forEach(this::removed);
+        missing.forEach(this::onRowRemoved);
         rows.forEach(this::put);
     }
 
@@ -211,7 +211,7 @@
      *
      * @param target the incarnation, not null
      */
-    public void ended(Target target) {
+    public void removeEnded(Target target) {
         if (targets.get(target.id()) == target) {
             remove(target);
         }
@@ -227,7 +227,7 @@
         lapsedHeartbeats.remove(target.id());
         targets.remove(target.id());
         targetsByService.remove(target.description().service());
-        listeners.forEach(listener -> listener.left(target));
+        listeners.forEach(listener -> listener.onLeft(target));
     }
 
     private List<Target> sortedTargets(String service) {
--- a/gateway/src/main/java/org/geraniumreach/gateway/placement/TargetUpdates.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/placement/TargetUpdates.java
@@ -36,23 +36,23 @@
      *
      * @param update all rows or the changed ones, not null
      */
-    public void onNews(StorePort.News<StorePort.TargetItem> update) {
-        if (update.whole()) {
+    public void onUpdate(StorePort.TableUpdate<StorePort.TargetItem> update) {
+        if (update.snapshot()) {
             onSnapshot(update);
             return;
         }
         for (StorePort.TargetItem item : update.items()) {
             if (item instanceof StorePort.TargetItem.Present present) {
                 registry.put(present.description());
-            } else if (item instanceof StorePort.TargetItem.Gone gone) {
-                registry.removed(gone.target());
+            } else if (item instanceof StorePort.TargetItem.Removed gone) {
+                registry.onRowRemoved(gone.target());
             } else if (item instanceof StorePort.TargetItem.Unreadable unreadable) {
                 logUnreadable(unreadable);
             }
         }
     }
 
-    private void onSnapshot(StorePort.News<StorePort.TargetItem> update) {
+    private void onSnapshot(StorePort.TableUpdate<StorePort.TargetItem> update) {
         List<TargetDescription> rows = new ArrayList<>();
         for (StorePort.TargetItem item : update.items()) {
             if (item instanceof StorePort.TargetItem.Present present) {
--- a/gateway/src/main/java/org/geraniumreach/gateway/port/CallerAnswer.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/port/CallerAnswer.java
@@ -18,14 +18,14 @@
      * @param status the HTTP status
      * @param headers the headers, without framing headers, not null
      */
-    void head(int status, List<Header> headers);
+    void writeHead(int status, List<Header> headers);
 
     /**
      * Writes a part of the body.
      *
      * @param part the bytes, which must not be modified afterwards, not null
      */
-    void part(byte[] part);
+    void writePart(byte[] part);
 
     /** Ends the answer; it is then complete. */
     void end();
--- a/gateway/src/main/java/org/geraniumreach/gateway/port/Cancellable.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/port/Cancellable.java
@@ -5,7 +5,7 @@
 public interface Cancellable {
 
     /** An operation that has already ended. */
-    Cancellable NOTHING = () -> {};
+    Cancellable NOOP = () -> {};
 
     /** Cancels the operation; its callbacks are not called afterwards. */
     void cancel();
--- a/gateway/src/main/java/org/geraniumreach/gateway/port/StorePort.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/port/StorePort.java
@@ -48,10 +48,10 @@
      *
      * @param rows the rows, in order
      * @param version the version up to which the table was read
-     * @param whole whether these are all rows, rather than only the changed ones
+     * @param snapshot whether these are all rows, rather than only the changed ones
      * @param storeMillis the store's steady clock at the reading, in milliseconds
      */
-    record Page(List<StoredRow> rows, long version, boolean whole, long storeMillis) {
+    record Page(List<StoredRow> rows, long version, boolean snapshot, long storeMillis) {
 
         public Page {
             rows = List.copyOf(rows);
@@ -85,11 +85,11 @@
      * @param <T> the type of the items
      * @param items the decoded rows, in order
      * @param version the version from which the next reading continues
-     * @param whole whether these are all items, rather than only the changed ones
+     * @param snapshot whether these are all items, rather than only the changed ones
      */
-    record News<T>(List<T> items, long version, boolean whole) {
+    record TableUpdate<T>(List<T> items, long version, boolean snapshot) {
 
-        public News {
+        public TableUpdate {
             items = List.copyOf(items);
         }
     }
@@ -150,7 +150,7 @@
          *
          * @param target the target
          */
-        record Gone(TargetId target) implements TargetItem {}
+        record Removed(TargetId target) implements TargetItem {}
 
         /**
          * A row that cannot be read.
@@ -167,7 +167,7 @@
      * @param committed whether the transaction was committed
      * @param version the version of the written rows if committed, otherwise the store's latest version
      */
-    record Decision(boolean committed, long version) {}
+    record CommitResult(boolean committed, long version) {}
 
     /**
      * The position from which to read a table.
@@ -182,7 +182,7 @@
          *
          * @return the position, not null
          */
-        public static Position beginning() {
+        public static Position start() {
             return new Position(Optional.empty(), Duration.ZERO);
         }
     }
@@ -205,5 +205,5 @@
      * @param onReply receives the store's decision, not null
      * @return stops waiting for the decision; the transaction may still be committed, not null
      */
-    Cancellable commit(Transaction transaction, Consumer<StoreReply<Decision>> onReply);
+    Cancellable commit(Transaction transaction, Consumer<StoreReply<CommitResult>> onReply);
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/port/TargetAnswerHead.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/port/TargetAnswerHead.java
@@ -38,7 +38,7 @@
      *
      * @return true for a status of 500 or above
      */
-    public boolean isServerFault() {
+    public boolean isServerError() {
         return status >= MIN_SERVER_ERROR_STATUS;
     }
 }
