--- a/gateway/src/main/java/org/geraniumreach/gateway/port/TargetAnswerListener.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/port/TargetAnswerListener.java
@@ -3,8 +3,8 @@
 /**
  * Receives a target's answer to one request.
  *
- * <p>Contract: either {@link #notExecuted} or {@link #failed} alone; or a head, any number of parts, then {@link #end} or
- * {@link #failed}.
+ * <p>Contract: either {@link #onNotExecuted} or {@link #onFailed} alone; or a head, any number of parts, then {@link #onEnd} or
+ * {@link #onFailed}.
  */
 public interface TargetAnswerListener {
 
@@ -14,7 +14,7 @@
      * @param reason the reason, not null
      * @param load the load reported by the target, not null
      */
-    void notExecuted(NotExecuted reason, TargetLoad load);
+    void onNotExecuted(NotExecuted reason, TargetLoad load);
 
     /**
      * Called when the answer's head has arrived.
@@ -22,17 +22,17 @@
      * @param head the head, not null
      * @param load the load reported by the target, not null
      */
-    void head(TargetAnswerHead head, TargetLoad load);
+    void onHead(TargetAnswerHead head, TargetLoad load);
 
     /**
      * Called when a part of the body has arrived.
      *
      * @param part the bytes, not null
      */
-    void part(byte[] part);
+    void onPart(byte[] part);
 
     /** Called when the body is complete. */
-    void end();
+    void onEnd();
 
     /**
      * Called if the answer cannot be completed.
@@ -40,7 +40,7 @@
      * @param mayHaveRun false if the request cannot have reached the target
      * @param reason what happened, for the log, not null
      */
-    void failed(boolean mayHaveRun, String reason);
+    void onFailed(boolean mayHaveRun, String reason);
 
     /** The reason why a target has not run a request. */
     enum NotExecuted {
--- a/gateway/src/main/java/org/geraniumreach/gateway/port/TargetLoad.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/port/TargetLoad.java
@@ -7,9 +7,9 @@
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param figures the reported numbers, empty if the answer reports none
+ * @param requestCounts the reported numbers, empty if the answer reports none
  */
-public record TargetLoad(Optional<Figures> figures) {
+public record TargetLoad(Optional<RequestCounts> requestCounts) {
 
     /**
      * The numbers of requests at a target.
@@ -17,5 +17,5 @@
      * @param running the number of running requests
      * @param waiting the number of waiting requests
      */
-    public record Figures(int running, int waiting) {}
+    public record RequestCounts(int running, int waiting) {}
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/port/TargetPort.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/port/TargetPort.java
@@ -23,13 +23,17 @@
      * Metadata sent to the target with a request.
      *
      * @param account the name of the client account, empty if the request came without a key
-     * @param left the time for which the caller will still wait
+     * @param remainingTime the time for which the caller will still wait
      * @param urgency the priority within the target, 0 is the highest
      * @param version the adapter version that must run the request, empty for any
      * @param lastEvent the number of the last event received if a stream is resumed, empty to keep the value sent by the caller
      */
-    record Envelope(
-            Optional<String> account, Duration left, int urgency, OptionalLong version, OptionalLong lastEvent) {}
+    record RequestMetadata(
+            Optional<String> account,
+            Duration remainingTime,
+            int urgency,
+            OptionalLong version,
+            OptionalLong lastEvent) {}
 
     /**
      * Sends a request.
@@ -44,7 +48,7 @@
     Cancellable send(
             Target target,
             GatewayRequest request,
-            Envelope metadata,
+            RequestMetadata metadata,
             Duration maxIdleTime,
             TargetAnswerListener listener);
 
@@ -57,7 +61,7 @@
      * @param onResult receives the result, not null
      * @return stops waiting for the result, not null
      */
-    Cancellable order(Target target, Order order, String holder, Consumer<OrderResult> onResult);
+    Cancellable sendOrder(Target target, Order order, String holder, Consumer<OrderResult> onResult);
 
     /**
      * Reads a target's report.
@@ -66,5 +70,5 @@
      * @param onResult receives the report, or empty if there is none, not null
      * @return stops waiting for the report, not null
      */
-    Cancellable report(Target target, Consumer<Optional<TargetReport>> onResult);
+    Cancellable fetchReport(Target target, Consumer<Optional<TargetReport>> onResult);
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/port/Timers.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/port/Timers.java
@@ -17,5 +17,5 @@
      * @param action the action, not null
      * @return cancels the action, not null
      */
-    Cancellable after(Duration delay, Runnable action);
+    Cancellable schedule(Duration delay, Runnable action);
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/process/ProcessSettings.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/process/ProcessSettings.java
@@ -4,7 +4,7 @@
 import java.time.Duration;
 import java.util.Objects;
 
-import org.geraniumreach.gateway.cold.ColdTargets;
+import org.geraniumreach.gateway.cold.ColdStartLimiter;
 import org.geraniumreach.gateway.quota.Quotas;
 import org.geraniumreach.model.FailureDomain;
 
@@ -15,11 +15,11 @@
  *
  * @param instance the name of the instance that the entry runs on, not empty, without spaces
  * @param failureDomain the failure domain of the instance
- * @param callers the address for requests of callers
- * @param readiness the address for readiness probes
- * @param links the address for connections of other entries
- * @param store the address of the store
- * @param repeats the limits on repeated requests of all entries together
+ * @param callerAddress the address for requests of callers
+ * @param readinessAddress the address for readiness probes
+ * @param linkAddress the address for connections of other entries
+ * @param storeAddress the address of the store
+ * @param repeatLimits the limits on repeated requests of all entries together
  * @param quotaTolerance the margin by which all entries together may exceed an account's rate
  * @param coldTolerance the margin by which all entries together may exceed a cold target's rate
  * @param evacuationLimit the time after the evacuation of a failure domain within which requests may still reach its targets
@@ -29,13 +29,13 @@
 public record ProcessSettings(
         String instance,
         FailureDomain failureDomain,
-        InetSocketAddress callers,
-        InetSocketAddress readiness,
-        InetSocketAddress links,
-        InetSocketAddress store,
-        RepeatLimits repeats,
+        InetSocketAddress callerAddress,
+        InetSocketAddress readinessAddress,
+        InetSocketAddress linkAddress,
+        InetSocketAddress storeAddress,
+        RepeatLimits repeatLimits,
         Quotas.Tolerance quotaTolerance,
-        ColdTargets.Tolerance coldTolerance,
+        ColdStartLimiter.Tolerance coldTolerance,
         Duration evacuationLimit,
         double capacity,
         Duration drainLimit) {
@@ -43,11 +43,11 @@
     public ProcessSettings {
         Objects.requireNonNull(instance, "instance");
         Objects.requireNonNull(failureDomain, "failureDomain");
-        Objects.requireNonNull(callers, "callers");
-        Objects.requireNonNull(readiness, "readiness");
-        Objects.requireNonNull(links, "links");
-        Objects.requireNonNull(store, "store");
-        Objects.requireNonNull(repeats, "repeats");
+        Objects.requireNonNull(callerAddress, "callerAddress");
+        Objects.requireNonNull(readinessAddress, "readinessAddress");
+        Objects.requireNonNull(linkAddress, "linkAddress");
+        Objects.requireNonNull(storeAddress, "storeAddress");
+        Objects.requireNonNull(repeatLimits, "repeatLimits");
         Objects.requireNonNull(coldTolerance, "coldTolerance");
         Objects.requireNonNull(evacuationLimit, "evacuationLimit");
         if (!(capacity > 0)) {
--- a/gateway/src/main/java/org/geraniumreach/gateway/quota/QuotaAdmission.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/quota/QuotaAdmission.java
@@ -82,7 +82,7 @@
         private final long startedAt = clock.nanos();
         private Deque<String> candidates;
         private Optional<Duration> retryDelay;
-        private Cancellable timeout = Cancellable.NOTHING;
+        private Cancellable timeout = Cancellable.NOOP;
         private long number;
         private String askedHolder = "";
         private int askedCount;
@@ -107,15 +107,15 @@
             while (askedCount < MAX_HOLDERS_ASKED && !candidates.isEmpty()) {
                 askedHolder = candidates.poll();
                 number = ++lastRequestNumber;
-                if (peers.ask(askedHolder, number, account.id(), units)) {
+                if (peers.requestUnits(askedHolder, number, account.id(), units)) {
                     askedCount++;
                     pending.put(number, this);
-                    timeout = timers.after(ANSWER_TIMEOUT, this::onTimeout);
+                    timeout = timers.schedule(ANSWER_TIMEOUT, this::onTimeout);
                     return;
                 }
             }
             if (mayWaitForHolder()) {
-                timeout = timers.after(HOLDER_RETRY_INTERVAL, this::retry);
+                timeout = timers.schedule(HOLDER_RETRY_INTERVAL, this::retry);
                 return;
             }
             onDecision.accept(new Quotas.Admission(false, retryDelay));
@@ -194,7 +194,7 @@
             Quotas.Admission own = quotas.admit(account, units);
             if (own.admitted()) {
                 onDecision.accept(own);
-                return Cancellable.NOTHING;
+                return Cancellable.NOOP;
             }
             retryDelay = own.delay();
         }
--- a/gateway/src/main/java/org/geraniumreach/gateway/quota/QuotaPeers.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/quota/QuotaPeers.java
@@ -19,5 +19,5 @@
      * @param units the units
      * @return false if the entry cannot be reached
      */
-    boolean ask(String entry, long number, AccountId account, double units);
+    boolean requestUnits(String entry, long number, AccountId account, double units);
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/quota/Quotas.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/quota/Quotas.java
@@ -28,7 +28,7 @@
  *
  * <p>Invariants: an increase of a share takes effect once the store has acknowledged it, a decrease before it is sent. A share is
  * valid for {@link #SHARE_VALIDITY} after the last renewal of this entry's lease, and other entries take it over only after the
- * lease has not changed for {@link #ABANDONED}, so no part of a rate is spent twice. Confined to the event loop.
+ * lease has not changed for {@link #SHARE_TAKEOVER_DELAY}, so no part of a rate is spent twice. Confined to the event loop.
  */
 public final class Quotas {
 
@@ -36,7 +36,7 @@
     static final Duration SHARE_VALIDITY = Duration.ofSeconds(25);
 
     /** An entry's shares are taken over once its lease has not changed for this long. */
-    public static final Duration ABANDONED = Duration.ofSeconds(30);
+    public static final Duration SHARE_TAKEOVER_DELAY = Duration.ofSeconds(30);
 
     /** Part of the shortest objective that a request may spend waiting for units; the rest is left to its target. */
     private static final double WAIT_RATIO = 0.4;
@@ -49,7 +49,7 @@
     private final Map<AccountId, AccountState> states = new HashMap<>();
     private final Tolerance tolerance;
     private final DecisionLog log;
-    private EntryCapacity entryCapacity = EntryCapacity.alike();
+    private EntryCapacity entryCapacity = EntryCapacity.uniform();
     private Map<AccountId, Account> accounts = Map.of();
     private Duration maxWait = Duration.ZERO;
 
@@ -123,7 +123,7 @@
     }
 
     /**
-     * Queries whether a row of {@link TargetOwnership#TABLE} holds the shares of an account.
+     * Queries whether a row of {@link TargetOwnership#FLEET_TABLE} holds the shares of an account.
      *
      * @param key the row's key, not null
      * @return true if it does
@@ -137,7 +137,7 @@
      *
      * @param newCapacity the capacities, not null
      */
-    public void weigh(EntryCapacity newCapacity) {
+    public void setEntryCapacity(EntryCapacity newCapacity) {
         entryCapacity = Objects.requireNonNull(newCapacity, "newCapacity");
     }
 
@@ -179,14 +179,14 @@
      * @param key the row's key, not null
      * @param row the row, or empty if it was removed, not null
      */
-    public void put(String key, Optional<Row> row) {
+    public void applyRow(String key, Optional<Row> row) {
         AccountId account = AccountId.of(key.substring(KEY_PREFIX.length()));
         AccountState state = state(account);
         if (row.isPresent() && row.get().version() <= state.version) {
             return;
         }
         state.row = row.flatMap(present -> ShareRow.parse(present.value())).orElse(ShareRow.empty());
-        state.version = row.map(Row::version).orElse(Transaction.ABSENT);
+        state.version = row.map(Row::version).orElse(Transaction.ABSENT_VERSION);
         int previousParts = state.parts;
         state.parts = state.row.share(self).parts();
         resize(account);
@@ -214,7 +214,7 @@
         }
         AccountState state = state(account.id());
         long now = clock.nanos();
-        state.demand.asked(units, now);
+        state.demand.add(units, now);
         if (!lease.wasRenewedWithin(SHARE_VALIDITY)) {
             return new Admission(false, Optional.empty());
         }
@@ -229,7 +229,7 @@
      * @param abandoned the entries whose shares may be taken over, with the versions of their leases, not null
      * @return the transaction, or empty if nothing has to be changed, not null
      */
-    public Optional<Transaction> change(Collection<String> entries, Map<String, Long> abandoned) {
+    public Optional<Transaction> proposeTransaction(Collection<String> entries, Map<String, Long> abandoned) {
         Transaction transaction = Transaction.empty();
         for (Account account : accounts.values()) {
             if (account.isLimited()) {
@@ -247,8 +247,8 @@
         for (Map.Entry<String, Long> holder : abandoned.entrySet()) {
             if (row.shares().containsKey(holder.getKey())) {
                 row = row.without(holder.getKey());
-                conditions =
-                        conditions.withCondition(RowKey.of(TargetOwnership.LEASES, holder.getKey()), holder.getValue());
+                conditions = conditions.withCondition(
+                        RowKey.of(TargetOwnership.LEASES_TABLE, holder.getKey()), holder.getValue());
             }
         }
         Optional<ShareRow> change = proposeRow(row, account, state, entries);
@@ -257,7 +257,8 @@
         }
         state.parts = Math.min(state.parts, change.get().share(self).parts());
         resize(account.id());
-        RowKey key = RowKey.of(TargetOwnership.TABLE, KEY_PREFIX + account.id().value());
+        RowKey key =
+                RowKey.of(TargetOwnership.FLEET_TABLE, KEY_PREFIX + account.id().value());
         return conditions
                 .withCondition(key, state.version)
                 .withWrite(key, change.get().toText());
@@ -266,7 +267,7 @@
     private Optional<ShareRow> proposeRow(
             ShareRow row, Account account, AccountState state, Collection<String> entries) {
         if (ShareHolders.isHolder(account.id(), self, entries, entryCapacity)) {
-            double demand = state.demand.at(clock.nanos()) / account.unitsPerSecond();
+            double demand = state.demand.rateAt(clock.nanos()) / account.unitsPerSecond();
             return SharePolicy.proposeRow(row, self, holderCount(row, entries), demand);
         }
         return row.shares().containsKey(self) ? Optional.of(row.without(self)) : Optional.empty();
@@ -313,14 +314,14 @@
      * @param units the units that the request needs
      * @return the decision, not null
      */
-    public Admission lend(AccountId id, double units) {
+    public Admission admitForPeer(AccountId id, double units) {
         Account account = accounts.get(id);
         boolean known = account != null && account.isLimited() && Double.isFinite(units) && units >= 0;
         return known && hasShare(id) ? admit(account, units) : new Admission(false, Optional.empty());
     }
 
     /** Restores the shares that were given up by a transaction that the store has refused. */
-    public void changeRefused() {
+    public void onTransactionRefused() {
         states.forEach((account, state) -> {
             state.parts = state.row.share(self).parts();
             resize(account);
--- a/gateway/src/main/java/org/geraniumreach/gateway/request/AdapterLoader.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/request/AdapterLoader.java
@@ -42,7 +42,7 @@
      * @param target the target, not null
      * @param adapter the adapter, not null
      */
-    void begun(Target target, AdapterName adapter);
+    void onRequestSent(Target target, AdapterName adapter);
 
     /**
      * Called when a request that was sent has ended.
@@ -50,7 +50,7 @@
      * @param target the target, not null
      * @param adapter the adapter, not null
      */
-    void ended(Target target, AdapterName adapter);
+    void onRequestEnded(Target target, AdapterName adapter);
 
     /**
      * Registers a callback for changes of the targets at which an adapter is resident.
@@ -76,5 +76,5 @@
      * @param adapter the adapter, not null
      * @return the version, 0 for any
      */
-    long requiredVersion(AdapterName adapter);
+    long minimumVersion(AdapterName adapter);
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/request/AnswerRelay.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/request/AnswerRelay.java
@@ -65,7 +65,7 @@
             }
             beginIfNeeded();
             recordPause();
-            answer.part(event.bytes());
+            answer.writePart(event.bytes());
         }
         return true;
     }
@@ -88,7 +88,7 @@
         if (!begun) {
             begun = true;
             firstPartAt = OptionalLong.of(clock.nanos());
-            answer.head(head.orElseThrow().status(), head.get().headers());
+            answer.writeHead(head.orElseThrow().status(), head.get().headers());
         }
     }
 
@@ -122,7 +122,7 @@
     void finish() {
         beginIfNeeded();
         if (!attemptIsStream && body.size() > 0) {
-            answer.part(body.toByteArray());
+            answer.writePart(body.toByteArray());
         }
         answer.end();
     }
@@ -133,7 +133,7 @@
 
     /** Queries whether the last attempt answered with a server error that was not relayed. */
     boolean isServerErrorPending() {
-        return !begun && head.isPresent() && head.get().isServerFault();
+        return !begun && head.isPresent() && head.get().isServerError();
     }
 
     int status() {
--- a/gateway/src/main/java/org/geraniumreach/gateway/request/Attempt.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/request/Attempt.java
@@ -24,8 +24,8 @@
     private final GatewayRequest request;
     private final Listener listener;
     private final long promptTokens;
-    private Cancellable call = Cancellable.NOTHING;
-    private Cancellable silenceTimer = Cancellable.NOTHING;
+    private Cancellable call = Cancellable.NOOP;
+    private Cancellable silenceTimer = Cancellable.NOOP;
     private SilenceLimits silenceLimits = SilenceLimits.NONE;
     private boolean prefillEnded;
     private boolean noPromptPending;
@@ -70,20 +70,20 @@
         return target;
     }
 
-    void start(TargetPort.Envelope envelope, Duration maximumIdle, SilenceLimits limits) {
+    void start(TargetPort.RequestMetadata envelope, Duration maximumIdle, SilenceLimits limits) {
         silenceLimits = limits;
         sentAt = services.clock().nanos();
         noPromptPending = target.pendingPromptTokens() == 0;
-        target.sent(promptTokens, sentAt);
-        adapter().ifPresent(adapter -> services.adapters().begun(target, adapter));
+        target.onRequestSent(promptTokens, sentAt);
+        adapter().ifPresent(adapter -> services.adapters().onRequestSent(target, adapter));
         call = services.targets().send(target, request, envelope, maximumIdle, this);
         restartSilenceTimer(silenceLimits.beforeFirstPart());
     }
 
     private void restartSilenceTimer(Optional<Duration> limit) {
         silenceTimer.cancel();
-        silenceTimer = limit.map(delay -> services.timers().after(delay, this::onSilence))
-                .orElse(Cancellable.NOTHING);
+        silenceTimer = limit.map(delay -> services.timers().schedule(delay, this::onSilence))
+                .orElse(Cancellable.NOOP);
     }
 
     private void onSilence() {
@@ -107,7 +107,7 @@
         silenceTimer.cancel();
         endPrefill();
         target.onRequestEnded();
-        adapter().ifPresent(adapter -> services.adapters().ended(target, adapter));
+        adapter().ifPresent(adapter -> services.adapters().onRequestEnded(target, adapter));
     }
 
     private Optional<AdapterName> adapter() {
@@ -129,13 +129,13 @@
     }
 
     private void recordLoad(TargetLoad load) {
-        load.figures()
+        load.requestCounts()
                 .ifPresent(figures -> target.onLoadReport(
                         figures.running(), figures.waiting(), services.clock().nanos()));
     }
 
     @Override
-    public void notExecuted(NotExecuted reason, TargetLoad load) {
+    public void onNotExecuted(NotExecuted reason, TargetLoad load) {
         if (ended) {
             return;
         }
@@ -145,7 +145,7 @@
     }
 
     @Override
-    public void head(TargetAnswerHead head, TargetLoad load) {
+    public void onHead(TargetAnswerHead head, TargetLoad load) {
         if (ended) {
             return;
         }
@@ -156,7 +156,7 @@
     }
 
     @Override
-    public void part(byte[] part) {
+    public void onPart(byte[] part) {
         if (ended) {
             return;
         }
@@ -175,7 +175,7 @@
     }
 
     @Override
-    public void end() {
+    public void onEnd() {
         if (ended) {
             return;
         }
@@ -184,7 +184,7 @@
     }
 
     @Override
-    public void failed(boolean mayHaveRun, String reason) {
+    public void onFailed(boolean mayHaveRun, String reason) {
         if (ended) {
             return;
         }
--- a/gateway/src/main/java/org/geraniumreach/gateway/request/Exchange.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/request/Exchange.java
@@ -56,10 +56,10 @@
     private final AnswerRelay relay;
     private final ExchangeLog log;
     private final WaitClock waitClock = new WaitClock();
-    private Cancellable deadlineTimer = Cancellable.NOTHING;
-    private Cancellable pendingAdmission = Cancellable.NOTHING;
-    private Cancellable waitTimer = Cancellable.NOTHING;
-    private Cancellable adapterWait = Cancellable.NOTHING;
+    private Cancellable deadlineTimer = Cancellable.NOOP;
+    private Cancellable pendingAdmission = Cancellable.NOOP;
+    private Cancellable waitTimer = Cancellable.NOOP;
+    private Cancellable adapterWait = Cancellable.NOOP;
     private Optional<Attempt> attempt = Optional.empty();
 
     private OptionalLong lastSentAt = OptionalLong.empty();
@@ -82,16 +82,16 @@
         this.answer = received.answer();
         this.onEnd = onEnd;
         this.startedAt = received.receivedAt();
-        this.timeLimit = route.longest(request.callerTimeout());
+        this.timeLimit = route.effectiveTimeout(request.callerTimeout());
         ExchangeSettings settings = services.settings();
         this.loadWait =
-                new LoadWait(settings.loadWaitLimit(timeLimit, route.objective()), settings.slowLoadThreshold());
+                new LoadWait(settings.loadWaitLimit(timeLimit, route.latencyObjective()), settings.slowLoadThreshold());
         this.relay = new AnswerRelay(answer, request.lastEvent(), services.clock());
         this.log = new ExchangeLog(services.log(), services.clock(), request, service, account.map(Account::id));
     }
 
     void start() {
-        deadlineTimer = services.timers().after(remaining(), this::onDeadline);
+        deadlineTimer = services.timers().schedule(remaining(), this::onDeadline);
         requestQuota();
     }
 
@@ -128,7 +128,7 @@
         if (delay.isZero()) {
             onAdmitted();
         } else {
-            waitTimer = services.timers().after(delay, this::onAdmitted);
+            waitTimer = services.timers().schedule(delay, this::onAdmitted);
         }
     }
 
@@ -136,7 +136,7 @@
         if (!charged.countsTokens()) {
             return 1;
         }
-        return request.generation().map(GatewayRequest.Generation::quotaTokens).orElse(charged.plainUnits());
+        return request.generation().map(GatewayRequest.Generation::quotaTokens).orElse(charged.defaultUnits());
     }
 
     private void onAdmitted() {
@@ -167,7 +167,7 @@
         } else if (decision instanceof PlacementDecision.Defer defer) {
             adapterWait.cancel();
             waitClock.startWait(WaitCause.PREFILL_CAPACITY, services.clock().nanos());
-            waitTimer = services.timers().after(defer.delay(), this::place);
+            waitTimer = services.timers().schedule(defer.delay(), this::place);
         } else if (decision instanceof PlacementDecision.Unplaceable unplaceable) {
             onUnplaceable(unplaceable.reason());
         }
@@ -187,7 +187,7 @@
             return;
         }
         waitClock.startWait(WaitCause.ADAPTER, services.clock().nanos());
-        waitTimer = services.timers().after(services.settings().placementRetryInterval(), this::place);
+        waitTimer = services.timers().schedule(services.settings().placementRetryInterval(), this::place);
     }
 
     private long promptTokens() {
@@ -203,11 +203,11 @@
                 service,
                 request.generation().map(GatewayRequest.Generation::model),
                 adapter,
-                adapter.map(services.adapters()::requiredVersion).orElse(0L),
+                adapter.map(services.adapters()::minimumVersion).orElse(0L),
                 adapter.map(services.adapters()::namedVersion).orElse(0L),
                 request.affinityKey(),
                 promptTokens(),
-                route.objective(),
+                route.latencyObjective(),
                 elapsed().compareTo(services.settings().maximumDeferral()) < 0,
                 loadWait.loadingTargets(now),
                 loadWait.slowLoadingTargets(now),
@@ -226,9 +226,13 @@
         waitClock.startWait(WaitCause.ADAPTER, now);
         adapterWait.cancel();
         adapterWait = services.adapters().await(adapter, this::place);
-        waitTimer = services.timers().after(services.settings().placementRetryInterval(), this::place);
+        waitTimer = services.timers().schedule(services.settings().placementRetryInterval(), this::place);
         services.adapters()
-                .enqueue(target, adapter, Optional.of(route.objective().minus(elapsed())), loadWait.mayBeDeclined());
+                .enqueue(
+                        target,
+                        adapter,
+                        Optional.of(route.latencyObjective().minus(elapsed())),
+                        loadWait.mayBeDeclined());
     }
 
     private void requestTargetAdmission(PlacementDecision.Send send) {
@@ -237,7 +241,7 @@
             return;
         }
         waitClock.startWait(WaitCause.PREFILL_CAPACITY, services.clock().nanos());
-        Duration maximumDelay = admissionAttempts.maximumDelay(route.objective(), elapsed());
+        Duration maximumDelay = admissionAttempts.maximumDelay(route.latencyObjective(), elapsed());
         pendingAdmission = services.admission()
                 .admit(send.target(), promptTokens(), maximumDelay, decision -> onTargetAdmission(send, decision));
     }
@@ -252,7 +256,7 @@
         } else if (decision.delay().isZero()) {
             sendIfStillSendable(send);
         } else {
-            waitTimer = services.timers().after(decision.delay(), () -> sendIfStillSendable(send));
+            waitTimer = services.timers().schedule(decision.delay(), () -> sendIfStillSendable(send));
         }
     }
 
@@ -282,12 +286,12 @@
         newAttempt.start(envelope(target), maximumIdle(), silenceLimits());
     }
 
-    private TargetPort.Envelope envelope(Target target) {
+    private TargetPort.RequestMetadata envelope(Target target) {
         OptionalLong version = adapter()
                 .filter(adapter -> services.adapters().namedVersion(adapter) > 0)
                 .map(target::residentVersion)
                 .orElse(OptionalLong.empty());
-        return new TargetPort.Envelope(
+        return new TargetPort.RequestMetadata(
                 account.map(charged -> charged.id().value()),
                 remaining(),
                 urgency(),
@@ -305,16 +309,16 @@
     }
 
     private Duration maximumIdle() {
-        return route.repeatRule().mayRunAgain()
+        return route.retryPolicy().allowsRerun()
                 ? services.settings().maximumIdleForRepeatable()
                 : services.settings().maximumIdleForSingleRun();
     }
 
     private Attempt.SilenceLimits silenceLimits() {
-        if (!route.repeatRule().mayRunAgain() || possiblyRunTargets.size() + 1 >= route.maximumTargets()) {
+        if (!route.retryPolicy().allowsRerun() || possiblyRunTargets.size() + 1 >= route.maximumTargets()) {
             return Attempt.SilenceLimits.NONE;
         }
-        if (route.repeatRule().isStream()) {
+        if (route.retryPolicy().isStream()) {
             return new Attempt.SilenceLimits(
                     Optional.of(services.settings().firstEventTimeout()),
                     Optional.of(services.settings().nextEventTimeout()));
@@ -344,7 +348,7 @@
                 excludedTargets.add(target.id());
             }
             if (reason == NotExecuted.ANOTHER_TARGET) {
-                services.registry().ended(target);
+                services.registry().removeEnded(target);
             }
             retryOrGiveUp("not executed: " + reason);
         }
@@ -367,7 +371,7 @@
                 return;
             }
             if (relay.isServerErrorPending()) {
-                services.health().failed(target.id());
+                services.health().onFailure(target.id());
                 possiblyRunTargets.add(target.id());
                 excludedTargets.add(target.id());
                 if (mayRunAgain()) {
@@ -375,7 +379,7 @@
                     return;
                 }
             } else {
-                services.health().succeeded(target.id());
+                services.health().onSuccess(target.id());
             }
             relay.finish();
             finish(OutcomeListener.Kind.ANSWERED, relay.status());
@@ -384,7 +388,7 @@
         @Override
         public void onFailed(boolean mayHaveRun, String reason) {
             attempt = Optional.empty();
-            services.health().failed(target.id());
+            services.health().onFailure(target.id());
             excludedTargets.add(target.id());
             log.logAttemptFailed(target, mayHaveRun, reason, relay.lastEventNumber());
             if (mayHaveRun) {
@@ -400,7 +404,7 @@
     }
 
     private boolean mayRunAgain() {
-        return route.repeatRule().mayRunAgain() && possiblyRunTargets.size() < route.maximumTargets();
+        return route.retryPolicy().allowsRerun() && possiblyRunTargets.size() < route.maximumTargets();
     }
 
     private void retryOrGiveUp(String reason) {
--- a/gateway/src/main/java/org/geraniumreach/gateway/request/ExchangeLog.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/request/ExchangeLog.java
@@ -61,7 +61,7 @@
                 EventCode.REQUEST_PLACED,
                 id,
                 progress.waits()
-                        .after(
+                        .appendTo(
                                 Field.of("target", target.id().value()),
                                 Field.of("reason", send.reason()),
                                 Field.of("adapter", adapter),
@@ -102,7 +102,7 @@
                 event,
                 id,
                 progress.waits()
-                        .after(
+                        .appendTo(
                                 Field.of("code", code),
                                 Field.of("reason", reason),
                                 Field.of("admitted", progress.admitted()),
--- a/gateway/src/main/java/org/geraniumreach/gateway/request/ExchangeServices.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/request/ExchangeServices.java
@@ -36,7 +36,7 @@
         AdapterLoader adapters,
         QuotaAdmission quotas,
         TargetAdmission admission,
-        RepeatBudgets retryBudgets,
+        RetryBudgets retryBudgets,
         TargetHealth health,
         Timers timers,
         MonotonicClock clock,
--- a/gateway/src/main/java/org/geraniumreach/gateway/request/OutcomeListener.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/request/OutcomeListener.java
@@ -29,11 +29,11 @@
      * @param account the client account that is charged, empty if none
      * @param kind the kind of outcome
      * @param status the HTTP status sent to the caller, 0 if none was
-     * @param arrivals the number of times that the request was sent to a target
+     * @param sends the number of times that the request was sent to a target
      * @param firstPart the time to the first part of the answer, empty if there was none
      * @param firstPartAfterSend the time from the last send to the first part, empty if there was none
      * @param waits the time spent waiting to be sent, by cause
-     * @param longestPause the longest time between two parts of the answer
+     * @param maximumPause the longest time between two parts of the answer
      * @param total the time from receipt to the end
      */
     record Outcome(
@@ -42,11 +42,11 @@
             Optional<AccountId> account,
             Kind kind,
             int status,
-            int arrivals,
+            int sends,
             Optional<Duration> firstPart,
             Optional<Duration> firstPartAfterSend,
             Waits waits,
-            Duration longestPause,
+            Duration maximumPause,
             Duration total) {}
 
     /** The kinds of outcome. */
--- a/gateway/src/main/java/org/geraniumreach/gateway/request/Refusal.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/request/Refusal.java
@@ -67,8 +67,8 @@
         retryAfter.ifPresent(delay -> headers.add(
                 new Header("Retry-After", String.format(Locale.ROOT, "%.2f", delay.toNanos() / NANOS_PER_SECOND))));
         String body = String.format("{\"code\":%d,\"name\":\"%s\",\"message\":\"%s\"}", code.number(), code, message);
-        answer.head(code.httpStatus(), headers);
-        answer.part(body.getBytes(StandardCharsets.UTF_8));
+        answer.writeHead(code.httpStatus(), headers);
+        answer.writePart(body.getBytes(StandardCharsets.UTF_8));
         answer.end();
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/request/RequestHandler.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/request/RequestHandler.java
@@ -71,7 +71,7 @@
 
     /** Cancels the request in its current stage. */
     private static final class ReplaceableCancellable implements Cancellable {
-        private Cancellable current = Cancellable.NOTHING;
+        private Cancellable current = Cancellable.NOOP;
 
         @Override
         public void cancel() {
@@ -80,7 +80,7 @@
     }
 
     /** Called when the entry knows everything that it needs to handle requests. */
-    public void started() {
+    public void onStarted() {
         startupQueue.end();
     }
 
@@ -99,8 +99,8 @@
         if (route.isEmpty()) {
             return refuse(request, answer, Refusal.of(ResultCode.UNKNOWN_PATH, "no route"));
         }
-        Optional<Account> account = request.key().flatMap(current.get()::accountOfKey);
-        boolean requiresKey = current.get().wantsKeys() && !route.get().open();
+        Optional<Account> account = request.key().flatMap(current.get()::accountByKey);
+        boolean requiresKey = current.get().requiresKeys() && !route.get().anonymous();
         if (requiresKey && account.isEmpty()) {
             ResultCode code = request.key().isPresent() ? ResultCode.KEY_REFUSED : ResultCode.KEY_MISSING;
             return refuse(request, answer, Refusal.of(code, "a key of a client account is needed"));
@@ -109,7 +109,7 @@
                 && !drainRule
                         .get()
                         .admits(
-                                route.get().longest(request.callerTimeout()),
+                                route.get().effectiveTimeout(request.callerTimeout()),
                                 services.clock().nanos())) {
             return refuse(
                     request,
@@ -117,7 +117,7 @@
                     Refusal.withRetryAfter(
                             ResultCode.DRAINING, "this entry ends before the request might", Duration.ZERO));
         }
-        String service = route.get().service(serviceDraw.getAsDouble());
+        String service = route.get().chooseService(serviceDraw.getAsDouble());
         services.retryBudgets().recordRequest(service);
         Exchange exchange = new Exchange(
                 services,
@@ -159,7 +159,7 @@
                                         .map(TrafficConfiguration::version)
                                         .orElse(0L)));
         refusal.send(answer);
-        return Cancellable.NOTHING;
+        return Cancellable.NOOP;
     }
 
     /**
@@ -167,7 +167,7 @@
      *
      * @return the number
      */
-    public int open() {
+    public int openExchanges() {
         return openExchanges.size();
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/request/RepeatBudgets.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/request/RetryBudgets.java
@@ -12,7 +12,7 @@
  *
  * <p>Confined to the event loop.
  */
-public final class RepeatBudgets {
+public final class RetryBudgets {
 
     private final Supplier<RetryBudget> budgetFactory;
     private final Map<String, RetryBudget> budgets = new HashMap<>();
@@ -22,7 +22,7 @@
      *
      * @param budgetFactory creates the budget of a service, not null
      */
-    public RepeatBudgets(Supplier<RetryBudget> budgetFactory) {
+    public RetryBudgets(Supplier<RetryBudget> budgetFactory) {
         this.budgetFactory = Objects.requireNonNull(budgetFactory, "budgetFactory");
     }
 
@@ -36,7 +36,7 @@
      * @param service the service, not null
      */
     public void recordRequest(String service) {
-        budgetOf(service).succeeded();
+        budgetOf(service).onSuccess();
     }
 
     /**
@@ -46,6 +46,6 @@
      * @return true if the retry is granted
      */
     public boolean tryRetry(String service) {
-        return budgetOf(service).tryRetry();
+        return budgetOf(service).tryAcquire();
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/request/StartupQueue.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/request/StartupQueue.java
@@ -31,7 +31,7 @@
     /** A held request until it is released or cancelled. */
     private final class HeldRequest implements Cancellable {
         private final Runnable action;
-        private Cancellable timer = Cancellable.NOTHING;
+        private Cancellable timer = Cancellable.NOOP;
 
         private HeldRequest(Runnable action) {
             this.action = action;
@@ -51,7 +51,7 @@
 
     StartupQueue(Timers timers) {
         this.timers = Objects.requireNonNull(timers, "timers");
-        timers.after(MAXIMUM_STARTUP, this::end);
+        timers.schedule(MAXIMUM_STARTUP, this::end);
     }
 
     boolean isEnded() {
@@ -63,7 +63,7 @@
         HeldRequest added = new HeldRequest(action);
         held.add(added);
         Duration fraction = callerTimeout.dividedBy(CALLER_TIMEOUT_DIVISOR);
-        added.timer = timers.after(fraction.compareTo(MAXIMUM_HOLD) < 0 ? fraction : MAXIMUM_HOLD, added::release);
+        added.timer = timers.schedule(fraction.compareTo(MAXIMUM_HOLD) < 0 ? fraction : MAXIMUM_HOLD, added::release);
         return added;
     }
 
--- a/gateway/src/main/java/org/geraniumreach/gateway/request/Waits.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/request/Waits.java
@@ -13,14 +13,14 @@
  *
  * @param rate the wait for quota units of its client account's rate
  * @param adapter the wait for the load of its adapter
- * @param room the wait for prefill capacity at a target that holds its adapter
+ * @param prefillCapacity the wait for prefill capacity at a target that holds its adapter
  */
-public record Waits(Duration rate, Duration adapter, Duration room) {
+public record Waits(Duration rate, Duration adapter, Duration prefillCapacity) {
 
     public Waits {
         Objects.requireNonNull(rate, "rate");
         Objects.requireNonNull(adapter, "adapter");
-        Objects.requireNonNull(room, "room");
+        Objects.requireNonNull(prefillCapacity, "prefillCapacity");
     }
 
     /**
@@ -29,11 +29,11 @@
      * @param fields the other fields, not null
      * @return all fields, not null
      */
-    public Field[] after(Field... fields) {
+    public Field[] appendTo(Field... fields) {
         Stream<Field> waits = Stream.of(
                 Field.of("rateWaitMillis", rate.toMillis()),
                 Field.of("adapterWaitMillis", adapter.toMillis()),
-                Field.of("roomWaitMillis", room.toMillis()));
+                Field.of("roomWaitMillis", prefillCapacity.toMillis()));
         return Stream.concat(Stream.of(fields), waits).toArray(Field[]::new);
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/store/FeedReader.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/store/FeedReader.java
@@ -20,7 +20,7 @@
  *
  * <p>Intended for fleets in which many entries need the same rows. A few entries of each failure domain, the readers, read
  * the store and publish what they find. The other entries read only while the latest reading is older than
- * {@link Pace#maxReadingAge}.
+ * {@link Timing#maxReadingAge}.
  *
  * <p>Invariants: at most one call is in flight. Each row version is delivered once and in order of versions, whichever entry
  * has read it. An update that leaves a gap after the known version is not applied; the store is read instead. After a loss of
@@ -39,15 +39,15 @@
 
     private final StorePort.Table table;
     private final Function<StorePort.StoredRow, Optional<T>> decoder;
-    private final Consumer<StorePort.News<T>> listener;
+    private final Consumer<StorePort.TableUpdate<T>> listener;
     private final StoreAvailability availability;
-    private final Pace timing;
+    private final Timing timing;
     private final Context context;
-    private StorePort.Position position = StorePort.Position.beginning();
+    private StorePort.Position position = StorePort.Position.start();
     private Optional<Long> requestedAfter = Optional.empty();
     private OptionalLong readAt = OptionalLong.empty();
-    private Cancellable call = Cancellable.NOTHING;
-    private Cancellable timer = Cancellable.NOTHING;
+    private Cancellable call = Cancellable.NOOP;
+    private Cancellable timer = Cancellable.NOOP;
     private Duration retryDelay = INITIAL_RETRY_DELAY;
     private boolean callInFlight;
 
@@ -59,9 +59,9 @@
      * @param timeout the time allowed between parts of an answer; for the first part, in addition to the long poll
      * @param maxReadingAge the age of the latest reading at which an entry that is not a reader reads the store itself
      */
-    public record Pace(Duration longPollWait, Duration minimumInterval, Duration timeout, Duration maxReadingAge) {
+    public record Timing(Duration longPollWait, Duration minimumInterval, Duration timeout, Duration maxReadingAge) {
 
-        public Pace {
+        public Timing {
             if (maxReadingAge.compareTo(longPollWait) <= 0) {
                 throw new IllegalArgumentException(
                         "maxReadingAge " + maxReadingAge + " not above longPollWait " + longPollWait);
@@ -103,9 +103,9 @@
     public FeedReader(
             StorePort.Table table,
             Function<StorePort.StoredRow, Optional<T>> decoder,
-            Consumer<StorePort.News<T>> listener,
+            Consumer<StorePort.TableUpdate<T>> listener,
             StoreAvailability availability,
-            Pace timing,
+            Timing timing,
             Context context) {
         this.table = Objects.requireNonNull(table, "table");
         this.decoder = Objects.requireNonNull(decoder, "decoder");
@@ -127,7 +127,7 @@
     /** Each part restarts the timeout: with one for the whole answer, a large table could never be read over a slow link. */
     private void restartTimeout(Duration limit) {
         timer.cancel();
-        timer = context.timers().after(limit, () -> {
+        timer = context.timers().schedule(limit, () -> {
             call.cancel();
             onReply(new StoreReply.Unknown<>("nothing of an answer for " + limit.toMillis() + " ms"));
         });
@@ -152,7 +152,7 @@
             return;
         }
         if (reply instanceof StoreReply.HistoryLost<StorePort.Page>) {
-            position = StorePort.Position.beginning();
+            position = StorePort.Position.start();
             schedule(Duration.ZERO);
             return;
         }
@@ -178,7 +178,7 @@
         if (!context.relay().isReader()) {
             return;
         }
-        boolean connects = !page.whole() && requestedAfter.isPresent();
+        boolean connects = !page.snapshot() && requestedAfter.isPresent();
         StorePort.Page published =
                 connects ? page : new StorePort.Page(List.of(), page.version(), false, page.storeMillis());
         long after = connects ? requestedAfter.get() : page.version();
@@ -199,15 +199,15 @@
         long knownVersion = position.version().orElse(Long.MIN_VALUE);
         List<T> items = new ArrayList<>();
         for (StorePort.StoredRow row : page.rows()) {
-            if (page.whole() || row.version() > knownVersion) {
+            if (page.snapshot() || row.version() > knownVersion) {
                 decoder.apply(row).ifPresent(items::add);
             }
         }
         long newVersion = Math.max(knownVersion, page.version());
         position = new StorePort.Position(Optional.of(newVersion), timing.longPollWait());
-        boolean changed = page.whole() || !items.isEmpty();
+        boolean changed = page.snapshot() || !items.isEmpty();
         if (changed) {
-            listener.accept(new StorePort.News<>(items, newVersion, page.whole()));
+            listener.accept(new StorePort.TableUpdate<>(items, newVersion, page.snapshot()));
         }
         long readingTime = context.storeClock().toLocalNanos(page.storeMillis());
         readAt = OptionalLong.of(Math.max(readingTime, readAt.orElse(readingTime)));
@@ -278,6 +278,6 @@
 
     private void schedule(Duration delay) {
         timer.cancel();
-        timer = context.timers().after(delay, this::read);
+        timer = context.timers().schedule(delay, this::read);
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/store/LeaseRenewer.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/store/LeaseRenewer.java
@@ -36,8 +36,8 @@
     private final RowKey key;
     private final String incarnationText;
     private final Runnable onRenewed;
-    private Cancellable call = Cancellable.NOTHING;
-    private Cancellable timer = Cancellable.NOTHING;
+    private Cancellable call = Cancellable.NOOP;
+    private Cancellable timer = Cancellable.NOOP;
     private boolean released;
 
     /**
@@ -63,7 +63,7 @@
         this.store = Objects.requireNonNull(store, "store");
         this.timers = Objects.requireNonNull(timers, "timers");
         this.availability = Objects.requireNonNull(availability, "availability");
-        this.key = RowKey.of(TargetOwnership.LEASES, instance);
+        this.key = RowKey.of(TargetOwnership.LEASES_TABLE, instance);
         this.incarnationText = Long.toString(incarnation);
         this.onRenewed = Objects.requireNonNull(onRenewed, "onRenewed");
     }
@@ -74,7 +74,7 @@
      * @param text the row's text, not null
      * @return the incarnation, or empty if the lease has not been released
      */
-    public static OptionalLong released(String text) {
+    public static OptionalLong releasedIncarnation(String text) {
         String incarnation = text.startsWith(RELEASED_PREFIX) ? text.substring(RELEASED_PREFIX.length()) : "";
         return incarnation.matches("-?\\d{1,18}") ? OptionalLong.of(Long.parseLong(incarnation)) : OptionalLong.empty();
     }
@@ -84,8 +84,8 @@
         if (released) {
             return;
         }
-        Lease.Sending sending = lease.sending();
-        timer = timers.after(ANSWER_TIMEOUT, () -> {
+        Lease.RenewalStart sending = lease.startRenewal();
+        timer = timers.schedule(ANSWER_TIMEOUT, () -> {
             call.cancel();
             onRenewalReply(sending, new StoreReply.Unknown<>("no answer to a renewal"));
         });
@@ -93,19 +93,19 @@
                 Transaction.empty().withWrite(key, incarnationText), reply -> onRenewalReply(sending, reply));
     }
 
-    private void onRenewalReply(Lease.Sending sending, StoreReply<StorePort.Decision> reply) {
+    private void onRenewalReply(Lease.RenewalStart sending, StoreReply<StorePort.CommitResult> reply) {
         timer.cancel();
         if (released) {
             return;
         }
         availability.record(reply);
-        if (reply instanceof StoreReply.Value<StorePort.Decision>) {
-            lease.renewed(sending);
-            timer = timers.after(RENEWAL_INTERVAL, this::renew);
+        if (reply instanceof StoreReply.Value<StorePort.CommitResult>) {
+            lease.onRenewed(sending);
+            timer = timers.schedule(RENEWAL_INTERVAL, this::renew);
             onRenewed.run();
             return;
         }
-        timer = timers.after(RETRY_DELAY, this::renew);
+        timer = timers.schedule(RETRY_DELAY, this::renew);
     }
 
     /**
--- a/gateway/src/main/java/org/geraniumreach/gateway/store/StoreAvailability.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/store/StoreAvailability.java
@@ -29,10 +29,10 @@
     public interface Listener {
 
         /** Called when the store has become unreachable. */
-        void lost();
+        void onUnreachable();
 
         /** Called when the store has become reachable again. */
-        void answersAgain();
+        void onReachable();
     }
 
     /**
@@ -53,7 +53,7 @@
      *
      * @param listener the listener, not null
      */
-    public void listen(Listener listener) {
+    public void addListener(Listener listener) {
         listeners.add(listener);
     }
 
@@ -79,7 +79,7 @@
         unreachable = true;
         unreachableSince = clock.nanos();
         log.write(EventCode.PLATFORM_UNREACHABLE, subject, Field.of("reason", reason));
-        listeners.forEach(Listener::lost);
+        listeners.forEach(Listener::onUnreachable);
     }
 
     private void markReachable() {
@@ -89,7 +89,7 @@
         unreachable = false;
         long unreachableMillis = (clock.nanos() - unreachableSince) / NANOS_PER_MILLI;
         log.write(EventCode.PLATFORM_REACHABLE, subject, Field.of("awayMillis", unreachableMillis));
-        listeners.forEach(Listener::answersAgain);
+        listeners.forEach(Listener::onReachable);
     }
 
     public boolean isUnreachable() {
--- a/gateway/src/main/java/org/geraniumreach/gateway/traffic/Account.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/traffic/Account.java
@@ -14,7 +14,7 @@
  * @param unitsPerSecond the rate across all entries, 0 for no limit
  * @param burstUnits the burst across all entries
  * @param countsTokens whether a unit is a token rather than a request
- * @param plainUnits the units of a request that does not state its number of tokens
+ * @param defaultUnits the units of a request that does not state its number of tokens
  * @param priority the priority of the account's requests, which overrides that of the route; 0 is the highest
  */
 public record Account(
@@ -22,13 +22,13 @@
         double unitsPerSecond,
         double burstUnits,
         boolean countsTokens,
-        long plainUnits,
+        long defaultUnits,
         OptionalInt priority) {
 
     public Account {
         Objects.requireNonNull(id, "id");
         Objects.requireNonNull(priority, "priority");
-        if (unitsPerSecond < 0 || burstUnits < 0 || plainUnits < 0) {
+        if (unitsPerSecond < 0 || burstUnits < 0 || defaultUnits < 0) {
             throw new IllegalArgumentException("negative limit of account " + id);
         }
     }
--- a/gateway/src/main/java/org/geraniumreach/gateway/traffic/CallerLimits.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/traffic/CallerLimits.java
@@ -9,17 +9,17 @@
  * <p>Immutable and safe for use by several threads.
  *
  * @param maxHeaderBytes the maximum size of a request's head, at least 1
- * @param bodyBytes the maximum size of a body
+ * @param maxBodyBytes the maximum size of a body
  * @param headerTimeout how long a head may take to arrive
- * @param idleTime how long a connection may stay open without a request
+ * @param idleTimeout how long a connection may stay open without a request
  */
-public record CallerLimits(int maxHeaderBytes, int bodyBytes, Duration headerTimeout, Duration idleTime) {
+public record CallerLimits(int maxHeaderBytes, int maxBodyBytes, Duration headerTimeout, Duration idleTimeout) {
 
     public CallerLimits {
         Objects.requireNonNull(headerTimeout, "headerTimeout");
-        Objects.requireNonNull(idleTime, "idleTime");
-        if (maxHeaderBytes < 1 || bodyBytes < 0) {
-            throw new IllegalArgumentException("limits not above zero: " + maxHeaderBytes + ", " + bodyBytes);
+        Objects.requireNonNull(idleTimeout, "idleTimeout");
+        if (maxHeaderBytes < 1 || maxBodyBytes < 0) {
+            throw new IllegalArgumentException("limits not above zero: " + maxHeaderBytes + ", " + maxBodyBytes);
         }
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/traffic/RepeatRule.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/traffic/RetryPolicy.java
@@ -1,15 +1,15 @@
 package org.geraniumreach.gateway.traffic;
 
 /** Whether a request may be sent again after a target may have started to run it. */
-public enum RepeatRule {
+public enum RetryPolicy {
     /** The request is idempotent. */
     IDEMPOTENT,
     /** The request must not run more than once. */
-    ONCE,
+    AT_MOST_ONCE,
     /** The answer is a stream of numbered events that can be resumed after the last event received. */
     RESUMABLE_STREAM,
     /** The answer is a stream of numbered events, and the request must not run more than once. */
-    ONCE_STREAM;
+    AT_MOST_ONCE_STREAM;
 
     /**
      * Queries whether the answer is an event stream.
@@ -17,7 +17,7 @@
      * @return true if it is a stream
      */
     public boolean isStream() {
-        return this == RESUMABLE_STREAM || this == ONCE_STREAM;
+        return this == RESUMABLE_STREAM || this == AT_MOST_ONCE_STREAM;
     }
 
     /**
@@ -25,7 +25,7 @@
      *
      * @return true if it may
      */
-    public boolean mayRunAgain() {
+    public boolean allowsRerun() {
         return this == IDEMPOTENT || this == RESUMABLE_STREAM;
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/traffic/Route.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/traffic/Route.java
@@ -14,31 +14,31 @@
  * @param host the host named in requests, in lower case
  * @param prefix the prefix of the paths
  * @param destinations the services that may run the requests
- * @param repeatRule whether requests may be sent again
+ * @param retryPolicy whether requests may be sent again
  * @param timeout the maximum time that a request may take
- * @param objective the time within which an answer, or the first event of a stream, should arrive
+ * @param latencyObjective the time within which an answer, or the first event of a stream, should arrive
  * @param maximumTargets the maximum number of targets that may run one request of a caller
  * @param priority the priority of the requests, 0 is the highest
- * @param open whether requests need no key
+ * @param anonymous whether requests need no key
  */
 public record Route(
         String name,
         String host,
         String prefix,
         List<Destination> destinations,
-        RepeatRule repeatRule,
+        RetryPolicy retryPolicy,
         Duration timeout,
-        Duration objective,
+        Duration latencyObjective,
         int maximumTargets,
         int priority,
-        boolean open) {
+        boolean anonymous) {
 
     public Route {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(host, "host");
-        Objects.requireNonNull(repeatRule, "repeatRule");
+        Objects.requireNonNull(retryPolicy, "retryPolicy");
         Objects.requireNonNull(timeout, "timeout");
-        Objects.requireNonNull(objective, "objective");
+        Objects.requireNonNull(latencyObjective, "latencyObjective");
         destinations = List.copyOf(destinations);
         if (!prefix.startsWith("/") || !prefix.endsWith("/")) {
             throw new IllegalArgumentException("prefix without a slash at both ends: " + prefix);
@@ -70,7 +70,7 @@
      * @param randomFraction a random number drawn for the request, from 0 inclusive to 1 exclusive
      * @return the service's name, not null
      */
-    public String service(double randomFraction) {
+    public String chooseService(double randomFraction) {
         int totalWeight = destinations.stream().mapToInt(Destination::weight).sum();
         double remaining = randomFraction * totalWeight;
         for (Destination destination : destinations) {
@@ -88,7 +88,7 @@
      * @param callerTimeout how long the caller waits, not null
      * @return the shorter of the caller's and the route's timeout, not null
      */
-    public Duration longest(Duration callerTimeout) {
+    public Duration effectiveTimeout(Duration callerTimeout) {
         return callerTimeout.compareTo(timeout) < 0 ? callerTimeout : timeout;
     }
 }
--- a/gateway/src/main/java/org/geraniumreach/gateway/traffic/ServiceDefinition.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/traffic/ServiceDefinition.java
@@ -26,16 +26,16 @@
     /**
      * The load limit of a target that is warming up.
      *
-     * @param length how long the target takes to warm up, not null
+     * @param warmUpTime how long the target takes to warm up, not null
      * @param requestsPerSecond the rate that the target can take until then, not negative
      */
-    public record ColdStart(Duration length, double requestsPerSecond) {
+    public record ColdStart(Duration warmUpTime, double requestsPerSecond) {
 
         /** For targets that take their full load from the start. */
         public static final ColdStart NONE = new ColdStart(Duration.ZERO, 0);
 
         public ColdStart {
-            Objects.requireNonNull(length, "length");
+            Objects.requireNonNull(warmUpTime, "warmUpTime");
             if (!(requestsPerSecond >= 0)) {
                 throw new IllegalArgumentException("requestsPerSecond below zero: " + requestsPerSecond);
             }
@@ -45,11 +45,11 @@
     /**
      * The properties of a model engine.
      *
-     * @param adapterPlaces the number of adapters that fit beside the base model
+     * @param adapterSlots the number of adapters that fit beside the base model
      * @param batchSize the number of requests that run in one batch
      * @param models the names of the base models
      */
-    public record Engine(int adapterPlaces, int batchSize, List<String> models) {
+    public record Engine(int adapterSlots, int batchSize, List<String> models) {
 
         public Engine {
             models = List.copyOf(models);
--- a/gateway/src/main/java/org/geraniumreach/gateway/traffic/TrafficConfiguration.java
+++ b/gateway/src/main/java/org/geraniumreach/gateway/traffic/TrafficConfiguration.java
@@ -90,7 +90,7 @@
      *
      * @return true if there are client accounts
      */
-    public boolean wantsKeys() {
+    public boolean requiresKeys() {
         return !accounts.isEmpty();
     }
 
@@ -118,7 +118,7 @@
     public Duration shortestObjective() {
         return routesByHost.values().stream()
                 .flatMap(List::stream)
-                .map(Route::objective)
+                .map(Route::latencyObjective)
                 .min(Comparator.naturalOrder())
                 .orElse(Duration.ZERO);
     }
@@ -129,7 +129,7 @@
      * @param key the key, not null
      * @return the account, or empty if no account holds the key
      */
-    public Optional<Account> accountOfKey(String key) {
+    public Optional<Account> accountByKey(String key) {
         return Optional.ofNullable(accountsByKey.get(key));
     }
 
--- a/gateway/src/test/java/org/geraniumreach/gateway/adapter/AdapterSlotsTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/adapter/AdapterSlotsTest.java
@@ -44,9 +44,9 @@
     @Test
     void aLoadRequestThatIsNotRenewedExpires() {
         SimulatedTarget target = new SimulatedTarget(1);
-        target.slots.reported(new TargetReport(0, Map.of("base", Map.of()), Set.of()), 0);
+        target.slots.onReport(new TargetReport(0, Map.of("base", Map.of()), Set.of()), 0);
         target.slots.enqueue(name(1), OptionalLong.empty(), 0);
-        assertThat(target.slots.next(2_000 * MILLI)).isEmpty();
+        assertThat(target.slots.nextCall(2_000 * MILLI)).isEmpty();
         assertThat(target.slots.isBusy()).isFalse();
     }
 
@@ -55,7 +55,7 @@
     @Test
     void aSlowFetchDoesNotDelayThePollOfTheNextFetch() {
         SimulatedTarget target = new SimulatedTarget(1);
-        target.slots.reported(new TargetReport(0, Map.of("base", Map.of()), Set.of()), 0);
+        target.slots.onReport(new TargetReport(0, Map.of("base", Map.of()), Set.of()), 0);
         long usualFetch = 250 * MILLI;
         long now = 0;
         for (int number = 0; number < SLOTS - 1; number++) {
@@ -75,16 +75,16 @@
         for (int number = 0; number < SLOTS; number++) {
             loaded.put("a" + number, 1L);
         }
-        target.slots.reported(new TargetReport(0, Map.of("base", loaded), Set.of()), 0);
+        target.slots.onReport(new TargetReport(0, Map.of("base", loaded), Set.of()), 0);
         long now = 5_000 * MILLI;
-        target.slots.running("other", Set.of(name(0), name(1), name(2)), now);
-        target.slots.running("another", Set.of(name(3), name(4)), now);
+        target.slots.updateRunning("other", Set.of(name(0), name(1), name(2)), now);
+        target.slots.updateRunning("another", Set.of(name(3), name(4)), now);
         now += 1_500 * MILLI;
         target.slots.enqueue(name(9), OptionalLong.empty(), now);
-        assertThat(target.slots.next(now)).isEmpty();
-        target.slots.running("another", Set.of(name(3)), now);
-        AdapterSlots.Step.Send unload =
-                (AdapterSlots.Step.Send) target.slots.next(now).orElseThrow();
+        assertThat(target.slots.nextCall(now)).isEmpty();
+        target.slots.updateRunning("another", Set.of(name(3)), now);
+        AdapterSlots.Call.SendOrder unload =
+                (AdapterSlots.Call.SendOrder) target.slots.nextCall(now).orElseThrow();
         assertThat(unload.adapter()).contains(name(4));
     }
 
@@ -96,12 +96,12 @@
         for (int number = 0; number < SLOTS; number++) {
             loaded.put("a" + number, 1L);
         }
-        target.slots.reported(new TargetReport(0, Map.of("base", loaded), Set.of()), 0);
+        target.slots.onReport(new TargetReport(0, Map.of("base", loaded), Set.of()), 0);
         long now = 5_000 * MILLI;
-        target.slots.running("other", Set.of(name(0), name(1), name(2), name(3), name(4)), now);
+        target.slots.updateRunning("other", Set.of(name(0), name(1), name(2), name(3), name(4)), now);
         assertThat(target.slots.hasSlotFor(name(9), now)).isFalse();
         assertThat(target.slots.hasSlotFor(name(3), now)).isTrue();
-        target.slots.running("other", Set.of(name(0), name(1), name(2), name(3)), now);
+        target.slots.updateRunning("other", Set.of(name(0), name(1), name(2), name(3)), now);
         assertThat(target.slots.hasSlotFor(name(9), now)).isTrue();
         target.slots.enqueue(name(9), OptionalLong.empty(), now);
         assertThat(target.slots.hasSlotFor(name(9), now)).isTrue();
@@ -116,30 +116,30 @@
         for (int number = 0; number < SLOTS; number++) {
             loaded.put("a" + number, 1L);
         }
-        target.slots.reported(new TargetReport(0, Map.of("base", loaded), Set.of()), 0);
-        target.slots.running("gone", Set.of(name(0), name(1), name(2), name(3), name(4)), 0);
+        target.slots.onReport(new TargetReport(0, Map.of("base", loaded), Set.of()), 0);
+        target.slots.updateRunning("gone", Set.of(name(0), name(1), name(2), name(3), name(4)), 0);
         long now = RunningAdapters.REPORT_LIFETIME.toNanos();
         target.slots.enqueue(name(9), OptionalLong.empty(), now);
-        assertThat(target.slots.next(now)).isPresent();
+        assertThat(target.slots.nextCall(now)).isPresent();
     }
 
     @Test
     void noCallIsDueUntilTheFirstPollOfALoad() {
         SimulatedTarget target = new SimulatedTarget(1);
-        target.slots.reported(new TargetReport(0, Map.of("base", Map.of()), Set.of()), 0);
+        target.slots.onReport(new TargetReport(0, Map.of("base", Map.of()), Set.of()), 0);
         load(target.slots, name(0), 0, 250 * MILLI);
         long now = 1_000 * MILLI;
         target.slots.enqueue(name(1), OptionalLong.empty(), now);
-        AdapterSlots.Step.Send order =
-                (AdapterSlots.Step.Send) target.slots.next(now).orElseThrow();
+        AdapterSlots.Call.SendOrder order =
+                (AdapterSlots.Call.SendOrder) target.slots.nextCall(now).orElseThrow();
         assertThat(target.slots.untilNextCall(now)).isEmpty();
-        target.slots.answered(order, OrderResult.ACCEPTED, now);
+        target.slots.onOrderResult(order, OrderResult.ACCEPTED, now);
         assertThat(target.slots.untilNextCall(now)).contains(Duration.ofMillis(230));
         now += 230 * MILLI;
-        AdapterSlots.Step.Send poll =
-                (AdapterSlots.Step.Send) target.slots.next(now).orElseThrow();
+        AdapterSlots.Call.SendOrder poll =
+                (AdapterSlots.Call.SendOrder) target.slots.nextCall(now).orElseThrow();
         assertThat(target.slots.untilNextCall(now)).isEmpty();
-        target.slots.answered(poll, OrderResult.ACCEPTED, now);
+        target.slots.onOrderResult(poll, OrderResult.ACCEPTED, now);
         assertThat(target.slots.untilNextCall(now)).contains(Duration.ofMillis(25));
         target.slots.enqueue(name(2), OptionalLong.empty(), now);
         assertThat(target.slots.untilNextCall(now)).isEmpty();
@@ -148,16 +148,16 @@
     /** Loads an adapter in the given time and returns when the load was noticed. */
     private static long load(AdapterSlots slots, AdapterName adapter, long startedAt, long loadTime) {
         slots.enqueue(adapter, OptionalLong.empty(), startedAt);
-        AdapterSlots.Step.Send order =
-                (AdapterSlots.Step.Send) slots.next(startedAt).orElseThrow();
-        slots.answered(order, OrderResult.ACCEPTED, startedAt);
+        AdapterSlots.Call.SendOrder order =
+                (AdapterSlots.Call.SendOrder) slots.nextCall(startedAt).orElseThrow();
+        slots.onOrderResult(order, OrderResult.ACCEPTED, startedAt);
         long now = startedAt;
         while (slots.isBusy()) {
             now += MILLI;
-            Optional<AdapterSlots.Step> poll = slots.next(now);
+            Optional<AdapterSlots.Call> poll = slots.nextCall(now);
             if (poll.isPresent()) {
                 OrderResult result = now - startedAt >= loadTime ? OrderResult.ALREADY_SO : OrderResult.ACCEPTED;
-                slots.answered((AdapterSlots.Step.Send) poll.get(), result, now);
+                slots.onOrderResult((AdapterSlots.Call.SendOrder) poll.get(), result, now);
             }
         }
         return now;
@@ -172,23 +172,23 @@
         for (int number = 0; number < SLOTS; number++) {
             loaded.put("a" + number, 1L);
         }
-        target.slots.reported(new TargetReport(0, Map.of("base", loaded), Set.of()), 0);
+        target.slots.onReport(new TargetReport(0, Map.of("base", loaded), Set.of()), 0);
         long now = 1_000 * MILLI;
         target.slots.enqueue(name(9), OptionalLong.of(now), now);
-        AdapterSlots.Step.Send unload =
-                (AdapterSlots.Step.Send) target.slots.next(now).orElseThrow();
-        target.slots.answered(unload, OrderResult.ALREADY_SO, now);
+        AdapterSlots.Call.SendOrder unload =
+                (AdapterSlots.Call.SendOrder) target.slots.nextCall(now).orElseThrow();
+        target.slots.onOrderResult(unload, OrderResult.ALREADY_SO, now);
         loaded.remove(unload.adapter().orElseThrow().adapter());
         now += 400 * MILLI;
-        assertThat(target.slots.next(now)).contains(new AdapterSlots.Step.ReadReport());
-        target.slots.reported(new TargetReport(1, Map.of("base", loaded), Set.of()), now);
+        assertThat(target.slots.nextCall(now)).contains(new AdapterSlots.Call.ReadReport());
+        target.slots.onReport(new TargetReport(1, Map.of("base", loaded), Set.of()), now);
         while (target.window.isOpen()) {
             target.window.onFetchStarted();
         }
         target.slots.enqueue(name(9), OptionalLong.of(now), now);
         target.slots.enqueue(unload.adapter().orElseThrow(), OptionalLong.of(now + 1), now);
-        AdapterSlots.Step.Send load =
-                (AdapterSlots.Step.Send) target.slots.next(now).orElseThrow();
+        AdapterSlots.Call.SendOrder load =
+                (AdapterSlots.Call.SendOrder) target.slots.nextCall(now).orElseThrow();
         assertThat(load.adapter()).isEqualTo(unload.adapter());
         assertThat(load.operation()).isEqualTo(Order.Operation.LOAD);
     }
@@ -201,14 +201,14 @@
         for (int number = 0; number < SLOTS; number++) {
             loaded.put("a" + number, 1L);
         }
-        target.slots.reported(new TargetReport(0, Map.of("base", loaded), Set.of()), 0);
+        target.slots.onReport(new TargetReport(0, Map.of("base", loaded), Set.of()), 0);
         target.slots.enqueue(name(9), OptionalLong.empty(), 0);
-        AdapterSlots.Step.Send unload =
-                (AdapterSlots.Step.Send) target.slots.next(0).orElseThrow();
-        target.slots.answered(unload, OrderResult.ACCEPTED, 0);
+        AdapterSlots.Call.SendOrder unload =
+                (AdapterSlots.Call.SendOrder) target.slots.nextCall(0).orElseThrow();
+        target.slots.onOrderResult(unload, OrderResult.ACCEPTED, 0);
         target.slots.enqueue(name(8), OptionalLong.empty(), 100 * MILLI);
-        AdapterSlots.Step.Send next =
-                (AdapterSlots.Step.Send) target.slots.next(100 * MILLI).orElseThrow();
+        AdapterSlots.Call.SendOrder next =
+                (AdapterSlots.Call.SendOrder) target.slots.nextCall(100 * MILLI).orElseThrow();
         assertThat(next.operation()).isEqualTo(Order.Operation.UNLOAD);
         assertThat(next.adapter()).isEqualTo(unload.adapter());
     }
@@ -218,20 +218,20 @@
     @Test
     void anOrderWhoseAnswerWasLostIsSentAgainUnchangedAtOnce() {
         SimulatedTarget target = new SimulatedTarget(1);
-        target.slots.reported(new TargetReport(7, Map.of("base", Map.of()), Set.of()), 0);
+        target.slots.onReport(new TargetReport(7, Map.of("base", Map.of()), Set.of()), 0);
         target.slots.enqueue(name(1), OptionalLong.empty(), 0);
-        AdapterSlots.Step first = target.slots.next(0).orElseThrow();
-        target.slots.answered((AdapterSlots.Step.Send) first, OrderResult.UNKNOWN, 150 * MILLI);
+        AdapterSlots.Call first = target.slots.nextCall(0).orElseThrow();
+        target.slots.onOrderResult((AdapterSlots.Call.SendOrder) first, OrderResult.UNKNOWN, 150 * MILLI);
         target.slots.enqueue(name(2), OptionalLong.empty(), 150 * MILLI);
-        AdapterSlots.Step second = target.slots.next(150 * MILLI).orElseThrow();
+        AdapterSlots.Call second = target.slots.nextCall(150 * MILLI).orElseThrow();
         assertThat(second).isEqualTo(first);
-        target.slots.answered((AdapterSlots.Step.Send) second, OrderResult.ACCEPTED, 160 * MILLI);
-        AdapterSlots.Step.Send poll =
-                (AdapterSlots.Step.Send) target.slots.next(400 * MILLI).orElseThrow();
-        target.slots.answered(poll, OrderResult.ALREADY_SO, 410 * MILLI);
+        target.slots.onOrderResult((AdapterSlots.Call.SendOrder) second, OrderResult.ACCEPTED, 160 * MILLI);
+        AdapterSlots.Call.SendOrder poll =
+                (AdapterSlots.Call.SendOrder) target.slots.nextCall(400 * MILLI).orElseThrow();
+        target.slots.onOrderResult(poll, OrderResult.ALREADY_SO, 410 * MILLI);
         target.slots.enqueue(name(2), OptionalLong.empty(), 410 * MILLI);
-        AdapterSlots.Step.Send other =
-                (AdapterSlots.Step.Send) target.slots.next(410 * MILLI).orElseThrow();
+        AdapterSlots.Call.SendOrder other =
+                (AdapterSlots.Call.SendOrder) target.slots.nextCall(410 * MILLI).orElseThrow();
         assertThat(other.adapter()).contains(name(2));
         assertThat(other.expectedOrders()).isEqualTo(8);
     }
@@ -239,15 +239,15 @@
     @Test
     void aReportIsReadAfterThreeUnansweredAttempts() {
         SimulatedTarget target = new SimulatedTarget(1);
-        target.slots.reported(new TargetReport(7, Map.of("base", Map.of()), Set.of()), 0);
+        target.slots.onReport(new TargetReport(7, Map.of("base", Map.of()), Set.of()), 0);
         target.slots.enqueue(name(1), OptionalLong.empty(), 0);
         long now = 0;
         for (int attempt = 0; attempt < 3; attempt++) {
-            AdapterSlots.Step step = target.slots.next(now).orElseThrow();
+            AdapterSlots.Call step = target.slots.nextCall(now).orElseThrow();
             now += 150 * MILLI;
-            target.slots.answered((AdapterSlots.Step.Send) step, OrderResult.UNKNOWN, now);
+            target.slots.onOrderResult((AdapterSlots.Call.SendOrder) step, OrderResult.UNKNOWN, now);
         }
-        assertThat(target.slots.next(now + 400 * MILLI)).contains(new AdapterSlots.Step.ReadReport());
+        assertThat(target.slots.nextCall(now + 400 * MILLI)).contains(new AdapterSlots.Call.ReadReport());
     }
 
     private static AdapterName name(int number) {
@@ -267,7 +267,7 @@
         private long acceptedOrders;
         private long now;
 
-        private record DelayedOrder(AdapterSlots.Step.Send order, long executedAt) {}
+        private record DelayedOrder(AdapterSlots.Call.SendOrder order, long executedAt) {}
 
         private SimulatedTarget(long seed) {
             this.random = new SplittableRandom(seed);
@@ -280,7 +280,7 @@
                 if (random.nextInt(3) == 0) {
                     slots.enqueue(name(random.nextInt(14)), OptionalLong.empty(), now);
                 }
-                slots.next(now).ifPresent(this::answer);
+                slots.nextCall(now).ifPresent(this::answer);
                 assertThat(resident.size() + loading.size()).isLessThanOrEqualTo(SLOTS);
                 assertThat(window.inFlight()).isBetween(0, SLOTS);
             }
@@ -299,38 +299,38 @@
             due.forEach(delayed -> execute(delayed.order()));
         }
 
-        private void answer(AdapterSlots.Step step) {
-            if (step instanceof AdapterSlots.Step.ReadReport) {
+        private void answer(AdapterSlots.Call step) {
+            if (step instanceof AdapterSlots.Call.ReadReport) {
                 report();
                 return;
             }
-            AdapterSlots.Step.Send send = (AdapterSlots.Step.Send) step;
+            AdapterSlots.Call.SendOrder send = (AdapterSlots.Call.SendOrder) step;
             switch (random.nextInt(12)) {
                 case 0 -> {
                     delayedOrders.add(new DelayedOrder(send, now + random.nextLong(MAX_ORDER_DELAY_MILLIS) * MILLI));
-                    slots.answered(send, OrderResult.UNKNOWN, now);
+                    slots.onOrderResult(send, OrderResult.UNKNOWN, now);
                 }
                 case 1 -> {
                     execute(send);
-                    slots.answered(send, OrderResult.UNKNOWN, now);
+                    slots.onOrderResult(send, OrderResult.UNKNOWN, now);
                 }
-                default -> slots.answered(send, execute(send), now);
+                default -> slots.onOrderResult(send, execute(send), now);
             }
         }
 
         private void report() {
             if (random.nextInt(5) == 0) {
-                slots.reportFailed(now);
+                slots.onReportFailed(now);
                 return;
             }
             Map<String, Long> loaded = new HashMap<>();
             resident.forEach(adapter -> loaded.put(adapter.adapter(), 1L));
             Set<String> loadingNames = new HashSet<>();
             loading.keySet().forEach(adapter -> loadingNames.add(adapter.adapter()));
-            slots.reported(new TargetReport(acceptedOrders, Map.of("base", loaded), loadingNames), now);
+            slots.onReport(new TargetReport(acceptedOrders, Map.of("base", loaded), loadingNames), now);
         }
 
-        private OrderResult execute(AdapterSlots.Step.Send send) {
+        private OrderResult execute(AdapterSlots.Call.SendOrder send) {
             AdapterName adapter = send.adapter().orElseThrow();
             boolean isLoad = send.operation() == Order.Operation.LOAD;
             if (isLoad && loading.containsKey(adapter)) {
@@ -360,17 +360,17 @@
         }
 
         @Override
-        public void arrived(AdapterName adapter, long version) {
+        public void onAdapterLoaded(AdapterName adapter, long version) {
             // The checks use the state of the simulated target.
         }
 
         @Override
-        public void leaves(AdapterName adapter) {
+        public void onAdapterUnavailable(AdapterName adapter) {
             // The checks use the state of the simulated target.
         }
 
         @Override
-        public void modelArrived() {
+        public void onModelLoaded() {
             // The base model is loaded from the beginning.
         }
     }
--- a/gateway/src/test/java/org/geraniumreach/gateway/adapter/TargetOwnershipTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/adapter/TargetOwnershipTest.java
@@ -29,12 +29,12 @@
     private final TargetOwnership ownership = new TargetOwnership("one", INCARNATION, lease, time);
 
     private void renew() {
-        lease.renewed(lease.sending());
+        lease.onRenewed(lease.startRenewal());
     }
 
     private void putHolder(String node, long incarnation, long version) {
         String text = new HolderRow(node, incarnation).toText();
-        ownership.put(KEY, Optional.of(new Row(RowKey.of(TargetOwnership.TABLE, KEY), version, text)));
+        ownership.updateHolder(KEY, Optional.of(new Row(RowKey.of(TargetOwnership.FLEET_TABLE, KEY), version, text)));
     }
 
     private Optional<Transaction> claim() {
@@ -45,7 +45,8 @@
     void aTargetWithoutOwnerIsClaimedOnlyIfItsRowIsStillAbsent() {
         renew();
         assertThat(claim().orElseThrow().conditions())
-                .containsExactly(new Transaction.Condition(RowKey.of(TargetOwnership.TABLE, KEY), Transaction.ABSENT));
+                .containsExactly(new Transaction.Condition(
+                        RowKey.of(TargetOwnership.FLEET_TABLE, KEY), Transaction.ABSENT_VERSION));
     }
 
     @Test
@@ -61,8 +62,8 @@
     @CsvSource({"0, false", "8000, false", "11200, false", "11400, true"})
     void anotherEntrysTargetIsClaimedOnlyAfterItsLeaseAndTheHandoverGap(long millis, boolean claimed) {
         putHolder("two", 1, 7);
-        ownership.seenLease("two", 3, OptionalLong.empty());
-        time.pass(Duration.ofMillis(millis));
+        ownership.updateLease("two", 3, OptionalLong.empty());
+        time.advance(Duration.ofMillis(millis));
         renew();
         assertThat(claim().isPresent()).isEqualTo(claimed);
     }
@@ -73,39 +74,39 @@
     @ParameterizedTest
     @CsvSource({"true, 3900, false", "true, 4100, true", "false, 4100, false", "false, 30100, true"})
     void anEntryThatReleasedItsLeaseCountsAsEndedSoon(boolean released, long millis, boolean ended) {
-        ownership.seenLease("two", 3, released ? OptionalLong.of(1) : OptionalLong.empty());
-        time.pass(Duration.ofMillis(millis));
-        assertThat(ownership.endedFor(Duration.ofSeconds(30)).containsKey("two"))
+        ownership.updateLease("two", 3, released ? OptionalLong.of(1) : OptionalLong.empty());
+        time.advance(Duration.ofMillis(millis));
+        assertThat(ownership.endedEntries(Duration.ofSeconds(30)).containsKey("two"))
                 .isEqualTo(ended);
     }
 
     @Test
     void anEntryThatRenewsItsLeaseAfterReleasingItDoesNotCountAsEnded() {
-        ownership.seenLease("two", 3, OptionalLong.of(1));
-        time.pass(Duration.ofSeconds(2));
-        ownership.seenLease("two", 4, OptionalLong.empty());
-        time.pass(Duration.ofSeconds(10));
-        assertThat(ownership.endedFor(Duration.ofSeconds(30))).isEmpty();
+        ownership.updateLease("two", 3, OptionalLong.of(1));
+        time.advance(Duration.ofSeconds(2));
+        ownership.updateLease("two", 4, OptionalLong.empty());
+        time.advance(Duration.ofSeconds(10));
+        assertThat(ownership.endedEntries(Duration.ofSeconds(30))).isEmpty();
     }
 
     // An owner that renews its lease at the last moment keeps its target.
     @Test
     void aClaimRequiresThatTheLeaseIsUnchanged() {
         putHolder("two", 1, 7);
-        ownership.seenLease("two", 3, OptionalLong.empty());
-        time.pass(Duration.ofSeconds(12));
+        ownership.updateLease("two", 3, OptionalLong.empty());
+        time.advance(Duration.ofSeconds(12));
         renew();
         assertThat(claim().orElseThrow().conditions())
-                .contains(new Transaction.Condition(RowKey.of(TargetOwnership.LEASES, "two"), 3));
+                .contains(new Transaction.Condition(RowKey.of(TargetOwnership.LEASES_TABLE, "two"), 3));
     }
 
     @Test
     void aRenewedLeaseRestartsTheWaitingTime() {
         putHolder("two", 1, 7);
-        ownership.seenLease("two", 3, OptionalLong.empty());
-        time.pass(Duration.ofSeconds(10));
-        ownership.seenLease("two", 4, OptionalLong.empty());
-        time.pass(Duration.ofSeconds(10));
+        ownership.updateLease("two", 3, OptionalLong.empty());
+        time.advance(Duration.ofSeconds(10));
+        ownership.updateLease("two", 4, OptionalLong.empty());
+        time.advance(Duration.ofSeconds(10));
         renew();
         assertThat(claim()).isEmpty();
     }
@@ -116,8 +117,8 @@
     @CsvSource({"1, true", "9, false"})
     void aReleaseCountsOnlyForTheIncarnationThatWroteIt(long releasedBy, boolean claimed) {
         putHolder("two", 1, 7);
-        ownership.seenLease("two", 3, OptionalLong.of(releasedBy));
-        time.pass(Lease.HANDOVER_GAP.plusMillis(100));
+        ownership.updateLease("two", 3, OptionalLong.of(releasedBy));
+        time.advance(Lease.HANDOVER_GAP.plusMillis(100));
         renew();
         assertThat(claim().isPresent()).isEqualTo(claimed);
     }
@@ -136,7 +137,7 @@
     void anOwnerThatWasFrozenHasNoFencingTokenUntilItRenews() {
         renew();
         putHolder("one", INCARNATION, 41);
-        time.stepWall(Duration.ofSeconds(6));
+        time.stepWallClock(Duration.ofSeconds(6));
         assertThat(ownership.fence(TARGET)).isEmpty();
         renew();
         assertThat(ownership.fence(TARGET)).hasValue(41);
@@ -146,7 +147,7 @@
     void anOwnerThatDoesNotRenewLosesItsFencingToken() {
         renew();
         putHolder("one", INCARNATION, 41);
-        time.pass(Lease.DURATION);
+        time.advance(Lease.DURATION);
         assertThat(ownership.fence(TARGET)).isEmpty();
     }
 
--- a/gateway/src/test/java/org/geraniumreach/gateway/adapter/UsageReportsTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/adapter/UsageReportsTest.java
@@ -43,41 +43,41 @@
 
     @Test
     void reportsEachStartedRequestOnceAndTheRunningAdapters() {
-        reports.began(target, FIRST);
-        reports.began(target, FIRST);
-        reports.began(target, SECOND);
-        reports.ended(target, SECOND);
-        assertThat(reports.due(0))
+        reports.onRequestStarted(target, FIRST);
+        reports.onRequestStarted(target, FIRST);
+        reports.onRequestStarted(target, SECOND);
+        reports.onRequestEnded(target, SECOND);
+        assertThat(reports.takeDue(0))
                 .containsExactly(new UsageReports.Report(target, List.of(FIRST, FIRST, SECOND), Set.of(FIRST)));
-        assertThat(reports.due(CHECK)).isEmpty();
+        assertThat(reports.takeDue(CHECK)).isEmpty();
     }
 
     /** Guards against slots that are never freed because the end of a request is not reported. */
     @Test
     void reportsOnceThatNoRequestIsRunning() {
-        reports.began(target, FIRST);
-        reports.due(0);
-        reports.ended(target, FIRST);
-        assertThat(reports.due(CHECK)).containsExactly(new UsageReports.Report(target, List.of(), Set.of()));
-        assertThat(reports.due(100 * CHECK)).isEmpty();
+        reports.onRequestStarted(target, FIRST);
+        reports.takeDue(0);
+        reports.onRequestEnded(target, FIRST);
+        assertThat(reports.takeDue(CHECK)).containsExactly(new UsageReports.Report(target, List.of(), Set.of()));
+        assertThat(reports.takeDue(100 * CHECK)).isEmpty();
     }
 
     /** Guards against traffic between entries that grows with the number of long requests. */
     @Test
     void theReportOfALongRequestIsRenewedEverySecond() {
-        reports.began(target, FIRST);
+        reports.onRequestStarted(target, FIRST);
         int count = 0;
         for (int check = 0; check < 50; check++) {
-            count += reports.due(check * CHECK).size();
+            count += reports.takeDue(check * CHECK).size();
         }
         assertThat(count).isEqualTo(10);
     }
 
     @Test
     void noReportIsDueForATargetThatHasEnded() {
-        reports.began(target, FIRST);
-        reports.forget(target);
-        reports.ended(target, FIRST);
-        assertThat(reports.due(0)).isEmpty();
+        reports.onRequestStarted(target, FIRST);
+        reports.remove(target);
+        reports.onRequestEnded(target, FIRST);
+        assertThat(reports.takeDue(0)).isEmpty();
     }
 }
--- a/gateway/src/test/java/org/geraniumreach/gateway/capacity/EntryCapacityTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/capacity/EntryCapacityTest.java
@@ -43,7 +43,7 @@
     void aLowerCapacityMovesOnlyTasksOfThatEntry() {
         EntryCapacity reduced = entry -> entry.equals("entry-3") ? 0.3 : 1;
         for (int task = 0; task < TASKS; task++) {
-            String before = firstChoice(EntryCapacity.alike(), "duty" + task);
+            String before = firstChoice(EntryCapacity.uniform(), "duty" + task);
             String after = firstChoice(reduced, "duty" + task);
             assertThat(after.equals(before) || before.equals("entry-3")).isTrue();
         }
--- a/gateway/src/test/java/org/geraniumreach/gateway/cold/ColdStartLimiterTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/cold/ColdStartLimiterTest.java
@@ -29,7 +29,7 @@
 class ColdStartLimiterTest {
 
     private static final TargetId ID = TargetId.of("t1");
-    private static final ColdTargets.Tolerance TOLERANCE = new ColdTargets.Tolerance(1.5, 5);
+    private static final ColdStartLimiter.Tolerance TOLERANCE = new ColdStartLimiter.Tolerance(1.5, 5);
     private static final int LIMIT = 23;
     private static final Duration SECOND = Duration.ofSeconds(1);
     private static final ServiceDefinition SERVICE = new ServiceDefinition(
@@ -56,18 +56,18 @@
         private final String name;
         private final Set<String> known;
         private final TargetRegistry registry = new TargetRegistry(time);
-        private final ColdTargets cold;
+        private final ColdStartLimiter cold;
 
         private Entry(String name, Set<String> known) {
             this.name = name;
             this.known = known;
-            this.cold = new ColdTargets(
+            this.cold = new ColdStartLimiter(
                     service -> Optional.of(SERVICE),
                     TOLERANCE,
                     new EqualDivision(name, () -> known),
                     time,
                     (event, id, fields) -> {});
-            registry.listen(cold);
+            registry.addListener(cold);
             reportColdTime(Duration.ofSeconds(30));
         }
 
@@ -80,8 +80,8 @@
         }
 
         private void sendAllAllowed() {
-            while (cold.mayBeSent(target()) && sent.size() < 100_000) {
-                target().sent(0, time.nanos());
+            while (cold.maySendTo(target()) && sent.size() < 100_000) {
+                target().onRequestSent(0, time.nanos());
                 sent.add(time.nanos());
             }
         }
@@ -111,7 +111,7 @@
         List<Entry> entries = new ArrayList<>();
         rows.forEach(name -> entries.add(new Entry(name, new HashSet<>(rows))));
         for (int step = 0; step < 400; step++) {
-            time.pass(Duration.ofMillis(1 + random.nextInt(60)));
+            time.advance(Duration.ofMillis(1 + random.nextInt(60)));
             if (random.nextInt(20) == 0) {
                 int restarted = random.nextInt(entries.size());
                 entries.set(restarted, new Entry(entries.get(restarted).name, new HashSet<>(rows)));
@@ -138,7 +138,7 @@
             rows.add("entry" + number);
         }
         List<Entry> entries = rows.stream().map(name -> new Entry(name, rows)).toList();
-        time.pass(ColdTargets.WINDOW);
+        time.advance(ColdStartLimiter.WINDOW);
         entries.forEach(Entry::sendAllAllowed);
         assertThat(sent).hasSize(expected);
     }
@@ -155,7 +155,7 @@
     @Test
     void anEntryThatDoesNotKnowTheOthersSendsNothing() {
         Entry entry = new Entry("entry", Set.of());
-        time.pass(Duration.ofSeconds(5));
+        time.advance(Duration.ofSeconds(5));
         entry.sendAllAllowed();
         assertThat(sent).isEmpty();
     }
@@ -165,10 +165,10 @@
     void requestsSentBeforeATargetBecameColdCount() {
         Entry entry = new Entry("entry", Set.of("entry"));
         entry.reportColdTime(Duration.ZERO);
-        time.pass(Duration.ofSeconds(5));
+        time.advance(Duration.ofSeconds(5));
         for (int request = 0; request < 5; request++) {
-            assertThat(entry.cold.mayBeSent(entry.target())).isTrue();
-            entry.target().sent(0, time.nanos());
+            assertThat(entry.cold.maySendTo(entry.target())).isTrue();
+            entry.target().onRequestSent(0, time.nanos());
         }
         entry.reportColdTime(Duration.ofSeconds(3));
         entry.sendAllAllowed();
@@ -180,7 +180,7 @@
         Entry entry = new Entry("entry", Set.of("entry"));
         entry.reportColdTime(Duration.ofMillis(500));
         assertThat(entry.cold.isCold(entry.target())).isTrue();
-        time.pass(Duration.ofMillis(501));
+        time.advance(Duration.ofMillis(501));
         assertThat(entry.cold.isCold(entry.target())).isFalse();
         entry.reportColdTime(Duration.ofSeconds(2));
         entry.reportColdTime(Duration.ZERO);
@@ -191,10 +191,10 @@
     @Test
     void aNewTargetThatDoesNotReportItsColdTimeIsCold() {
         Entry entry = new Entry("entry", Set.of("entry"));
-        entry.registry.removed(ID);
+        entry.registry.onRowRemoved(ID);
         entry.registry.put(description(2, Optional.empty()));
         assertThat(entry.cold.isCold(entry.target())).isTrue();
-        time.pass(Duration.ofSeconds(4));
+        time.advance(Duration.ofSeconds(4));
         assertThat(entry.cold.isCold(entry.target())).isFalse();
     }
 
--- a/gateway/src/test/java/org/geraniumreach/gateway/evacuation/EvacuationsTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/evacuation/EvacuationsTest.java
@@ -25,7 +25,7 @@
     private final Evacuations evacuations = new Evacuations(LIMIT, time, (event, id, fields) -> {});
 
     private void update(boolean whole, OptionalLong previousReadAt, OperatorItem... items) {
-        evacuations.onNews(new StorePort.News<>(List.of(items), 1, whole), previousReadAt);
+        evacuations.onOperatorItems(new StorePort.TableUpdate<>(List.of(items), 1, whole), previousReadAt);
     }
 
     private OptionalLong ago(Duration age) {
@@ -39,8 +39,8 @@
         update(false, ago(Duration.ofMillis(readMillisAgo)), new OperatorItem.Evacuation(NORTH));
         Duration sinceRequest = Duration.ofMillis(readMillisAgo);
         Duration remaining = LIMIT.minusMillis(1_500).minus(sinceRequest);
-        time.pass(remaining.isNegative() ? Duration.ZERO : remaining);
-        assertThat(evacuations.phase(NORTH)).isEqualTo(Phase.EMPTY);
+        time.advance(remaining.isNegative() ? Duration.ZERO : remaining);
+        assertThat(evacuations.phase(NORTH)).isEqualTo(Phase.DRAINED);
         assertThat(evacuations.phase(SOUTH)).isEqualTo(Phase.IN_USE);
     }
 
@@ -48,14 +48,14 @@
     @Test
     void aDomainIsDrainedOverTimeIfTheEvacuationIsReadEarly() {
         update(false, ago(Duration.ofMillis(300)), new OperatorItem.Evacuation(NORTH));
-        assertThat(evacuations.phase(NORTH)).isEqualTo(Phase.EMPTYING);
+        assertThat(evacuations.phase(NORTH)).isEqualTo(Phase.DRAINING);
     }
 
     /** Guards against an entry that starts during an evacuation and treats it as a new one. */
     @Test
     void aDomainIsDrainedAtOnceForAnEntryThatStarts() {
         update(true, OptionalLong.empty(), new OperatorItem.Evacuation(NORTH));
-        assertThat(evacuations.phase(NORTH)).isEqualTo(Phase.EMPTY);
+        assertThat(evacuations.phase(NORTH)).isEqualTo(Phase.DRAINED);
     }
 
     /** Guards against using a domain again because its row was rewritten. */
@@ -63,7 +63,7 @@
     void aRewrittenRowDoesNotRestartTheEvacuation() {
         update(true, OptionalLong.empty(), new OperatorItem.Evacuation(NORTH));
         update(false, ago(Duration.ZERO), new OperatorItem.Evacuation(NORTH));
-        assertThat(evacuations.phase(NORTH)).isEqualTo(Phase.EMPTY);
+        assertThat(evacuations.phase(NORTH)).isEqualTo(Phase.DRAINED);
     }
 
     /** Guards against an evacuation that restarts, or never ends, after the store has dropped its history. */
@@ -72,7 +72,7 @@
         update(true, OptionalLong.empty(), new OperatorItem.Evacuation(NORTH), new OperatorItem.Evacuation(SOUTH));
         update(true, ago(Duration.ZERO), new OperatorItem.Evacuation(SOUTH));
         assertThat(evacuations.phase(NORTH)).isEqualTo(Phase.IN_USE);
-        assertThat(evacuations.phase(SOUTH)).isEqualTo(Phase.EMPTY);
+        assertThat(evacuations.phase(SOUTH)).isEqualTo(Phase.DRAINED);
     }
 
     /** Guards against applying the wrong one of two changes that are read together. */
@@ -81,13 +81,13 @@
         update(false, ago(LIMIT), new OperatorItem.Evacuation(NORTH), new OperatorItem.EvacuationEnded(NORTH));
         assertThat(evacuations.phase(NORTH)).isEqualTo(Phase.IN_USE);
         update(false, ago(LIMIT), new OperatorItem.EvacuationEnded(NORTH), new OperatorItem.Evacuation(NORTH));
-        assertThat(evacuations.phase(NORTH)).isEqualTo(Phase.EMPTY);
+        assertThat(evacuations.phase(NORTH)).isEqualTo(Phase.DRAINED);
     }
 
     @Test
     void otherRowsDoNotEndAnEvacuation() {
         update(true, OptionalLong.empty(), new OperatorItem.Evacuation(NORTH));
         update(false, ago(Duration.ZERO), new OperatorItem.Unreadable("config", "no JSON"));
-        assertThat(evacuations.phase(NORTH)).isEqualTo(Phase.EMPTY);
+        assertThat(evacuations.phase(NORTH)).isEqualTo(Phase.DRAINED);
     }
 }
--- a/gateway/src/test/java/org/geraniumreach/gateway/pacing/OwnerAdmissionTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/pacing/OwnerAdmissionTest.java
@@ -59,11 +59,11 @@
 
         private Entry(String name, long incarnation) {
             Lease lease = new Lease(time, time::wallMillis);
-            lease.renewed(lease.sending());
+            lease.onRenewed(lease.startRenewal());
             ownership = new TargetOwnership(name, incarnation, lease, time);
             admission =
                     new OwnerAdmission(ownership, registry, service -> TOKENS_PER_MILLI, this::sendToOwner, time, time);
-            registry.listen(admission);
+            registry.addListener(admission);
             registry.put(description(1));
         }
 
@@ -72,9 +72,9 @@
                 return false;
             }
             if (ownerAnswers) {
-                time.after(LINK_DELAY, () -> {
-                    Decision decision = owner.admission.decide(target, promptTokens, maxDelay);
-                    time.after(LINK_DELAY, () -> admission.onAnswer(number, decision));
+                time.schedule(LINK_DELAY, () -> {
+                    Decision decision = owner.admission.decideForPeer(target, promptTokens, maxDelay);
+                    time.schedule(LINK_DELAY, () -> admission.onAnswer(number, decision));
                 });
             }
             return true;
@@ -95,8 +95,8 @@
                 .orElseThrow();
         Transaction.Write write = claim.writes().get(0);
         Row row = new Row(write.key(), 5, write.value().orElseThrow());
-        owner.ownership.put(write.key().key(), Optional.of(row));
-        other.ownership.put(write.key().key(), Optional.of(row));
+        owner.ownership.updateHolder(write.key().key(), Optional.of(row));
+        other.ownership.updateHolder(write.key().key(), Optional.of(row));
     }
 
     /** Guards against bursts of prompts that no single entry can detect. */
@@ -105,7 +105,7 @@
         owner.send();
         other.send();
         other.send();
-        time.pass(Duration.ofMillis(10));
+        time.advance(Duration.ofMillis(10));
         assertThat(decisions).hasSize(3);
         assertThat(decisions.get(0)).isEqualTo(Decision.IMMEDIATE);
         assertThat(decisions.get(2).delay()).isGreaterThan(Duration.ofMillis(80));
@@ -116,7 +116,7 @@
     void aPromptIsSentSoonIfTheOwnerDoesNotAnswer() {
         ownerAnswers = false;
         other.send();
-        time.pass(Duration.ofMillis(70));
+        time.advance(Duration.ofMillis(70));
         assertThat(decisions).containsExactly(Decision.IMMEDIATE);
         linkOpen = false;
         other.send();
@@ -127,16 +127,17 @@
     @Test
     void anAnswerAfterACancellationIsIgnored() {
         other.send().cancel();
-        time.pass(Duration.ofSeconds(1));
+        time.advance(Duration.ofSeconds(1));
         assertThat(decisions).isEmpty();
     }
 
     @Test
     void anEntryThatDoesNotOwnTheTargetDelaysNoPrompt() {
         for (int prompt = 0; prompt < 20; prompt++) {
-            assertThat(other.admission.decide(ID, PROMPT_TOKENS, MAX_DELAY)).isEqualTo(Decision.IMMEDIATE);
+            assertThat(other.admission.decideForPeer(ID, PROMPT_TOKENS, MAX_DELAY))
+                    .isEqualTo(Decision.IMMEDIATE);
         }
-        assertThat(owner.admission.decide(TargetId.of("unknown"), PROMPT_TOKENS, MAX_DELAY))
+        assertThat(owner.admission.decideForPeer(TargetId.of("unknown"), PROMPT_TOKENS, MAX_DELAY))
                 .isEqualTo(Decision.IMMEDIATE);
     }
 
@@ -146,7 +147,7 @@
         for (int prompt = 0; prompt < 6; prompt++) {
             owner.send();
         }
-        owner.registry.ended(owner.target());
+        owner.registry.removeEnded(owner.target());
         owner.registry.put(description(2));
         decisions.clear();
         owner.send();
--- a/gateway/src/test/java/org/geraniumreach/gateway/placement/PlacementTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/placement/PlacementTest.java
@@ -142,7 +142,7 @@
     void aRequestWaitsAtAnOverloadedHolderRatherThanForALoadElsewhere() {
         Target holder = loadTarget(ADAPTER);
         holder.learnResident(ADAPTER, 1, time.nanos());
-        holder.sent(HALF_SECOND_TOKENS, time.nanos());
+        holder.onRequestSent(HALF_SECOND_TOKENS, time.nanos());
         PlacementDecision decision = entry.place(request(ADAPTER, "s"));
         assertThat(decision).isInstanceOf(PlacementDecision.Send.class);
         assertThat(((PlacementDecision.Send) decision).target()).isEqualTo(holder);
@@ -152,7 +152,7 @@
     void anAdapterIsLoadedElsewhereIfItsHolderIsOverloadedForLongerThanALoadTakes() {
         Target holder = loadTarget(ADAPTER);
         holder.learnResident(ADAPTER, 1, time.nanos());
-        holder.sent(3 * HALF_SECOND_TOKENS, time.nanos());
+        holder.onRequestSent(3 * HALF_SECOND_TOKENS, time.nanos());
         PlacementDecision decision = entry.place(request(ADAPTER, "s"));
         assertThat(decision).isInstanceOf(PlacementDecision.Load.class);
         assertThat(((PlacementDecision.Load) decision).target()).isNotEqualTo(holder);
@@ -164,7 +164,7 @@
     void overloadDependsOnTheObservedPrefillRate() {
         Target holder = loadTarget(ADAPTER);
         holder.learnResident(ADAPTER, 1, time.nanos());
-        holder.sent(3 * HALF_SECOND_TOKENS, time.nanos());
+        holder.onRequestSent(3 * HALF_SECOND_TOKENS, time.nanos());
         assertThat(entry.place(request(ADAPTER, "s"))).isInstanceOf(PlacementDecision.Load.class);
         trainPrefillRate(entry, 3 * TOKENS_PER_MILLI);
         assertThat(entry.place(request(ADAPTER, "s"))).isInstanceOf(PlacementDecision.Send.class);
@@ -175,7 +175,7 @@
     @Test
     void aRequestStaysWithTheTargetThatLoadsItsAdapter() {
         Target home = loadTarget(ADAPTER);
-        home.sent(4 * HALF_SECOND_TOKENS, time.nanos());
+        home.onRequestSent(4 * HALF_SECOND_TOKENS, time.nanos());
         assertThat(loadTarget(ADAPTER)).isNotEqualTo(home);
         assertThat(entry.place(request(ADAPTER, "s", Set.of(home.id())))).isEqualTo(new PlacementDecision.Load(home));
     }
@@ -185,7 +185,7 @@
     @Test
     void aHomeWithFewPendingPromptsIsNotPassedOverForALoad() {
         Target home = loadTarget(ADAPTER);
-        home.sent(HALF_SECOND_TOKENS, time.nanos());
+        home.onRequestSent(HALF_SECOND_TOKENS, time.nanos());
         assertThat(loadTarget(ADAPTER)).isEqualTo(home);
     }
 
@@ -198,7 +198,7 @@
         for (int second = 0; second < 30; second++) {
             recordRequests(ADAPTER, adapterRate);
             recordRequests(new AdapterName(MODEL, "other"), otherRate);
-            time.pass(Duration.ofSeconds(1));
+            time.advance(Duration.ofSeconds(1));
         }
         assertThat(loadedHomes()).hasSize(homes);
     }
@@ -219,7 +219,7 @@
         entries = 33;
         for (int second = 0; second < 30; second++) {
             recordRequests(ADAPTER, 1);
-            time.pass(Duration.ofSeconds(1));
+            time.advance(Duration.ofSeconds(1));
         }
         assertThat(loadedHomes().size()).isBetween(5, TARGET_COUNT);
     }
@@ -270,7 +270,7 @@
         Target away = registry.find(TargetId.of("away")).orElseThrow();
         away.learnResident(ADAPTER, 1, time.nanos());
         PlacementDecision decision =
-                restricted(evacuated(OTHER_DOMAIN, Evacuations.Phase.EMPTY)).place(request(ADAPTER, "s"));
+                restricted(evacuated(OTHER_DOMAIN, Evacuations.Phase.DRAINED)).place(request(ADAPTER, "s"));
         assertThat(decision).isInstanceOf(PlacementDecision.Load.class);
         assertThat(((PlacementDecision.Load) decision).target().description().failureDomain())
                 .isNotEqualTo(OTHER_DOMAIN);
@@ -283,7 +283,7 @@
         Target away = registry.find(TargetId.of("away")).orElseThrow();
         away.learnResident(ADAPTER, 1, time.nanos());
         PlacementDecision.Send send = (PlacementDecision.Send)
-                restricted(evacuated(OTHER_DOMAIN, Evacuations.Phase.EMPTYING)).place(request(ADAPTER, "s"));
+                restricted(evacuated(OTHER_DOMAIN, Evacuations.Phase.DRAINING)).place(request(ADAPTER, "s"));
         assertThat(send.target()).isSameAs(away);
         assertThat(send.alsoLoad()).isPresent();
         assertThat(send.alsoLoad().get().description().failureDomain()).isNotEqualTo(OTHER_DOMAIN);
@@ -292,7 +292,7 @@
     /** Guards against loads at targets that will soon receive no more requests. */
     @Test
     void nothingIsLoadedInADomainBeingEmptied() {
-        PlacementDecision decision = restricted(evacuated(FailureDomain.of("here"), Evacuations.Phase.EMPTYING))
+        PlacementDecision decision = restricted(evacuated(FailureDomain.of("here"), Evacuations.Phase.DRAINING))
                 .place(request(ADAPTER, "s"));
         assertThat(decision).isEqualTo(new PlacementDecision.Unplaceable(PlacementDecision.Reason.NO_HOLDER));
     }
@@ -306,7 +306,7 @@
         TargetConditions conditions = new TargetConditions(
                 target -> true,
                 target -> true,
-                domain -> cold ? Evacuations.Phase.IN_USE : Evacuations.Phase.EMPTY,
+                domain -> cold ? Evacuations.Phase.IN_USE : Evacuations.Phase.DRAINED,
                 target -> !cold);
         assertThat(restricted(conditions).place(request(ADAPTER, "s")))
                 .isEqualTo(new PlacementDecision.Unplaceable(reason));
--- a/gateway/src/test/java/org/geraniumreach/gateway/placement/TargetRegistryTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/placement/TargetRegistryTest.java
@@ -36,17 +36,17 @@
 
     private void removeRowJustAfterAnOutageAndPutOneHeartbeat() {
         registry.put(description(1, false));
-        registry.storeLost();
-        time.pass(Duration.ofSeconds(7));
-        registry.storeAnswers();
-        registry.removed(ID);
+        registry.onStoreUnavailable();
+        time.advance(Duration.ofSeconds(7));
+        registry.onStoreAvailable();
+        registry.onRowRemoved(ID);
         registry.put(description(1, false));
     }
 
     @Test
     void aTargetWhoseRowIsRemovedIsRemoved() {
         registry.put(description(1, false));
-        registry.removed(ID);
+        registry.onRowRemoved(ID);
         assertThat(registry.find(ID)).isEmpty();
     }
 
@@ -55,13 +55,13 @@
     @Test
     void targetsWhoseRowsLapseInAnOutageAreKeptForTwoSecondsAfterIt() {
         registry.put(description(1, false));
-        registry.storeLost();
-        time.pass(Duration.ofSeconds(5));
-        registry.removed(ID);
+        registry.onStoreUnavailable();
+        time.advance(Duration.ofSeconds(5));
+        registry.onRowRemoved(ID);
         registry.expire();
         assertThat(registry.find(ID)).isPresent();
-        registry.storeAnswers();
-        time.pass(TargetRegistry.ROW_RETURN_TIMEOUT);
+        registry.onStoreAvailable();
+        time.advance(TargetRegistry.ROW_RETURN_TIMEOUT);
         registry.expire();
         assertThat(registry.find(ID)).isEmpty();
     }
@@ -71,10 +71,10 @@
     @Test
     void aLateHeartbeatAfterAnOutageKeepsATargetOnlyUntilTheNextIsDue() {
         removeRowJustAfterAnOutageAndPutOneHeartbeat();
-        time.pass(TargetRegistry.SECOND_HEARTBEAT_TIMEOUT.minusMillis(1));
+        time.advance(TargetRegistry.SECOND_HEARTBEAT_TIMEOUT.minusMillis(1));
         registry.expire();
         assertThat(registry.find(ID)).isPresent();
-        time.pass(Duration.ofMillis(1));
+        time.advance(Duration.ofMillis(1));
         registry.expire();
         assertThat(registry.find(ID)).isEmpty();
     }
@@ -82,7 +82,7 @@
     @Test
     void aTargetRemovedAfterOneHeartbeatReturnsWithTheNext() {
         removeRowJustAfterAnOutageAndPutOneHeartbeat();
-        time.pass(TargetRegistry.SECOND_HEARTBEAT_TIMEOUT);
+        time.advance(TargetRegistry.SECOND_HEARTBEAT_TIMEOUT);
         registry.expire();
         registry.put(description(1, false));
         assertThat(registry.find(ID)).isPresent();
@@ -93,10 +93,10 @@
     @Test
     void aLateHeartbeatDoesNotRestoreADepartedTarget() {
         registry.put(description(1, false));
-        registry.removed(ID);
+        registry.onRowRemoved(ID);
         registry.put(description(1, false));
         assertThat(registry.find(ID)).isEmpty();
-        registry.removed(ID);
+        registry.onRowRemoved(ID);
         registry.put(description(1, false));
         assertThat(registry.find(ID)).isEmpty();
     }
@@ -106,7 +106,7 @@
     @Test
     void aTargetThatResumesItsHeartbeatsReturns() {
         registry.put(description(1, false));
-        registry.removed(ID);
+        registry.onRowRemoved(ID);
         registry.put(description(1, false));
         registry.put(description(1, false));
         assertThat(registry.find(ID)).isPresent();
@@ -115,7 +115,7 @@
     @Test
     void aRestartedTargetReturnsAtOnce() {
         registry.put(description(1, false));
-        registry.removed(ID);
+        registry.onRowRemoved(ID);
         registry.put(description(2, false));
         assertThat(registry.find(ID)).isPresent();
     }
@@ -135,10 +135,10 @@
     @Test
     void aRowRemovedAtAShortStoreFailureRemovesItsTarget() {
         registry.put(description(1, false));
-        registry.storeLost();
-        time.pass(Duration.ofMillis(300));
-        registry.storeAnswers();
-        registry.removed(ID);
+        registry.onStoreUnavailable();
+        time.advance(Duration.ofMillis(300));
+        registry.onStoreAvailable();
+        registry.onRowRemoved(ID);
         assertThat(registry.find(ID)).isEmpty();
     }
 
@@ -146,16 +146,16 @@
     @Test
     void aTargetWhoseLapsedRowIsRewrittenIsKept() {
         registry.put(description(1, false));
-        registry.storeLost();
-        time.pass(Duration.ofSeconds(4));
+        registry.onStoreUnavailable();
+        time.advance(Duration.ofSeconds(4));
         registry.replaceAll(List.of());
-        registry.storeAnswers();
+        registry.onStoreAvailable();
         registry.put(description(1, false));
-        time.pass(Duration.ofMillis(1_200));
+        time.advance(Duration.ofMillis(1_200));
         registry.expire();
         assertThat(registry.find(ID)).isPresent();
         registry.put(description(1, false));
-        time.pass(Duration.ofMillis(1_800));
+        time.advance(Duration.ofMillis(1_800));
         registry.expire();
         assertThat(registry.find(ID)).isPresent();
     }
@@ -188,7 +188,7 @@
         target.learnAbsent(new AdapterName("base", "a1"), time.nanos());
         registry.put(description(1, false));
         assertThat(target.residents()).containsOnlyKeys(loaded);
-        time.pass(Target.ROW_LAG);
+        time.advance(Target.ROW_LAG);
         registry.put(description(1, false));
         assertThat(target.residents()).containsOnlyKeys(new AdapterName("base", "a1"));
     }
@@ -210,7 +210,7 @@
         assertThat(registry.findByService("service"))
                 .extracting(target -> target.description().startedAt())
                 .containsExactly(2L);
-        registry.removed(ID);
+        registry.onRowRemoved(ID);
         assertThat(registry.findByService("service")).isEmpty();
     }
 }
--- a/gateway/src/test/java/org/geraniumreach/gateway/placement/TargetUpdatesTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/placement/TargetUpdatesTest.java
@@ -38,7 +38,7 @@
     }
 
     private void apply(boolean whole, TargetItem... items) {
-        updates.onNews(new StorePort.News<>(List.of(items), 1, whole));
+        updates.onUpdate(new StorePort.TableUpdate<>(List.of(items), 1, whole));
     }
 
     // Requests would go to a departed target if its last heartbeat and the removal of its row arrive in the same
@@ -46,7 +46,7 @@
     @Test
     void aRowRemovedAfterAHeartbeatOfTheSameUpdateRemovesItsTarget() {
         apply(true, present());
-        apply(false, present(), new TargetItem.Gone(ID));
+        apply(false, present(), new TargetItem.Removed(ID));
         assertThat(registry.find(ID)).isEmpty();
     }
 
--- a/gateway/src/test/java/org/geraniumreach/gateway/quota/QuotaAdmissionTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/quota/QuotaAdmissionTest.java
@@ -65,14 +65,14 @@
         EntrySimulation simulation = new EntrySimulation(10, 33, UNITS_PER_SECOND);
         simulation.distributeShares();
         SimulatedEntry restarted = new SimulatedEntry("entry-new", simulation);
-        restarted.quotas.put("share/acme", simulation.row);
+        restarted.quotas.applyRow("share/acme", simulation.row);
         simulation.linksOpen = false;
         List<Quotas.Admission> decisions = new ArrayList<>();
         restarted.admission.admit(simulation.account, 1_000, REQUEST_TIMEOUT, decisions::add);
-        simulation.time.pass(Duration.ofMillis(300));
+        simulation.time.advance(Duration.ofMillis(300));
         assertThat(decisions).isEmpty();
         simulation.linksOpen = true;
-        simulation.time.pass(Duration.ofMillis(100));
+        simulation.time.advance(Duration.ofMillis(100));
         assertThat(decisions).hasSize(1);
         assertThat(decisions.get(0).admitted()).isTrue();
     }
@@ -83,14 +83,14 @@
         EntrySimulation simulation = new EntrySimulation(10, 33, UNITS_PER_SECOND);
         simulation.distributeShares();
         SimulatedEntry restarted = new SimulatedEntry("entry-new", simulation);
-        restarted.quotas.put("share/acme", simulation.row);
+        restarted.quotas.applyRow("share/acme", simulation.row);
         simulation.allUnresponsive = true;
         List<Quotas.Admission> decisions = new ArrayList<>();
         restarted.admission.admit(simulation.account, 1_000, REQUEST_TIMEOUT, decisions::add);
-        simulation.time.pass(Duration.ofMillis(900));
+        simulation.time.advance(Duration.ofMillis(900));
         assertThat(decisions).isEmpty();
         simulation.allUnresponsive = false;
-        simulation.time.pass(Duration.ofMillis(300));
+        simulation.time.advance(Duration.ofMillis(300));
         assertThat(decisions).extracting(Quotas.Admission::admitted).containsExactly(true);
     }
 
@@ -100,11 +100,11 @@
         EntrySimulation simulation = new EntrySimulation(10, 33, UNITS_PER_SECOND);
         simulation.distributeShares();
         SimulatedEntry restarted = new SimulatedEntry("entry-new", simulation);
-        restarted.quotas.put("share/acme", simulation.row);
+        restarted.quotas.applyRow("share/acme", simulation.row);
         simulation.allUnresponsive = true;
         List<Quotas.Admission> decisions = new ArrayList<>();
         restarted.admission.admit(simulation.account, 1_000, Duration.ofMillis(800), decisions::add);
-        simulation.time.pass(Duration.ofMillis(700));
+        simulation.time.advance(Duration.ofMillis(700));
         assertThat(decisions).extracting(Quotas.Admission::admitted).containsExactly(false);
     }
 
@@ -114,12 +114,12 @@
         EntrySimulation simulation = new EntrySimulation(13, 33, UNITS_PER_SECOND);
         simulation.distributeShares();
         SimulatedEntry restarted = new SimulatedEntry("entry-new", simulation);
-        restarted.quotas.put("share/acme", simulation.row);
+        restarted.quotas.applyRow("share/acme", simulation.row);
         List<Quotas.Admission> decisions = new ArrayList<>();
         for (int request = 0; request < 40; request++) {
             restarted.admission.admit(simulation.account, 8_000, REQUEST_TIMEOUT, decisions::add);
         }
-        simulation.time.pass(Duration.ofMillis(20));
+        simulation.time.advance(Duration.ofMillis(20));
         assertThat(decisions).hasSize(40);
         restarted.admission.admit(simulation.account, 8_000, REQUEST_TIMEOUT, decisions::add);
         assertThat(decisions).hasSize(41);
@@ -133,8 +133,8 @@
         EntrySimulation simulation = new EntrySimulation(11, 33, UNITS_PER_SECOND);
         simulation.distributeShares();
         SimulatedEntry entry = new SimulatedEntry("entry-new", simulation);
-        entry.quotas.put("share/acme", simulation.row);
-        simulation.time.pass(Duration.ofSeconds(4));
+        entry.quotas.applyRow("share/acme", simulation.row);
+        simulation.time.advance(Duration.ofSeconds(4));
         simulation.linksOpen = false;
         List<Quotas.Admission> decisions = new ArrayList<>();
         entry.admission.admit(simulation.account, 1_000, REQUEST_TIMEOUT, decisions::add);
@@ -234,11 +234,11 @@
                 entries.forEach(this::updateShare);
             }
             // Buckets start half full; wait until they are full.
-            time.pass(Duration.ofSeconds(2));
+            time.advance(Duration.ofSeconds(2));
         }
 
         private void renewLeases() {
-            entries.forEach(entry -> entry.lease.renewed(entry.lease.sending()));
+            entries.forEach(entry -> entry.lease.onRenewed(entry.lease.startRenewal()));
         }
 
         private boolean deliverUnitRequest(SimulatedEntry from, String to, long number, double units) {
@@ -248,10 +248,10 @@
             if (allUnresponsive || to.equals(unresponsiveEntry) || isLost()) {
                 return true;
             }
-            time.after(LINK_DELAY, () -> {
-                Quotas.Admission answer = byName.get(to).quotas.lend(ACCOUNT_ID, units);
+            time.schedule(LINK_DELAY, () -> {
+                Quotas.Admission answer = byName.get(to).quotas.admitForPeer(ACCOUNT_ID, units);
                 if (!isLost()) {
-                    time.after(LINK_DELAY, () -> from.admission.onAnswer(number, answer));
+                    time.schedule(LINK_DELAY, () -> from.admission.onAnswer(number, answer));
                 }
             });
             return true;
@@ -279,7 +279,7 @@
                         sendRequest();
                     }
                 }
-                time.pass(Duration.ofMillis(10));
+                time.advance(Duration.ofMillis(10));
             }
         }
 
@@ -291,7 +291,7 @@
             Cancellable call = entry.admission.admit(
                     account, units, REQUEST_TIMEOUT, decision -> onDecision(startNanos, units, decision));
             if (lossRatio > 0 && random.nextInt(20) == 0) {
-                time.after(Duration.ofMillis(3), call::cancel);
+                time.schedule(Duration.ofMillis(3), call::cancel);
             }
         }
 
@@ -312,26 +312,26 @@
                     .map(each -> each.name)
                     .filter(name -> canReach(entry.name, name))
                     .toList();
-            Optional<Transaction> change = entry.quotas.change(reachable, Map.of());
+            Optional<Transaction> change = entry.quotas.proposeTransaction(reachable, Map.of());
             if (change.isPresent()) {
                 commit(entry, change.get());
             }
             entries.stream()
                     .filter(each -> lossRatio == 0 || random.nextInt(3) > 0)
-                    .forEach(each -> each.quotas.put("share/acme", row));
+                    .forEach(each -> each.quotas.applyRow("share/acme", row));
         }
 
         private void commit(SimulatedEntry entry, Transaction change) {
             boolean current = change.conditions().get(0).version()
-                    == row.map(Row::version).orElse(Transaction.ABSENT);
+                    == row.map(Row::version).orElse(Transaction.ABSENT_VERSION);
             if (!current) {
-                entry.quotas.changeRefused();
+                entry.quotas.onTransactionRefused();
                 return;
             }
             Transaction.Write write = change.writes().get(0);
             row = Optional.of(new Row(write.key(), ++lastVersion, write.value().orElseThrow()));
             assertThat(ShareRow.parse(row.get().value())).isPresent();
-            entry.quotas.put("share/acme", row);
+            entry.quotas.applyRow("share/acme", row);
         }
 
         private double refusedRatio() {
--- a/gateway/src/test/java/org/geraniumreach/gateway/quota/QuotasTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/quota/QuotasTest.java
@@ -51,7 +51,7 @@
         simulation.distributeShares();
         SimulatedEntry entry = simulation.firstHolder();
         assertThat(entry.quotas.admit(ACCOUNT, 10).admitted()).isTrue();
-        simulation.time.pass(Quotas.SHARE_VALIDITY);
+        simulation.time.advance(Quotas.SHARE_VALIDITY);
         assertThat(entry.quotas.admit(ACCOUNT, 10).admitted()).isFalse();
     }
 
@@ -73,7 +73,7 @@
     void wallClockJumpDoesNotStopAdmission(long stepMillis) {
         EntrySimulation simulation = new EntrySimulation(1);
         simulation.distributeShares();
-        simulation.time.stepWall(Duration.ofMillis(stepMillis));
+        simulation.time.stepWallClock(Duration.ofMillis(stepMillis));
         SimulatedEntry entry = simulation.firstHolder();
         assertThat(entry.quotas.admit(ACCOUNT, 10).admitted()).isTrue();
     }
@@ -84,7 +84,7 @@
     void entryFrozenBeyondItsLeaseAdmitsNothing() {
         EntrySimulation simulation = new EntrySimulation(1);
         simulation.distributeShares();
-        simulation.time.stepWall(Quotas.SHARE_VALIDITY);
+        simulation.time.stepWallClock(Quotas.SHARE_VALIDITY);
         SimulatedEntry entry = simulation.firstHolder();
         assertThat(entry.quotas.admit(ACCOUNT, 10).admitted()).isFalse();
     }
@@ -142,18 +142,18 @@
 
         private Overload(Duration shortestObjective) {
             Lease lease = new Lease(time, time::wallMillis);
-            lease.renewed(lease.sending());
+            lease.onRenewed(lease.startRenewal());
             quotas = new Quotas("one", lease, TOLERANCE, time, (event, id, fields) -> {});
             quotas.configure(Map.of(ACCOUNT_ID, ACCOUNT), shortestObjective);
             ShareRow all = ShareRow.empty().with("one", new ShareRow.Share(ShareRow.TOTAL_PARTS, 0));
-            RowKey key = RowKey.of(TargetOwnership.TABLE, "share/acme");
-            quotas.put(key.key(), Optional.of(new Row(key, 1, all.toText())));
+            RowKey key = RowKey.of(TargetOwnership.FLEET_TABLE, "share/acme");
+            quotas.applyRow(key.key(), Optional.of(new Row(key, 1, all.toText())));
         }
 
         private void run(Duration length) {
             long end = time.nanos() + length.toNanos();
             while (time.nanos() < end) {
-                time.pass(Duration.ofNanos(random.nextLong(MEAN_GAP_NANOS * 2)));
+                time.advance(Duration.ofNanos(random.nextLong(MEAN_GAP_NANOS * 2)));
                 if (random.nextInt(LONG_REQUEST_UNITS + SHORT_REQUEST_UNITS) < SHORT_REQUEST_UNITS) {
                     longRequests++;
                     longAdmitted += admit(LONG_REQUEST_UNITS) ? 1 : 0;
@@ -210,7 +210,7 @@
         }
 
         private void distributeShares() {
-            entries.forEach(entry -> entry.lease.renewed(entry.lease.sending()));
+            entries.forEach(entry -> entry.lease.onRenewed(entry.lease.startRenewal()));
             entries.forEach(entry -> updateShare(entry, 2));
         }
 
@@ -218,12 +218,12 @@
             distributeShares();
             long startNanos = time.nanos();
             for (int step = 0; step < 400; step++) {
-                time.pass(Duration.ofMillis(50));
+                time.advance(Duration.ofMillis(50));
                 if (step % 20 == 0) {
                     entries.forEach(
                             entry -> entry.unitsPerSecond = random.nextInt(3) * UNITS_PER_SECOND * random.nextDouble());
                 }
-                entries.forEach(entry -> entry.lease.renewed(entry.lease.sending()));
+                entries.forEach(entry -> entry.lease.onRenewed(entry.lease.startRenewal()));
                 entries.forEach(this::sendRequests);
                 updateShare(entries.get(random.nextInt(entries.size())), random.nextInt(4));
                 if (random.nextInt(3) == 0) {
@@ -245,7 +245,7 @@
         }
 
         private void deliverRow(SimulatedEntry entry) {
-            entry.quotas.put("share/acme", row);
+            entry.quotas.applyRow("share/acme", row);
         }
 
         /**
@@ -253,12 +253,12 @@
          * refused.
          */
         private void updateShare(SimulatedEntry entry, int outcome) {
-            Optional<Transaction> change = entry.quotas.change(ENTRY_NAMES, Map.of());
+            Optional<Transaction> change = entry.quotas.proposeTransaction(ENTRY_NAMES, Map.of());
             if (change.isEmpty()) {
                 return;
             }
             long expected = change.get().conditions().get(0).version();
-            boolean current = expected == row.map(Row::version).orElse(Transaction.ABSENT);
+            boolean current = expected == row.map(Row::version).orElse(Transaction.ABSENT_VERSION);
             if (current) {
                 Transaction.Write write = change.get().writes().get(0);
                 row = Optional.of(
@@ -271,7 +271,7 @@
             if (current) {
                 deliverRow(entry);
             } else {
-                entry.quotas.changeRefused();
+                entry.quotas.onTransactionRefused();
                 deliverRow(entry);
             }
         }
--- a/gateway/src/test/java/org/geraniumreach/gateway/quota/ShareHoldersTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/quota/ShareHoldersTest.java
@@ -18,7 +18,7 @@
         List<String> entries =
                 IntStream.range(0, count).mapToObj(number -> "entry-" + number).toList();
         long holders = entries.stream()
-                .filter(entry -> ShareHolders.isHolder(AccountId.of("acme"), entry, entries, EntryCapacity.alike()))
+                .filter(entry -> ShareHolders.isHolder(AccountId.of("acme"), entry, entries, EntryCapacity.uniform()))
                 .count();
         assertThat(holders).isEqualTo(Math.min(2, count));
     }
--- a/gateway/src/test/java/org/geraniumreach/gateway/request/DrainRuleTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/request/DrainRuleTest.java
@@ -3,8 +3,8 @@
 import java.time.Duration;
 
 import org.geraniumreach.gateway.testing.RecordedAnswer;
-import org.geraniumreach.gateway.testing.RequestWorld;
-import org.geraniumreach.gateway.traffic.RepeatRule;
+import org.geraniumreach.gateway.testing.RequestHarness;
+import org.geraniumreach.gateway.traffic.RetryPolicy;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -33,25 +33,27 @@
     /** Guards against requests that are received just before the process exits and cut off by it. */
     @Test
     void aShortRequestIsRefusedAtOnceAfterClosing() {
-        RequestWorld world = new RequestWorld().route(RepeatRule.ONCE, 1).target("a");
+        RequestHarness world =
+                new RequestHarness().startWithRoute(RetryPolicy.AT_MOST_ONCE, 1).addTarget("a");
         world.drain(Duration.ofSeconds(7));
         world.close();
         RecordedAnswer answer = world.send();
         assertThat(answer.status()).isEqualTo(503);
         assertThat(answer.header("Retry-After")).isNotEmpty();
-        assertThat(world.targets().sent()).isEmpty();
+        assertThat(world.targets().sentRequests()).isEmpty();
     }
 
     // If an entry admitted a long request late in its drain, over a connection that the caller keeps open, it would
     // exit before the target answers. Refused at once, the caller can use another entry.
     @Test
     void aLongRequestLateInADrainIsRefusedAsNotRun() {
-        RequestWorld world = new RequestWorld().route(RepeatRule.ONCE, 1).target("a");
+        RequestHarness world =
+                new RequestHarness().startWithRoute(RetryPolicy.AT_MOST_ONCE, 1).addTarget("a");
         world.drain(Duration.ofSeconds(7));
-        world.time().pass(Duration.ofSeconds(6));
+        world.time().advance(Duration.ofSeconds(6));
         RecordedAnswer answer = world.send();
         assertThat(answer.status()).isEqualTo(503);
         assertThat(answer.header("Retry-After")).isNotEmpty();
-        assertThat(world.targets().sent()).isEmpty();
+        assertThat(world.targets().sentRequests()).isEmpty();
     }
 }
--- a/gateway/src/test/java/org/geraniumreach/gateway/request/ExchangeFuzzTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/request/ExchangeFuzzTest.java
@@ -14,8 +14,8 @@
 import org.geraniumreach.gateway.port.TargetAnswerListener.NotExecuted;
 import org.geraniumreach.gateway.testing.FakeTargets;
 import org.geraniumreach.gateway.testing.RecordedAnswer;
-import org.geraniumreach.gateway.testing.RequestWorld;
-import org.geraniumreach.gateway.traffic.RepeatRule;
+import org.geraniumreach.gateway.testing.RequestHarness;
+import org.geraniumreach.gateway.traffic.RetryPolicy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -34,81 +34,84 @@
     // could be made twice, or made although the caller was told otherwise. The oracle records what each target began.
     @Property(tries = 4000)
     void aSingleRunRequestBeginsAtMostOnceAndNotRunIsAccurate(@ForAll long seed) {
-        new RandomRun(seed, RepeatRule.ONCE).run();
+        new RandomRun(seed, RetryPolicy.AT_MOST_ONCE).run();
     }
 
     @Property(tries = 4000)
     void anIdempotentRequestBeginsOnNoMoreTargetsThanAllowed(@ForAll long seed) {
-        new RandomRun(seed, RepeatRule.IDEMPOTENT).run();
+        new RandomRun(seed, RetryPolicy.IDEMPOTENT).run();
     }
 
     // A caller would miss or repeat events if a resumed stream did not continue right after the last event.
     @Property(tries = 6000)
     void aResumedStreamContainsEachEventOnce(@ForAll long seed) {
-        new RandomRun(seed, RepeatRule.RESUMABLE_STREAM).run();
+        new RandomRun(seed, RetryPolicy.RESUMABLE_STREAM).run();
     }
 
     @Property(tries = 4000)
     void aSingleRunStreamIsNeverResumed(@ForAll long seed) {
-        new RandomRun(seed, RepeatRule.ONCE_STREAM).run();
+        new RandomRun(seed, RetryPolicy.AT_MOST_ONCE_STREAM).run();
     }
 
     /** One run of random steps, checked by an oracle. */
     private static final class RandomRun {
         private final SplittableRandom random;
-        private final RepeatRule rule;
-        private final RequestWorld world = new RequestWorld();
+        private final RetryPolicy rule;
+        private final RequestHarness world = new RequestHarness();
         private final RecordedAnswer answer = new RecordedAnswer();
-        private final Map<FakeTargets.Sent, Long> events = new HashMap<>();
-        private final List<FakeTargets.Sent> withHead = new ArrayList<>();
-        private final List<FakeTargets.Sent> begun = new ArrayList<>();
+        private final Map<FakeTargets.SentRequest, Long> events = new HashMap<>();
+        private final List<FakeTargets.SentRequest> withHead = new ArrayList<>();
+        private final List<FakeTargets.SentRequest> begun = new ArrayList<>();
         private boolean callerGone;
         private boolean ended;
 
-        private RandomRun(long seed, RepeatRule rule) {
+        private RandomRun(long seed, RetryPolicy rule) {
             this.random = new SplittableRandom(seed);
             this.rule = rule;
         }
 
         private void run() {
-            world.route(rule, MAXIMUM_TARGETS).target("a").target("b").target("c");
-            Cancellable caller = world.receive(answer, RequestWorld.KEY, Optional.empty());
+            world.startWithRoute(rule, MAXIMUM_TARGETS)
+                    .addTarget("a")
+                    .addTarget("b")
+                    .addTarget("c");
+            Cancellable caller = world.receive(answer, RequestHarness.KEY, Optional.empty());
             for (int step = 0; step < STEPS; step++) {
                 step(caller);
                 check();
             }
-            world.time().pass(RequestWorld.TIMEOUT.plusSeconds(1));
+            world.time().advance(RequestHarness.TIMEOUT.plusSeconds(1));
             check();
-            assertThat(answer.isOver() || callerGone).isTrue();
-            assertThat(world.targets().open()).isEmpty();
+            assertThat(answer.isEnded() || callerGone).isTrue();
+            assertThat(world.targets().openRequests()).isEmpty();
             assertThat(world.openExchanges()).isZero();
         }
 
         private void step(Cancellable caller) {
-            List<FakeTargets.Sent> open = world.targets().open();
+            List<FakeTargets.SentRequest> open = world.targets().openRequests();
             if (open.isEmpty() || random.nextInt(12) == 0) {
-                world.time().pass(Duration.ofMillis(random.nextInt(900)));
+                world.time().advance(Duration.ofMillis(random.nextInt(900)));
                 return;
             }
             if (random.nextInt(60) == 0) {
-                callerGone = !answer.isOver();
+                callerGone = !answer.isEnded();
                 caller.cancel();
                 return;
             }
             act(open.get(random.nextInt(open.size())));
         }
 
-        private void act(FakeTargets.Sent sent) {
+        private void act(FakeTargets.SentRequest sent) {
             boolean hasHead = withHead.contains(sent);
             switch (random.nextInt(hasHead ? 5 : 4)) {
-                case 0 -> begin(sent, () -> sent.failed(true));
+                case 0 -> begin(sent, () -> sent.fail(true));
                 case 1 -> {
                     if (hasHead) {
-                        begin(sent, () -> sent.failed(true));
+                        begin(sent, () -> sent.fail(true));
                     } else if (random.nextBoolean()) {
-                        sent.failed(false);
+                        sent.fail(false);
                     } else {
-                        sent.notExecuted(random.nextBoolean() ? NotExecuted.SHED : NotExecuted.ANOTHER_TARGET);
+                        sent.answerNotExecuted(random.nextBoolean() ? NotExecuted.SHED : NotExecuted.ANOTHER_TARGET);
                     }
                 }
                 case 2, 3 -> {
@@ -116,37 +119,37 @@
                         part(sent);
                     } else {
                         withHead.add(sent);
-                        begin(sent, () -> sent.head(random.nextInt(4) == 0 ? 500 : 200, rule.isStream()));
+                        begin(sent, () -> sent.answerHead(random.nextInt(4) == 0 ? 500 : 200, rule.isStream()));
                     }
                 }
                 default -> {
                     ended = true;
-                    sent.end();
+                    sent.endAnswer();
                 }
             }
         }
 
-        private void begin(FakeTargets.Sent sent, Runnable action) {
+        private void begin(FakeTargets.SentRequest sent, Runnable action) {
             begun.add(sent);
             action.run();
         }
 
-        private void part(FakeTargets.Sent sent) {
+        private void part(FakeTargets.SentRequest sent) {
             if (!rule.isStream()) {
-                sent.part("body of " + sent.target().id().value());
+                sent.answerPart("body of " + sent.target().id().value());
                 return;
             }
-            long last = events.getOrDefault(sent, sent.envelope().lastEvent().orElse(0));
+            long last = events.getOrDefault(sent, sent.metadata().lastEvent().orElse(0));
             long next = random.nextInt(25) == 0 ? last + 2 : last + 1;
             events.put(sent, next);
             String event = "id: " + next + "\ndata: x\n\n";
-            sent.part(random.nextInt(20) == 0 ? event.substring(0, event.length() - 3) : event);
+            sent.answerPart(random.nextInt(20) == 0 ? event.substring(0, event.length() - 3) : event);
         }
 
         private void check() {
-            assertThat(answer.finalWords()).isLessThanOrEqualTo(1);
-            assertThat(answer.heads()).isLessThanOrEqualTo(1);
-            assertThat(world.targets().open().size()).isLessThanOrEqualTo(1);
+            assertThat(answer.terminationCount()).isLessThanOrEqualTo(1);
+            assertThat(answer.headCount()).isLessThanOrEqualTo(1);
+            assertThat(world.targets().openRequests().size()).isLessThanOrEqualTo(1);
             checkRuns();
             checkEvents();
         }
@@ -154,8 +157,8 @@
         private void checkRuns() {
             long targets =
                     begun.stream().map(sent -> sent.target().id()).distinct().count();
-            assertThat(targets).isLessThanOrEqualTo(rule.mayRunAgain() ? MAXIMUM_TARGETS : 1);
-            boolean saysNotRun = answer.isOver() && (answer.status() == 503 || answer.status() == 429);
+            assertThat(targets).isLessThanOrEqualTo(rule.allowsRerun() ? MAXIMUM_TARGETS : 1);
+            boolean saysNotRun = answer.isEnded() && (answer.status() == 503 || answer.status() == 429);
             if (saysNotRun) {
                 assertThat(begun)
                         .as("attempts begun although \"not run\" was answered")
@@ -171,7 +174,7 @@
                     expected++;
                 }
             }
-            if (answer.isWhole() && answer.status() == 200) {
+            if (answer.isComplete() && answer.status() == 200) {
                 assertThat(ended)
                         .as("the answer is complete only if a target ended it")
                         .isTrue();
--- a/gateway/src/test/java/org/geraniumreach/gateway/request/ExchangeTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/request/ExchangeTest.java
@@ -11,9 +11,9 @@
 import org.geraniumreach.gateway.port.Cancellable;
 import org.geraniumreach.gateway.port.TargetAnswerListener.NotExecuted;
 import org.geraniumreach.gateway.testing.RecordedAnswer;
-import org.geraniumreach.gateway.testing.RequestWorld;
+import org.geraniumreach.gateway.testing.RequestHarness;
 import org.geraniumreach.gateway.traffic.AdapterName;
-import org.geraniumreach.gateway.traffic.RepeatRule;
+import org.geraniumreach.gateway.traffic.RetryPolicy;
 import org.geraniumreach.model.TargetId;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -26,29 +26,29 @@
 
     private static final AdapterName ADAPTER = new AdapterName("base", "a7");
 
-    private final RequestWorld world = new RequestWorld();
+    private final RequestHarness world = new RequestHarness();
 
     @Test
     void aCompleteAnswerIsRelayedWithItsStatusAndHeaders() {
-        world.route(RepeatRule.ONCE, 1).target("a");
+        world.startWithRoute(RetryPolicy.AT_MOST_ONCE, 1).addTarget("a");
         RecordedAnswer answer = world.send();
-        world.targets().last().head(201, false);
-        world.targets().last().part("booked");
-        world.targets().last().end();
+        world.targets().lastRequest().answerHead(201, false);
+        world.targets().lastRequest().answerPart("booked");
+        world.targets().lastRequest().endAnswer();
         assertThat(answer.status()).isEqualTo(201);
         assertThat(answer.text()).isEqualTo("booked");
         assertThat(answer.header("Seal")).isEqualTo("a");
-        assertThat(answer.isWhole()).isTrue();
+        assertThat(answer.isComplete()).isTrue();
     }
 
     // The target may have made the booking before the connection broke. Sent to another target, the request could
     // book twice, so the caller gets a 502 although another target is free.
     @Test
     void aSingleRunRequestIsNotSentAgainAfterItsConnectionBroke() {
-        world.route(RepeatRule.ONCE, 2).target("a").target("b");
+        world.startWithRoute(RetryPolicy.AT_MOST_ONCE, 2).addTarget("a").addTarget("b");
         RecordedAnswer answer = world.send();
-        world.targets().last().failed(true);
-        assertThat(world.targets().sent()).hasSize(1);
+        world.targets().lastRequest().fail(true);
+        assertThat(world.targets().sentRequests()).hasSize(1);
         assertThat(answer.status()).isEqualTo(502);
     }
 
@@ -58,50 +58,53 @@
             value = NotExecuted.class,
             names = {"SHED", "ANOTHER_TARGET"})
     void aRequestThatWasNotExecutedGoesToAnotherTarget(NotExecuted reason) {
-        world.route(RepeatRule.ONCE, 1).target("a").target("b");
+        world.startWithRoute(RetryPolicy.AT_MOST_ONCE, 1).addTarget("a").addTarget("b");
         RecordedAnswer answer = world.send();
-        world.targets().last().notExecuted(reason);
-        assertThat(world.targets().sent()).hasSize(2);
-        world.targets().last().head(200, false);
-        world.targets().last().end();
-        assertThat(answer.isWhole()).isTrue();
+        world.targets().lastRequest().answerNotExecuted(reason);
+        assertThat(world.targets().sentRequests()).hasSize(2);
+        world.targets().lastRequest().answerHead(200, false);
+        world.targets().lastRequest().endAnswer();
+        assertThat(answer.isComplete()).isTrue();
     }
 
     // The only target was never reached, so the request cannot have run.
     @Test
     void aRequestThatReachedNoTargetIsRefusedAsNotRunWithARetryDelay() {
-        world.route(RepeatRule.ONCE, 1).target("a");
+        world.startWithRoute(RetryPolicy.AT_MOST_ONCE, 1).addTarget("a");
         RecordedAnswer answer = world.send();
-        world.targets().last().failed(false);
+        world.targets().lastRequest().fail(false);
         assertThat(answer.status()).isEqualTo(503);
         assertThat(answer.header("Retry-After")).isNotEmpty();
-        assertThat(answer.isWhole()).isTrue();
+        assertThat(answer.isComplete()).isTrue();
     }
 
     @Test
     void anIdempotentRequestIsSentAgainAfterItsConnectionBroke() {
-        world.route(RepeatRule.IDEMPOTENT, 2).target("a").target("b");
+        world.startWithRoute(RetryPolicy.IDEMPOTENT, 2).addTarget("a").addTarget("b");
         RecordedAnswer answer = world.send();
-        world.targets().last().failed(true);
-        assertThat(world.targets().sent()).hasSize(2);
-        assertThat(world.targets().sent().get(0).target())
-                .isNotSameAs(world.targets().last().target());
-        world.targets().last().head(200, false);
-        world.targets().last().end();
+        world.targets().lastRequest().fail(true);
+        assertThat(world.targets().sentRequests()).hasSize(2);
+        assertThat(world.targets().sentRequests().get(0).target())
+                .isNotSameAs(world.targets().lastRequest().target());
+        world.targets().lastRequest().answerHead(200, false);
+        world.targets().lastRequest().endAnswer();
         assertThat(answer.status()).isEqualTo(200);
     }
 
     // Both targets that the route allows ran the request and failed, so the caller gets the error of the last one.
     @Test
     void noMoreTargetsRunARequestThanItsRouteAllows() {
-        world.route(RepeatRule.IDEMPOTENT, 2).target("a").target("b").target("c");
+        world.startWithRoute(RetryPolicy.IDEMPOTENT, 2)
+                .addTarget("a")
+                .addTarget("b")
+                .addTarget("c");
         RecordedAnswer answer = world.send();
         for (int run = 0; run < 2; run++) {
-            world.targets().last().head(500, false);
-            world.targets().last().part("no");
-            world.targets().last().end();
+            world.targets().lastRequest().answerHead(500, false);
+            world.targets().lastRequest().answerPart("no");
+            world.targets().lastRequest().endAnswer();
         }
-        assertThat(world.targets().sent()).hasSize(2);
+        assertThat(world.targets().sentRequests()).hasSize(2);
         assertThat(answer.status()).isEqualTo(500);
         assertThat(answer.text()).isEqualTo("no");
     }
@@ -110,94 +113,94 @@
     // one, under the head of the first.
     @Test
     void aResumableStreamContinuesAfterTheLastCompleteEvent() {
-        world.route(RepeatRule.RESUMABLE_STREAM, 2).target("a").target("b");
+        world.startWithRoute(RetryPolicy.RESUMABLE_STREAM, 2).addTarget("a").addTarget("b");
         RecordedAnswer answer = world.send();
-        world.targets().last().head(200, true);
-        world.targets().last().part("id: 1\ndata: x\n\nid: 2\ndata: y\n\nid: 3\nda");
-        String first = world.targets().last().target().id().value();
-        world.targets().last().failed(true);
-        assertThat(world.targets().last().envelope().lastEvent()).hasValue(2);
-        world.targets().last().head(200, true);
-        world.targets().last().part("id: 3\ndata: z\n\n");
-        world.targets().last().end();
+        world.targets().lastRequest().answerHead(200, true);
+        world.targets().lastRequest().answerPart("id: 1\ndata: x\n\nid: 2\ndata: y\n\nid: 3\nda");
+        String first = world.targets().lastRequest().target().id().value();
+        world.targets().lastRequest().fail(true);
+        assertThat(world.targets().lastRequest().metadata().lastEvent()).hasValue(2);
+        world.targets().lastRequest().answerHead(200, true);
+        world.targets().lastRequest().answerPart("id: 3\ndata: z\n\n");
+        world.targets().lastRequest().endAnswer();
         assertThat(answer.text()).isEqualTo("id: 1\ndata: x\n\nid: 2\ndata: y\n\nid: 3\ndata: z\n\n");
         assertThat(answer.header("Seal")).isEqualTo(first);
-        assertThat(answer.heads()).isEqualTo(1);
-        assertThat(answer.isWhole()).isTrue();
+        assertThat(answer.headCount()).isEqualTo(1);
+        assertThat(answer.isComplete()).isTrue();
     }
 
     // The stream may run only once, so it is aborted instead of ended normally.
     @Test
     void aSingleRunStreamIsAbortedIfItsTargetFails() {
-        world.route(RepeatRule.ONCE_STREAM, 2).target("a").target("b");
+        world.startWithRoute(RetryPolicy.AT_MOST_ONCE_STREAM, 2).addTarget("a").addTarget("b");
         RecordedAnswer answer = world.send();
-        world.targets().last().head(200, true);
-        world.targets().last().part("id: 1\ndata: x\n\n");
-        world.targets().last().failed(true);
-        assertThat(answer.isCut()).isTrue();
-        assertThat(world.targets().sent()).hasSize(1);
+        world.targets().lastRequest().answerHead(200, true);
+        world.targets().lastRequest().answerPart("id: 1\ndata: x\n\n");
+        world.targets().lastRequest().fail(true);
+        assertThat(answer.isAborted()).isTrue();
+        assertThat(world.targets().sentRequests()).hasSize(1);
     }
 
     // The second target repeats or skips an event, so its stream must not continue the answer.
     @ParameterizedTest
     @ValueSource(strings = {"id: 1\ndata: x\n\n", "id: 3\ndata: z\n\n"})
     void anEventOutOfSequenceIsNotRelayed(String event) {
-        world.route(RepeatRule.RESUMABLE_STREAM, 2).target("a").target("b");
+        world.startWithRoute(RetryPolicy.RESUMABLE_STREAM, 2).addTarget("a").addTarget("b");
         RecordedAnswer answer = world.send();
-        world.targets().last().head(200, true);
-        world.targets().last().part("id: 1\ndata: x\n\n");
-        world.targets().last().failed(true);
-        world.targets().last().head(200, true);
-        world.targets().last().part(event);
+        world.targets().lastRequest().answerHead(200, true);
+        world.targets().lastRequest().answerPart("id: 1\ndata: x\n\n");
+        world.targets().lastRequest().fail(true);
+        world.targets().lastRequest().answerHead(200, true);
+        world.targets().lastRequest().answerPart(event);
         assertThat(answer.text()).isEqualTo("id: 1\ndata: x\n\n");
-        assertThat(answer.isCut()).isTrue();
+        assertThat(answer.isAborted()).isTrue();
     }
 
     // The first target accepted the request and sent nothing, so the stream is started at the second.
     @Test
     void aResumableStreamMovesAwayFromASilentTarget() {
-        world.route(RepeatRule.RESUMABLE_STREAM, 2).target("a").target("b");
+        world.startWithRoute(RetryPolicy.RESUMABLE_STREAM, 2).addTarget("a").addTarget("b");
         world.send();
-        world.time().pass(ExchangeSettings.defaults().firstEventTimeout().plusMillis(1));
-        assertThat(world.targets().sent().get(0).isCancelled()).isTrue();
-        assertThat(world.targets().open()).hasSize(1);
+        world.time().advance(ExchangeSettings.defaults().firstEventTimeout().plusMillis(1));
+        assertThat(world.targets().sentRequests().get(0).isCancelled()).isTrue();
+        assertThat(world.targets().openRequests()).hasSize(1);
     }
 
     @Test
     void theAttemptIsCancelledWhenTheCallerDisconnects() {
-        world.route(RepeatRule.ONCE, 1).target("a");
+        world.startWithRoute(RetryPolicy.AT_MOST_ONCE, 1).addTarget("a");
         RecordedAnswer answer = new RecordedAnswer();
-        Cancellable caller = world.receive(answer, RequestWorld.KEY, Optional.empty());
+        Cancellable caller = world.receive(answer, RequestHarness.KEY, Optional.empty());
         caller.cancel();
-        assertThat(world.targets().last().isCancelled()).isTrue();
-        assertThat(answer.isOver()).isFalse();
+        assertThat(world.targets().lastRequest().isCancelled()).isTrue();
+        assertThat(answer.isEnded()).isFalse();
         assertThat(world.openExchanges()).isZero();
     }
 
     // The target still has the request at the timeout of the route, so "not run" must not be answered.
     @Test
     void aRequestAtATargetEndsAsUnknownAtTheTimeoutOfItsRoute() {
-        world.route(RepeatRule.ONCE, 1).target("a");
+        world.startWithRoute(RetryPolicy.AT_MOST_ONCE, 1).addTarget("a");
         RecordedAnswer answer = world.send();
-        world.time().pass(RequestWorld.TIMEOUT.plusMillis(1));
+        world.time().advance(RequestHarness.TIMEOUT.plusMillis(1));
         assertThat(answer.status()).isEqualTo(504);
-        assertThat(world.targets().last().isCancelled()).isTrue();
+        assertThat(world.targets().lastRequest().isCancelled()).isTrue();
     }
 
     @Test
     void anUnknownKeyIsRefusedWithoutContactingATarget() {
-        world.route(RepeatRule.ONCE, 1).target("a");
+        world.startWithRoute(RetryPolicy.AT_MOST_ONCE, 1).addTarget("a");
         RecordedAnswer answer = new RecordedAnswer();
         world.receive(answer, "another-key", Optional.empty());
         assertThat(answer.status()).isEqualTo(401);
-        assertThat(world.targets().sent()).isEmpty();
+        assertThat(world.targets().sentRequests()).isEmpty();
     }
 
     // Without a configuration an entry must ask callers to retry, and never report an unknown route or key.
     @Test
     void anEntryWithoutAConfigurationAsksToRetry() {
         RecordedAnswer answer = world.send();
-        world.time().pass(Duration.ofSeconds(1));
+        world.time().advance(Duration.ofSeconds(1));
         assertThat(answer.status()).isEqualTo(503);
         assertThat(answer.header("Retry-After")).isNotEmpty();
     }
@@ -205,100 +208,100 @@
     /** Guards against requests that wait for a slot at one target while another has a free one. */
     @Test
     void aTargetThatDeclinesALoadIsPassedOverAtOnce() {
-        world.route(RepeatRule.RESUMABLE_STREAM, 2);
+        world.startWithRoute(RetryPolicy.RESUMABLE_STREAM, 2);
         for (String name : List.of("a", "b", "c", "d")) {
-            world.target(name, Map.of("base", Map.of()));
+            world.addTarget(name, Map.of("base", Map.of()));
         }
-        world.adapters().decline("a", "b");
+        world.adapters().setDeclining("a", "b");
         world.send(Optional.of(generation()));
-        assertThat(world.adapters().wanted()).hasSize(1);
-        assertThat(world.adapters().wanted().get(0)).matches("[cd] a7");
+        assertThat(world.adapters().enqueuedLoads()).hasSize(1);
+        assertThat(world.adapters().enqueuedLoads().get(0)).matches("[cd] a7");
     }
 
     /** Guards against requests that move from target to target if all of them decline the load. */
     @Test
     void aRequestWaitsAtTheThirdTargetAfterTwoDeclined() {
-        world.route(RepeatRule.RESUMABLE_STREAM, 2);
+        world.startWithRoute(RetryPolicy.RESUMABLE_STREAM, 2);
         for (String name : List.of("a", "b", "c", "d")) {
-            world.target(name, Map.of("base", Map.of()));
+            world.addTarget(name, Map.of("base", Map.of()));
         }
-        world.adapters().decline("a", "b", "c", "d");
+        world.adapters().setDeclining("a", "b", "c", "d");
         world.send(Optional.of(generation()));
-        assertThat(world.adapters().wanted()).hasSize(1);
+        assertThat(world.adapters().enqueuedLoads()).hasSize(1);
     }
 
     /** Guards against prompts that are sent to a target whose admission refused them. */
     @Test
     void aSaturatedTargetIsPassedOver() {
-        world.route(RepeatRule.RESUMABLE_STREAM, 2);
+        world.startWithRoute(RetryPolicy.RESUMABLE_STREAM, 2);
         for (String name : List.of("a", "b")) {
-            world.target(name, Map.of("base", Map.of("a7", 1L)));
+            world.addTarget(name, Map.of("base", Map.of("a7", 1L)));
         }
         List<String> asked = new ArrayList<>();
-        world.admitBy((target, promptTokens, longestDelay, decided) -> {
+        world.setTargetAdmission((target, promptTokens, longestDelay, decided) -> {
             asked.add(target.id().value());
             decided.accept(asked.size() == 1 ? Decision.SATURATED : new Decision(true, Duration.ofMillis(90)));
-            return Cancellable.NOTHING;
+            return Cancellable.NOOP;
         });
         world.send(Optional.of(generation()));
         assertThat(asked).doesNotHaveDuplicates().hasSize(2);
-        assertThat(world.targets().sent()).isEmpty();
-        world.time().pass(Duration.ofMillis(91));
-        assertThat(world.targets().last().target().id().value()).isEqualTo(asked.get(1));
+        assertThat(world.targets().sentRequests()).isEmpty();
+        world.time().advance(Duration.ofMillis(91));
+        assertThat(world.targets().lastRequest().target().id().value()).isEqualTo(asked.get(1));
     }
 
     /** Guards against requests that are never sent because all targets are saturated. */
     @Test
     void aRequestIsSentWithoutAdmissionAfterThreeRefusals() {
-        world.route(RepeatRule.RESUMABLE_STREAM, 2).target("a", Map.of("base", Map.of("a7", 1L)));
-        world.admitBy((target, promptTokens, longestDelay, decided) -> {
+        world.startWithRoute(RetryPolicy.RESUMABLE_STREAM, 2).addTarget("a", Map.of("base", Map.of("a7", 1L)));
+        world.setTargetAdmission((target, promptTokens, longestDelay, decided) -> {
             decided.accept(Decision.SATURATED);
-            return Cancellable.NOTHING;
+            return Cancellable.NOOP;
         });
         world.send(Optional.of(generation()));
-        assertThat(world.targets().sent()).hasSize(1);
+        assertThat(world.targets().sentRequests()).hasSize(1);
     }
 
     /** Guards against a request that is sent to a target that left while the request was delayed. */
     @Test
     void aDelayedRequestIsNotSentToATargetThatHasLeft() {
-        world.route(RepeatRule.RESUMABLE_STREAM, 2);
+        world.startWithRoute(RetryPolicy.RESUMABLE_STREAM, 2);
         for (String name : List.of("a", "b")) {
-            world.target(name, Map.of("base", Map.of("a7", 1L)));
+            world.addTarget(name, Map.of("base", Map.of("a7", 1L)));
         }
         List<Target> asked = new ArrayList<>();
-        world.admitBy((target, promptTokens, longestDelay, decided) -> {
+        world.setTargetAdmission((target, promptTokens, longestDelay, decided) -> {
             asked.add(target);
             decided.accept(new Decision(true, Duration.ofMillis(90)));
-            return Cancellable.NOTHING;
+            return Cancellable.NOOP;
         });
         world.send(Optional.of(generation()));
-        world.registry().removed(asked.get(0).id());
-        world.time().pass(Duration.ofMillis(200));
-        assertThat(world.targets().last().target()).isNotSameAs(asked.get(0));
+        world.registry().onRowRemoved(asked.get(0).id());
+        world.time().advance(Duration.ofMillis(200));
+        assertThat(world.targets().lastRequest().target()).isNotSameAs(asked.get(0));
     }
 
     @Test
     void aRequestWaitsForItsAdapterAndIsSentOnceItIsLoaded() {
-        world.route(RepeatRule.RESUMABLE_STREAM, 2).target("a", Map.of("base", Map.of()));
+        world.startWithRoute(RetryPolicy.RESUMABLE_STREAM, 2).addTarget("a", Map.of("base", Map.of()));
         world.send(Optional.of(generation()));
-        assertThat(world.adapters().wanted()).contains("a a7");
-        assertThat(world.targets().sent()).isEmpty();
+        assertThat(world.adapters().enqueuedLoads()).contains("a a7");
+        assertThat(world.targets().sentRequests()).isEmpty();
         world.registry()
                 .all()
                 .iterator()
                 .next()
                 .learnResident(new AdapterName("base", "a7"), 1, world.time().nanos());
-        world.adapters().wake();
-        assertThat(world.targets().sent()).hasSize(1);
+        world.adapters().notifyWaiters();
+        assertThat(world.targets().sentRequests()).hasSize(1);
     }
 
     // The load wait is limited to three seconds, well below the timeout of the request.
     @Test
     void aRequestWhoseAdapterIsNotLoadedIsRefusedWellBeforeItsTimeout() {
-        world.route(RepeatRule.RESUMABLE_STREAM, 2).target("a", Map.of("base", Map.of()));
+        world.startWithRoute(RetryPolicy.RESUMABLE_STREAM, 2).addTarget("a", Map.of("base", Map.of()));
         RecordedAnswer answer = world.send(Optional.of(generation()));
-        world.time().pass(Duration.ofSeconds(4));
+        world.time().advance(Duration.ofSeconds(4));
         assertThat(answer.status()).isEqualTo(503);
         assertThat(answer.header("Retry-After")).isNotEmpty();
     }
@@ -306,41 +309,41 @@
     // The only target loads slowly. A refused caller would retry and wait for the same load.
     @Test
     void aRequestKeepsWaitingForASlowLoadIfNoOtherTargetExists() {
-        world.route(RepeatRule.RESUMABLE_STREAM, 2).target("a", Map.of("base", Map.of()));
+        world.startWithRoute(RetryPolicy.RESUMABLE_STREAM, 2).addTarget("a", Map.of("base", Map.of()));
         RecordedAnswer answer = world.send(Optional.of(generation()));
-        world.time().pass(Duration.ofMillis(1_200));
-        assertThat(answer.isOver()).isFalse();
+        world.time().advance(Duration.ofMillis(1_200));
+        assertThat(answer.isEnded()).isFalse();
         world.registry()
                 .all()
                 .iterator()
                 .next()
                 .learnResident(new AdapterName("base", "a7"), 1, world.time().nanos());
-        world.adapters().wake();
-        assertThat(world.targets().sent()).hasSize(1);
+        world.adapters().notifyWaiters();
+        assertThat(world.targets().sentRequests()).hasSize(1);
     }
 
     // The target fails after five seconds, longer than a new request may wait for a load, and the adapter has to be
     // loaded at the other target first. The stream must not be aborted meanwhile.
     @Test
     void aStreamThatLosesItsTargetLateWaitsForALoadElsewhere() {
-        world.route(RepeatRule.RESUMABLE_STREAM, 2)
-                .target("a", Map.of("base", Map.of("a7", 1L)))
-                .target("b", Map.of("base", Map.of()));
+        world.startWithRoute(RetryPolicy.RESUMABLE_STREAM, 2)
+                .addTarget("a", Map.of("base", Map.of("a7", 1L)))
+                .addTarget("b", Map.of("base", Map.of()));
         RecordedAnswer answer = world.send(Optional.of(generation()));
-        world.targets().last().head(200, true);
+        world.targets().lastRequest().answerHead(200, true);
         for (int event = 1; event <= 5; event++) {
-            world.targets().last().part("id: " + event + "\ndata: x\n\n");
-            world.time().pass(Duration.ofSeconds(1));
+            world.targets().lastRequest().answerPart("id: " + event + "\ndata: x\n\n");
+            world.time().advance(Duration.ofSeconds(1));
         }
-        world.targets().last().failed(true);
-        assertThat(answer.isOver()).isFalse();
-        assertThat(world.adapters().wanted()).contains("b a7");
+        world.targets().lastRequest().fail(true);
+        assertThat(answer.isEnded()).isFalse();
+        assertThat(world.adapters().enqueuedLoads()).contains("b a7");
         world.registry()
                 .find(TargetId.of("b"))
                 .orElseThrow()
                 .learnResident(ADAPTER, 1, world.time().nanos());
-        world.adapters().wake();
-        assertThat(world.targets().last().envelope().lastEvent()).hasValue(5);
+        world.adapters().notifyWaiters();
+        assertThat(world.targets().lastRequest().metadata().lastEvent()).hasValue(5);
     }
 
     private static GatewayRequest.Generation generation() {
@@ -358,12 +361,13 @@
     @Test
     void aRequestReceivedBeforeTheConfigurationIsServedOnceItIsKnown() {
         RecordedAnswer answer = world.send();
-        world.time().pass(Duration.ofMillis(500));
-        world.configure(RepeatRule.ONCE, 1).target("a").started();
-        assertThat(world.targets().last().envelope().left()).isEqualTo(RequestWorld.TIMEOUT.minusMillis(500));
-        world.targets().last().head(200, false);
-        world.targets().last().end();
-        assertThat(answer.isWhole()).isTrue();
+        world.time().advance(Duration.ofMillis(500));
+        world.configure(RetryPolicy.AT_MOST_ONCE, 1).addTarget("a").start();
+        assertThat(world.targets().lastRequest().metadata().remainingTime())
+                .isEqualTo(RequestHarness.TIMEOUT.minusMillis(500));
+        world.targets().lastRequest().answerHead(200, false);
+        world.targets().lastRequest().endAnswer();
+        assertThat(answer.isComplete()).isTrue();
         assertThat(answer.status()).isEqualTo(200);
     }
 
@@ -372,10 +376,10 @@
     @Test
     void anEntryWithALongStartupRefusesAtOnce() {
         RecordedAnswer earlyAnswer = world.send();
-        world.time().pass(Duration.ofSeconds(1));
+        world.time().advance(Duration.ofSeconds(1));
         assertThat(earlyAnswer.status()).isEqualTo(503);
         assertThat(earlyAnswer.header("Retry-After")).isNotEmpty();
-        world.time().pass(Duration.ofSeconds(2));
+        world.time().advance(Duration.ofSeconds(2));
         RecordedAnswer lateAnswer = world.send();
         assertThat(lateAnswer.status()).isEqualTo(503);
     }
@@ -383,34 +387,34 @@
     @Test
     void aHeldRequestWhoseCallerDisconnectsIsNotSent() {
         RecordedAnswer answer = new RecordedAnswer();
-        Cancellable received = world.receive(answer, RequestWorld.KEY, Optional.empty());
+        Cancellable received = world.receive(answer, RequestHarness.KEY, Optional.empty());
         received.cancel();
-        world.configure(RepeatRule.ONCE, 1).target("a").started();
-        world.time().pass(Duration.ofSeconds(2));
-        assertThat(world.targets().sent()).isEmpty();
+        world.configure(RetryPolicy.AT_MOST_ONCE, 1).addTarget("a").start();
+        world.time().advance(Duration.ofSeconds(2));
+        assertThat(world.targets().sentRequests()).isEmpty();
     }
 
     // For half a second after all entries have started, none of them may order loads. A request whose adapter is not
     // resident waits instead of being refused.
     @Test
     void aRequestWaitsForAnEntryThatCanLoadItsAdapter() {
-        world.route(RepeatRule.ONCE_STREAM, 1).target("a", Map.of("base", Map.of()));
-        world.targetsHeld(false);
+        world.startWithRoute(RetryPolicy.AT_MOST_ONCE_STREAM, 1).addTarget("a", Map.of("base", Map.of()));
+        world.setTargetsHeld(false);
         RecordedAnswer answer = world.send(Optional.of(generation()));
-        world.time().pass(Duration.ofMillis(500));
-        world.targetsHeld(true);
-        world.time().pass(Duration.ofMillis(200));
-        assertThat(world.adapters().wanted()).isNotEmpty();
-        assertThat(answer.isOver()).isFalse();
+        world.time().advance(Duration.ofMillis(500));
+        world.setTargetsHeld(true);
+        world.time().advance(Duration.ofMillis(200));
+        assertThat(world.adapters().enqueuedLoads()).isNotEmpty();
+        assertThat(answer.isEnded()).isFalse();
     }
 
     // After a long store outage no entry may order loads, so waiting callers are soon asked to retry.
     @Test
     void aRequestIsRefusedSoonIfNoEntryCanLoadItsAdapter() {
-        world.route(RepeatRule.ONCE_STREAM, 1).target("a", Map.of("base", Map.of()));
-        world.targetsHeld(false);
+        world.startWithRoute(RetryPolicy.AT_MOST_ONCE_STREAM, 1).addTarget("a", Map.of("base", Map.of()));
+        world.setTargetsHeld(false);
         RecordedAnswer answer = world.send(Optional.of(generation()));
-        world.time().pass(Duration.ofMillis(1_200));
+        world.time().advance(Duration.ofMillis(1_200));
         assertThat(answer.status()).isEqualTo(503);
         assertThat(answer.header("Retry-After")).isNotEmpty();
     }
@@ -419,11 +423,11 @@
     // asked to retry before that. The objective of this route is 0.8 s.
     @Test
     void aCallerIsAskedToRetryBeforeItAbandonsAWaitForALoad() {
-        world.route(RepeatRule.ONCE_STREAM, 1).target("a", Map.of("base", Map.of()));
+        world.startWithRoute(RetryPolicy.AT_MOST_ONCE_STREAM, 1).addTarget("a", Map.of("base", Map.of()));
         RecordedAnswer answer = world.send(Optional.of(generation()));
-        world.time().pass(Duration.ofMillis(2_500));
-        assertThat(answer.isOver()).isFalse();
-        world.time().pass(Duration.ofMillis(600));
+        world.time().advance(Duration.ofMillis(2_500));
+        assertThat(answer.isEnded()).isFalse();
+        world.time().advance(Duration.ofMillis(600));
         assertThat(answer.status()).isEqualTo(503);
         assertThat(answer.header("Retry-After")).isNotEmpty();
     }
--- a/gateway/src/test/java/org/geraniumreach/gateway/store/FeedReaderTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/store/FeedReaderTest.java
@@ -20,7 +20,7 @@
 
 class FeedReaderTest {
 
-    private static final FeedReader.Pace TIMING = new FeedReader.Pace(
+    private static final FeedReader.Timing TIMING = new FeedReader.Timing(
             Duration.ofSeconds(1), Duration.ofMillis(200), Duration.ofMillis(500), Duration.ofMillis(1_500));
     private static final StorePort.Table TABLE = StorePort.Table.TARGETS;
     private static final long STORE_CLOCK_OFFSET_MILLIS = 77_000;
@@ -93,7 +93,7 @@
     @Test
     void continuesFromTheLastVersion() {
         reply(pageReply("a", 7));
-        time.pass(Duration.ofMillis(200));
+        time.advance(Duration.ofMillis(200));
         assertThat(requestedPositions.get(1).version()).isEqualTo(Optional.of(7L));
         assertThat(receivedItems).containsExactly("a");
     }
@@ -102,9 +102,9 @@
     @Test
     void rereadsTheTableAfterHistoryLoss() {
         reply(pageReply("a", 7));
-        time.pass(Duration.ofMillis(200));
+        time.advance(Duration.ofMillis(200));
         reply(new StoreReply.HistoryLost<>());
-        time.pass(Duration.ZERO);
+        time.advance(Duration.ZERO);
         assertThat(requestedPositions.get(2).version()).isEmpty();
     }
 
@@ -112,12 +112,12 @@
     @Test
     void progressRestartsTheTimeout() {
         for (int part = 0; part < 20; part++) {
-            time.pass(Duration.ofMillis(400));
+            time.advance(Duration.ofMillis(400));
             onProgress.run();
         }
         assertThat(cancelledCalls).isZero();
         assertThat(requestedPositions).hasSize(1);
-        time.pass(Duration.ofMillis(501));
+        time.advance(Duration.ofMillis(501));
         assertThat(cancelledCalls).isEqualTo(1);
     }
 
@@ -125,11 +125,11 @@
     @Test
     void retriesACallThatTimesOut() {
         reply(pageReply("a", 7));
-        time.pass(Duration.ofMillis(200));
-        time.pass(Duration.ofMillis(1_501));
+        time.advance(Duration.ofMillis(200));
+        time.advance(Duration.ofMillis(1_501));
         assertThat(cancelledCalls).isEqualTo(1);
         assertThat(availability.isUnreachable()).isTrue();
-        time.pass(Duration.ofMillis(600));
+        time.advance(Duration.ofMillis(600));
         assertThat(requestedPositions).hasSize(3);
         reply(pageReply("b", 8));
         assertThat(availability.isUnreachable()).isFalse();
@@ -140,7 +140,7 @@
     void backsOffWhileTheStoreRefuses() {
         for (int second = 0; second < 10; second++) {
             reply(new StoreReply.Refused<>("status 503"));
-            time.pass(Duration.ofMillis(500));
+            time.advance(Duration.ofMillis(500));
         }
         assertThat(requestedPositions.size()).isLessThanOrEqualTo(13);
     }
@@ -149,9 +149,9 @@
     void readerPublishesChangesAndFailures() {
         reply(new StoreReply.Value<>(new StorePort.Page(
                 List.of(new StorePort.StoredRow("a", 3, Optional.of("a"))), 7, true, storeMillis())));
-        time.pass(Duration.ofMillis(200));
+        time.advance(Duration.ofMillis(200));
         reply(pageReply("b", 8));
-        time.pass(Duration.ofMillis(200));
+        time.advance(Duration.ofMillis(200));
         reply(new StoreReply.Refused<>("status 503"));
         assertThat(published).hasSize(3);
         assertThat(published.get(0))
@@ -165,7 +165,7 @@
     void followerDoesNotReadWhileUpdatesArrive() {
         becomeFollower();
         for (int update = 0; update < 20; update++) {
-            time.pass(Duration.ofMillis(700));
+            time.advance(Duration.ofMillis(700));
             deliverUpdate(7 + update, page("u" + update, 8 + update, storeMillis()));
         }
         assertThat(requestedPositions).hasSize(1);
@@ -177,11 +177,11 @@
     @Test
     void followerReadsWhenTheLatestReadingIsTooOld() {
         becomeFollower();
-        time.pass(Duration.ofMillis(1_000));
+        time.advance(Duration.ofMillis(1_000));
         deliverUpdate(7, emptyPage(7));
-        time.pass(Duration.ofMillis(1_499));
+        time.advance(Duration.ofMillis(1_499));
         assertThat(requestedPositions).hasSize(1);
-        time.pass(Duration.ofMillis(1));
+        time.advance(Duration.ofMillis(1));
         assertThat(requestedPositions).hasSize(2);
         assertThat(requestedPositions.get(1).version()).contains(7L);
     }
@@ -191,10 +191,10 @@
     void delayedUpdateDoesNotPostponeTheNextReading() {
         becomeFollower();
         long readMillis = storeMillis();
-        time.pass(Duration.ofMillis(1_400));
+        time.advance(Duration.ofMillis(1_400));
         deliverUpdate(7, page("late", 8, readMillis));
         assertThat(receivedItems).containsExactly("a", "late");
-        time.pass(Duration.ofMillis(100));
+        time.advance(Duration.ofMillis(100));
         assertThat(requestedPositions).hasSize(2);
     }
 
@@ -232,7 +232,7 @@
     @Test
     void readerFailureMarksTheStoreUnreachableAndTriggersAReading() {
         becomeFollower();
-        time.pass(Duration.ofMillis(1_100));
+        time.advance(Duration.ofMillis(1_100));
         reader.onUpdate(new FeedUpdate.Unreachable(TABLE, "status 503"));
         assertThat(availability.isUnreachable()).isTrue();
         assertThat(requestedPositions).hasSize(2);
@@ -245,9 +245,9 @@
     void oneReadersFailureIsIgnoredWhileAnotherReads() {
         becomeFollower();
         for (int update = 0; update < 20; update++) {
-            time.pass(Duration.ofMillis(400));
+            time.advance(Duration.ofMillis(400));
             deliverUpdate(7, emptyPage(7));
-            time.pass(Duration.ofMillis(300));
+            time.advance(Duration.ofMillis(300));
             reader.onUpdate(new FeedUpdate.Unreachable(TABLE, "status 503"));
         }
         assertThat(availability.isUnreachable()).isFalse();
@@ -257,12 +257,12 @@
     @Test
     void followerThatBecomesAReaderContinuesReading() {
         becomeFollower();
-        time.pass(Duration.ofMillis(500));
+        time.advance(Duration.ofMillis(500));
         deliverUpdate(7, emptyPage(7));
         isReader = true;
-        time.pass(Duration.ofMillis(1_500));
+        time.advance(Duration.ofMillis(1_500));
         reply(pageReply("b", 8));
-        time.pass(Duration.ofMillis(200));
+        time.advance(Duration.ofMillis(200));
         assertThat(requestedPositions).hasSize(3);
         assertThat(published).hasSize(1);
     }
@@ -272,12 +272,12 @@
     @ValueSource(longs = {3_000, 30_000})
     void processFreezeDoesNotMakeOldReadingsLookFresh(long frozenMillis) {
         becomeFollower();
-        time.pass(Duration.ofMillis(100));
+        time.advance(Duration.ofMillis(100));
         deliverUpdate(7, new StorePort.Page(List.of(), 7, false, storeMillis() + frozenMillis));
         long delayedReadingMillis = storeMillis() + frozenMillis;
-        time.pass(Duration.ofMillis(1_400));
+        time.advance(Duration.ofMillis(1_400));
         deliverUpdate(7, new StorePort.Page(List.of(), 7, false, delayedReadingMillis));
-        time.pass(Duration.ofMillis(100));
+        time.advance(Duration.ofMillis(100));
         assertThat(requestedPositions).hasSize(2);
     }
 
@@ -294,7 +294,7 @@
         }
 
         @Override
-        public Cancellable commit(Transaction transaction, Consumer<StoreReply<Decision>> onReply) {
+        public Cancellable commit(Transaction transaction, Consumer<StoreReply<CommitResult>> onReply) {
             throw new UnsupportedOperationException("this store is read only");
         }
     }
--- a/gateway/src/test/java/org/geraniumreach/gateway/store/ReaderSelectionTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/store/ReaderSelectionTest.java
@@ -22,7 +22,7 @@
                 .filter(self -> {
                     List<String> others = new ArrayList<>(entries);
                     others.remove(self);
-                    return ReaderSelection.isReader(self, others, EntryCapacity.alike());
+                    return ReaderSelection.isReader(self, others, EntryCapacity.uniform());
                 })
                 .toList();
     }
@@ -45,7 +45,7 @@
     /** Guards against no entry reading while links are missing. */
     @Test
     void entryWithoutLinksIsAReader() {
-        assertThat(ReaderSelection.isReader("entry-1", List.of(), EntryCapacity.alike()))
+        assertThat(ReaderSelection.isReader("entry-1", List.of(), EntryCapacity.uniform()))
                 .isTrue();
     }
 
--- a/gateway/src/test/java/org/geraniumreach/gateway/testing/FakeTargets.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/testing/FakeTargets.java
@@ -24,17 +24,17 @@
 
     private static final TargetLoad NO_LOAD = new TargetLoad(Optional.empty());
 
-    private final List<Sent> sentRequests = new ArrayList<>();
+    private final List<SentRequest> sentRequests = new ArrayList<>();
 
     /** A request sent to a target. */
-    public static final class Sent {
+    public static final class SentRequest {
         private final Target target;
-        private final Envelope metadata;
+        private final RequestMetadata metadata;
         private final TargetAnswerListener listener;
         private boolean cancelled;
         private boolean ended;
 
-        private Sent(Target target, Envelope metadata, TargetAnswerListener listener) {
+        private SentRequest(Target target, RequestMetadata metadata, TargetAnswerListener listener) {
             this.target = target;
             this.metadata = metadata;
             this.listener = listener;
@@ -44,7 +44,7 @@
             return target;
         }
 
-        public Envelope envelope() {
+        public RequestMetadata metadata() {
             return metadata;
         }
 
@@ -56,30 +56,30 @@
             return !cancelled && !ended;
         }
 
-        public void notExecuted(TargetAnswerListener.NotExecuted reason) {
+        public void answerNotExecuted(TargetAnswerListener.NotExecuted reason) {
             ended = true;
-            listener.notExecuted(reason, NO_LOAD);
+            listener.onNotExecuted(reason, NO_LOAD);
         }
 
-        public void head(int status, boolean stream) {
-            listener.head(
+        public void answerHead(int status, boolean stream) {
+            listener.onHead(
                     new TargetAnswerHead(
                             status, List.of(new Header("Seal", target.id().value())), stream),
                     NO_LOAD);
         }
 
-        public void part(String text) {
-            listener.part(text.getBytes(StandardCharsets.UTF_8));
+        public void answerPart(String text) {
+            listener.onPart(text.getBytes(StandardCharsets.UTF_8));
         }
 
-        public void end() {
+        public void endAnswer() {
             ended = true;
-            listener.end();
+            listener.onEnd();
         }
 
-        public void failed(boolean mayHaveRun) {
+        public void fail(boolean mayHaveRun) {
             ended = true;
-            listener.failed(mayHaveRun, "failure made by a test");
+            listener.onFailed(mayHaveRun, "failure made by a test");
         }
     }
 
@@ -87,33 +87,33 @@
     public Cancellable send(
             Target target,
             GatewayRequest request,
-            Envelope metadata,
+            RequestMetadata metadata,
             Duration maxIdleTime,
             TargetAnswerListener listener) {
-        Sent sentRequest = new Sent(target, metadata, listener);
+        SentRequest sentRequest = new SentRequest(target, metadata, listener);
         sentRequests.add(sentRequest);
         return () -> sentRequest.cancelled = true;
     }
 
     @Override
-    public Cancellable order(Target target, Order order, String holder, Consumer<OrderResult> onResult) {
+    public Cancellable sendOrder(Target target, Order order, String holder, Consumer<OrderResult> onResult) {
         throw new UnsupportedOperationException("orders are not supported");
     }
 
     @Override
-    public Cancellable report(Target target, Consumer<Optional<TargetReport>> onResult) {
+    public Cancellable fetchReport(Target target, Consumer<Optional<TargetReport>> onResult) {
         throw new UnsupportedOperationException("reports are not supported");
     }
 
-    public List<Sent> sent() {
+    public List<SentRequest> sentRequests() {
         return sentRequests;
     }
 
-    public Sent last() {
+    public SentRequest lastRequest() {
         return sentRequests.get(sentRequests.size() - 1);
     }
 
-    public List<Sent> open() {
-        return sentRequests.stream().filter(Sent::isOpen).toList();
+    public List<SentRequest> openRequests() {
+        return sentRequests.stream().filter(SentRequest::isOpen).toList();
     }
 }
--- a/gateway/src/test/java/org/geraniumreach/gateway/testing/RecordedAnswer.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/testing/RecordedAnswer.java
@@ -17,14 +17,14 @@
     private int headCount;
 
     @Override
-    public void head(int newStatus, List<Header> newHeaders) {
+    public void writeHead(int newStatus, List<Header> newHeaders) {
         headCount++;
         status = newStatus;
         headers = newHeaders;
     }
 
     @Override
-    public void part(byte[] part) {
+    public void writePart(byte[] part) {
         body.writeBytes(part);
     }
 
@@ -45,24 +45,24 @@
         return status;
     }
 
-    public int heads() {
+    public int headCount() {
         return headCount;
     }
 
-    public boolean isWhole() {
+    public boolean isComplete() {
         return endCount == 1;
     }
 
-    public boolean isCut() {
+    public boolean isAborted() {
         return endCount == ABORT_COUNT;
     }
 
-    public boolean isOver() {
+    public boolean isEnded() {
         return endCount > 0;
     }
 
     /** Returns the number of ends and aborts; more than one is a fault. */
-    public int finalWords() {
+    public int terminationCount() {
         return endCount >= ABORT_COUNT ? endCount - ABORT_COUNT + 1 : endCount;
     }
 
@@ -72,7 +72,7 @@
 
     public String header(String name) {
         return headers.stream()
-                .filter(header -> header.isNamed(name))
+                .filter(header -> header.hasName(name))
                 .map(Header::value)
                 .findFirst()
                 .orElse("");
--- a/gateway/src/test/java/org/geraniumreach/gateway/testing/RequestWorld.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/testing/RequestHarness.java
@@ -14,7 +14,7 @@
 import java.util.SplittableRandom;
 
 import org.geraniumreach.gateway.adapter.Lease;
-import org.geraniumreach.gateway.cold.ColdTargets;
+import org.geraniumreach.gateway.cold.ColdStartLimiter;
 import org.geraniumreach.gateway.evacuation.Evacuations;
 import org.geraniumreach.gateway.pacing.TargetAdmission;
 import org.geraniumreach.gateway.placement.Placement;
@@ -31,12 +31,12 @@
 import org.geraniumreach.gateway.request.ExchangeSettings;
 import org.geraniumreach.gateway.request.GatewayRequest;
 import org.geraniumreach.gateway.request.OutcomeListener;
-import org.geraniumreach.gateway.request.RepeatBudgets;
 import org.geraniumreach.gateway.request.RequestHandler;
+import org.geraniumreach.gateway.request.RetryBudgets;
 import org.geraniumreach.gateway.traffic.Account;
 import org.geraniumreach.gateway.traffic.AdapterName;
 import org.geraniumreach.gateway.traffic.CallerLimits;
-import org.geraniumreach.gateway.traffic.RepeatRule;
+import org.geraniumreach.gateway.traffic.RetryPolicy;
 import org.geraniumreach.gateway.traffic.Route;
 import org.geraniumreach.gateway.traffic.ServiceDefinition;
 import org.geraniumreach.gateway.traffic.TrafficConfiguration;
@@ -48,7 +48,7 @@
 import org.geraniumreach.serving.retry.TargetHealth;
 
 /** Runs an entry's request handling with time, targets and callers controlled by a test. */
-public final class RequestWorld {
+public final class RequestHarness {
 
     public static final String HOST = "bookings.example";
     public static final String KEY = "a-key";
@@ -68,9 +68,9 @@
     private Optional<TrafficConfiguration> configuration = Optional.empty();
     private final RequestHandler handler;
     private final Evacuations evacuations = new Evacuations(Duration.ofSeconds(5), time, (event, id, fields) -> {});
-    private final ColdTargets cold = new ColdTargets(
+    private final ColdStartLimiter cold = new ColdStartLimiter(
             name -> configuration.flatMap(current -> current.service(name)),
-            new ColdTargets.Tolerance(1, 0),
+            new ColdStartLimiter.Tolerance(1, 0),
             (target, limit) -> limit,
             time,
             (event, id, fields) -> {});
@@ -92,7 +92,7 @@
         public void enqueue(Target target, AdapterName adapter, Optional<Duration> untilLate, boolean mayDecline) {
             if (mayDecline && declining.contains(target.id())) {
                 declined.add(target.id());
-                wake();
+                notifyWaiters();
                 return;
             }
             enqueuedLoads.add(target.id().value() + ' ' + adapter.adapter());
@@ -104,19 +104,19 @@
         }
 
         /** Makes targets decline loads that may be declined. */
-        public void decline(String... targets) {
+        public void setDeclining(String... targets) {
             for (String target : targets) {
                 declining.add(TargetId.of(target));
             }
         }
 
         @Override
-        public void begun(Target target, AdapterName adapter) {
+        public void onRequestSent(Target target, AdapterName adapter) {
             // Adapters are never evicted.
         }
 
         @Override
-        public void ended(Target target, AdapterName adapter) {
+        public void onRequestEnded(Target target, AdapterName adapter) {
             // Adapters are never evicted.
         }
 
@@ -132,11 +132,11 @@
         }
 
         @Override
-        public long requiredVersion(AdapterName adapter) {
+        public long minimumVersion(AdapterName adapter) {
             return requiredVersion;
         }
 
-        public List<String> wanted() {
+        public List<String> enqueuedLoads() {
             return enqueuedLoads;
         }
 
@@ -145,19 +145,19 @@
             requiredVersion = newRequiredVersion;
         }
 
-        public void wake() {
+        public void notifyWaiters() {
             List.copyOf(waiters).forEach(Runnable::run);
         }
     }
 
-    public RequestWorld() {
+    public RequestHarness() {
         Placement placement = new Placement(
                 registry,
                 new TargetConditions(
                         target -> health.admits(target.id()),
                         target -> targetsHeld,
                         evacuations::phase,
-                        cold::mayBeSent),
+                        cold::maySendTo),
                 () -> 1,
                 FailureDomain.of("here"),
                 PlacementSettings.defaults(),
@@ -171,7 +171,7 @@
                         new QuotaAdmission(quotas, (entry, number, account, units) -> false, time, time, new Random(1)),
                         (target, promptTokens, longestDelay, onDecision) ->
                                 admission.admit(target, promptTokens, longestDelay, onDecision),
-                        new RepeatBudgets(() -> RetryBudget.create(time, 1, 0, RETRY_LIMIT)),
+                        new RetryBudgets(() -> RetryBudget.create(time, 1, 0, RETRY_LIMIT)),
                         health,
                         time,
                         time,
@@ -183,13 +183,13 @@
     }
 
     /** Sets a configuration with one route, and starts the entry. */
-    public RequestWorld route(RepeatRule retryPolicy, int maximumTargets) {
+    public RequestHarness startWithRoute(RetryPolicy retryPolicy, int maximumTargets) {
         configure(retryPolicy, maximumTargets);
-        return started();
+        return start();
     }
 
     /** Sets a configuration with one route. */
-    public RequestWorld configure(RepeatRule retryPolicy, int maximumTargets) {
+    public RequestHarness configure(RetryPolicy retryPolicy, int maximumTargets) {
         Account account = new Account(AccountId.of("acme"), 0, 0, true, 200, OptionalInt.of(1));
         Route route = new Route(
                 "the-route",
@@ -212,11 +212,11 @@
         return this;
     }
 
-    public RequestWorld target(String name) {
-        return target(name, Map.of());
+    public RequestHarness addTarget(String name) {
+        return addTarget(name, Map.of());
     }
 
-    public RequestWorld target(String name, Map<String, Map<String, Long>> models) {
+    public RequestHarness addTarget(String name, Map<String, Map<String, Long>> models) {
         registry.put(new TargetDescription(
                 TargetId.of(name),
                 1,
@@ -261,13 +261,13 @@
     }
 
     /** Sets whether targets have a holder that can order adapter loads. */
-    public void targetsHeld(boolean newTargetsHeld) {
+    public void setTargetsHeld(boolean newTargetsHeld) {
         targetsHeld = newTargetsHeld;
     }
 
     /** Ends the startup phase, so that requests are handled. */
-    public RequestWorld started() {
-        handler.started();
+    public RequestHarness start() {
+        handler.onStarted();
         return this;
     }
 
@@ -275,7 +275,7 @@
         handler.drain(length);
     }
 
-    public void admitBy(TargetAdmission newAdmission) {
+    public void setTargetAdmission(TargetAdmission newAdmission) {
         admission = newAdmission;
     }
 
@@ -304,6 +304,6 @@
     }
 
     public int openExchanges() {
-        return handler.open();
+        return handler.openExchanges();
     }
 }
--- a/gateway/src/test/java/org/geraniumreach/gateway/testing/VirtualTime.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/testing/VirtualTime.java
@@ -43,19 +43,19 @@
         return now / 1_000_000 + wallOffsetMillis;
     }
 
-    public void stepWall(Duration step) {
+    public void stepWallClock(Duration step) {
         wallOffsetMillis += step.toMillis();
     }
 
     @Override
-    public Cancellable after(Duration delay, Runnable action) {
+    public Cancellable schedule(Duration delay, Runnable action) {
         ScheduledAction added = new ScheduledAction(now + Math.max(0, delay.toNanos()), nextSequence++, action);
         scheduled.add(added);
         return () -> added.cancelled = true;
     }
 
     /** Advances the time and runs the actions that become due. */
-    public void pass(Duration duration) {
+    public void advance(Duration duration) {
         long until = now + duration.toNanos();
         while (!scheduled.isEmpty() && scheduled.peek().at <= until) {
             ScheduledAction next = scheduled.poll();
--- a/httpclient/src/main/java/org/geraniumreach/httpclient/HttpResponseHead.java
+++ b/httpclient/src/main/java/org/geraniumreach/httpclient/HttpResponseHead.java
@@ -27,7 +27,7 @@
      */
     public Optional<String> first(String name) {
         for (Header header : headers) {
-            if (header.isNamed(name)) {
+            if (header.hasName(name)) {
                 return Optional.of(header.value());
             }
         }
--- a/link/src/main/java/org/geraniumreach/link/AttemptAction.java
+++ b/link/src/main/java/org/geraniumreach/link/AttemptAction.java
@@ -4,7 +4,7 @@
 import org.geraniumreach.messages.End;
 import org.geraniumreach.messages.Frame;
 import org.geraniumreach.messages.Refused;
-import org.geraniumreach.model.Ran;
+import org.geraniumreach.model.ExecutionStatus;
 
 /**
  * What an {@link AttemptTracker} asks its caller to do.
@@ -52,5 +52,5 @@
      * @param ran whether the attempt ran
      * @param reason what happened
      */
-    record TellLost(Ran ran, String reason) implements AttemptAction {}
+    record TellLost(ExecutionStatus ran, String reason) implements AttemptAction {}
 }
--- a/link/src/main/java/org/geraniumreach/link/AttemptListener.java
+++ b/link/src/main/java/org/geraniumreach/link/AttemptListener.java
@@ -3,7 +3,7 @@
 import com.google.protobuf.ByteString;
 import org.geraniumreach.messages.End;
 import org.geraniumreach.messages.Refused;
-import org.geraniumreach.model.Ran;
+import org.geraniumreach.model.ExecutionStatus;
 
 /**
  * Is told of one attempt's progress at the entry that sent it.
@@ -46,5 +46,5 @@
      * @param ran NO only if the companion has sealed the attempt or no byte of it was sent, not null
      * @param reason what happened, not null
      */
-    void lost(Ran ran, String reason);
+    void lost(ExecutionStatus ran, String reason);
 }
--- a/link/src/main/java/org/geraniumreach/link/AttemptTracker.java
+++ b/link/src/main/java/org/geraniumreach/link/AttemptTracker.java
@@ -12,14 +12,14 @@
 import org.geraniumreach.messages.Refused;
 import org.geraniumreach.messages.Resume;
 import org.geraniumreach.messages.Run;
-import org.geraniumreach.model.Ran;
+import org.geraniumreach.model.ExecutionStatus;
 import org.geraniumreach.model.ResultCode;
 
 /**
  * Decides, at the entry that sent an attempt, what its frames and the loss of its links mean.
  *
  * <p>Invariants: chunks are told in the order of their sequence, each once; exactly one end is told and nothing after it;
- * {@link Ran#NO} is told only if the Run was never handed to a link, or the companion that it went to has said so in time
+ * {@link ExecutionStatus#NO} is told only if the Run was never handed to a link, or the companion that it went to has said so in time
  * to still know. No I/O, threads or clock of its own: times are given in nanoseconds of one monotonic clock. Not safe for
  * use by several threads.
  */
@@ -120,7 +120,8 @@
      * @return what to do, not null
      */
     List<AttemptAction> neverSent(String reason) {
-        return end(new AttemptAction.TellLost(resumedFromElsewhere ? Ran.UNKNOWN : Ran.NO, reason));
+        return end(new AttemptAction.TellLost(
+                resumedFromElsewhere ? ExecutionStatus.UNKNOWN : ExecutionStatus.NO, reason));
     }
 
     /**
@@ -164,7 +165,7 @@
         if (openIncarnation != incarnation && !run.getRepeatable()) {
             // Whether the former process had started the attempt died with it. Anything but "unknown" could make an
             // entry send a booking twice.
-            return end(new AttemptAction.TellLost(Ran.UNKNOWN, "the companion has restarted"));
+            return end(new AttemptAction.TellLost(ExecutionStatus.UNKNOWN, "the companion has restarted"));
         }
         return List.of(cancelReason == null ? resume(now) : cancelFrame(now));
     }
@@ -214,7 +215,8 @@
         }
         if (end.getCount() < nextSequence) {
             return end(new AttemptAction.TellLost(
-                    Ran.UNKNOWN, "the end counts " + end.getCount() + " chunks and " + nextSequence + " have come"));
+                    ExecutionStatus.UNKNOWN,
+                    "the end counts " + end.getCount() + " chunks and " + nextSequence + " have come"));
         }
         if (isIncomplete) {
             // The end crossed with the cancel; without the chunks dropped since, the answer is not whole.
@@ -252,7 +254,7 @@
                 .setAttempt(run.getAttempt())
                 .setCode(code.number())
                 .setMessage(message)
-                .setRan(Ran.YES.ordinal())
+                .setRan(ExecutionStatus.YES.ordinal())
                 .build();
     }
 
@@ -267,11 +269,11 @@
         if (done) {
             return List.of();
         }
-        if (refused.getRan() != Ran.NO.ordinal() || isBelieved(refused, now)) {
+        if (refused.getRan() != ExecutionStatus.NO.ordinal() || isBelieved(refused, now)) {
             return acknowledgedEnd(new AttemptAction.TellRefused(refused));
         }
         return acknowledgedEnd(new AttemptAction.TellRefused(
-                refused.toBuilder().setRan(Ran.UNKNOWN.ordinal()).build()));
+                refused.toBuilder().setRan(ExecutionStatus.UNKNOWN.ordinal()).build()));
     }
 
     /**
@@ -351,14 +353,14 @@
             return List.of();
         }
         if (!linked && now - unlinkedSince > limits.resume().toNanos()) {
-            return end(new AttemptAction.TellLost(Ran.UNKNOWN, "no link to the companion"));
+            return end(new AttemptAction.TellLost(ExecutionStatus.UNKNOWN, "no link to the companion"));
         }
         long answerBy = run.getDeadlineLeftMillis() * NANOS_PER_MILLI
                 + limits.deadlineGrace().toNanos();
         if (run.getDeadlineLeftMillis() > 0 && now - startedAt > answerBy) {
             List<AttemptAction> actions = new ArrayList<>();
             actions.add(cancelFrame(now));
-            actions.addAll(end(new AttemptAction.TellLost(Ran.UNKNOWN, "no end by the deadline")));
+            actions.addAll(end(new AttemptAction.TellLost(ExecutionStatus.UNKNOWN, "no end by the deadline")));
             return actions;
         }
         return List.of();
