--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/AccountBudget.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/AccountBudget.java
@@ -25,29 +25,29 @@
 public final class AccountBudget {
 
     private static final double NANOS_PER_SECOND = 1e9;
-    private static final long LEAST_WAKE_NANOS = 1_000_000;
-    private static final long HANDOVER_PAUSE_NANOS = 1_000_000_000;
-    private static final Duration LONGEST_RETRY = Duration.ofHours(1);
-    private static final Duration LEAST_RETRY = Duration.ofMillis(1);
+    private static final long MIN_WAKE_DELAY_NANOS = 1_000_000;
+    private static final long HANDOVER_INTERVAL_NANOS = 1_000_000_000;
+    private static final Duration MAX_RETRY_DELAY = Duration.ofHours(1);
+    private static final Duration MIN_RETRY_DELAY = Duration.ofMillis(1);
 
     private final AccountId account;
     private final BudgetPolicy policy;
-    private final HoldingProof proof;
+    private final HoldingProof leaseValidity;
     private final MonotonicClock clock;
     private final TokenBucket bucket;
-    private final WaitingLine line = new WaitingLine();
-    private final Borrowing borrowing;
-    private final LoanBook lent = new LoanBook();
-    private final LoanBook borrowed = new LoanBook();
+    private final WaitQueue waitQueue = new WaitQueue();
+    private final LoanRequester loanRequester;
+    private final ActiveLoans loansGiven = new ActiveLoans();
+    private final ActiveLoans loansTaken = new ActiveLoans();
     private final DemandMeter demand;
     private long tokensPerSecond;
     private long burstTokens;
     private long ownParts;
-    private long joiningUntil;
+    private long firstClaimDeadline;
     private long nextHandoverAt = Long.MIN_VALUE;
     private boolean released;
     private List<InstanceId> peers = List.of();
-    private Optional<RowKey> holder = Optional.empty();
+    private Optional<RowKey> holderRow = Optional.empty();
 
     /**
      * Makes a budget without rate and share.
@@ -62,13 +62,13 @@
             AccountId account, BudgetPolicy policy, HoldingProof proof, MonotonicClock clock, RandomGenerator random) {
         this.account = Objects.requireNonNull(account, "account");
         this.policy = Objects.requireNonNull(policy, "policy");
-        this.proof = Objects.requireNonNull(proof, "proof");
+        this.leaseValidity = Objects.requireNonNull(proof, "proof");
         this.clock = Objects.requireNonNull(clock, "clock");
         long now = clock.nanos();
         this.bucket = new TokenBucket(policy.clockDriftPartsPerMillion(), now);
         this.demand = new DemandMeter(now);
-        this.joiningUntil = now + policy.longestWait().toNanos();
-        this.borrowing = new Borrowing(random, policy.loanAnswerLimit().toNanos());
+        this.firstClaimDeadline = now + policy.longestWait().toNanos();
+        this.loanRequester = new LoanRequester(random, policy.loanAnswerLimit().toNanos());
     }
 
     /**
@@ -83,7 +83,7 @@
         tokensPerSecond = Math.min(newTokensPerSecond, ShareParts.GREATEST_TOKENS);
         burstTokens = Math.min(newBurstTokens, ShareParts.GREATEST_TOKENS);
         resize(now);
-        return serve(now);
+        return processQueue(now);
     }
 
     /**
@@ -92,9 +92,9 @@
      * @param newPeers the other entries, not null
      * @param newHolder this entry's row, empty if there is none, not null
      */
-    public synchronized void setSurroundings(List<InstanceId> newPeers, Optional<RowKey> newHolder) {
+    public synchronized void setPeersAndHolderRow(List<InstanceId> newPeers, Optional<RowKey> newHolder) {
         peers = List.copyOf(newPeers);
-        holder = newHolder;
+        holderRow = newHolder;
     }
 
     /**
@@ -108,12 +108,12 @@
         long now = advance();
         long before = ownParts;
         ownParts = released ? 0 : ShareParts.require(parts);
-        joiningUntil = ownParts > 0 ? now : joiningUntil;
+        firstClaimDeadline = ownParts > 0 ? now : firstClaimDeadline;
         resize(now);
         if (full && ownParts > before) {
-            bucket.add((ownParts - before) * burstTokens);
+            bucket.deposit((ownParts - before) * burstTokens);
         }
-        return serve(now);
+        return processQueue(now);
     }
 
     /**
@@ -140,7 +140,7 @@
         released = true;
         ownParts = 0;
         resize(now);
-        return lent.nextEnd() == Long.MAX_VALUE ? now : now + policy.lenderNanos(policy.loanDuration());
+        return loansGiven.nextExpiry() == Long.MAX_VALUE ? now : now + policy.lenderNanos(policy.loanDuration());
     }
 
     public synchronized long ownParts() {
@@ -152,7 +152,7 @@
      *
      * @return the tokens
      */
-    public synchronized long level() {
+    public synchronized long availableTokens() {
         advance();
         return bucket.level() / ShareParts.WHOLE;
     }
@@ -170,12 +170,13 @@
         if (tokens > burstTokens) {
             boolean known = burstTokens > 0;
             ResultCode code = known ? ResultCode.REQUEST_ABOVE_BURST : ResultCode.OUT_OF_BUDGET;
-            return new BudgetStep(List.of(new BudgetAction.Refused(ticket, code, LEAST_RETRY)), OptionalLong.empty());
+            return new BudgetStep(
+                    List.of(new BudgetAction.Refused(ticket, code, MIN_RETRY_DELAY)), OptionalLong.empty());
         }
         demand.add(tokens, now);
         long wait = Math.min(deadlineLeft.toNanos(), policy.longestWait().toNanos());
-        line.add(new WaitingLine.Waiter(ticket, tokens, now + Math.max(0, wait)));
-        return serve(now);
+        waitQueue.add(new WaitQueue.Waiter(ticket, tokens, now + Math.max(0, wait)));
+        return processQueue(now);
     }
 
     /**
@@ -188,7 +189,7 @@
     public synchronized BudgetStep settle(Grant grant, long actualTokens) {
         long now = advance();
         bucket.settle(grant, Math.max(0, actualTokens));
-        return serve(now);
+        return processQueue(now);
     }
 
     /**
@@ -197,7 +198,7 @@
      * @return what came of it, not null
      */
     public synchronized BudgetStep wake() {
-        return serve(advance());
+        return processQueue(advance());
     }
 
     /**
@@ -207,44 +208,44 @@
      * @param wish what it asks, not null
      * @return what came of it, not null
      */
-    public synchronized BudgetStep loanAsked(InstanceId peer, LoanWish wish) {
+    public synchronized BudgetStep onLoanRequested(InstanceId peer, LoanWish wish) {
         long now = advance();
         List<BudgetAction> actions = new ArrayList<>();
-        SharingPolicy.Decision decision = decide(wish, now);
+        SharingPolicy.Decision decision = decideLoan(wish, now);
         long wanted = Math.min(decision.lentParts(), unlentParts());
         long tokens = Math.max(0, Math.min(decision.lentTokens(), bucket.level() / ShareParts.WHOLE));
         // More tokens than the parts lent can hold would let the borrower's bucket stand above its capacity.
         tokens = Math.min(tokens, wanted * burstTokens / ShareParts.WHOLE);
-        bucket.take(tokens * ShareParts.WHOLE);
+        bucket.withdraw(tokens * ShareParts.WHOLE);
         long parts = Math.min(wanted, Math.max(partsFor(tokens * ShareParts.WHOLE), idleParts()));
         Duration duration =
                 wish.duration().compareTo(policy.loanDuration()) < 0 ? wish.duration() : policy.loanDuration();
-        lent.add(parts, now + policy.lenderNanos(duration));
+        loansGiven.add(parts, now + policy.lenderNanos(duration));
         resize(now);
         actions.add(new BudgetAction.GiveLoan(peer, new Loan(wish.number(), account, tokens, parts, duration)));
-        handOver(decision.handedOverParts(), wish, now).ifPresent(actions::add);
+        planHandover(decision.handedOverParts(), wish, now).ifPresent(actions::add);
         return new BudgetStep(actions, OptionalLong.empty());
     }
 
-    private SharingPolicy.Decision decide(LoanWish wish, long now) {
-        if (!proof.holds(now) || tokensPerSecond <= 0 || released) {
-            return SharingPolicy.Decision.NOTHING;
+    private SharingPolicy.Decision decideLoan(LoanWish wish, long now) {
+        if (!leaseValidity.isValid(now) || tokensPerSecond <= 0 || released) {
+            return SharingPolicy.Decision.NONE;
         }
-        SharingPolicy.Position position = new SharingPolicy.Position(
+        SharingPolicy.LenderState position = new SharingPolicy.LenderState(
                 Math.max(0, bucket.level() / ShareParts.WHOLE),
                 unlentParts(),
-                demand.perSecond(now),
-                !line.isEmpty(),
+                demand.tokensPerSecond(now),
+                !waitQueue.isEmpty(),
                 tokensPerSecond,
                 burstTokens);
         return policy.sharing().decide(position, wish);
     }
 
-    private Optional<BudgetAction> handOver(long parts, LoanWish wish, long now) {
+    private Optional<BudgetAction> planHandover(long parts, LoanWish wish, long now) {
         if (parts <= 0 || wish.holder().isEmpty() || now < nextHandoverAt) {
             return Optional.empty();
         }
-        nextHandoverAt = now + HANDOVER_PAUSE_NANOS;
+        nextHandoverAt = now + HANDOVER_INTERVAL_NANOS;
         return Optional.of(new BudgetAction.HandOver(account, wish.holder().get(), parts));
     }
 
@@ -255,18 +256,18 @@
      * @param loan what it lends, not null
      * @return what came of it, not null
      */
-    public synchronized BudgetStep loanAnswered(InstanceId peer, Loan loan) {
+    public synchronized BudgetStep onLoanAnswered(InstanceId peer, Loan loan) {
         long now = advance();
-        if (borrowing.answered(peer, loan)) {
+        if (loanRequester.acceptAnswer(peer, loan)) {
             // The lender counts from after it was asked, so counting from before cannot outlast it.
-            long until = borrowing.askedAt() + loan.duration().toNanos();
+            long until = loanRequester.requestedAt() + loan.duration().toNanos();
             if (now < until) {
-                borrowed.add(loan.parts(), until);
+                loansTaken.add(loan.parts(), until);
                 resize(now);
-                bucket.add(loan.tokens() * ShareParts.WHOLE);
+                bucket.deposit(loan.tokens() * ShareParts.WHOLE);
             }
         }
-        return serve(now);
+        return processQueue(now);
     }
 
     /** Gets the parts that are not needed to hold the tokens in the bucket; with more taken, the tokens would be lost. */
@@ -279,96 +280,98 @@
     }
 
     private long unlentParts() {
-        return Math.max(0, ownParts - lent.sum());
+        return Math.max(0, ownParts - loansGiven.totalParts());
     }
 
     /** Brings bucket and loans up to the present, loan by loan, and returns the present. */
     private long advance() {
         long now = clock.nanos();
-        long end = Math.min(lent.nextEnd(), borrowed.nextEnd());
+        long end = Math.min(loansGiven.nextExpiry(), loansTaken.nextExpiry());
         while (end <= now) {
             bucket.advance(end);
-            lent.expire(end);
-            borrowed.expire(end);
+            loansGiven.expire(end);
+            loansTaken.expire(end);
             resize(now);
-            end = Math.min(lent.nextEnd(), borrowed.nextEnd());
+            end = Math.min(loansGiven.nextExpiry(), loansTaken.nextExpiry());
         }
         bucket.advance(now);
         resize(now);
-        borrowing.expire(now);
+        loanRequester.expireOverdue(now);
         return now;
     }
 
     private void resize(long now) {
-        long parts = Math.min(ShareParts.WHOLE, certainParts(now) + borrowed.sum());
+        long parts = Math.min(ShareParts.WHOLE, spendableOwnParts(now) + loansTaken.totalParts());
         bucket.resize(parts * burstTokens, parts * tokensPerSecond);
     }
 
     /** Gets the own parts that may be spent, and that no loan's end takes away. */
-    private long certainParts(long now) {
-        return proof.holds(now) ? unlentParts() : 0;
+    private long spendableOwnParts(long now) {
+        return leaseValidity.isValid(now) ? unlentParts() : 0;
     }
 
-    private BudgetStep serve(long now) {
+    private BudgetStep processQueue(long now) {
         List<BudgetAction> actions = new ArrayList<>();
-        grantInOrder(actions);
-        if (line.isEmpty()) {
-            borrowing.satisfied();
+        grantInArrivalOrder(actions);
+        if (waitQueue.isEmpty()) {
+            loanRequester.endRound();
             return new BudgetStep(actions, OptionalLong.empty());
         }
-        if (!borrowing.isUnderWay()) {
-            borrowing.next(peers, now).ifPresent(peer -> actions.add(new BudgetAction.AskLoan(peer, wish(now))));
+        if (!loanRequester.isPending()) {
+            loanRequester
+                    .nextLender(peers, now)
+                    .ifPresent(peer -> actions.add(new BudgetAction.AskLoan(peer, loanRequest(now))));
         }
-        refuseHopeless(actions, now);
+        refuseUnservable(actions, now);
         return new BudgetStep(actions, wakeAt(now));
     }
 
-    private void grantInOrder(List<BudgetAction> actions) {
-        while (!line.isEmpty()) {
-            WaitingLine.Waiter head = line.head().orElseThrow();
+    private void grantInArrivalOrder(List<BudgetAction> actions) {
+        while (!waitQueue.isEmpty()) {
+            WaitQueue.Waiter head = waitQueue.head().orElseThrow();
             Optional<Grant> grant = bucket.reserve(head.tokens());
             if (grant.isEmpty()) {
                 return;
             }
-            line.removeHead();
+            waitQueue.removeHead();
             actions.add(new BudgetAction.Granted(head.ticket(), grant.get()));
         }
     }
 
-    private LoanWish wish(long now) {
-        long perSecond = demand.perSecond(now);
-        long missing = line.tokens() - Math.max(0, bucket.level() / ShareParts.WHOLE);
+    private LoanWish loanRequest(long now) {
+        long perSecond = demand.tokensPerSecond(now);
+        long missing = waitQueue.totalTokens() - Math.max(0, bucket.level() / ShareParts.WHOLE);
         long tokens = Math.min(burstTokens, Math.max(missing, perSecond / 2));
-        double room = (double) line.head().orElseThrow().tokens() * ShareParts.WHOLE - bucket.capacity();
+        double room = (double) waitQueue.head().orElseThrow().tokens() * ShareParts.WHOLE - bucket.capacity();
         double parts = Math.max(
                 Math.max(0, room) / Math.max(1, burstTokens),
                 (double) perSecond / Math.max(1, tokensPerSecond) * ShareParts.WHOLE - unlentParts());
         return new LoanWish(
-                borrowing.number(),
+                loanRequester.requestNumber(),
                 account,
                 tokens,
                 (long) Math.min(ShareParts.WHOLE, Math.max(0, Math.ceil(parts))),
                 policy.loanDuration(),
                 perSecond,
                 ownParts,
-                holder);
+                holderRow);
     }
 
-    private void refuseHopeless(List<BudgetAction> actions, long now) {
-        long certain = certainParts(now);
+    private void refuseUnservable(List<BudgetAction> actions, long now) {
+        long certain = spendableOwnParts(now);
         // An entry that has just begun, or a client account that has, holds no share for the moment that the claim
         // takes. Its first requests would be refused though the account is within its rate, so they wait for the
         // claim.
-        boolean mayCome = borrowing.isUnderWay() || now < joiningUntil;
-        for (WaitingLine.Hopeless hopeless : line.removeHopeless((waiter, needed) -> now < waiter.latest()
-                && (mayCome || certainDelay(waiter.tokens(), needed, certain) <= waiter.latest() - now))) {
-            Duration retry = retryAfter(hopeless.waiter().tokens(), hopeless.neededAhead(), certain);
+        boolean mayCome = loanRequester.isPending() || now < firstClaimDeadline;
+        for (WaitQueue.Unservable hopeless : waitQueue.removeUnservable((waiter, needed) -> now < waiter.deadline()
+                && (mayCome || ownInflowDelayNanos(waiter.tokens(), needed, certain) <= waiter.deadline() - now))) {
+            Duration retry = retryAfter(hopeless.waiter().tokens(), hopeless.cumulativeTokens(), certain);
             actions.add(new BudgetAction.Refused(hopeless.waiter().ticket(), ResultCode.OUT_OF_BUDGET, retry));
         }
     }
 
     /** Gets the nanoseconds until the entry's own parts alone have brought what is needed, or infinity. */
-    private double certainDelay(long tokens, long needed, long certain) {
+    private double ownInflowDelayNanos(long tokens, long needed, long certain) {
         if (certain <= 0 || tokensPerSecond <= 0 || tokens * ShareParts.WHOLE > certain * burstTokens) {
             return Double.POSITIVE_INFINITY;
         }
@@ -377,30 +380,30 @@
     }
 
     private Duration retryAfter(long tokens, long needed, long certain) {
-        double delay = certainDelay(tokens, needed, certain);
+        double delay = ownInflowDelayNanos(tokens, needed, certain);
         if (Double.isInfinite(delay) && tokensPerSecond > 0) {
             long missing = needed * ShareParts.WHOLE - Math.max(0, bucket.level());
             delay = bucket.secondsFor(missing, ShareParts.WHOLE * tokensPerSecond) * NANOS_PER_SECOND;
         }
-        Duration exact = Duration.ofNanos((long) Math.min(delay, LONGEST_RETRY.toNanos()));
+        Duration exact = Duration.ofNanos((long) Math.min(delay, MAX_RETRY_DELAY.toNanos()));
         // Without a share of its own the entry can only do better once it has looked for one again.
-        Duration least = certain > 0 ? LEAST_RETRY : policy.scanInterval();
+        Duration least = certain > 0 ? MIN_RETRY_DELAY : policy.scanInterval();
         return exact.compareTo(least) < 0 ? least : exact;
     }
 
     private OptionalLong wakeAt(long now) {
-        if (line.isEmpty()) {
+        if (waitQueue.isEmpty()) {
             return OptionalLong.empty();
         }
-        long at = line.earliestLimit();
-        if (borrowing.isUnderWay()) {
-            at = Math.min(at, borrowing.answerLimit());
+        long at = waitQueue.earliestDeadline();
+        if (loanRequester.isPending()) {
+            at = Math.min(at, loanRequester.answerDeadline());
         }
-        at = Math.min(at, Math.min(lent.nextEnd(), borrowed.nextEnd()));
-        WaitingLine.Waiter head = line.head().orElseThrow();
-        at = now < joiningUntil ? Math.min(at, joiningUntil) : at;
-        double delay = certainDelay(head.tokens(), head.tokens(), certainParts(now));
+        at = Math.min(at, Math.min(loansGiven.nextExpiry(), loansTaken.nextExpiry()));
+        WaitQueue.Waiter head = waitQueue.head().orElseThrow();
+        at = now < firstClaimDeadline ? Math.min(at, firstClaimDeadline) : at;
+        double delay = ownInflowDelayNanos(head.tokens(), head.tokens(), spendableOwnParts(now));
         at = (long) Math.min(at, now + delay);
-        return OptionalLong.of(Math.max(at, now + LEAST_WAKE_NANOS));
+        return OptionalLong.of(Math.max(at, now + MIN_WAKE_DELAY_NANOS));
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/BudgetAction.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/BudgetAction.java
@@ -51,8 +51,8 @@
      * Hand a part of the share over, by a transaction.
      *
      * @param account the client account
-     * @param recipient the other entry's row
+     * @param recipientRow the other entry's row
      * @param parts the parts
      */
-    record HandOver(AccountId account, RowKey recipient, long parts) implements BudgetAction {}
+    record HandOver(AccountId account, RowKey recipientRow, long parts) implements BudgetAction {}
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/DemandMeter.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/DemandMeter.java
@@ -3,14 +3,14 @@
 /**
  * The tokens a second that callers ask for, lately.
  *
- * <p>A running mean that forgets with a time constant of {@value #SECONDS} seconds. Not safe for use by several threads.
+ * <p>A running mean that forgets with a time constant of {@value #TIME_CONSTANT_SECONDS} seconds. Not safe for use by several threads.
  */
 final class DemandMeter {
 
-    private static final double SECONDS = 5;
+    private static final double TIME_CONSTANT_SECONDS = 5;
     private static final double NANOS_PER_SECOND = 1e9;
 
-    private double perSecond;
+    private double tokensPerSecond;
     private long updatedAt;
 
     DemandMeter(long now) {
@@ -18,15 +18,15 @@
     }
 
     void add(long tokens, long now) {
-        perSecond = decayed(now) + tokens / SECONDS;
+        tokensPerSecond = decayed(now) + tokens / TIME_CONSTANT_SECONDS;
         updatedAt = now;
     }
 
-    long perSecond(long now) {
+    long tokensPerSecond(long now) {
         return (long) decayed(now);
     }
 
     private double decayed(long now) {
-        return perSecond * Math.exp(-Math.max(0, now - updatedAt) / (SECONDS * NANOS_PER_SECOND));
+        return tokensPerSecond * Math.exp(-Math.max(0, now - updatedAt) / (TIME_CONSTANT_SECONDS * NANOS_PER_SECOND));
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/AbsenceWatch.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/DepartedHolderDetector.java
@@ -18,15 +18,15 @@
  * cannot reach the table service but is listed, or one that the list has dropped but that renews its lease. Not safe for use
  * by several threads.
  */
-final class AbsenceWatch {
+final class DepartedHolderDetector {
 
     private final HolderId self;
     private final long quarantineNanos;
-    private final long loanEndAt;
-    private final Map<RowKey, Sighting> sightings = new HashMap<>();
+    private final long predecessorLoansEndAt;
+    private final Map<RowKey, Observation> observations = new HashMap<>();
 
     /** What was seen of one row. */
-    private static final class Sighting {
+    private static final class Observation {
         private Row row;
         private HolderRow content;
         private long unchangedSince;
@@ -45,33 +45,33 @@
      * @param quarantineNanos the quarantine
      * @param loanEndAt the time when every loan that a predecessor of this process has given is over
      */
-    AbsenceWatch(HolderId self, long quarantineNanos, long loanEndAt) {
+    DepartedHolderDetector(HolderId self, long quarantineNanos, long loanEndAt) {
         this.self = self;
         this.quarantineNanos = quarantineNanos;
-        this.loanEndAt = loanEndAt;
+        this.predecessorLoansEndAt = loanEndAt;
     }
 
     /** Takes a reading of a whole table of rows. */
-    void sawRows(List<Row> rows, long now) {
-        Map<RowKey, Sighting> before = new HashMap<>(sightings);
-        sightings.clear();
+    void onRowsScanned(List<Row> rows, long now) {
+        Map<RowKey, Observation> before = new HashMap<>(observations);
+        observations.clear();
         for (Row row : rows) {
             HolderRow.read(row.value()).ifPresent(content -> {
-                Sighting known = before.getOrDefault(row.key(), new Sighting());
+                Observation known = before.getOrDefault(row.key(), new Observation());
                 if (known.row == null || known.row.version() != row.version()) {
                     known.row = row;
                     known.content = content;
                     known.unchangedSince = now;
                 }
-                sightings.put(row.key(), known);
+                observations.put(row.key(), known);
             });
         }
     }
 
     /** Takes a reading of the list. */
-    void sawList(Set<ListedHolder> listed, long askedAt, long now) {
-        for (Sighting sighting : sightings.values()) {
-            if (listed.contains(sighting.content.holder().listed())) {
+    void onHoldersListed(Set<ListedHolder> listed, long askedAt, long now) {
+        for (Observation sighting : observations.values()) {
+            if (listed.contains(sighting.content.holder().toListedHolder())) {
                 sighting.absentSince = Long.MAX_VALUE;
                 sighting.absentUntil = Long.MIN_VALUE;
                 continue;
@@ -82,10 +82,10 @@
     }
 
     /** Gets the rows whose shares may be taken back, as they were seen. */
-    List<Row> gone(long now) {
+    List<Row> departedRows(long now) {
         List<Row> gone = new ArrayList<>();
-        for (Sighting sighting : sightings.values()) {
-            if (isPredecessor(sighting.content.holder()) ? now > loanEndAt : isGone(sighting, now)) {
+        for (Observation sighting : observations.values()) {
+            if (isPredecessor(sighting.content.holder()) ? now > predecessorLoansEndAt : isDeparted(sighting, now)) {
                 gone.add(sighting.row);
             }
         }
@@ -94,10 +94,10 @@
 
     /** Queries whether a holder is an earlier process at this entry's address, which therefore has ended. */
     private boolean isPredecessor(HolderId holder) {
-        return holder.listed().equals(self.listed()) && holder.incarnation() != self.incarnation();
+        return holder.toListedHolder().equals(self.toListedHolder()) && holder.incarnation() != self.incarnation();
     }
 
-    private boolean isGone(Sighting sighting, long now) {
+    private boolean isDeparted(Observation sighting, long now) {
         return !sighting.content.holder().equals(self)
                 && now - sighting.unchangedSince > quarantineNanos
                 && sighting.isAbsentFor(quarantineNanos);
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/EntryBudget.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/EntryBudget.java
@@ -17,7 +17,7 @@
 /**
  * The budgets of all client accounts at one entry, with the shares that they live on.
  *
- * <p>Invariants: an account's budget never has more own parts than {@link ShareKeeper#usable}; each event's step is handed
+ * <p>Invariants: an account's budget never has more own parts than {@link ShareKeeper#usableParts}; each event's step is handed
  * back to its caller, who carries the actions out. Safe for use by several threads: each account is under a lock of its own,
  * the keeper under another, and an account's lock is taken within the keeper's but never the other way round.
  */
@@ -26,8 +26,8 @@
     private final BudgetPolicy policy;
     private final MonotonicClock clock;
     private final RandomGenerator random;
-    private final HoldingProof proof;
-    private final ShareKeeper keeper;
+    private final HoldingProof leaseValidity;
+    private final ShareKeeper shareManager;
     private final Map<AccountId, AccountBudget> accounts = new ConcurrentHashMap<>();
     private volatile List<InstanceId> peers = List.of();
 
@@ -51,8 +51,8 @@
         this.policy = Objects.requireNonNull(policy, "policy");
         this.clock = Objects.requireNonNull(clock, "clock");
         this.random = Objects.requireNonNull(random, "random");
-        this.proof = new HoldingProof(policy.proofLimit().toNanos());
-        this.keeper = new ShareKeeper(self, policy, proof, clock, this::withdraw);
+        this.leaseValidity = new HoldingProof(policy.proofLimit().toNanos());
+        this.shareManager = new ShareKeeper(self, policy, leaseValidity, clock, this::withdraw);
     }
 
     private long withdraw(AccountId account, long parts) {
@@ -62,8 +62,8 @@
 
     private AccountBudget budget(AccountId account) {
         return accounts.computeIfAbsent(account, missing -> {
-            AccountBudget made = new AccountBudget(missing, policy, proof, clock, random);
-            made.setSurroundings(peers, keeper.row());
+            AccountBudget made = new AccountBudget(missing, policy, leaseValidity, clock, random);
+            made.setPeersAndHolderRow(peers, shareManager.rowKey());
             return made;
         });
     }
@@ -86,7 +86,7 @@
      * @param existing the accounts, not null
      */
     public void setAccounts(Set<AccountId> existing) {
-        keeper.setAccounts(existing);
+        shareManager.setAccounts(existing);
     }
 
     /**
@@ -96,7 +96,7 @@
      */
     public void setPeers(List<InstanceId> newPeers) {
         peers = List.copyOf(newPeers);
-        accounts.values().forEach(budget -> budget.setSurroundings(peers, keeper.row()));
+        accounts.values().forEach(budget -> budget.setPeersAndHolderRow(peers, shareManager.rowKey()));
     }
 
     /**
@@ -106,7 +106,7 @@
      * @param askedAt the time before the list was asked for
      */
     public void listed(Set<ListedHolder> listed, long askedAt) {
-        keeper.listed(listed, askedAt);
+        shareManager.onHoldersListed(listed, askedAt);
     }
 
     /**
@@ -122,7 +122,7 @@
         AccountBudget budget = budget(account);
         BudgetStep step = budget.reserve(ticket, tokens, deadlineLeft);
         if (budget.ownParts() == 0) {
-            keeper.claim(account);
+            shareManager.claim(account);
         }
         return step;
     }
@@ -157,11 +157,11 @@
      * @return what came of it, not null
      */
     public BudgetStep loanAsked(InstanceId peer, LoanWish wish) {
-        BudgetStep step = budget(wish.account()).loanAsked(peer, wish);
+        BudgetStep step = budget(wish.account()).onLoanRequested(peer, wish);
         step.actions().stream()
                 .filter(BudgetAction.HandOver.class::isInstance)
                 .map(BudgetAction.HandOver.class::cast)
-                .forEach(keeper::handOver);
+                .forEach(shareManager::handOver);
         return step;
     }
 
@@ -173,7 +173,7 @@
      * @return what came of it, not null
      */
     public BudgetStep loanAnswered(InstanceId peer, Loan loan) {
-        return budget(loan.account()).loanAnswered(peer, loan);
+        return budget(loan.account()).onLoanAnswered(peer, loan);
     }
 
     /**
@@ -182,7 +182,7 @@
      * @return the keeper, not null
      */
     public ShareKeeper keeper() {
-        return keeper;
+        return shareManager;
     }
 
     /**
@@ -191,12 +191,12 @@
      * @return what came of it for the accounts whose parts have changed, not null
      */
     public List<AccountStep> publish() {
-        Set<AccountId> first = keeper.takeFirstIssued();
+        Set<AccountId> first = shareManager.takeFirstIssued();
         List<AccountStep> steps = new ArrayList<>();
         for (Map.Entry<AccountId, AccountBudget> entry : accounts.entrySet()) {
             AccountBudget budget = entry.getValue();
-            long parts = keeper.usable(entry.getKey());
-            budget.setSurroundings(peers, keeper.row());
+            long parts = shareManager.usableParts(entry.getKey());
+            budget.setPeersAndHolderRow(peers, shareManager.rowKey());
             if (parts != budget.ownParts()) {
                 BudgetStep step = budget.setOwnParts(parts, first.contains(entry.getKey()));
                 steps.add(new AccountStep(entry.getKey(), step));
@@ -211,7 +211,7 @@
         for (AccountBudget budget : accounts.values()) {
             loansEndAt = Math.max(loansEndAt, budget.release());
         }
-        keeper.release(loansEndAt);
+        shareManager.release(loansEndAt);
     }
 
     /**
@@ -230,7 +230,7 @@
      * @return true if they may
      */
     public boolean isProved() {
-        return proof.holds(clock.nanos());
+        return leaseValidity.isValid(clock.nanos());
     }
 
     /**
@@ -239,7 +239,7 @@
      * @param account the account, not null
      * @return the tokens
      */
-    public long level(AccountId account) {
-        return budget(account).level();
+    public long availableTokens(AccountId account) {
+        return budget(account).availableTokens();
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/HolderId.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/HolderId.java
@@ -26,7 +26,7 @@
      *
      * @return name and address, not null
      */
-    public ListedHolder listed() {
+    public ListedHolder toListedHolder() {
         return new ListedHolder(instance, address);
     }
 
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/HolderRow.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/HolderRow.java
@@ -86,13 +86,13 @@
                     InstanceId.of(node.path("instance").asText()),
                     node.path("address").asText(),
                     node.path("incarnation").asLong());
-            return Optional.of(new HolderRow(holder, node.path("renewals").asLong(), sharesIn(node.path("shares"))));
+            return Optional.of(new HolderRow(holder, node.path("renewals").asLong(), readShares(node.path("shares"))));
         } catch (JsonProcessingException | IllegalArgumentException invalid) {
             return Optional.empty();
         }
     }
 
-    private static ShareSet sharesIn(JsonNode parts) {
+    private static ShareSet readShares(JsonNode parts) {
         ShareSet shares = ShareSet.EMPTY;
         for (Iterator<String> names = parts.fieldNames(); names.hasNext(); ) {
             String name = names.next();
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/HoldingProof.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/HoldingProof.java
@@ -11,7 +11,7 @@
  */
 public final class HoldingProof {
 
-    private final long limitNanos;
+    private final long validityNanos;
     private long validUntil = Long.MIN_VALUE;
 
     /**
@@ -20,7 +20,7 @@
      * @param limitNanos how long each proof counts
      */
     public HoldingProof(long limitNanos) {
-        this.limitNanos = limitNanos;
+        this.validityNanos = limitNanos;
     }
 
     /**
@@ -29,7 +29,7 @@
      * @param sentAt the time before it was sent
      */
     public synchronized void renewed(long sentAt) {
-        validUntil = Math.max(validUntil, sentAt + limitNanos);
+        validUntil = Math.max(validUntil, sentAt + validityNanos);
     }
 
     /**
@@ -38,14 +38,14 @@
      * @param askedAt the time before the list was asked for
      * @param now the time
      */
-    public synchronized void listed(long askedAt, long now) {
-        if (holds(now)) {
-            validUntil = Math.max(validUntil, askedAt + limitNanos);
+    public synchronized void onListed(long askedAt, long now) {
+        if (isValid(now)) {
+            validUntil = Math.max(validUntil, askedAt + validityNanos);
         }
     }
 
     /** Tells that the row is not this entry's any more. */
-    public synchronized void lost() {
+    public synchronized void onLost() {
         validUntil = Long.MIN_VALUE;
     }
 
@@ -55,7 +55,7 @@
      * @param now the time
      * @return true if they may
      */
-    public synchronized boolean holds(long now) {
+    public synchronized boolean isValid(long now) {
         return now <= validUntil;
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/Borrowing.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/LoanRequester.java
@@ -15,84 +15,84 @@
  * <p>Invariant: an answer counts once, only if it is to the request under way and comes from whom was asked. Not safe for
  * use by several threads.
  */
-final class Borrowing {
+final class LoanRequester {
 
     /** How many other entries are asked before a shortage is taken for real. */
-    private static final int GREATEST_ASKED = 4;
+    private static final int MAX_LENDERS_PER_ROUND = 4;
 
     private final RandomGenerator random;
-    private final long answerNanos;
-    private final long pauseNanos;
-    private final Set<InstanceId> asked = new HashSet<>();
+    private final long answerTimeoutNanos;
+    private final long backOffNanos;
+    private final Set<InstanceId> askedLenders = new HashSet<>();
     private Optional<InstanceId> lastLender = Optional.empty();
-    private Optional<InstanceId> waitingFor = Optional.empty();
-    private long number;
-    private long askedAt;
-    private long pausedUntil = Long.MIN_VALUE;
+    private Optional<InstanceId> pendingLender = Optional.empty();
+    private long requestNumber;
+    private long requestedAt;
+    private long backOffUntil = Long.MIN_VALUE;
 
-    Borrowing(RandomGenerator random, long answerNanos) {
+    LoanRequester(RandomGenerator random, long answerNanos) {
         this.random = random;
         // An answer to an earlier start of this process, had it the number of a later request, would be counted from
         // that request, and the loan be held here after the lender has it back.
-        this.number = random.nextLong();
-        this.answerNanos = answerNanos;
-        this.pauseNanos = 2 * answerNanos;
+        this.requestNumber = random.nextLong();
+        this.answerTimeoutNanos = answerNanos;
+        this.backOffNanos = 2 * answerNanos;
     }
 
-    boolean isUnderWay() {
-        return waitingFor.isPresent();
+    boolean isPending() {
+        return pendingLender.isPresent();
     }
 
     /** Gets when the answer waited for is given up. */
-    long answerLimit() {
-        return askedAt + answerNanos;
+    long answerDeadline() {
+        return requestedAt + answerTimeoutNanos;
     }
 
-    long askedAt() {
-        return askedAt;
+    long requestedAt() {
+        return requestedAt;
     }
 
-    long number() {
-        return number;
+    long requestNumber() {
+        return requestNumber;
     }
 
     /** Chooses whom to ask next, or nobody if all were asked, or asking just now brought nothing. */
-    Optional<InstanceId> next(List<InstanceId> peers, long now) {
-        if (waitingFor.isPresent() || now < pausedUntil) {
+    Optional<InstanceId> nextLender(List<InstanceId> peers, long now) {
+        if (pendingLender.isPresent() || now < backOffUntil) {
             return Optional.empty();
         }
-        Optional<InstanceId> chosen = choose(peers);
+        Optional<InstanceId> chosen = selectLender(peers);
         if (chosen.isEmpty()) {
             // Without a pause an account far above its rate would have every entry ask every other for each request.
-            pausedUntil = now + pauseNanos;
-            asked.clear();
+            backOffUntil = now + backOffNanos;
+            askedLenders.clear();
             return Optional.empty();
         }
-        asked.add(chosen.get());
-        waitingFor = chosen;
-        number++;
-        askedAt = now;
+        askedLenders.add(chosen.get());
+        pendingLender = chosen;
+        requestNumber++;
+        requestedAt = now;
         return chosen;
     }
 
-    private Optional<InstanceId> choose(List<InstanceId> peers) {
-        if (asked.size() >= GREATEST_ASKED) {
+    private Optional<InstanceId> selectLender(List<InstanceId> peers) {
+        if (askedLenders.size() >= MAX_LENDERS_PER_ROUND) {
             return Optional.empty();
         }
-        if (lastLender.isPresent() && !asked.contains(lastLender.get()) && peers.contains(lastLender.get())) {
+        if (lastLender.isPresent() && !askedLenders.contains(lastLender.get()) && peers.contains(lastLender.get())) {
             return lastLender;
         }
         List<InstanceId> left = new ArrayList<>(peers);
-        left.removeAll(asked);
+        left.removeAll(askedLenders);
         return left.isEmpty() ? Optional.empty() : Optional.of(left.get(random.nextInt(left.size())));
     }
 
     /** Takes an answer; false if it is late, repeated, or from somebody else. */
-    boolean answered(InstanceId peer, Loan loan) {
-        if (!waitingFor.equals(Optional.of(peer)) || loan.number() != number) {
+    boolean acceptAnswer(InstanceId peer, Loan loan) {
+        if (!pendingLender.equals(Optional.of(peer)) || loan.number() != requestNumber) {
             return false;
         }
-        waitingFor = Optional.empty();
+        pendingLender = Optional.empty();
         if (loan.tokens() > 0) {
             lastLender = Optional.of(peer);
         }
@@ -100,14 +100,14 @@
     }
 
     /** Gives up an answer that is late. */
-    void expire(long now) {
-        if (waitingFor.isPresent() && now >= answerLimit()) {
-            waitingFor = Optional.empty();
+    void expireOverdue(long now) {
+        if (pendingLender.isPresent() && now >= answerDeadline()) {
+            pendingLender = Optional.empty();
         }
     }
 
     /** Ends a round: nobody waits any more. */
-    void satisfied() {
-        asked.clear();
+    void endRound() {
+        askedLenders.clear();
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/ShareKeeper.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/ShareKeeper.java
@@ -19,7 +19,7 @@
 /**
  * Keeps this entry's row of shares in the table service.
  *
- * <p>Invariants: {@link #usable} is never more than the row holds for certain. A commit that gives parts away counts from
+ * <p>Invariants: {@link #usableParts} is never more than the row holds for certain. A commit that gives parts away counts from
  * before it is sent; if its answer is lost it counts until a later commit on the same row has succeeded or the row's version
  * has moved on, for until then it may yet take effect, and a reading that shows the old row proves nothing. Parts that come
  * count only once they were read or their commit was confirmed.
@@ -29,36 +29,36 @@
  */
 public final class ShareKeeper {
 
-    private static final int SCAN_LIMIT = 1000;
-    private static final int SCANNING_ENTRIES = 3;
-    private static final Duration PAUSE_AFTER_FAILURE = Duration.ofMillis(500);
+    private static final int SCAN_ROW_LIMIT = 1000;
+    private static final int SCANNER_COUNT = 3;
+    private static final Duration RETRY_DELAY = Duration.ofMillis(500);
 
     private final HolderId self;
     private final BudgetPolicy policy;
-    private final HoldingProof proof;
+    private final HoldingProof leaseValidity;
     private final MonotonicClock clock;
     private final Withdrawal withdrawal;
-    private final AbsenceWatch watch;
+    private final DepartedHolderDetector departedHolders;
     private final long startedAt;
     private final Deque<ShareTransfer> transfers = new ArrayDeque<>();
     private int generation;
-    private Optional<Known> known = Optional.empty();
+    private Optional<KnownRow> knownRow = Optional.empty();
     /** What the row holds if a commit with a lost answer has taken effect. */
-    private Optional<ShareSet> unsettled = Optional.empty();
+    private Optional<ShareSet> sharesIfCommitApplied = Optional.empty();
 
-    private Optional<Pending> pending = Optional.empty();
+    private Optional<PendingCall> pendingCall = Optional.empty();
     /** The commit that follows the reading of its other row. */
-    private Optional<Pending> prepared = Optional.empty();
+    private Optional<PendingCall> preparedCommit = Optional.empty();
 
-    private boolean mustRead;
+    private boolean mustReadRow;
     private long renewedAt;
-    private long pausedUntil = Long.MIN_VALUE;
+    private long retryAt = Long.MIN_VALUE;
     private long nextScanAt;
     private boolean scanAccountsNext;
     private Set<AccountId> accounts = Set.of();
     private Set<AccountId> firstIssued = new HashSet<>();
-    private Set<RowKey> handedOverTo = new HashSet<>();
-    private boolean scanning = true;
+    private Set<RowKey> handoverRecipients = new HashSet<>();
+    private boolean isScanner = true;
     private long releaseAt = Long.MAX_VALUE;
 
     /** Takes parts away from the account's budget before a commit that gives them away; returns those taken. */
@@ -76,14 +76,14 @@
     }
 
     /** What the row is known to hold. */
-    private record Known(long version, long renewals, ShareSet shares) {}
+    private record KnownRow(long version, long renewals, ShareSet shares) {}
 
     /** The call under way. */
-    private record Pending(
+    private record PendingCall(
             StoreCall call, long sentAt, Optional<ShareTransfer> transfer, Optional<ShareTransfer.Plan> plan) {
 
-        private Pending sentAgainAt(long now) {
-            return new Pending(call, now, transfer, plan);
+        private PendingCall withSentAt(long now) {
+            return new PendingCall(call, now, transfer, plan);
         }
     }
 
@@ -100,14 +100,15 @@
             HolderId self, BudgetPolicy policy, HoldingProof proof, MonotonicClock clock, Withdrawal withdrawal) {
         this.self = Objects.requireNonNull(self, "self");
         this.policy = Objects.requireNonNull(policy, "policy");
-        this.proof = Objects.requireNonNull(proof, "proof");
+        this.leaseValidity = Objects.requireNonNull(proof, "proof");
         this.clock = Objects.requireNonNull(clock, "clock");
         this.withdrawal = Objects.requireNonNull(withdrawal, "withdrawal");
         this.startedAt = clock.nanos();
         this.renewedAt = startedAt;
         this.nextScanAt = startedAt;
         long loanEndAt = startedAt + policy.lenderNanos(policy.loanDuration());
-        this.watch = new AbsenceWatch(self, policy.quarantine().toNanos(), loanEndAt);
+        this.departedHolders =
+                new DepartedHolderDetector(self, policy.quarantine().toNanos(), loanEndAt);
     }
 
     /**
@@ -116,14 +117,14 @@
      * @param account the account, not null
      * @return the parts
      */
-    public synchronized long usable(AccountId account) {
+    public synchronized long usableParts(AccountId account) {
         long parts = currentShares().parts(account);
-        if (unsettled.isPresent()) {
-            parts = Math.min(parts, unsettled.get().parts(account));
+        if (sharesIfCommitApplied.isPresent()) {
+            parts = Math.min(parts, sharesIfCommitApplied.get().parts(account));
         }
         // What a commit under way gives away counts as given: the other entry may have it before the answer is here.
-        for (Optional<Pending> underWay : List.of(pending, prepared)) {
-            Optional<ShareSet> after = underWay.flatMap(Pending::plan).map(ShareTransfer.Plan::sharesAfter);
+        for (Optional<PendingCall> underWay : List.of(pendingCall, preparedCommit)) {
+            Optional<ShareSet> after = underWay.flatMap(PendingCall::plan).map(ShareTransfer.Plan::sharesAfter);
             parts = Math.min(parts, after.map(shares -> shares.parts(account)).orElse(parts));
         }
         return parts;
@@ -146,8 +147,8 @@
      * @return the rows, not null
      */
     public synchronized Set<RowKey> takeHandedOverTo() {
-        Set<RowKey> taken = handedOverTo;
-        handedOverTo = new HashSet<>();
+        Set<RowKey> taken = handoverRecipients;
+        handoverRecipients = new HashSet<>();
         return taken;
     }
 
@@ -156,8 +157,8 @@
      *
      * @return the row's place, empty if there is none
      */
-    public synchronized Optional<RowKey> row() {
-        return known.map(found -> ownKey());
+    public synchronized Optional<RowKey> rowKey() {
+        return knownRow.map(found -> ownKey());
     }
 
     /**
@@ -179,20 +180,20 @@
      * @param listed the entries listed, not null
      * @param askedAt the time before the list was asked for
      */
-    public synchronized void listed(Set<ListedHolder> listed, long askedAt) {
+    public synchronized void onHoldersListed(Set<ListedHolder> listed, long askedAt) {
         long now = clock.nanos();
-        if (listed.contains(self.listed())) {
-            proof.listed(askedAt, now);
+        if (listed.contains(self.toListedHolder())) {
+            leaseValidity.onListed(askedAt, now);
         }
-        watch.sawList(listed, askedAt, now);
+        departedHolders.onHoldersListed(listed, askedAt, now);
         // With hundreds of entries, all of them reading all rows would take a good part of the platform's reads.
-        scanning = listed.stream()
-                        .filter(other -> order(other) < order(self.listed()))
+        isScanner = listed.stream()
+                        .filter(other -> scannerRank(other) < scannerRank(self.toListedHolder()))
                         .count()
-                < SCANNING_ENTRIES;
+                < SCANNER_COUNT;
     }
 
-    private static int order(ListedHolder holder) {
+    private static int scannerRank(ListedHolder holder) {
         return holder.instance().value().hashCode() * 0x9E3779B1;
     }
 
@@ -213,8 +214,8 @@
      * @param handover what and to whom, not null
      */
     public synchronized void handOver(BudgetAction.HandOver handover) {
-        if (!handover.recipient().equals(ownKey())) {
-            enqueue(ShareTransfer.handover(handover.account(), handover.recipient(), handover.parts()));
+        if (!handover.recipientRow().equals(ownKey())) {
+            enqueue(ShareTransfer.handover(handover.account(), handover.recipientRow(), handover.parts()));
         }
     }
 
@@ -227,7 +228,7 @@
 
     /** Tells that another entry may have written this entry's row. */
     public synchronized void refresh() {
-        mustRead = known.isPresent();
+        mustReadRow = knownRow.isPresent();
     }
 
     /**
@@ -246,7 +247,7 @@
      * @return true if so
      */
     public synchronized boolean isReleased() {
-        return releaseAt != Long.MAX_VALUE && known.isEmpty() && pending.isEmpty();
+        return releaseAt != Long.MAX_VALUE && knownRow.isEmpty() && pendingCall.isEmpty();
     }
 
     /**
@@ -256,48 +257,49 @@
      */
     public synchronized Optional<StoreCall> next() {
         long now = clock.nanos();
-        if (pending.isPresent() || now < pausedUntil) {
+        if (pendingCall.isPresent() || now < retryAt) {
             return Optional.empty();
         }
-        pending = prepared.isPresent() ? prepared.map(commit -> commit.sentAgainAt(now)) : choose(now);
-        prepared = Optional.empty();
-        return pending.map(Pending::call);
+        pendingCall =
+                preparedCommit.isPresent() ? preparedCommit.map(commit -> commit.withSentAt(now)) : chooseCall(now);
+        preparedCommit = Optional.empty();
+        return pendingCall.map(PendingCall::call);
     }
 
-    private Optional<Pending> choose(long now) {
-        if (mustRead) {
-            return plain(new StoreCall.Read(ownKey()), now);
+    private Optional<PendingCall> chooseCall(long now) {
+        if (mustReadRow) {
+            return simpleCall(new StoreCall.Read(ownKey()), now);
         }
         if (releaseAt != Long.MAX_VALUE) {
-            return known.isEmpty() ? Optional.empty() : chooseRelease(now);
+            return knownRow.isEmpty() ? Optional.empty() : chooseRelease(now);
         }
-        if (known.isEmpty() || now - renewedAt >= policy.leaseRenewal().toNanos()) {
+        if (knownRow.isEmpty() || now - renewedAt >= policy.leaseRenewal().toNanos()) {
             return commit(Transaction.empty(), currentShares(), Optional.empty(), Optional.empty(), now);
         }
-        Optional<Pending> transfer = chooseTransfer(now);
+        Optional<PendingCall> transfer = chooseTransfer(now);
         return transfer.isPresent() ? transfer : chooseScan(now);
     }
 
-    private Optional<Pending> chooseRelease(long now) {
+    private Optional<PendingCall> chooseRelease(long now) {
         ShareSet left = currentShares();
         if (now < releaseAt) {
             return Optional.empty();
         }
         if (left.isEmpty()) {
             Transaction delete = Transaction.empty()
-                    .withCondition(ownKey(), known.orElseThrow().version())
+                    .withCondition(ownKey(), knownRow.orElseThrow().version())
                     .withDelete(ownKey());
-            return plain(new StoreCall.Commit(delete), now);
+            return simpleCall(new StoreCall.Commit(delete), now);
         }
         ShareTransfer transfer =
                 ShareTransfer.giveBack(left.accounts().iterator().next());
         return Optional.of(
-                new Pending(new StoreCall.Read(transfer.other()), now, Optional.of(transfer), Optional.empty()));
+                new PendingCall(new StoreCall.Read(transfer.other()), now, Optional.of(transfer), Optional.empty()));
     }
 
-    private Optional<Pending> chooseTransfer(long now) {
+    private Optional<PendingCall> chooseTransfer(long now) {
         if (transfers.isEmpty()) {
-            watch.gone(now).stream()
+            departedHolders.departedRows(now).stream()
                     .filter(row -> !row.key().equals(ownKey()))
                     .findFirst()
                     .ifPresent(row -> transfers.add(ShareTransfer.takeover(row.key())));
@@ -307,49 +309,49 @@
             return Optional.empty();
         }
         return Optional.of(
-                new Pending(new StoreCall.Read(transfer.other()), now, Optional.of(transfer), Optional.empty()));
+                new PendingCall(new StoreCall.Read(transfer.other()), now, Optional.of(transfer), Optional.empty()));
     }
 
-    private Optional<Pending> chooseScan(long now) {
+    private Optional<PendingCall> chooseScan(long now) {
         boolean young = now - startedAt < policy.quarantine().toNanos();
-        if (now < nextScanAt || !scanning && !young) {
+        if (now < nextScanAt || !isScanner && !young) {
             return Optional.empty();
         }
         nextScanAt = now + policy.scanInterval().toNanos();
         scanAccountsNext = !scanAccountsNext;
         String table = scanAccountsNext ? HolderRow.TABLE : AccountRow.TABLE;
-        return plain(new StoreCall.Scan(table, "", SCAN_LIMIT), now);
+        return simpleCall(new StoreCall.Scan(table, "", SCAN_ROW_LIMIT), now);
     }
 
-    private static Optional<Pending> plain(StoreCall call, long now) {
-        return Optional.of(new Pending(call, now, Optional.empty(), Optional.empty()));
+    private static Optional<PendingCall> simpleCall(StoreCall call, long now) {
+        return Optional.of(new PendingCall(call, now, Optional.empty(), Optional.empty()));
     }
 
     /** Makes a commit that writes this entry's row, which renews the lease whatever else it does. */
-    private Optional<Pending> commit(
+    private Optional<PendingCall> commit(
             Transaction more,
             ShareSet after,
             Optional<ShareTransfer> transfer,
             Optional<ShareTransfer.Plan> plan,
             long now) {
-        long version = known.map(Known::version).orElse(Transaction.ABSENT_VERSION);
-        long renewals = known.map(Known::renewals).orElse(0L) + 1;
+        long version = knownRow.map(KnownRow::version).orElse(Transaction.ABSENT_VERSION);
+        long renewals = knownRow.map(KnownRow::renewals).orElse(0L) + 1;
         Transaction whole =
                 more.withCondition(ownKey(), version).withWrite(ownKey(), new HolderRow(self, renewals, after).write());
-        return Optional.of(new Pending(new StoreCall.Commit(whole), now, transfer, plan));
+        return Optional.of(new PendingCall(new StoreCall.Commit(whole), now, transfer, plan));
     }
 
     private ShareSet currentShares() {
-        return known.map(Known::shares).orElse(ShareSet.EMPTY);
+        return knownRow.map(KnownRow::shares).orElse(ShareSet.EMPTY);
     }
 
     private RowKey ownKey() {
         return HolderRow.keyOf(self, generation);
     }
 
-    private Pending takePending() {
-        Pending answered = pending.orElseThrow(() -> new IllegalStateException("no call is under way"));
-        pending = Optional.empty();
+    private PendingCall takePending() {
+        PendingCall answered = pendingCall.orElseThrow(() -> new IllegalStateException("no call is under way"));
+        pendingCall = Optional.empty();
         return answered;
     }
 
@@ -359,35 +361,35 @@
      * @param found the row, empty if there is none, not null
      */
     public synchronized void read(Optional<Row> found) {
-        Pending answered = takePending();
+        PendingCall answered = takePending();
         if (answered.transfer().isPresent()) {
-            proceed(answered.transfer().get(), found);
+            prepareTransfer(answered.transfer().get(), found);
             return;
         }
-        mustRead = false;
+        mustReadRow = false;
         Optional<HolderRow> content = found.flatMap(row -> HolderRow.read(row.value()));
         if (content.isEmpty()) {
-            lose();
+            onRowLost();
             return;
         }
         long version = found.orElseThrow().version();
-        if (known.isPresent() && version > known.get().version()) {
-            unsettled = Optional.empty();
+        if (knownRow.isPresent() && version > knownRow.get().version()) {
+            sharesIfCommitApplied = Optional.empty();
         }
-        known = Optional.of(
-                new Known(version, content.get().renewals(), content.get().shares()));
+        knownRow = Optional.of(
+                new KnownRow(version, content.get().renewals(), content.get().shares()));
     }
 
-    private void lose() {
-        known = Optional.empty();
-        unsettled = Optional.empty();
+    private void onRowLost() {
+        knownRow = Optional.empty();
+        sharesIfCommitApplied = Optional.empty();
         generation++;
-        proof.lost();
+        leaseValidity.onLost();
     }
 
     /** Commits a transfer whose other row has just been read. */
-    private void proceed(ShareTransfer transfer, Optional<Row> found) {
-        if (known.isEmpty() || transfer.kind() == ShareTransfer.Kind.TAKEOVER && !isStillGone(found)) {
+    private void prepareTransfer(ShareTransfer transfer, Optional<Row> found) {
+        if (knownRow.isEmpty() || transfer.kind() == ShareTransfer.Kind.TAKEOVER && !isStillDeparted(found)) {
             return;
         }
         ShareTransfer exact = transfer;
@@ -396,19 +398,19 @@
             exact = ShareTransfer.handover(
                     account,
                     transfer.other(),
-                    withdrawal.withdraw(account, Math.min(transfer.parts(), usable(account))));
+                    withdrawal.withdraw(account, Math.min(transfer.parts(), usableParts(account))));
         }
         Optional<ShareTransfer.Plan> plan = exact.plan(currentShares(), found);
         if (plan.isEmpty()) {
             return;
         }
         long now = clock.nanos();
-        prepared = commit(plan.get().transaction(), plan.get().sharesAfter(), Optional.of(exact), plan, now);
+        preparedCommit = commit(plan.get().transaction(), plan.get().sharesAfter(), Optional.of(exact), plan, now);
     }
 
-    private boolean isStillGone(Optional<Row> found) {
+    private boolean isStillDeparted(Optional<Row> found) {
         return found.isPresent()
-                && watch.gone(clock.nanos()).stream()
+                && departedHolders.departedRows(clock.nanos()).stream()
                         .anyMatch(row -> row.key().equals(found.get().key())
                                 && row.version() == found.get().version());
     }
@@ -421,7 +423,7 @@
     public synchronized void scanned(List<Row> rows) {
         StoreCall.Scan scan = (StoreCall.Scan) takePending().call();
         if (scan.table().equals(HolderRow.TABLE)) {
-            watch.sawRows(rows, clock.nanos());
+            departedHolders.onRowsScanned(rows, clock.nanos());
             return;
         }
         Set<AccountId> taken = new HashSet<>();
@@ -439,32 +441,33 @@
      * @param effective false if a condition did not hold
      */
     public synchronized void committed(boolean effective) {
-        Pending answered = takePending();
+        PendingCall answered = takePending();
         if (!effective) {
-            mustRead = true;
+            mustReadRow = true;
             return;
         }
         if (isDeletion(answered)) {
-            known = Optional.empty();
+            knownRow = Optional.empty();
             return;
         }
         ShareSet after = answered.plan().map(ShareTransfer.Plan::sharesAfter).orElse(currentShares());
         // The table service does not say which version the commit has made; the next commit needs it.
-        mustRead = true;
-        long version = known.map(Known::version).orElse(Transaction.ABSENT_VERSION);
-        known = Optional.of(new Known(version, known.map(Known::renewals).orElse(0L) + 1, after));
-        unsettled = Optional.empty();
+        mustReadRow = true;
+        long version = knownRow.map(KnownRow::version).orElse(Transaction.ABSENT_VERSION);
+        knownRow = Optional.of(
+                new KnownRow(version, knownRow.map(KnownRow::renewals).orElse(0L) + 1, after));
+        sharesIfCommitApplied = Optional.empty();
         renewedAt = answered.sentAt();
-        proof.renewed(answered.sentAt());
+        leaseValidity.renewed(answered.sentAt());
         answered.transfer()
                 .filter(transfer -> transfer.kind() == ShareTransfer.Kind.HANDOVER)
-                .ifPresent(transfer -> handedOverTo.add(transfer.other()));
+                .ifPresent(transfer -> handoverRecipients.add(transfer.other()));
         if (answered.plan().filter(ShareTransfer.Plan::firstIssue).isPresent()) {
             answered.transfer().flatMap(ShareTransfer::account).ifPresent(firstIssued::add);
         }
     }
 
-    private boolean isDeletion(Pending answered) {
+    private boolean isDeletion(PendingCall answered) {
         return releaseAt != Long.MAX_VALUE
                 && answered.transfer().isEmpty()
                 && currentShares().isEmpty();
@@ -476,13 +479,14 @@
      * @param mayTakeEffect whether it may have taken effect, or may yet
      */
     public synchronized void failed(boolean mayTakeEffect) {
-        Pending answered = takePending();
-        pausedUntil = clock.nanos() + PAUSE_AFTER_FAILURE.toNanos();
+        PendingCall answered = takePending();
+        retryAt = clock.nanos() + RETRY_DELAY.toNanos();
         if (!(answered.call() instanceof StoreCall.Commit) || !mayTakeEffect) {
             return;
         }
-        mustRead = true;
+        mustReadRow = true;
         ShareSet after = answered.plan().map(ShareTransfer.Plan::sharesAfter).orElse(currentShares());
-        unsettled = Optional.of(unsettled.map(after::least).orElse(after));
+        sharesIfCommitApplied =
+                Optional.of(sharesIfCommitApplied.map(after::minimum).orElse(after));
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/ShareSet.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/ShareSet.java
@@ -82,7 +82,7 @@
      * @param other the other set, not null
      * @return the lesser share of each account, not null
      */
-    public ShareSet least(ShareSet other) {
+    public ShareSet minimum(ShareSet other) {
         ShareSet least = EMPTY;
         for (AccountId account : parts.keySet()) {
             least = least.with(account, Math.min(parts(account), other.parts(account)));
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/SharingPolicy.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/SharingPolicy.java
@@ -16,19 +16,25 @@
      * @param wish what the other one asks, not null
      * @return what to give, not null
      */
-    Decision decide(Position position, LoanWish wish);
+    Decision decide(LenderState position, LoanWish wish);
 
     /**
      * What an entry has of an account's budget, and needs.
      *
      * @param tokens the tokens in its bucket
      * @param parts the parts that it holds and has not lent
-     * @param demand the tokens a second that its callers ask for
-     * @param waiting whether requests wait for budget here
+     * @param tokensPerSecondDemanded the tokens a second that its callers ask for
+     * @param hasWaitingRequests whether requests wait for budget here
      * @param tokensPerSecond the account's rate
      * @param burstTokens the account's burst
      */
-    record Position(long tokens, long parts, long demand, boolean waiting, long tokensPerSecond, long burstTokens) {}
+    record LenderState(
+            long tokens,
+            long parts,
+            long tokensPerSecondDemanded,
+            boolean hasWaitingRequests,
+            long tokensPerSecond,
+            long burstTokens) {}
 
     /**
      * What to give.
@@ -40,7 +46,7 @@
     record Decision(long lentTokens, long lentParts, long handedOverParts) {
 
         /** To give nothing. */
-        public static final Decision NOTHING = new Decision(0, 0, 0);
+        public static final Decision NONE = new Decision(0, 0, 0);
     }
 
     /**
@@ -49,7 +55,7 @@
      * @return the policy, not null
      */
     static SharingPolicy staticSplit() {
-        return (position, wish) -> Decision.NOTHING;
+        return (position, wish) -> Decision.NONE;
     }
 
     /**
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/TokenBucket.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/TokenBucket.java
@@ -117,12 +117,12 @@
     }
 
     /** Takes out an amount that is lent. */
-    void take(long amount) {
+    void withdraw(long amount) {
         level -= amount;
     }
 
     /** Puts in an amount that is borrowed, after the capacity was raised for it. */
-    void add(long amount) {
+    void deposit(long amount) {
         level = Math.min(capacity, level + amount);
         limitRefunds();
     }
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/WaitingLine.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/WaitQueue.java
@@ -12,38 +12,38 @@
  *
  * <p>Not safe for use by several threads.
  */
-final class WaitingLine {
+final class WaitQueue {
 
     private final Deque<Waiter> waiters = new ArrayDeque<>();
-    private long tokens;
+    private long totalTokens;
 
     /**
      * A request that waits.
      *
      * @param ticket its number
      * @param tokens what it needs
-     * @param latest when it is to be refused
+     * @param deadline when it is to be refused
      */
-    record Waiter(long ticket, long tokens, long latest) {}
+    record Waiter(long ticket, long tokens, long deadline) {}
 
     /**
      * A request that cannot be served in time.
      *
      * @param waiter the request
-     * @param neededAhead the tokens needed by those before it and itself
+     * @param cumulativeTokens the tokens needed by those before it and itself
      */
-    record Hopeless(Waiter waiter, long neededAhead) {}
+    record Unservable(Waiter waiter, long cumulativeTokens) {}
 
     /** Tells whether a request will be served in time, given the tokens needed by those before it and itself. */
     @FunctionalInterface
-    interface Prospect {
+    interface ServiceForecast {
 
-        boolean isServed(Waiter waiter, long neededAhead);
+        boolean canServe(Waiter waiter, long neededAhead);
     }
 
     void add(Waiter waiter) {
         waiters.add(waiter);
-        tokens += waiter.tokens();
+        totalTokens += waiter.tokens();
     }
 
     boolean isEmpty() {
@@ -51,8 +51,8 @@
     }
 
     /** Gets the tokens that all need together. */
-    long tokens() {
-        return tokens;
+    long totalTokens() {
+        return totalTokens;
     }
 
     Optional<Waiter> head() {
@@ -60,28 +60,28 @@
     }
 
     void removeHead() {
-        tokens -= waiters.remove().tokens();
+        totalTokens -= waiters.remove().tokens();
     }
 
     /** Takes out those that will not be served in time; those behind them move up. */
-    List<Hopeless> removeHopeless(Prospect prospect) {
-        List<Hopeless> removed = new ArrayList<>();
+    List<Unservable> removeUnservable(ServiceForecast prospect) {
+        List<Unservable> removed = new ArrayList<>();
         long ahead = 0;
         for (Iterator<Waiter> inOrder = waiters.iterator(); inOrder.hasNext(); ) {
             Waiter waiter = inOrder.next();
-            if (prospect.isServed(waiter, ahead + waiter.tokens())) {
+            if (prospect.canServe(waiter, ahead + waiter.tokens())) {
                 ahead += waiter.tokens();
                 continue;
             }
-            removed.add(new Hopeless(waiter, ahead + waiter.tokens()));
+            removed.add(new Unservable(waiter, ahead + waiter.tokens()));
             inOrder.remove();
-            tokens -= waiter.tokens();
+            totalTokens -= waiter.tokens();
         }
         return removed;
     }
 
     /** Gets the earliest time at which one is to be refused. */
-    long earliestLimit() {
-        return waiters.stream().mapToLong(Waiter::latest).min().orElse(Long.MAX_VALUE);
+    long earliestDeadline() {
+        return waiters.stream().mapToLong(Waiter::deadline).min().orElse(Long.MAX_VALUE);
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerCall.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerCall.java
@@ -32,21 +32,21 @@
 
     /** The table service does not say which version a commit has made. */
     /** An outage of the platform lasts seconds at least; coming back sooner only adds to it. */
-    private static final Duration OUTAGE_RETRY = Duration.ofSeconds(1);
+    private static final Duration OUTAGE_RETRY_DELAY = Duration.ofSeconds(1);
 
-    private static final long NOT_READ = -1;
+    private static final long VERSION_UNKNOWN = -1;
 
-    private static final int SEAL_TRIES = 3;
-    private static final int TRIES_AFTER_REPLY = 100;
-    private static final LedgerAction.Refuse NEVER_STARTED = new LedgerAction.Refuse(
+    private static final int MAX_SEAL_TRIES = 3;
+    private static final int STORE_TRIES_AFTER_REPLY = 100;
+    private static final LedgerAction.Refuse NEVER_STARTED_REFUSAL = new LedgerAction.Refuse(
             ResultCode.NOT_RUN, ExecutionStatus.NO, Optional.empty(), "the request was given up before it started");
 
     private final RowKey key;
     private final String requestDigest;
     private final Sender self;
     private final LedgerPolicy policy;
-    private final LedgerView view;
-    private final Instant patienceEnd;
+    private final LedgerView context;
+    private final Instant waitDeadline;
 
     private Step step = Step.IDLE;
     /** The row that this call has put there or taken over, or is about to. */
@@ -54,33 +54,33 @@
     /** The version of the stored row that the next commit expects. */
     private long version;
     /** What ends the call once the state of the attempt is written. */
-    private LedgerAction.Refuse verdict;
+    private LedgerAction.Refuse finalRefusal;
 
     private StoredAnswer answer;
     private int storeTriesLeft;
     private int sendTriesLeft;
     private int sealTriesLeft;
-    private Instant sealAskedAt;
+    private Instant sealRequestedAt;
     private boolean replied;
     private boolean resumed;
     /** Attempts that a commit of this call may have put into the row, and that were not sent. */
-    private final Set<AttemptId> unsent = new HashSet<>();
+    private final Set<AttemptId> unsentAttempts = new HashSet<>();
     /** The last attempt that was shown never to run. */
-    private Optional<AttemptId> spent = Optional.empty();
+    private Optional<AttemptId> unstartedAttempt = Optional.empty();
     /** Whether another call's attempt was seen that may have run. */
     private boolean otherMayHaveRun;
 
     private enum Step {
         IDLE,
         CLAIMING,
-        SETTLING_CLAIM,
-        LOOKING,
+        VERIFYING_CLAIM,
+        READING,
         WAITING,
         SENT,
         SEALING,
         RECORDING,
-        SETTLING_RECORD,
-        PAUSED_RECORD,
+        VERIFYING_RECORD,
+        RECORD_RETRY_WAIT,
         DONE
     }
 
@@ -98,11 +98,11 @@
         this.requestDigest = Objects.requireNonNull(requestDigest, "requestDigest");
         this.self = Objects.requireNonNull(self, "self");
         this.policy = Objects.requireNonNull(policy, "policy");
-        this.view = Objects.requireNonNull(view, "view");
-        this.patienceEnd = view.now().get().plus(policy.patience());
+        this.context = Objects.requireNonNull(view, "view");
+        this.waitDeadline = view.clock().get().plus(policy.patience());
         this.sendTriesLeft = policy.sendTries();
         this.storeTriesLeft = policy.storeTries();
-        this.sealTriesLeft = SEAL_TRIES;
+        this.sealTriesLeft = MAX_SEAL_TRIES;
     }
 
     /**
@@ -111,9 +111,9 @@
      * @return what to do, not null
      */
     public LedgerAction start() {
-        Optional<Companion> companion = view.chooser().get();
+        Optional<Companion> companion = context.companionSelector().get();
         // Without a target a call that has run already still gets its answer.
-        return companion.isPresent() ? claim(Transaction.ABSENT_VERSION, companion.get()) : look(Step.LOOKING);
+        return companion.isPresent() ? claim(Transaction.ABSENT_VERSION, companion.get()) : readRow(Step.READING);
     }
 
     /** Puts a new attempt into the row, if the row has still the version given. */
@@ -124,12 +124,12 @@
         row = new LedgerRow(
                 requestDigest,
                 self,
-                view.newAttempt().get(),
+                context.attemptIds().get(),
                 companion,
                 LedgerRow.State.RUNNING,
-                view.now().get().truncatedTo(ChronoUnit.MILLIS),
+                context.clock().get().truncatedTo(ChronoUnit.MILLIS),
                 Optional.empty());
-        unsent.add(row.attempt());
+        unsentAttempts.add(row.attempt());
         return commitClaim();
     }
 
@@ -149,29 +149,29 @@
      * @return what to do, not null
      */
     public LedgerAction committed() {
-        version = NOT_READ;
-        return step == Step.CLAIMING ? send() : recorded();
+        version = VERSION_UNKNOWN;
+        return step == Step.CLAIMING ? send() : finishRecorded();
     }
 
     private LedgerAction send() {
         if (ageOf(row).compareTo(policy.sendLimit()) > 0) {
             // This process was frozen since the commit. Another call may have had the attempt sealed meanwhile, and the
             // companion may have forgotten the seal: what is sent now would be a second run.
-            unsent.remove(row.attempt());
-            return neverStarted(NEVER_STARTED);
+            unsentAttempts.remove(row.attempt());
+            return handleNeverStarted(NEVER_STARTED_REFUSAL);
         }
         step = Step.SENT;
         resumed = false;
-        unsent.remove(row.attempt());
+        unsentAttempts.remove(row.attempt());
         return new LedgerAction.Send(
                 row.attempt(), row.companion(), row.created().plus(policy.sendLimit()));
     }
 
-    private LedgerAction recorded() {
+    private LedgerAction finishRecorded() {
         if (replied) {
-            return done();
+            return finishSilently();
         }
-        return answer == null ? finish(verdict) : reply(answer, false, Optional.empty());
+        return answer == null ? finish(finalRefusal) : reply(answer, false, Optional.empty());
     }
 
     /**
@@ -181,10 +181,10 @@
      */
     public LedgerAction conflicted() {
         if (step != Step.CLAIMING) {
-            return look(Step.SETTLING_RECORD);
+            return readRow(Step.VERIFYING_RECORD);
         }
         otherMayHaveRun = true;
-        return look(Step.SETTLING_CLAIM);
+        return readRow(Step.VERIFYING_CLAIM);
     }
 
     /**
@@ -199,12 +199,12 @@
             // A commit whose answer was lost may have put the attempt there, or another call's commit may have come
             // first. To send on the strength of a lost answer would run the request twice; the row tells which it
             // was.
-            return mayTakeEffect ? look(Step.SETTLING_CLAIM) : storeUnavailable();
+            return mayTakeEffect ? readRow(Step.VERIFYING_CLAIM) : handleStoreUnavailable();
         }
-        return recordLater();
+        return retryRecord();
     }
 
-    private LedgerAction look(Step next) {
+    private LedgerAction readRow(Step next) {
         step = next;
         return new LedgerAction.Read(key);
     }
@@ -216,20 +216,20 @@
      */
     public LedgerAction readFailed() {
         storeTriesLeft--;
-        if (step == Step.SETTLING_RECORD) {
-            return recordLater();
+        if (step == Step.VERIFYING_RECORD) {
+            return retryRecord();
         }
-        return storeTriesLeft > 0 ? look(step) : storeUnavailable();
+        return storeTriesLeft > 0 ? readRow(step) : handleStoreUnavailable();
     }
 
-    private LedgerAction storeUnavailable() {
-        if (verdict != null && !otherMayHaveRun) {
-            return finish(verdict);
+    private LedgerAction handleStoreUnavailable() {
+        if (finalRefusal != null && !otherMayHaveRun) {
+            return finish(finalRefusal);
         }
         return refuse(
                 ResultCode.STORE_UNAVAILABLE,
                 otherMayHaveRun ? ExecutionStatus.UNKNOWN : ExecutionStatus.NO,
-                Optional.of(OUTAGE_RETRY),
+                Optional.of(OUTAGE_RETRY_DELAY),
                 "the table service cannot be reached; this call has sent nothing, but an earlier one with its key may have"
                         + " run");
     }
@@ -242,33 +242,33 @@
      */
     public LedgerAction read(Optional<Row> found) {
         if (found.isEmpty()) {
-            return readAbsent();
+            return handleAbsentRow();
         }
         try {
             LedgerRow stored = LedgerRowFormat.read(found.get().value());
             version = found.get().version();
-            return step == Step.SETTLING_RECORD ? settleRecord(stored) : decide(stored);
+            return step == Step.VERIFYING_RECORD ? resolveRecordCommit(stored) : handleStoredRow(stored);
         } catch (UnreadableRowException unreadable) {
             return refuse(ResultCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN, unreadable.getMessage());
         }
     }
 
-    private LedgerAction readAbsent() {
-        if (step == Step.SETTLING_RECORD) {
-            return recorded();
+    private LedgerAction handleAbsentRow() {
+        if (step == Step.VERIFYING_RECORD) {
+            return finishRecorded();
         }
         version = Transaction.ABSENT_VERSION;
-        if (step == Step.SETTLING_CLAIM && storeTriesLeft > 0) {
+        if (step == Step.VERIFYING_CLAIM && storeTriesLeft > 0) {
             // The commit has not taken effect but may yet. The same attempt is put there again: whichever commit
             // wins, the row holds this call's attempt or another call's, and never both.
             return commitClaim();
         }
         otherMayHaveRun = false;
-        return step == Step.SETTLING_CLAIM ? storeUnavailable() : claimAgain();
+        return step == Step.VERIFYING_CLAIM ? handleStoreUnavailable() : claimNextAttempt();
     }
 
-    private LedgerAction decide(LedgerRow stored) {
-        if (stored.state() == LedgerRow.State.RUNNING && unsent.contains(stored.attempt())) {
+    private LedgerAction handleStoredRow(LedgerRow stored) {
+        if (stored.state() == LedgerRow.State.RUNNING && unsentAttempts.contains(stored.attempt())) {
             row = stored;
             return send();
         }
@@ -278,55 +278,58 @@
                     ExecutionStatus.NO,
                     "the idempotency key was used with another request");
         }
-        if (isSpent(stored)) {
-            return claimAgain();
+        if (isProvenUnstarted(stored)) {
+            return claimNextAttempt();
         }
         otherMayHaveRun = stored.state() != LedgerRow.State.NOT_RUN;
         return switch (stored.state()) {
             case FINISHED -> reply(stored.answer().orElseThrow(), true, Optional.empty());
-            case UNKNOWN -> outcomeUnknown("an earlier attempt's outcome cannot be found out");
-            case NOT_RUN -> claimAgain();
+            case UNKNOWN -> refuseOutcomeUnknown("an earlier attempt's outcome cannot be found out");
+            case NOT_RUN -> claimNextAttempt();
             case UNSETTLED -> seal(stored);
             case RUNNING -> isOrphaned(stored) ? seal(stored) : waitForSender();
         };
     }
 
-    private boolean isSpent(LedgerRow stored) {
+    private boolean isProvenUnstarted(LedgerRow stored) {
         boolean open = stored.state() == LedgerRow.State.RUNNING || stored.state() == LedgerRow.State.UNSETTLED;
-        return open && spent.equals(Optional.of(stored.attempt()));
+        return open && unstartedAttempt.equals(Optional.of(stored.attempt()));
     }
 
     /** Puts a new attempt where the row holds none that has run or may run. */
-    private LedgerAction claimAgain() {
-        Optional<Companion> companion = sendTriesLeft > 0 ? view.chooser().get() : Optional.empty();
+    private LedgerAction claimNextAttempt() {
+        Optional<Companion> companion =
+                sendTriesLeft > 0 ? context.companionSelector().get() : Optional.empty();
         if (companion.isPresent()) {
             return claim(version, companion.get());
         }
-        if (row != null && spent.equals(Optional.of(row.attempt())) && version != Transaction.ABSENT_VERSION) {
-            return record(LedgerRow.State.NOT_RUN, verdict);
+        if (row != null
+                && unstartedAttempt.equals(Optional.of(row.attempt()))
+                && version != Transaction.ABSENT_VERSION) {
+            return record(LedgerRow.State.NOT_RUN, finalRefusal);
         }
-        return verdict != null
-                ? finish(verdict)
+        return finalRefusal != null
+                ? finish(finalRefusal)
                 : refuse(ResultCode.NO_TARGET, ExecutionStatus.NO, "no live target offers the operation");
     }
 
     private boolean isOrphaned(LedgerRow stored) {
-        return !view.liveSender().test(stored.sender()) || ageOf(stored).compareTo(policy.takeoverAge()) > 0;
+        return !context.isSenderLive().test(stored.sender()) || ageOf(stored).compareTo(policy.takeoverAge()) > 0;
     }
 
     private Duration ageOf(LedgerRow stored) {
-        return Duration.between(stored.created(), view.now().get());
+        return Duration.between(stored.created(), context.clock().get());
     }
 
     private LedgerAction waitForSender() {
-        if (!view.now().get().isBefore(patienceEnd)) {
-            return inProgress();
+        if (!context.clock().get().isBefore(waitDeadline)) {
+            return refuseInProgress();
         }
         step = Step.WAITING;
         return new LedgerAction.Wait(policy.pollInterval());
     }
 
-    private LedgerAction inProgress() {
+    private LedgerAction refuseInProgress() {
         return refuse(
                 ResultCode.IN_PROGRESS,
                 ExecutionStatus.UNKNOWN,
@@ -340,21 +343,21 @@
      * @return what to do, not null
      */
     public LedgerAction waited() {
-        if (step == Step.PAUSED_RECORD) {
+        if (step == Step.RECORD_RETRY_WAIT) {
             return record();
         }
         storeTriesLeft = policy.storeTries();
-        return look(Step.LOOKING);
+        return readRow(Step.READING);
     }
 
     private LedgerAction seal(LedgerRow stored) {
         row = stored;
         if (sealTriesLeft <= 0) {
-            return unsettled("the attempt's answer breaks off again and again; ask again with the same key");
+            return recordUnsettled("the attempt's answer breaks off again and again; ask again with the same key");
         }
         sealTriesLeft--;
         step = Step.SEALING;
-        sealAskedAt = view.now().get();
+        sealRequestedAt = context.clock().get();
         Duration age = ageOf(stored).plus(policy.clockError()).plus(policy.sealLimit());
         return new LedgerAction.Seal(stored.attempt(), stored.companion(), age);
     }
@@ -366,17 +369,19 @@
      * @return what to do, not null
      */
     public LedgerAction sealed(SealResult result) {
-        boolean late = sealAskedAt.plus(policy.sealLimit()).isBefore(view.now().get());
+        boolean late = sealRequestedAt
+                .plus(policy.sealLimit())
+                .isBefore(context.clock().get());
         if (late && result == SealResult.NEVER_STARTED) {
             // This process was frozen on the way. The companion may have judged by an age that was no longer true, have
             // forgotten the attempt by then, and so taken one that has run for one that never came.
             return seal(row);
         }
         return switch (result) {
-            case NEVER_STARTED -> neverStarted(NEVER_STARTED);
+            case NEVER_STARTED -> handleNeverStarted(NEVER_STARTED_REFUSAL);
             case STARTED -> resume();
             case NOT_KNOWN -> recordUnknown("the companion has no memory of the attempt");
-            case UNREACHABLE -> sealUnanswered();
+            case UNREACHABLE -> handleUnreachableCompanion();
         };
     }
 
@@ -386,14 +391,14 @@
         return new LedgerAction.Resume(row.attempt(), row.companion());
     }
 
-    private LedgerAction sealUnanswered() {
-        if (view.goneCompanion().test(row.companion())) {
+    private LedgerAction handleUnreachableCompanion() {
+        if (context.isCompanionGone().test(row.companion())) {
             return recordUnknown("the companion is gone");
         }
-        return unsettled("the companion cannot be reached; ask again with the same key");
+        return recordUnsettled("the companion cannot be reached; ask again with the same key");
     }
 
-    private LedgerAction unsettled(String message) {
+    private LedgerAction recordUnsettled(String message) {
         LedgerAction.Refuse refusal = new LedgerAction.Refuse(
                 ResultCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN, Optional.of(policy.patience()), message);
         return record(LedgerRow.State.UNSETTLED, refusal);
@@ -422,7 +427,7 @@
         if (refusal.ran() != ExecutionStatus.NO) {
             return recordUnknown(refusal.code() + ": " + refusal.message());
         }
-        return resumed ? seal(row) : neverStarted(refusal);
+        return resumed ? seal(row) : handleNeverStarted(refusal);
     }
 
     /**
@@ -433,15 +438,15 @@
      */
     public LedgerAction lost(ExecutionStatus ran) {
         // That a resume was not sent says nothing of the attempt, which another call has sent.
-        return ran == ExecutionStatus.NO && !resumed ? neverStarted(NEVER_STARTED) : seal(row);
+        return ran == ExecutionStatus.NO && !resumed ? handleNeverStarted(NEVER_STARTED_REFUSAL) : seal(row);
     }
 
-    private LedgerAction neverStarted(LedgerAction.Refuse refusal) {
-        spent = Optional.of(row.attempt());
-        verdict = refusal;
+    private LedgerAction handleNeverStarted(LedgerAction.Refuse refusal) {
+        unstartedAttempt = Optional.of(row.attempt());
+        finalRefusal = refusal;
         otherMayHaveRun = false;
         storeTriesLeft = policy.storeTries();
-        return version == NOT_READ ? look(Step.LOOKING) : claimAgain();
+        return version == VERSION_UNKNOWN ? readRow(Step.READING) : claimNextAttempt();
     }
 
     private LedgerAction recordUnknown(String message) {
@@ -452,42 +457,42 @@
 
     private LedgerAction record(LedgerRow.State state, LedgerAction.Refuse then) {
         row = row.withState(state);
-        verdict = then;
+        finalRefusal = then;
         storeTriesLeft = policy.storeTries();
         return record();
     }
 
     private LedgerAction record() {
-        if (version == NOT_READ) {
-            return look(Step.SETTLING_RECORD);
+        if (version == VERSION_UNKNOWN) {
+            return readRow(Step.VERIFYING_RECORD);
         }
         step = Step.RECORDING;
         return commitRow();
     }
 
     /** Decides what a record's commit that found another version is to do. */
-    private LedgerAction settleRecord(LedgerRow stored) {
+    private LedgerAction resolveRecordCommit(LedgerRow stored) {
         if (stored.equals(row) || !stored.attempt().equals(row.attempt())) {
-            return recorded();
+            return finishRecorded();
         }
         boolean better = answer != null && stored.state() != LedgerRow.State.FINISHED;
         if (!better && stored.state() != LedgerRow.State.RUNNING && stored.state() != LedgerRow.State.UNSETTLED) {
-            return recorded();
+            return finishRecorded();
         }
         return record();
     }
 
     /** Goes on without the store: what the caller is told stays true, and the next call asks the companion. */
-    private LedgerAction recordLater() {
+    private LedgerAction retryRecord() {
         if (storeTriesLeft <= 0) {
-            return recorded();
+            return finishRecorded();
         }
-        step = Step.PAUSED_RECORD;
+        step = Step.RECORD_RETRY_WAIT;
         if (answer == null || replied) {
             return new LedgerAction.Wait(policy.pollInterval());
         }
         replied = true;
-        storeTriesLeft = TRIES_AFTER_REPLY;
+        storeTriesLeft = STORE_TRIES_AFTER_REPLY;
         return new LedgerAction.Reply(answer, false, Optional.of(policy.pollInterval()));
     }
 
@@ -496,7 +501,7 @@
         return new LedgerAction.Reply(stored, replayed, storeAgainAfter);
     }
 
-    private LedgerAction outcomeUnknown(String message) {
+    private LedgerAction refuseOutcomeUnknown(String message) {
         return refuse(ResultCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN, message);
     }
 
@@ -513,7 +518,7 @@
         return refusal;
     }
 
-    private LedgerAction done() {
+    private LedgerAction finishSilently() {
         step = Step.DONE;
         return new LedgerAction.Done();
     }
--- a/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerRowFormat.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerRowFormat.java
@@ -99,23 +99,23 @@
         try {
             JsonNode node = MAPPER.readTree(text);
             return new LedgerRow(
-                    required(node, "requestDigest").asText(),
+                    requireField(node, "requestDigest").asText(),
                     new Sender(
-                            InstanceId.of(required(node, "sender").asText()),
-                            required(node, "senderIncarnation").asLong()),
-                    AttemptId.of(required(node, "attempt").asText()),
+                            InstanceId.of(requireField(node, "sender").asText()),
+                            requireField(node, "senderIncarnation").asLong()),
+                    AttemptId.of(requireField(node, "attempt").asText()),
                     new Companion(
-                            InstanceId.of(required(node, "companion").asText()),
-                            required(node, "companionIncarnation").asLong()),
-                    LedgerRow.State.valueOf(required(node, "state").asText()),
-                    Instant.ofEpochMilli(required(node, "createdMillis").asLong()),
-                    answerIn(node));
+                            InstanceId.of(requireField(node, "companion").asText()),
+                            requireField(node, "companionIncarnation").asLong()),
+                    LedgerRow.State.valueOf(requireField(node, "state").asText()),
+                    Instant.ofEpochMilli(requireField(node, "createdMillis").asLong()),
+                    readAnswer(node));
         } catch (JsonProcessingException | IllegalArgumentException invalid) {
             throw new UnreadableRowException("ledger row cannot be read: " + invalid.getMessage(), invalid);
         }
     }
 
-    private static Optional<StoredAnswer> answerIn(JsonNode node) {
+    private static Optional<StoredAnswer> readAnswer(JsonNode node) {
         if (node.hasNonNull("answer")) {
             return Optional.of(new StoredAnswer.Inline(node.get("answer").asText()));
         }
@@ -126,7 +126,7 @@
         return Optional.empty();
     }
 
-    private static JsonNode required(JsonNode node, String field) {
+    private static JsonNode requireField(JsonNode node, String field) {
         JsonNode value = node.get(field);
         if (value == null || value.isNull()) {
             throw new IllegalArgumentException("field missing: " + field);
--- a/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerView.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerView.java
@@ -12,15 +12,15 @@
  *
  * <p>No answer is needed for safety: a wrong one costs time or an unknown outcome, never a second run.
  *
- * @param now the time of day
- * @param newAttempt makes attempt ids
- * @param chooser chooses a companion, empty if none offers the operation
- * @param liveSender whether an entry is live
- * @param goneCompanion whether a companion's instance is gone for good
+ * @param clock the time of day
+ * @param attemptIds makes attempt ids
+ * @param companionSelector chooses a companion, empty if none offers the operation
+ * @param isSenderLive whether an entry is live
+ * @param isCompanionGone whether a companion's instance is gone for good
  */
 public record LedgerView(
-        Supplier<Instant> now,
-        Supplier<AttemptId> newAttempt,
-        Supplier<Optional<Companion>> chooser,
-        Predicate<Sender> liveSender,
-        Predicate<Companion> goneCompanion) {}
+        Supplier<Instant> clock,
+        Supplier<AttemptId> attemptIds,
+        Supplier<Optional<Companion>> companionSelector,
+        Predicate<Sender> isSenderLive,
+        Predicate<Companion> isCompanionGone) {}
--- a/coordination/src/test/java/org/geraniumreach/coordination/budget/AccountBudgetTest.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/budget/AccountBudgetTest.java
@@ -13,15 +13,15 @@
 
 class AccountBudgetTest {
 
-    private static final Duration LONGEST_WAIT = Duration.ofSeconds(2);
-    private static final Duration SCAN = Duration.ofSeconds(2);
+    private static final Duration MAX_WAIT = Duration.ofSeconds(2);
+    private static final Duration SCAN_INTERVAL = Duration.ofSeconds(2);
     private static final Duration DEADLINE = Duration.ofSeconds(60);
 
     private final AtomicLong now = new AtomicLong(1_000_000);
     private AccountBudget budget;
 
     @BeforeEach
-    void begin() {
+    void createBudget() {
         BudgetPolicy policy = new BudgetPolicy(
                 SharingPolicy.byDemand(),
                 Duration.ofSeconds(5),
@@ -30,18 +30,18 @@
                 Duration.ofSeconds(24),
                 Duration.ofSeconds(2),
                 Duration.ofMillis(100),
-                LONGEST_WAIT,
-                SCAN,
+                MAX_WAIT,
+                SCAN_INTERVAL,
                 500);
         HoldingProof proof = new HoldingProof(Duration.ofSeconds(12).toNanos());
-        proof.listed(now.get(), now.get());
+        proof.onListed(now.get(), now.get());
         proof.renewed(now.get());
         budget = new AccountBudget(AccountId.of("a"), policy, proof, now::get, new Random(1));
         budget.setRate(1_000, 1_000);
     }
 
     @Test
-    void aRequestBeforeTheFirstShareWaitsForItAndIsGranted() {
+    void requestBeforeTheFirstShareWaitsAndIsGranted() {
         // The caller is served after a moment. Its entry has just begun and has asked the table service for a share,
         // which it does not hold yet; a refusal would be wrongful, since the account is within its rate.
         assertThat(budget.reserve(1, 10, DEADLINE).actions()).isEmpty();
@@ -51,17 +51,17 @@
     }
 
     @Test
-    void aRequestThatGetsNoShareIsRefusedWithTheTimeOfTheNextLook() {
+    void requestWithoutAShareIsRefusedWithARetryDelayOfAtLeastOneScan() {
         assertThat(budget.reserve(1, 10, DEADLINE).actions()).isEmpty();
-        now.addAndGet(LONGEST_WAIT.toNanos());
+        now.addAndGet(MAX_WAIT.toNanos());
         List<BudgetAction> actions = budget.wake().actions();
         assertThat(actions).singleElement().isInstanceOfSatisfying(BudgetAction.Refused.class, refused -> assertThat(
                         refused.retryAfter())
-                .isGreaterThanOrEqualTo(SCAN));
+                .isGreaterThanOrEqualTo(SCAN_INTERVAL));
     }
 
     @Test
-    void anEntryThatHasLostItsShareRefusesAtOnce() {
+    void requestAfterLossOfTheShareIsRefusedImmediately() {
         budget.setOwnParts(ShareParts.WHOLE, true);
         budget.setOwnParts(0, false);
         assertThat(budget.reserve(1, 10, DEADLINE).actions()).singleElement().isInstanceOf(BudgetAction.Refused.class);
--- a/coordination/src/test/java/org/geraniumreach/coordination/budget/AdmittedTokens.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/budget/AdmittedTokens.java
@@ -9,11 +9,11 @@
 final class AdmittedTokens {
 
     private static final double NANOS_PER_SECOND = 1e9;
-    private static final double ROUNDING = 1e-3;
-    private static final long MILLI = 1_000_000;
+    private static final double ROUNDING_TOLERANCE = 1e-3;
+    private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final List<Admission> admissions = new ArrayList<>();
-    private final List<Regime> regimes = new ArrayList<>();
+    private final List<RatePeriod> ratePeriods = new ArrayList<>();
 
     /** Tokens admitted at a time. */
     private static final class Admission {
@@ -29,17 +29,17 @@
     }
 
     /** The greatest rate and burst that any entry goes by, from a time on. */
-    private record Regime(long from, long rate, long burst) {}
+    private record RatePeriod(long from, long rate, long burst) {}
 
-    void regime(long from, long rate, long burst) {
-        regimes.add(new Regime(from, rate, burst));
+    void addRatePeriod(long from, long rate, long burst) {
+        ratePeriods.add(new RatePeriod(from, rate, burst));
     }
 
-    void admitted(long at, Grant grant) {
+    void onAdmitted(long at, Grant grant) {
         admissions.add(new Admission(at, grant));
     }
 
-    void settled(Grant grant, long actual) {
+    void onSettled(Grant grant, long actual) {
         admissions.stream().filter(one -> one.grant == grant).forEach(one -> one.tokens = actual);
     }
 
@@ -48,7 +48,7 @@
     }
 
     /** Checks every window: the greatest excess of those that end at an admission is found in one pass. */
-    void check() {
+    void assertWithinRate() {
         double least = Double.MAX_VALUE;
         long leastFrom = 0;
         long sum = 0;
@@ -60,17 +60,20 @@
             }
             sum += admission.tokens;
             assertThat(sum - inflowUntil(admission.at) - least)
-                    .as("tokens above rate and burst from %d ms to %d ms", leastFrom / MILLI, admission.at / MILLI)
-                    .isLessThanOrEqualTo(ROUNDING);
+                    .as(
+                            "tokens above rate and burst from %d ms to %d ms",
+                            leastFrom / NANOS_PER_MILLI, admission.at / NANOS_PER_MILLI)
+                    .isLessThanOrEqualTo(ROUNDING_TOLERANCE);
         }
     }
 
     private double burstAt(long time) {
         double burst = 0;
-        for (int index = 0; index < regimes.size(); index++) {
-            boolean over = index + 1 < regimes.size() && regimes.get(index + 1).from() < time;
-            if (regimes.get(index).from() <= time && !over) {
-                burst = Math.max(burst, regimes.get(index).burst());
+        for (int index = 0; index < ratePeriods.size(); index++) {
+            boolean over =
+                    index + 1 < ratePeriods.size() && ratePeriods.get(index + 1).from() < time;
+            if (ratePeriods.get(index).from() <= time && !over) {
+                burst = Math.max(burst, ratePeriods.get(index).burst());
             }
         }
         return burst;
@@ -78,14 +81,14 @@
 
     private double inflowUntil(long end) {
         double sum = 0;
-        for (int index = 0; index < regimes.size(); index++) {
-            long from = regimes.get(index).from();
-            long until = index + 1 < regimes.size()
-                    ? Math.min(end, regimes.get(index + 1).from())
+        for (int index = 0; index < ratePeriods.size(); index++) {
+            long from = ratePeriods.get(index).from();
+            long until = index + 1 < ratePeriods.size()
+                    ? Math.min(end, ratePeriods.get(index + 1).from())
                     : end;
             sum += Math.max(0, until - from)
                     / NANOS_PER_SECOND
-                    * regimes.get(index).rate();
+                    * ratePeriods.get(index).rate();
         }
         return sum;
     }
--- a/coordination/src/test/java/org/geraniumreach/coordination/budget/BudgetWorld.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/budget/BudgetSimulation.java
@@ -13,15 +13,15 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /** Entries, a network, an instance list and a table service under the fuzzer's hand. */
-final class BudgetWorld {
+final class BudgetSimulation {
 
-    static final int SLOTS = 6;
-    private static final int ENTRIES_AT_START = 3;
-    private static final long MILLI = 1_000_000;
+    static final int MAX_ENTRIES = 6;
+    private static final int INITIAL_ENTRIES = 3;
+    private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long LIST_LAG_MILLIS = 1000;
-    private static final int DRIFT = 10_000;
-    private static final int EPISODE_ROUNDS = 24;
-    private static final int EPISODE_ROUND_MILLIS = 400;
+    private static final int DRIFT_PARTS_PER_MILLION = 10_000;
+    private static final int OUTAGE_ROUNDS = 24;
+    private static final int OUTAGE_ROUND_MILLIS = 400;
     /** The bursts are small beside the rates, so that little budget held twice shows above them. */
     private static final long[][] RATES = {{1000, 400}, {300, 100}, {3000, 800}};
 
@@ -35,27 +35,27 @@
             Duration.ofMillis(100),
             Duration.ofSeconds(1),
             Duration.ofMillis(500),
-            DRIFT);
+            DRIFT_PARTS_PER_MILLION);
 
     final SimulatedTable table = new SimulatedTable();
-    final AdmittedTokens admitted = new AdmittedTokens();
+    final AdmittedTokens admittedTokens = new AdmittedTokens();
     long now;
     private final List<SimulatedEntry> entries = new ArrayList<>();
     private final List<Message> messages = new ArrayList<>();
     private final List<Listing> listings = new ArrayList<>();
-    private final List<Running> running = new ArrayList<>();
+    private final List<RunningRequest> runningRequests = new ArrayList<>();
     private Set<ListedHolder> listed = new HashSet<>();
     private boolean storeReachable = true;
-    private int rateInForce;
-    private int started;
+    private int rateIndex;
+    private int startedEntries;
 
-    BudgetWorld() {
-        for (int slot = 0; slot < ENTRIES_AT_START; slot++) {
-            add(InstanceId.of("entry" + slot));
+    BudgetSimulation() {
+        for (int slot = 0; slot < INITIAL_ENTRIES; slot++) {
+            startEntry(InstanceId.of("entry" + slot));
         }
         for (int round = 0; round < 4; round++) {
-            pass(300);
-            settleDown();
+            advance(300);
+            runWithoutFaults();
         }
     }
 
@@ -66,19 +66,20 @@
     private record Listing(long from, Set<ListedHolder> holders) {}
 
     /** A request that runs. */
-    private record Running(SimulatedEntry entry, Grant grant) {}
+    private record RunningRequest(SimulatedEntry entry, Grant grant) {}
 
-    private void add(InstanceId instance) {
-        started++;
-        HolderId id = new HolderId(instance, "address of " + instance, started);
-        SimulatedEntry entry = new SimulatedEntry(this, id, POLICY, ((started + 1) % 3 - 1) * DRIFT);
+    private void startEntry(InstanceId instance) {
+        startedEntries++;
+        HolderId id = new HolderId(instance, "address of " + instance, startedEntries);
+        SimulatedEntry entry =
+                new SimulatedEntry(this, id, POLICY, ((startedEntries + 1) % 3 - 1) * DRIFT_PARTS_PER_MILLION);
         entries.add(entry);
-        entry.setRate(RATES[rateInForce][0], RATES[rateInForce][1]);
-        noteRates();
-        relist(id.listed(), true);
+        entry.setRate(RATES[rateIndex][0], RATES[rateIndex][1]);
+        recordRates();
+        setListed(id.toListedHolder(), true);
     }
 
-    private void relist(ListedHolder holder, boolean isListed) {
+    private void setListed(ListedHolder holder, boolean isListed) {
         listed = new HashSet<>(listed);
         if (isListed) {
             listed.add(holder);
@@ -88,14 +89,14 @@
         listings.add(new Listing(now, listed));
     }
 
-    private void noteRates() {
+    private void recordRates() {
         long rate = 0;
         long burst = 0;
         for (SimulatedEntry entry : entries) {
             rate = Math.max(rate, entry.dead ? 0 : entry.rate);
             burst = Math.max(burst, entry.dead ? 0 : entry.burst);
         }
-        admitted.regime(now, rate, burst);
+        admittedTokens.addRatePeriod(now, rate, burst);
     }
 
     private SimulatedEntry entry(int choice) {
@@ -110,12 +111,12 @@
                 .toList();
     }
 
-    void granted(SimulatedEntry entry, Grant grant) {
-        admitted.admitted(now, grant);
-        running.add(new Running(entry, grant));
+    void onGranted(SimulatedEntry entry, Grant grant) {
+        admittedTokens.onAdmitted(now, grant);
+        runningRequests.add(new RunningRequest(entry, grant));
     }
 
-    void refused(BudgetAction.Refused refused) {
+    void onRefused(BudgetAction.Refused refused) {
         assertThat(refused.retryAfter()).isPositive();
     }
 
@@ -123,43 +124,43 @@
         messages.add(new Message(from.instance(), to, content));
     }
 
-    void pass(int millis) {
-        now += millis * MILLI;
+    void advance(int millis) {
+        now += millis * NANOS_PER_MILLI;
     }
 
     void reserve(int choice, int twenties) {
         SimulatedEntry entry = entry(choice);
-        if (entry.acts()) {
+        if (entry.isActive()) {
             entry.wake();
-            entry.reserve(twenties * 20L, Duration.ofSeconds(1));
+            entry.requestTokens(twenties * 20L, Duration.ofSeconds(1));
         }
     }
 
     /** Every entry that acts spends all that it may: budget that is there twice is spent twice. */
     void spendAll() {
         for (SimulatedEntry entry : List.copyOf(entries)) {
-            if (entry.acts()) {
-                entry.spendAll();
+            if (entry.isActive()) {
+                entry.requestAllTokens();
             }
         }
     }
 
-    void settle(int choice, int percent) {
-        if (running.isEmpty()) {
+    void settleRequest(int choice, int percent) {
+        if (runningRequests.isEmpty()) {
             return;
         }
-        Running one = running.get(choice % running.size());
-        if (one.entry().acts()) {
-            running.remove(one);
+        RunningRequest one = runningRequests.get(choice % runningRequests.size());
+        if (one.entry().isActive()) {
+            runningRequests.remove(one);
             long actual = one.grant().tokens() * percent / 100;
-            admitted.settled(one.grant(), actual);
+            admittedTokens.onSettled(one.grant(), actual);
             one.entry().settle(one.grant(), actual);
         }
     }
 
     void storeStep(int choice, int outcome) {
-        if (entry(choice).acts()) {
-            entry(choice).storeStep(outcome);
+        if (entry(choice).isActive()) {
+            entry(choice).advanceStoreCall(outcome);
         }
     }
 
@@ -168,12 +169,12 @@
     }
 
     void readList(int choice, int lagMillis) {
-        if (entry(choice).acts()) {
-            entry(choice).readList(listAt(now - lagMillis * MILLI));
+        if (entry(choice).isActive()) {
+            entry(choice).readList(listedAt(now - lagMillis * NANOS_PER_MILLI));
         }
     }
 
-    private Set<ListedHolder> listAt(long time) {
+    private Set<ListedHolder> listedAt(long time) {
         Set<ListedHolder> found = Set.of();
         for (Listing listing : listings) {
             if (listing.from() <= time) {
@@ -192,7 +193,7 @@
             messages.remove(message);
         }
         for (SimulatedEntry entry : lost ? List.<SimulatedEntry>of() : List.copyOf(entries)) {
-            if (entry.acts() && entry.instance().equals(message.to())) {
+            if (entry.isActive() && entry.instance().equals(message.to())) {
                 entry.receive(message.from(), message.content());
             }
         }
@@ -205,30 +206,30 @@
     /** Kills an entry; another one starts in its place, at its address or at a new one. */
     void replace(int choice, boolean sameAddress) {
         SimulatedEntry old = entry(choice);
-        if (old.dead || entries.size() >= SLOTS) {
+        if (old.dead || entries.size() >= MAX_ENTRIES) {
             return;
         }
         old.dead = true;
-        running.removeIf(one -> one.entry() == old);
-        noteRates();
+        runningRequests.removeIf(one -> one.entry() == old);
+        recordRates();
         if (!sameAddress) {
-            relist(old.id.listed(), false);
+            setListed(old.id.toListedHolder(), false);
         }
-        add(sameAddress ? old.instance() : InstanceId.of("entry" + (started + ENTRIES_AT_START)));
+        startEntry(sameAddress ? old.instance() : InstanceId.of("entry" + (startedEntries + INITIAL_ENTRIES)));
     }
 
     /** Takes a live entry off the list, or puts it back; another one starts beside it. */
     void dropFromList(int choice, boolean replaced) {
         SimulatedEntry entry = entry(choice);
-        relist(entry.id.listed(), !entry.dead && !listed.contains(entry.id.listed()));
-        if (replaced && entries.size() < SLOTS) {
-            add(InstanceId.of("entry" + (started + ENTRIES_AT_START)));
+        setListed(entry.id.toListedHolder(), !entry.dead && !listed.contains(entry.id.toListedHolder()));
+        if (replaced && entries.size() < MAX_ENTRIES) {
+            startEntry(InstanceId.of("entry" + (startedEntries + INITIAL_ENTRIES)));
         }
     }
 
     void release(int choice) {
-        if (entry(choice).acts()) {
-            entry(choice).core.release();
+        if (entry(choice).isActive()) {
+            entry(choice).budget.release();
         }
     }
 
@@ -237,30 +238,30 @@
     }
 
     void changeRate(int choice) {
-        rateInForce = choice % RATES.length;
+        rateIndex = choice % RATES.length;
     }
 
     void applyRate(int choice) {
         SimulatedEntry entry = entry(choice);
-        if (entry.acts()) {
-            entry.setRate(RATES[rateInForce][0], RATES[rateInForce][1]);
-            noteRates();
+        if (entry.isActive()) {
+            entry.setRate(RATES[rateIndex][0], RATES[rateIndex][1]);
+            recordRates();
         }
     }
 
     /** Everything works for a moment: the list is read, the table service answers, frames arrive. */
-    void settleDown() {
-        settleDown(SLOTS, 0);
+    void runWithoutFaults() {
+        runWithoutFaults(MAX_ENTRIES, 0);
     }
 
     /** As above, but one entry's calls of the table service have another outcome. */
-    void settleDown(int faulty, int outcome) {
+    void runWithoutFaults(int faulty, int outcome) {
         for (SimulatedEntry entry : List.copyOf(entries)) {
-            if (entry.acts()) {
-                entry.readList(listAt(now - LIST_LAG_MILLIS * MILLI / 2));
-                entry.readList(listAt(now - LIST_LAG_MILLIS * MILLI / 2));
+            if (entry.isActive()) {
+                entry.readList(listedAt(now - LIST_LAG_MILLIS * NANOS_PER_MILLI / 2));
+                entry.readList(listedAt(now - LIST_LAG_MILLIS * NANOS_PER_MILLI / 2));
                 int usual = storeReachable ? 0 : 1;
-                entry.storeLoop(entries.indexOf(entry) == faulty ? outcome : usual);
+                entry.runStoreCalls(entries.indexOf(entry) == faulty ? outcome : usual);
                 entry.wake();
             }
         }
@@ -272,50 +273,50 @@
     }
 
     /** What befalls an entry for longer than the quarantine, while the others go on. */
-    enum Episode {
+    enum Outage {
         FROZEN_AND_UNLISTED(true, true, false),
         UNLISTED(false, true, false),
         WITHOUT_STORE(false, false, true),
         UNLISTED_WITHOUT_STORE(false, true, true);
 
-        private final boolean freezes;
-        private final boolean unlists;
-        private final boolean cuts;
+        private final boolean freezesEntry;
+        private final boolean removesFromList;
+        private final boolean disconnectsStore;
 
-        Episode(boolean freezes, boolean unlists, boolean cuts) {
-            this.freezes = freezes;
-            this.unlists = unlists;
-            this.cuts = cuts;
+        Outage(boolean freezes, boolean unlists, boolean cuts) {
+            this.freezesEntry = freezes;
+            this.removesFromList = unlists;
+            this.disconnectsStore = cuts;
         }
     }
 
-    void episode(int choice, int kind) {
+    void runOutage(int choice, int kind) {
         SimulatedEntry entry = entry(choice);
         if (entry.dead) {
             return;
         }
-        Episode episode = Episode.values()[kind];
-        entry.frozen = episode.freezes;
-        relist(entry.id.listed(), !episode.unlists);
-        int cut = episode.cuts ? entries.indexOf(entry) : SLOTS;
-        for (int round = 0; round < EPISODE_ROUNDS; round++) {
-            pass(EPISODE_ROUND_MILLIS);
-            settleDown(cut, 1);
+        Outage episode = Outage.values()[kind];
+        entry.frozen = episode.freezesEntry;
+        setListed(entry.id.toListedHolder(), !episode.removesFromList);
+        int cut = episode.disconnectsStore ? entries.indexOf(entry) : MAX_ENTRIES;
+        for (int round = 0; round < OUTAGE_ROUNDS; round++) {
+            advance(OUTAGE_ROUND_MILLIS);
+            runWithoutFaults(cut, 1);
             spendAll();
         }
         entry.frozen = false;
         spendAll();
-        relist(entry.id.listed(), true);
-        pass((int) LIST_LAG_MILLIS);
-        settleDown(cut, 1);
+        setListed(entry.id.toListedHolder(), true);
+        advance((int) LIST_LAG_MILLIS);
+        runWithoutFaults(cut, 1);
         spendAll();
     }
 
     /** Half a minute in which everything works while time goes by, with callers everywhere. */
     void recover() {
         for (int round = 0; round < 40; round++) {
-            pass(500);
-            settleDown();
+            advance(500);
+            runWithoutFaults();
             spendAll();
             for (int index = 0; index < entries.size(); index++) {
                 reserve(index, 5);
--- a/coordination/src/test/java/org/geraniumreach/coordination/budget/SimulatedEntry.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/budget/SimulatedEntry.java
@@ -12,39 +12,39 @@
 import org.geraniumreach.model.InstanceId;
 import org.geraniumreach.model.table.Row;
 
-/** One start of an entry in a {@link BudgetWorld}, with a clock of its own. */
+/** One start of an entry in a {@link BudgetSimulation}, with a clock of its own. */
 final class SimulatedEntry {
 
     static final AccountId ACCOUNT = AccountId.of("account");
 
-    final BudgetWorld world;
+    final BudgetSimulation simulation;
     final HolderId id;
-    final EntryBudget core;
+    final EntryBudget budget;
     boolean frozen;
     boolean dead;
     long rate;
     long burst;
     private final int driftPartsPerMillion;
     /** The call of the table service under way, and its answer once it is there. */
-    private Optional<StoreCall> call = Optional.empty();
+    private Optional<StoreCall> pendingCall = Optional.empty();
 
-    private Optional<Runnable> answer = Optional.empty();
-    private Optional<Runnable> reading = Optional.empty();
+    private Optional<Runnable> pendingAnswer = Optional.empty();
+    private Optional<Runnable> pendingList = Optional.empty();
     private long lastTicket;
 
-    SimulatedEntry(BudgetWorld world, HolderId id, BudgetPolicy policy, int driftPartsPerMillion) {
-        this.world = world;
+    SimulatedEntry(BudgetSimulation world, HolderId id, BudgetPolicy policy, int driftPartsPerMillion) {
+        this.simulation = world;
         this.id = id;
         this.driftPartsPerMillion = driftPartsPerMillion;
-        this.core = new EntryBudget(id, policy, this::clock, new Random(id.hashCode()));
-        core.setAccounts(Set.of(ACCOUNT));
+        this.budget = new EntryBudget(id, policy, this::clockNanos, new Random(id.hashCode()));
+        budget.setAccounts(Set.of(ACCOUNT));
     }
 
-    private long clock() {
-        return world.now + world.now / 1_000_000 * driftPartsPerMillion;
+    private long clockNanos() {
+        return simulation.now + simulation.now / 1_000_000 * driftPartsPerMillion;
     }
 
-    boolean acts() {
+    boolean isActive() {
         return !frozen && !dead;
     }
 
@@ -55,85 +55,85 @@
     void setRate(long newRate, long newBurst) {
         rate = newRate;
         burst = newBurst;
-        carryOut(core.setRate(ACCOUNT, newRate, newBurst));
+        carryOut(budget.setRate(ACCOUNT, newRate, newBurst));
     }
 
-    void reserve(long tokens, Duration deadline) {
+    void requestTokens(long tokens, Duration deadline) {
         lastTicket++;
-        carryOut(core.reserve(ACCOUNT, lastTicket, tokens, deadline));
+        carryOut(budget.reserve(ACCOUNT, lastTicket, tokens, deadline));
     }
 
-    void spendAll() {
-        long level = core.level(ACCOUNT);
+    void requestAllTokens() {
+        long level = budget.availableTokens(ACCOUNT);
         if (level > 0) {
-            reserve(level, Duration.ZERO);
+            requestTokens(level, Duration.ZERO);
         }
     }
 
     void settle(Grant grant, long actual) {
-        carryOut(core.settle(ACCOUNT, grant, actual));
+        carryOut(budget.settle(ACCOUNT, grant, actual));
     }
 
     void wake() {
-        core.setPeers(world.peersOf(this));
-        carryOut(core.wake(ACCOUNT));
+        budget.setPeers(simulation.peersOf(this));
+        carryOut(budget.wake(ACCOUNT));
     }
 
     /** Asks for the list, and takes the answer to the asking before. */
     void readList(Set<HolderId.ListedHolder> listed) {
-        reading.ifPresent(Runnable::run);
-        long askedAt = clock();
-        reading = Optional.of(() -> core.listed(listed, askedAt));
+        pendingList.ifPresent(Runnable::run);
+        long askedAt = clockNanos();
+        pendingList = Optional.of(() -> budget.listed(listed, askedAt));
     }
 
     void receive(InstanceId peer, Object message) {
         carryOut(
                 message instanceof LoanWish wish
-                        ? core.loanAsked(peer, wish)
-                        : core.loanAnswered(peer, (Loan) message));
+                        ? budget.loanAsked(peer, wish)
+                        : budget.loanAnswered(peer, (Loan) message));
     }
 
     void carryOut(BudgetStep step) {
         for (BudgetAction action : step.actions()) {
             if (action instanceof BudgetAction.Granted granted) {
-                world.granted(this, granted.grant());
+                simulation.onGranted(this, granted.grant());
             } else if (action instanceof BudgetAction.Refused refused) {
-                world.refused(refused);
+                simulation.onRefused(refused);
             } else if (action instanceof BudgetAction.AskLoan ask) {
-                world.send(this, ask.peer(), ask.wish());
+                simulation.send(this, ask.peer(), ask.wish());
             } else if (action instanceof BudgetAction.GiveLoan give) {
-                world.send(this, give.peer(), give.loan());
+                simulation.send(this, give.peer(), give.loan());
             }
         }
     }
 
     /** Does the next part of a call of the table service: asks, takes effect, is answered. */
-    void storeStep(int outcome) {
-        if (answer.isPresent()) {
-            Runnable arrived = answer.get();
-            answer = Optional.empty();
+    void advanceStoreCall(int outcome) {
+        if (pendingAnswer.isPresent()) {
+            Runnable arrived = pendingAnswer.get();
+            pendingAnswer = Optional.empty();
             arrived.run();
-            core.publish().forEach(step -> carryOut(step.step()));
-        } else if (call.isPresent()) {
-            StoreCall made = call.get();
-            call = Optional.empty();
-            answer = Optional.of(effect(made, outcome));
+            budget.publish().forEach(step -> carryOut(step.step()));
+        } else if (pendingCall.isPresent()) {
+            StoreCall made = pendingCall.get();
+            pendingCall = Optional.empty();
+            pendingAnswer = Optional.of(applyCall(made, outcome));
         } else {
-            call = core.keeper().next();
+            pendingCall = budget.keeper().next();
         }
     }
 
     /** Runs the table service's calls as long as there are any, with the same outcome for all. */
-    void storeLoop(int outcome) {
-        core.publish().forEach(step -> carryOut(step.step()));
+    void runStoreCalls(int outcome) {
+        budget.publish().forEach(step -> carryOut(step.step()));
         for (int step = 0; step < 40; step++) {
-            storeStep(outcome);
+            advanceStoreCall(outcome);
         }
     }
 
-    private Runnable effect(StoreCall made, int outcome) {
-        ShareKeeper keeper = core.keeper();
-        SimulatedTable table = world.table;
+    private Runnable applyCall(StoreCall made, int outcome) {
+        ShareKeeper keeper = budget.keeper();
+        SimulatedTable table = simulation.table;
         if (outcome == 1) {
             return () -> keeper.failed(false);
         }
--- a/coordination/src/test/java/org/geraniumreach/coordination/ledger/LedgerCallFuzzTest.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/ledger/LedgerCallFuzzTest.java
@@ -21,35 +21,38 @@
  */
 class LedgerCallFuzzTest {
 
-    private static final int STEPS = 60;
-    private static final long STARTED = System.nanoTime();
+    private static final int MAX_STEPS = 60;
+    private static final long STARTED_AT_NANOS = System.nanoTime();
 
     /** Three integers of a step. */
     @FunctionalInterface
     private interface Step {
-        void apply(LedgerWorld world, int first, int second, int third);
+        void apply(LedgerSimulation world, int first, int second, int third);
     }
 
     // A caller sees a booking made twice if two entries send it, or a refusal saying "not run" for one that was made.
     // Two calls with one key meet at the row; in between come crashes, lost answers, late commits, restarts of
     // companions and frames that arrive late or twice. The oracle counts the runs that companions start for each key.
     @Property(seed = "4711", tries = 3000)
-    void runsAtMostOnceAndSaysNotRunOnlyWhereTrue(@ForAll("chains") ActionChain<LedgerWorld> chain) {
-        chain.run().settle();
+    void requestRunsAtMostOnceAndIsReportedNotRunOnlyIfItDidNotRun(
+            @ForAll("chains") ActionChain<LedgerSimulation> chain) {
+        chain.run().completeAllCalls();
     }
 
     @Property
-    void holdsForNewSeedsAsLongAsAsked(@ForAll("chains") ActionChain<LedgerWorld> chain) {
+    void atMostOnceHoldsForRandomSeeds(@ForAll("chains") ActionChain<LedgerSimulation> chain) {
         long seconds = Long.getLong("geraniumreach.fuzz.seconds", 0);
-        if (System.nanoTime() - STARTED < Duration.ofSeconds(seconds).toNanos()) {
-            chain.run().settle();
+        if (System.nanoTime() - STARTED_AT_NANOS < Duration.ofSeconds(seconds).toNanos()) {
+            chain.run().completeAllCalls();
         }
     }
 
     @Provide
-    Arbitrary<ActionChain<LedgerWorld>> chains() {
-        return ActionChain.startWith(LedgerWorld::new)
-                .withAction(3, step("start", LedgerWorld.ENTRIES, LedgerWorld.KEYS, 2, LedgerWorld::start))
+    Arbitrary<ActionChain<LedgerSimulation>> chains() {
+        return ActionChain.startWith(LedgerSimulation::new)
+                .withAction(
+                        3,
+                        step("start", LedgerSimulation.ENTRIES, LedgerSimulation.KEYS, 2, LedgerSimulation::startCall))
                 .withAction(
                         20, step("progress", 6, 8, 1, (world, call, outcome, none) -> world.progress(call, outcome)))
                 .withAction(
@@ -60,18 +63,32 @@
                                 5,
                                 4,
                                 (world, frame, refusing, again) -> world.deliver(frame, refusing == 1, again == 1)))
-                .withAction(3, step("finish", 2, 1, 1, (world, companion, none, nothing) -> world.finish(companion)))
+                .withAction(
+                        3,
+                        step("finish", 2, 1, 1, (world, companion, none, nothing) -> world.finishAttempts(companion)))
                 .withAction(
                         2,
-                        step("crash", LedgerWorld.ENTRIES, 1, 1, (world, entry, none, nothing) -> world.crash(entry)))
-                .withAction(1, step("restart", 2, 1, 1, (world, companion, none, nothing) -> world.restart(companion)))
+                        step(
+                                "crash",
+                                LedgerSimulation.ENTRIES,
+                                1,
+                                1,
+                                (world, entry, none, nothing) -> world.crashEntry(entry)))
+                .withAction(
+                        1,
+                        step(
+                                "restart",
+                                2,
+                                1,
+                                1,
+                                (world, companion, none, nothing) -> world.restartCompanion(companion)))
                 .withAction(2, step("late commit", 3, 1, 1, (world, which, none, nothing) -> world.applyDelayed(which)))
-                .withAction(2, step("pass", 90, 1, 1, (world, seconds, none, nothing) -> world.pass(seconds)))
-                .withMaxTransformations(STEPS);
+                .withAction(2, step("pass", 90, 1, 1, (world, seconds, none, nothing) -> world.advance(seconds)))
+                .withMaxTransformations(MAX_STEPS);
     }
 
-    private static Action.Independent<LedgerWorld> step(String name, int first, int second, int third, Step step) {
-        Arbitrary<Transformer<LedgerWorld>> transformers = Combinators.combine(
+    private static Action.Independent<LedgerSimulation> step(String name, int first, int second, int third, Step step) {
+        Arbitrary<Transformer<LedgerSimulation>> transformers = Combinators.combine(
                         Arbitraries.integers().between(0, first - 1),
                         Arbitraries.integers().between(0, second - 1),
                         Arbitraries.integers().between(0, third - 1))
--- a/coordination/src/test/java/org/geraniumreach/coordination/ledger/LedgerCallTest.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/ledger/LedgerCallTest.java
@@ -9,30 +9,30 @@
     // forgotten the seal, and only then the first entry goes on. It must not send: it has been too long since its
     // commit.
     @Test
-    void anAttemptIsNotSentLongAfterItsCommit() {
-        LedgerWorld world = new LedgerWorld(false);
-        world.start(0, 0, 0);
+    void attemptIsNotSentLongAfterItsCommit() {
+        LedgerSimulation world = new LedgerSimulation(false);
+        world.startCall(0, 0, 0);
         world.progressCall(0, 0);
-        freezeTheFirstAndRunTheSecond(world);
-        world.settle();
+        freezeFirstCallAndCompleteSecond(world);
+        world.completeAllCalls();
     }
 
     // As above, but the first entry is frozen after it has decided to send. Nothing at the entry can see that; the
     // time that the attempt carries lets the companion refuse it.
     @Test
-    void anAttemptThatComesLateIsRefusedByItsCompanion() {
-        LedgerWorld world = new LedgerWorld();
-        world.start(0, 0, 0);
+    void companionRefusesAnAttemptThatArrivesLate() {
+        LedgerSimulation world = new LedgerSimulation();
+        world.startCall(0, 0, 0);
         world.progressCall(0, 0);
         world.progressCall(0, 0);
-        freezeTheFirstAndRunTheSecond(world);
-        world.settle();
+        freezeFirstCallAndCompleteSecond(world);
+        world.completeAllCalls();
     }
 
-    private static void freezeTheFirstAndRunTheSecond(LedgerWorld world) {
-        world.pass(25);
-        world.start(1, 0, 0);
-        world.settleCall(1);
-        world.pass(70);
+    private static void freezeFirstCallAndCompleteSecond(LedgerSimulation world) {
+        world.advance(25);
+        world.startCall(1, 0, 0);
+        world.completeCall(1);
+        world.advance(70);
     }
 }
--- a/coordination/src/test/java/org/geraniumreach/coordination/ledger/LedgerWorld.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/ledger/LedgerSimulation.java
@@ -24,16 +24,16 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /** Entries, companions and a table service under the fuzzer's hand, with the oracle. */
-final class LedgerWorld {
+final class LedgerSimulation {
 
     static final int ENTRIES = 3;
     static final int COMPANIONS = 2;
     static final int KEYS = 2;
 
     /** The outcome of a commit that takes effect, and whose answer is lost. */
-    static final int LOST_ANSWER = 2;
+    static final int ANSWER_LOST_OUTCOME = 2;
 
-    private static final Duration MEMORY = Duration.ofSeconds(60);
+    private static final Duration COMPANION_RETENTION = Duration.ofSeconds(60);
     private static final LedgerPolicy POLICY = new LedgerPolicy(
             Duration.ofSeconds(2),
             Duration.ofMillis(500),
@@ -50,18 +50,18 @@
     private final List<Call> calls = new ArrayList<>();
     private final List<Frame> frames = new ArrayList<>();
     private final Map<AttemptId, Integer> keyOfAttempt = new HashMap<>();
-    private final Map<Integer, List<AttemptId>> runs = new HashMap<>();
-    private final boolean checkingAge;
-    private Instant now = Instant.EPOCH;
-    private int lastAttempt;
+    private final Map<Integer, List<AttemptId>> startedAttempts = new HashMap<>();
+    private final boolean rejectsLateAttempts;
+    private Instant currentTime = Instant.EPOCH;
+    private int lastAttemptNumber;
 
-    LedgerWorld() {
+    LedgerSimulation() {
         this(true);
     }
 
     /** Makes a world whose companions refuse attempts that come too late, or do not. */
-    LedgerWorld(boolean checkingAge) {
-        this.checkingAge = checkingAge;
+    LedgerSimulation(boolean checkingAge) {
+        this.rejectsLateAttempts = checkingAge;
         for (int index = 0; index < COMPANIONS; index++) {
             companions.add(new SimulatedCompanion(index));
         }
@@ -105,12 +105,12 @@
         private final int entry;
         private final int key;
         private final int body;
-        private final LedgerCall core;
+        private final LedgerCall ledgerCall;
         private final Set<AttemptId> attempts = new HashSet<>();
         private final Set<AttemptId> sent = new HashSet<>();
-        private LedgerAction pending;
+        private LedgerAction pendingAction;
         /** The answer to what is pending, which took effect already. */
-        private Optional<Supplier<LedgerAction>> answer = Optional.empty();
+        private Optional<Supplier<LedgerAction>> pendingAnswer = Optional.empty();
 
         private boolean refusedAsNotRun;
 
@@ -119,49 +119,49 @@
             this.key = key;
             this.body = body;
             LedgerView view = new LedgerView(
-                    () -> now,
+                    () -> currentTime,
                     this::newAttempt,
-                    () -> Optional.of(companionNow(lastAttempt % COMPANIONS)),
-                    LedgerWorld.this::isLive,
+                    () -> Optional.of(currentCompanion(lastAttemptNumber % COMPANIONS)),
+                    LedgerSimulation.this::isLive,
                     companion -> false);
-            core = new LedgerCall(rowOf(key), "digest" + body, senderNow(entry), POLICY, view);
-            pending = core.start();
+            ledgerCall = new LedgerCall(rowKey(key), "digest" + body, currentSender(entry), POLICY, view);
+            pendingAction = ledgerCall.start();
         }
 
         private AttemptId newAttempt() {
-            lastAttempt++;
-            AttemptId attempt = AttemptId.of("attempt" + lastAttempt);
+            lastAttemptNumber++;
+            AttemptId attempt = AttemptId.of("attempt" + lastAttemptNumber);
             keyOfAttempt.put(attempt, key);
             attempts.add(attempt);
             return attempt;
         }
 
-        private boolean isOver() {
-            return pending instanceof LedgerAction.Done
-                    || pending instanceof LedgerAction.Refuse
-                    || pending instanceof LedgerAction.Reply reply
+        private boolean isFinished() {
+            return pendingAction instanceof LedgerAction.Done
+                    || pendingAction instanceof LedgerAction.Refuse
+                    || pendingAction instanceof LedgerAction.Reply reply
                             && reply.storeAgainAfter().isEmpty();
         }
     }
 
-    private static RowKey rowOf(int key) {
+    private static RowKey rowKey(int key) {
         return LedgerRowFormat.keyOf(AccountId.of("account"), "key" + key);
     }
 
-    private Sender senderNow(int entry) {
+    private Sender currentSender(int entry) {
         return new Sender(InstanceId.of("entry" + entry), entryIncarnations[entry]);
     }
 
     private boolean isLive(Sender sender) {
         for (int entry = 0; entry < ENTRIES; entry++) {
-            if (senderNow(entry).equals(sender)) {
+            if (currentSender(entry).equals(sender)) {
                 return true;
             }
         }
         return false;
     }
 
-    private Companion companionNow(int index) {
+    private Companion currentCompanion(int index) {
         return new Companion(companions.get(index).instance, companions.get(index).incarnation);
     }
 
@@ -172,23 +172,23 @@
                 .findFirst();
     }
 
-    void start(int entry, int key, int body) {
+    void startCall(int entry, int key, int body) {
         calls.add(new Call(entry, key, body));
-        check();
+        assertAtMostOneRun();
     }
 
-    void crash(int entry) {
+    void crashEntry(int entry) {
         entryIncarnations[entry]++;
-        calls.removeIf(call -> call.entry == entry && !call.isOver());
+        calls.removeIf(call -> call.entry == entry && !call.isFinished());
     }
 
-    void restart(int companion) {
+    void restartCompanion(int companion) {
         companions.get(companion).restart();
     }
 
-    void pass(int seconds) {
-        now = now.plusSeconds(seconds);
-        companions.forEach(companion -> companion.forget(now.minus(MEMORY)));
+    void advance(int seconds) {
+        currentTime = currentTime.plusSeconds(seconds);
+        companions.forEach(companion -> companion.forget(currentTime.minus(COMPANION_RETENTION)));
     }
 
     void applyDelayed(int choice) {
@@ -205,34 +205,35 @@
             frames.remove(frame);
         }
         // A late frame may be the second copy of one that has run and is forgotten, so its refusal would prove nothing.
-        if (!checkingAge || !now.isAfter(frame.notAfter())) {
-            find(frame.companion()).ifPresent(companion -> arrive(companion, frame.attempt(), refusing));
+        if (!rejectsLateAttempts || !currentTime.isAfter(frame.notAfter())) {
+            find(frame.companion()).ifPresent(companion -> receiveAttempt(companion, frame.attempt(), refusing));
         }
-        check();
+        assertAtMostOneRun();
     }
 
-    private void arrive(SimulatedCompanion companion, AttemptId attempt, boolean refusing) {
+    private void receiveAttempt(SimulatedCompanion companion, AttemptId attempt, boolean refusing) {
         if (companion.sealed.containsKey(attempt) || companion.started.containsKey(attempt)) {
             return;
         }
         if (refusing) {
-            companion.sealed.put(attempt, now);
+            companion.sealed.put(attempt, currentTime);
             companion.refused.add(attempt);
             return;
         }
-        companion.started.put(attempt, now);
-        runs.computeIfAbsent(keyOfAttempt.get(attempt), key -> new ArrayList<>())
+        companion.started.put(attempt, currentTime);
+        startedAttempts
+                .computeIfAbsent(keyOfAttempt.get(attempt), key -> new ArrayList<>())
                 .add(attempt);
     }
 
-    void finish(int choice) {
+    void finishAttempts(int choice) {
         SimulatedCompanion companion = companions.get(choice % COMPANIONS);
         companion.ended.addAll(companion.started.keySet());
     }
 
     /** Carries out what a call wants; the outcome is the fuzzer's choice among those that may be. */
     void progress(int choice, int outcome) {
-        List<Call> open = calls.stream().filter(call -> !call.isOver()).toList();
+        List<Call> open = calls.stream().filter(call -> !call.isFinished()).toList();
         if (open.isEmpty()) {
             return;
         }
@@ -245,45 +246,46 @@
     }
 
     private void progress(Call call, int outcome) {
-        if (call.answer.isPresent()) {
-            call.pending = call.answer.get().get();
-            call.answer = Optional.empty();
+        if (call.pendingAnswer.isPresent()) {
+            call.pendingAction = call.pendingAnswer.get().get();
+            call.pendingAnswer = Optional.empty();
         } else {
             carryOut(call, outcome);
         }
-        note(call);
-        check();
+        verifyOutcome(call);
+        assertAtMostOneRun();
     }
 
     private void carryOut(Call call, int outcome) {
-        LedgerAction action = call.pending;
+        LedgerAction action = call.pendingAction;
         if (action instanceof LedgerAction.Commit commit) {
-            call.answer = Optional.of(commitWith(call.core, commit.transaction(), outcome));
+            call.pendingAnswer = Optional.of(commitWithOutcome(call.ledgerCall, commit.transaction(), outcome));
         } else if (action instanceof LedgerAction.Read read) {
             Optional<Row> row = table.read(read.key());
-            call.answer = Optional.of(outcome == 1 ? call.core::readFailed : () -> call.core.read(row));
+            call.pendingAnswer =
+                    Optional.of(outcome == 1 ? call.ledgerCall::readFailed : () -> call.ledgerCall.read(row));
         } else if (action instanceof LedgerAction.Wait || action instanceof LedgerAction.Reply) {
-            now = now.plus(POLICY.pollInterval());
-            call.pending = call.core.waited();
+            currentTime = currentTime.plus(POLICY.pollInterval());
+            call.pendingAction = call.ledgerCall.waited();
         } else if (action instanceof LedgerAction.Send send) {
-            sent(call, send, outcome);
+            sendOrFollow(call, send, outcome);
         } else if (action instanceof LedgerAction.Resume resume) {
             if (outcome == 2) {
-                call.pending = call.core.lost(ExecutionStatus.NO);
+                call.pendingAction = call.ledgerCall.lost(ExecutionStatus.NO);
             } else {
-                follow(call, resume.attempt(), resume.companion(), outcome);
+                awaitAnswer(call, resume.attempt(), resume.companion(), outcome);
             }
         } else if (action instanceof LedgerAction.Seal seal) {
-            SealResult result = seal(seal, outcome);
-            call.answer = Optional.of(() -> call.core.sealed(result));
+            SealResult result = sealWithOutcome(seal, outcome);
+            call.pendingAnswer = Optional.of(() -> call.ledgerCall.sealed(result));
         }
     }
 
-    private Supplier<LedgerAction> commitWith(LedgerCall core, Transaction transaction, int outcome) {
+    private Supplier<LedgerAction> commitWithOutcome(LedgerCall core, Transaction transaction, int outcome) {
         switch (outcome) {
             case 1:
                 return () -> core.commitFailed(false);
-            case LOST_ANSWER:
+            case ANSWER_LOST_OUTCOME:
                 table.commit(transaction);
                 return () -> core.commitFailed(true);
             case 3:
@@ -295,32 +297,32 @@
     }
 
     /** Sends the attempt, or follows it once it was sent. */
-    private void sent(Call call, LedgerAction.Send send, int outcome) {
+    private void sendOrFollow(Call call, LedgerAction.Send send, int outcome) {
         if (!call.sent.contains(send.attempt()) && outcome == 1) {
-            call.pending = call.core.lost(ExecutionStatus.NO);
+            call.pendingAction = call.ledgerCall.lost(ExecutionStatus.NO);
         } else if (call.sent.add(send.attempt())) {
             frames.add(new Frame(send.attempt(), send.companion(), send.notAfter()));
         } else {
-            follow(call, send.attempt(), send.companion(), outcome);
+            awaitAnswer(call, send.attempt(), send.companion(), outcome);
         }
     }
 
-    private void follow(Call call, AttemptId attempt, Companion where, int outcome) {
+    private void awaitAnswer(Call call, AttemptId attempt, Companion where, int outcome) {
         Optional<SimulatedCompanion> companion = find(where);
         if (outcome == 1 || companion.isEmpty()) {
-            call.pending = call.core.lost(ExecutionStatus.UNKNOWN);
+            call.pendingAction = call.ledgerCall.lost(ExecutionStatus.UNKNOWN);
         } else if (companion.get().ended.contains(attempt)) {
-            call.pending = call.core.answered(new StoredAnswer.Inline("answer of " + attempt));
+            call.pendingAction = call.ledgerCall.answered(new StoredAnswer.Inline("answer of " + attempt));
         } else if (companion.get().sealed.containsKey(attempt)) {
-            call.pending = call.core.refused(
+            call.pendingAction = call.ledgerCall.refused(
                     new LedgerAction.Refuse(ResultCode.DRAINING, ExecutionStatus.NO, Optional.empty(), "refused"));
         } else if (frames.stream().noneMatch(frame -> frame.attempt().equals(attempt))
                 && !companion.get().started.containsKey(attempt)) {
-            call.pending = call.core.lost(ExecutionStatus.UNKNOWN);
+            call.pendingAction = call.ledgerCall.lost(ExecutionStatus.UNKNOWN);
         }
     }
 
-    private SealResult seal(LedgerAction.Seal seal, int outcome) {
+    private SealResult sealWithOutcome(LedgerAction.Seal seal, int outcome) {
         Optional<SimulatedCompanion> companion = find(seal.companion());
         if (outcome == 1) {
             return SealResult.UNREACHABLE;
@@ -328,26 +330,26 @@
         if (companion.isEmpty()) {
             return SealResult.NOT_KNOWN;
         }
-        SealResult result = answer(companion.get(), seal);
+        SealResult result = sealAttempt(companion.get(), seal);
         return outcome == 2 ? SealResult.UNREACHABLE : result;
     }
 
-    private SealResult answer(SimulatedCompanion companion, LedgerAction.Seal seal) {
+    private SealResult sealAttempt(SimulatedCompanion companion, LedgerAction.Seal seal) {
         if (companion.started.containsKey(seal.attempt())) {
             return SealResult.STARTED;
         }
         // An attempt that had been sent before the memory began when it was sealed may have run and been forgotten.
-        Instant since = companion.sealed.computeIfAbsent(seal.attempt(), attempt -> now);
-        boolean remembered =
-                now.minus(seal.age()).isAfter(since.minus(MEMORY)) || companion.refused.contains(seal.attempt());
+        Instant since = companion.sealed.computeIfAbsent(seal.attempt(), attempt -> currentTime);
+        boolean remembered = currentTime.minus(seal.age()).isAfter(since.minus(COMPANION_RETENTION))
+                || companion.refused.contains(seal.attempt());
         return remembered ? SealResult.NEVER_STARTED : SealResult.NOT_KNOWN;
     }
 
-    private void note(Call call) {
-        if (call.pending instanceof LedgerAction.Refuse refuse) {
+    private void verifyOutcome(Call call) {
+        if (call.pendingAction instanceof LedgerAction.Refuse refuse) {
             call.refusedAsNotRun |= refuse.ran() == ExecutionStatus.NO;
-        } else if (call.pending instanceof LedgerAction.Reply reply) {
-            List<AttemptId> ran = runs.getOrDefault(call.key, List.of());
+        } else if (call.pendingAction instanceof LedgerAction.Reply reply) {
+            List<AttemptId> ran = startedAttempts.getOrDefault(call.key, List.of());
             assertThat(reply.answer())
                     .as("the answer is that of the run")
                     .isEqualTo(new StoredAnswer.Inline("answer of " + ran.get(0)));
@@ -359,12 +361,12 @@
         }
     }
 
-    private void check() {
-        runs.forEach(
+    private void assertAtMostOneRun() {
+        startedAttempts.forEach(
                 (key, attempts) -> assertThat(attempts).as("runs of key " + key).hasSizeLessThanOrEqualTo(1));
         for (Call call : calls) {
             if (call.refusedAsNotRun) {
-                assertThat(runs.getOrDefault(call.key, List.of()))
+                assertThat(startedAttempts.getOrDefault(call.key, List.of()))
                         .as("runs of a call that was told it has not run")
                         .doesNotContainAnyElementsOf(call.attempts);
             }
@@ -372,21 +374,21 @@
     }
 
     /** Lets one call come to its end, while the others are frozen. */
-    void settleCall(int index) {
-        for (int step = 0; step < 200 && !calls.get(index).isOver(); step++) {
+    void completeCall(int index) {
+        for (int step = 0; step < 200 && !calls.get(index).isFinished(); step++) {
             deliver(0, false, false);
-            finish(step);
+            finishAttempts(step);
             progressCall(index, 0);
         }
     }
 
     /** Ends all faults, and lets every call come to its end. */
-    void settle() {
-        for (int step = 0; step < 800 && calls.stream().anyMatch(call -> !call.isOver()); step++) {
+    void completeAllCalls() {
+        for (int step = 0; step < 800 && calls.stream().anyMatch(call -> !call.isFinished()); step++) {
             deliver(0, false, false);
-            finish(step);
+            finishAttempts(step);
             progress(step, 0);
         }
-        assertThat(calls).allMatch(Call::isOver);
+        assertThat(calls).allMatch(Call::isFinished);
     }
 }
