--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/AccountBudget.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/AccountBudget.java
@@ -15,12 +15,13 @@
 import org.geraniumreach.model.table.RowKey;
 
 /**
- * One client account's budget at one entry.
+ * The budget of one client account at one entry.
  *
- * <p>Invariants: the bucket's capacity and inflow are those of the parts held now, that is, the entry's own parts while the
- * proof holds, less those lent, and those borrowed; a part that arrives brings no tokens but those lent with it; each ticket
- * gets one answer; requests are served in order of arrival. Safe for use by several threads: the state is under this object's
- * lock, and the clock is read within it, so that a freeze before a spend is seen by the spend.
+ * <p>Invariants: the bucket's capacity and inflow correspond to the parts currently held, which are the entry's own
+ * parts less those lent, while the lease is valid, plus the borrowed parts; added parts bring no tokens except those
+ * lent with them or, for the first holder ever, a full bucket; each ticket gets one answer; requests are served in
+ * order of arrival. Safe for use by several threads: the state is guarded by this object's lock, and the clock is read
+ * while holding it, so that a process freeze before a spend is noticed.
  */
 public final class AccountBudget {
 
@@ -50,19 +51,23 @@
     private Optional<RowKey> holderRow = Optional.empty();
 
     /**
-     * Makes a budget without rate and share.
+     * Creates a budget without a rate or a share.
      *
      * @param account the client account, not null
-     * @param policy times and choices, not null
-     * @param proof whether the entry's own parts may be spent, not null
+     * @param policy the time limits and the sharing policy, not null
+     * @param leaseValidity whether the entry's own parts may be spent, not null
      * @param clock the source of elapsed time, not null
      * @param random the source of random choices, not null
      */
     public AccountBudget(
-            AccountId account, BudgetPolicy policy, HoldingProof proof, MonotonicClock clock, RandomGenerator random) {
+            AccountId account,
+            BudgetPolicy policy,
+            HoldingProof leaseValidity,
+            MonotonicClock clock,
+            RandomGenerator random) {
         this.account = Objects.requireNonNull(account, "account");
         this.policy = Objects.requireNonNull(policy, "policy");
-        this.leaseValidity = Objects.requireNonNull(proof, "proof");
+        this.leaseValidity = Objects.requireNonNull(leaseValidity, "leaseValidity");
         this.clock = Objects.requireNonNull(clock, "clock");
         long now = clock.nanos();
         this.bucket = new TokenBucket(policy.clockDriftPartsPerMillion(), now);
@@ -76,7 +81,7 @@
      *
      * @param newTokensPerSecond the rate, 0 to stop the account
      * @param newBurstTokens the burst
-     * @return what came of it, not null
+     * @return the resulting step, not null
      */
     public synchronized BudgetStep setRate(long newTokensPerSecond, long newBurstTokens) {
         long now = advance();
@@ -87,22 +92,23 @@
     }
 
     /**
-     * Tells which entries may be asked for loans, and where this entry's shares are kept.
+     * Sets the entries that may be asked for loans and the key of this entry's row.
      *
      * @param newPeers the other entries, not null
-     * @param newHolder this entry's row, empty if there is none, not null
+     * @param newHolderRow the key of this entry's row, empty if it does not exist, not null
      */
-    public synchronized void setPeersAndHolderRow(List<InstanceId> newPeers, Optional<RowKey> newHolder) {
+    public synchronized void setPeersAndHolderRow(List<InstanceId> newPeers, Optional<RowKey> newHolderRow) {
         peers = List.copyOf(newPeers);
-        holderRow = newHolder;
+        holderRow = newHolderRow;
     }
 
     /**
-     * Sets the entry's own parts; those that are new bring no tokens.
+     * Sets the entry's own parts; added parts bring no tokens unless {@code full} is set.
      *
      * @param parts the parts
-     * @param full whether the bucket is filled, which is right only for the first holder that the account ever has
-     * @return what came of it, not null
+     * @param full whether added parts bring a full bucket, which is correct only for the first holder that the account
+     *     ever has
+     * @return the resulting step, not null
      */
     public synchronized BudgetStep setOwnParts(long parts, boolean full) {
         long now = advance();
@@ -117,23 +123,23 @@
     }
 
     /**
-     * Takes own parts away that are to be handed over.
+     * Withdraws own parts that are to be handed over.
      *
-     * @param parts the parts wanted
-     * @return the parts taken, fewer if more are lent
+     * @param parts the parts requested
+     * @return the parts withdrawn, fewer than requested if not enough are idle
      */
     public synchronized long withdraw(long parts) {
         long now = advance();
-        long taken = Math.min(parts, idleParts());
-        ownParts -= taken;
+        long withdrawn = Math.min(parts, idleParts());
+        ownParts -= withdrawn;
         resize(now);
-        return taken;
+        return withdrawn;
     }
 
     /**
-     * Takes all own parts away for good.
+     * Removes all own parts permanently.
      *
-     * @return the time by the clock when the last loan given has ended
+     * @return the clock time when all given loans have ended
      */
     public synchronized long release() {
         long now = advance();
@@ -158,18 +164,18 @@
     }
 
     /**
-     * Asks for tokens for a request.
+     * Reserves tokens for a request, which may have to wait for them.
      *
-     * @param ticket the number by which the answer tells which request it is for
-     * @param tokens the tokens
-     * @param deadlineLeft the time that the request has left, not null
-     * @return what came of it, not null
+     * @param ticket the number that identifies the request in the answer
+     * @param tokens the tokens to reserve
+     * @param deadlineLeft the time left until the request's deadline, not null
+     * @return the resulting step, not null
      */
     public synchronized BudgetStep reserve(long ticket, long tokens, Duration deadlineLeft) {
         long now = advance();
         if (tokens > burstTokens) {
-            boolean known = burstTokens > 0;
-            ResultCode code = known ? ResultCode.REQUEST_ABOVE_BURST : ResultCode.OUT_OF_BUDGET;
+            boolean hasRate = burstTokens > 0;
+            ResultCode code = hasRate ? ResultCode.REQUEST_ABOVE_BURST : ResultCode.OUT_OF_BUDGET;
             return new BudgetStep(
                     List.of(new BudgetAction.Refused(ticket, code, MIN_RETRY_DELAY)), OptionalLong.empty());
         }
@@ -180,11 +186,11 @@
     }
 
     /**
-     * Ends a request, and gives back what it did not use.
+     * Settles a finished request and refunds the tokens that it did not use.
      *
-     * @param grant the tokens set aside, not null
+     * @param grant the reserved tokens, not null
      * @param actualTokens the tokens used
-     * @return what came of it, not null
+     * @return the resulting step, not null
      */
     public synchronized BudgetStep settle(Grant grant, long actualTokens) {
         long now = advance();
@@ -193,41 +199,41 @@
     }
 
     /**
-     * Does what is due.
+     * Handles expired timeouts and waiting requests; see {@link BudgetStep#wakeAt}.
      *
-     * @return what came of it, not null
+     * @return the resulting step, not null
      */
     public synchronized BudgetStep wake() {
         return processQueue(advance());
     }
 
     /**
-     * Answers another entry that asks for a loan.
+     * Answers another entry's request for a loan.
      *
      * @param peer the other entry, not null
-     * @param wish what it asks, not null
-     * @return what came of it, not null
+     * @param request its request, not null
+     * @return the resulting step, not null
      */
-    public synchronized BudgetStep onLoanRequested(InstanceId peer, LoanWish wish) {
+    public synchronized BudgetStep onLoanRequested(InstanceId peer, LoanWish request) {
         long now = advance();
         List<BudgetAction> actions = new ArrayList<>();
-        SharingPolicy.Decision decision = decideLoan(wish, now);
-        long wanted = Math.min(decision.lentParts(), unlentParts());
+        SharingPolicy.Decision decision = decideLoan(request, now);
+        long lendableParts = Math.min(decision.lentParts(), unlentParts());
         long tokens = Math.max(0, Math.min(decision.lentTokens(), bucket.level() / ShareParts.WHOLE));
-        // More tokens than the parts lent can hold would let the borrower's bucket stand above its capacity.
-        tokens = Math.min(tokens, wanted * burstTokens / ShareParts.WHOLE);
+        // More tokens than fit into the lent parts would raise the borrower's bucket above its capacity.
+        tokens = Math.min(tokens, lendableParts * burstTokens / ShareParts.WHOLE);
         bucket.withdraw(tokens * ShareParts.WHOLE);
-        long parts = Math.min(wanted, Math.max(partsFor(tokens * ShareParts.WHOLE), idleParts()));
+        long parts = Math.min(lendableParts, Math.max(partsFor(tokens * ShareParts.WHOLE), idleParts()));
         Duration duration =
-                wish.duration().compareTo(policy.loanDuration()) < 0 ? wish.duration() : policy.loanDuration();
+                request.duration().compareTo(policy.loanDuration()) < 0 ? request.duration() : policy.loanDuration();
         loansGiven.add(parts, now + policy.lenderNanos(duration));
         resize(now);
-        actions.add(new BudgetAction.GiveLoan(peer, new Loan(wish.number(), account, tokens, parts, duration)));
-        planHandover(decision.handedOverParts(), wish, now).ifPresent(actions::add);
+        actions.add(new BudgetAction.GiveLoan(peer, new Loan(request.number(), account, tokens, parts, duration)));
+        planHandover(decision.handedOverParts(), request, now).ifPresent(actions::add);
         return new BudgetStep(actions, OptionalLong.empty());
     }
 
-    private SharingPolicy.Decision decideLoan(LoanWish wish, long now) {
+    private SharingPolicy.Decision decideLoan(LoanWish request, long now) {
         if (!leaseValidity.isValid(now) || tokensPerSecond <= 0 || released) {
             return SharingPolicy.Decision.NONE;
         }
@@ -238,31 +244,31 @@
                 !waitQueue.isEmpty(),
                 tokensPerSecond,
                 burstTokens);
-        return policy.sharing().decide(position, wish);
+        return policy.sharing().decide(position, request);
     }
 
-    private Optional<BudgetAction> planHandover(long parts, LoanWish wish, long now) {
-        if (parts <= 0 || wish.holder().isEmpty() || now < nextHandoverAt) {
+    private Optional<BudgetAction> planHandover(long parts, LoanWish request, long now) {
+        if (parts <= 0 || request.holder().isEmpty() || now < nextHandoverAt) {
             return Optional.empty();
         }
         nextHandoverAt = now + HANDOVER_INTERVAL_NANOS;
-        return Optional.of(new BudgetAction.HandOver(account, wish.holder().get(), parts));
+        return Optional.of(new BudgetAction.HandOver(account, request.holder().get(), parts));
     }
 
     /**
-     * Takes another entry's answer to a request for a loan.
+     * Handles another entry's answer to a request for a loan.
      *
      * @param peer the other entry, not null
-     * @param loan what it lends, not null
-     * @return what came of it, not null
+     * @param loan the loan, not null
+     * @return the resulting step, not null
      */
     public synchronized BudgetStep onLoanAnswered(InstanceId peer, Loan loan) {
         long now = advance();
         if (loanRequester.acceptAnswer(peer, loan)) {
-            // The lender counts from after it was asked, so counting from before cannot outlast it.
-            long until = loanRequester.requestedAt() + loan.duration().toNanos();
-            if (now < until) {
-                loansTaken.add(loan.parts(), until);
+            // The lender measures the duration from after it received the request, so the loan ends here first.
+            long expiresAt = loanRequester.requestedAt() + loan.duration().toNanos();
+            if (now < expiresAt) {
+                loansTaken.add(loan.parts(), expiresAt);
                 resize(now);
                 bucket.deposit(loan.tokens() * ShareParts.WHOLE);
             }
@@ -270,7 +276,7 @@
         return processQueue(now);
     }
 
-    /** Gets the parts that are not needed to hold the tokens in the bucket; with more taken, the tokens would be lost. */
+    /** Gets the parts not needed to hold the tokens in the bucket; removing more would lose tokens. */
     private long idleParts() {
         return Math.max(0, unlentParts() - partsFor(Math.max(0, bucket.level())));
     }
@@ -283,16 +289,16 @@
         return Math.max(0, ownParts - loansGiven.totalParts());
     }
 
-    /** Brings bucket and loans up to the present, loan by loan, and returns the present. */
+    /** Advances the bucket and the loans to the current time, one loan expiry at a time, and returns that time. */
     private long advance() {
         long now = clock.nanos();
-        long end = Math.min(loansGiven.nextExpiry(), loansTaken.nextExpiry());
-        while (end <= now) {
-            bucket.advance(end);
-            loansGiven.expire(end);
-            loansTaken.expire(end);
+        long expiry = Math.min(loansGiven.nextExpiry(), loansTaken.nextExpiry());
+        while (expiry <= now) {
+            bucket.advance(expiry);
+            loansGiven.expire(expiry);
+            loansTaken.expire(expiry);
             resize(now);
-            end = Math.min(loansGiven.nextExpiry(), loansTaken.nextExpiry());
+            expiry = Math.min(loansGiven.nextExpiry(), loansTaken.nextExpiry());
         }
         bucket.advance(now);
         resize(now);
@@ -305,7 +311,7 @@
         bucket.resize(parts * burstTokens, parts * tokensPerSecond);
     }
 
-    /** Gets the own parts that may be spent, and that no loan's end takes away. */
+    /** Gets the own parts that may be spent, without borrowed parts. */
     private long spendableOwnParts(long now) {
         return leaseValidity.isValid(now) ? unlentParts() : 0;
     }
@@ -339,71 +345,74 @@
     }
 
     private LoanWish loanRequest(long now) {
-        long perSecond = demand.tokensPerSecond(now);
+        long demandedPerSecond = demand.tokensPerSecond(now);
         long missing = waitQueue.totalTokens() - Math.max(0, bucket.level() / ShareParts.WHOLE);
-        long tokens = Math.min(burstTokens, Math.max(missing, perSecond / 2));
-        double room = (double) waitQueue.head().orElseThrow().tokens() * ShareParts.WHOLE - bucket.capacity();
+        long tokens = Math.min(burstTokens, Math.max(missing, demandedPerSecond / 2));
+        double missingCapacity =
+                (double) waitQueue.head().orElseThrow().tokens() * ShareParts.WHOLE - bucket.capacity();
         double parts = Math.max(
-                Math.max(0, room) / Math.max(1, burstTokens),
-                (double) perSecond / Math.max(1, tokensPerSecond) * ShareParts.WHOLE - unlentParts());
+                Math.max(0, missingCapacity) / Math.max(1, burstTokens),
+                (double) demandedPerSecond / Math.max(1, tokensPerSecond) * ShareParts.WHOLE - unlentParts());
         return new LoanWish(
                 loanRequester.requestNumber(),
                 account,
                 tokens,
                 (long) Math.min(ShareParts.WHOLE, Math.max(0, Math.ceil(parts))),
                 policy.loanDuration(),
-                perSecond,
+                demandedPerSecond,
                 ownParts,
                 holderRow);
     }
 
     private void refuseUnservable(List<BudgetAction> actions, long now) {
-        long certain = spendableOwnParts(now);
-        // An entry that has just begun, or a client account that has, holds no share for the moment that the claim
-        // takes. Its first requests would be refused though the account is within its rate, so they wait for the
-        // claim.
-        boolean mayCome = loanRequester.isPending() || now < firstClaimDeadline;
-        for (WaitQueue.Unservable hopeless : waitQueue.removeUnservable((waiter, needed) -> now < waiter.deadline()
-                && (mayCome || ownInflowDelayNanos(waiter.tokens(), needed, certain) <= waiter.deadline() - now))) {
-            Duration retry = retryAfter(hopeless.waiter().tokens(), hopeless.cumulativeTokens(), certain);
-            actions.add(new BudgetAction.Refused(hopeless.waiter().ticket(), ResultCode.OUT_OF_BUDGET, retry));
+        long spendableParts = spendableOwnParts(now);
+        // A new entry or client account has no share until its claim has completed. Its first requests wait for the
+        // claim; otherwise they would be refused although the account is within its rate.
+        boolean mayReceiveBudget = loanRequester.isPending() || now < firstClaimDeadline;
+        for (WaitQueue.Unservable unservable :
+                waitQueue.removeUnservable((waiter, cumulativeTokens) -> now < waiter.deadline()
+                        && (mayReceiveBudget
+                                || ownInflowDelayNanos(waiter.tokens(), cumulativeTokens, spendableParts)
+                                        <= waiter.deadline() - now))) {
+            Duration retry = retryAfter(unservable.waiter().tokens(), unservable.cumulativeTokens(), spendableParts);
+            actions.add(new BudgetAction.Refused(unservable.waiter().ticket(), ResultCode.OUT_OF_BUDGET, retry));
         }
     }
 
-    /** Gets the nanoseconds until the entry's own parts alone have brought what is needed, or infinity. */
-    private double ownInflowDelayNanos(long tokens, long needed, long certain) {
-        if (certain <= 0 || tokensPerSecond <= 0 || tokens * ShareParts.WHOLE > certain * burstTokens) {
+    /** Gets the nanoseconds until the inflow of the entry's own parts alone covers the tokens needed, or infinity. */
+    private double ownInflowDelayNanos(long tokens, long cumulativeTokens, long spendableParts) {
+        if (spendableParts <= 0 || tokensPerSecond <= 0 || tokens * ShareParts.WHOLE > spendableParts * burstTokens) {
             return Double.POSITIVE_INFINITY;
         }
-        long missing = needed * ShareParts.WHOLE - Math.min(bucket.level(), certain * burstTokens);
-        return bucket.secondsFor(Math.max(0, missing), certain * tokensPerSecond) * NANOS_PER_SECOND;
+        long missing = cumulativeTokens * ShareParts.WHOLE - Math.min(bucket.level(), spendableParts * burstTokens);
+        return bucket.secondsFor(Math.max(0, missing), spendableParts * tokensPerSecond) * NANOS_PER_SECOND;
     }
 
-    private Duration retryAfter(long tokens, long needed, long certain) {
-        double delay = ownInflowDelayNanos(tokens, needed, certain);
+    private Duration retryAfter(long tokens, long cumulativeTokens, long spendableParts) {
+        double delay = ownInflowDelayNanos(tokens, cumulativeTokens, spendableParts);
         if (Double.isInfinite(delay) && tokensPerSecond > 0) {
-            long missing = needed * ShareParts.WHOLE - Math.max(0, bucket.level());
+            long missing = cumulativeTokens * ShareParts.WHOLE - Math.max(0, bucket.level());
             delay = bucket.secondsFor(missing, ShareParts.WHOLE * tokensPerSecond) * NANOS_PER_SECOND;
         }
         Duration exact = Duration.ofNanos((long) Math.min(delay, MAX_RETRY_DELAY.toNanos()));
-        // Without a share of its own the entry can only do better once it has looked for one again.
-        Duration least = certain > 0 ? MIN_RETRY_DELAY : policy.scanInterval();
-        return exact.compareTo(least) < 0 ? least : exact;
+        // Without a share of its own the entry cannot grant the request before its next scan for one.
+        Duration minimum = spendableParts > 0 ? MIN_RETRY_DELAY : policy.scanInterval();
+        return exact.compareTo(minimum) < 0 ? minimum : exact;
     }
 
     private OptionalLong wakeAt(long now) {
         if (waitQueue.isEmpty()) {
             return OptionalLong.empty();
         }
-        long at = waitQueue.earliestDeadline();
+        long wakeTime = waitQueue.earliestDeadline();
         if (loanRequester.isPending()) {
-            at = Math.min(at, loanRequester.answerDeadline());
+            wakeTime = Math.min(wakeTime, loanRequester.answerDeadline());
         }
-        at = Math.min(at, Math.min(loansGiven.nextExpiry(), loansTaken.nextExpiry()));
+        wakeTime = Math.min(wakeTime, Math.min(loansGiven.nextExpiry(), loansTaken.nextExpiry()));
         WaitQueue.Waiter head = waitQueue.head().orElseThrow();
-        at = now < firstClaimDeadline ? Math.min(at, firstClaimDeadline) : at;
+        wakeTime = now < firstClaimDeadline ? Math.min(wakeTime, firstClaimDeadline) : wakeTime;
         double delay = ownInflowDelayNanos(head.tokens(), head.tokens(), spendableOwnParts(now));
-        at = (long) Math.min(at, now + delay);
-        return OptionalLong.of(Math.max(at, now + MIN_WAKE_DELAY_NANOS));
+        wakeTime = (long) Math.min(wakeTime, now + delay);
+        return OptionalLong.of(Math.max(wakeTime, now + MIN_WAKE_DELAY_NANOS));
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/AccountRow.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/AccountRow.java
@@ -9,16 +9,16 @@
 import org.geraniumreach.model.table.RowKey;
 
 /**
- * The row that holds the parts of one account's budget that no entry holds.
+ * The row with the free parts of an account's budget, which no entry holds.
  *
- * <p>Invariants: while there is no row, no part was ever given out; these parts and those in the rows of all holders make the
- * whole. Immutable and safe for use by several threads.
+ * <p>Invariants: while the row does not exist, no part has ever been claimed; the free parts and the parts in the rows
+ * of all holders add up to the whole. Immutable and safe for use by several threads.
  *
- * @param freeParts the parts that nobody holds
+ * @param freeParts the parts that no entry holds
  */
 public record AccountRow(long freeParts) {
 
-    /** The table of these rows. */
+    /** The name of the table of account rows. */
     public static final String TABLE = "budget-account";
 
     private static final int SCHEMA_VERSION = 1;
@@ -29,17 +29,17 @@
     }
 
     /**
-     * Obtains the place of an account's row.
+     * Obtains the key of an account's row.
      *
      * @param account the account, not null
-     * @return the place, not null
+     * @return the key, not null
      */
     public static RowKey keyOf(AccountId account) {
         return RowKey.of(TABLE, account.value());
     }
 
     /**
-     * Writes the row.
+     * Serializes the row.
      *
      * @return its JSON text, not null
      */
@@ -51,10 +51,10 @@
     }
 
     /**
-     * Reads a row.
+     * Parses a row.
      *
      * @param text its JSON text, not null
-     * @return the row, or empty if the text is not one
+     * @return the row, or empty if the text is not a valid row
      */
     public static Optional<AccountRow> read(String text) {
         try {
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/ActiveLoans.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/ActiveLoans.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * Parts of a share that change hands for a time.
+ * The parts of a share in current loans, either given or taken.
  *
  * <p>Not safe for use by several threads.
  */
@@ -14,10 +14,10 @@
     private long totalParts;
 
     /**
-     * One loan.
+     * A current loan.
      *
-     * @param parts the parts
-     * @param expiresAt when it ends
+     * @param parts the parts lent
+     * @param expiresAt the time when it ends
      */
     private record ActiveLoan(long parts, long expiresAt) {}
 
@@ -32,7 +32,7 @@
         return totalParts;
     }
 
-    /** Gets when the next loan ends. */
+    /** Gets the time when the next loan ends, or {@link Long#MAX_VALUE} without loans. */
     long nextExpiry() {
         long next = Long.MAX_VALUE;
         for (ActiveLoan entry : loans) {
@@ -41,7 +41,7 @@
         return next;
     }
 
-    /** Drops the loans that have ended. */
+    /** Removes the loans that have ended. */
     void expire(long now) {
         if (loans.removeIf(entry -> entry.expiresAt() <= now)) {
             totalParts = loans.stream().mapToLong(ActiveLoan::parts).sum();
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/BudgetAction.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/BudgetAction.java
@@ -8,51 +8,51 @@
 import org.geraniumreach.model.table.RowKey;
 
 /**
- * What an {@link AccountBudget} wants done.
+ * An action that an {@link AccountBudget} asks its caller to carry out.
  *
  * <p>Immutable and safe for use by several threads.
  */
 public sealed interface BudgetAction {
 
     /**
-     * Let a request run.
+     * Admits a request.
      *
-     * @param ticket the number that its caller gave it
-     * @param grant to be settled at its end
+     * @param ticket the number passed with the request
+     * @param grant the reserved tokens, to be settled when the request ends
      */
     record Granted(long ticket, Grant grant) implements BudgetAction {}
 
     /**
-     * Refuse a request.
+     * Refuses a request.
      *
-     * @param ticket the number that its caller gave it
-     * @param code why
-     * @param retryAfter when the budget will be there
+     * @param ticket the number passed with the request
+     * @param code the reason
+     * @param retryAfter the delay after which budget is expected to be available
      */
     record Refused(long ticket, ResultCode code, Duration retryAfter) implements BudgetAction {}
 
     /**
-     * Ask another entry for a loan.
+     * Asks another entry for a loan.
      *
      * @param peer the entry
-     * @param wish what to ask
+     * @param wish the request to send
      */
     record AskLoan(InstanceId peer, LoanWish wish) implements BudgetAction {}
 
     /**
-     * Answer another entry that asked.
+     * Answers another entry's request for a loan.
      *
      * @param peer the entry
-     * @param loan what it gets, which may be nothing
+     * @param loan the loan, which may have no tokens and no parts
      */
     record GiveLoan(InstanceId peer, Loan loan) implements BudgetAction {}
 
     /**
-     * Hand a part of the share over, by a transaction.
+     * Hands over parts of the share permanently, by a transaction.
      *
      * @param account the client account
      * @param recipientRow the other entry's row
-     * @param parts the parts
+     * @param parts the parts to hand over
      */
     record HandOver(AccountId account, RowKey recipientRow, long parts) implements BudgetAction {}
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/BudgetStep.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/BudgetStep.java
@@ -4,12 +4,12 @@
 import java.util.OptionalLong;
 
 /**
- * What came of one event.
+ * The result of one event: the actions to carry out and the time of the next wake-up.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param actions what is to be done, in order
- * @param wakeAt when {@link AccountBudget#wake} is to be called at the latest, by the clock
+ * @param actions the actions to carry out, in order
+ * @param wakeAt the clock time by which {@link AccountBudget#wake} must be called; empty if the event requires none
  */
 public record BudgetStep(List<BudgetAction> actions, OptionalLong wakeAt) {
 
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/DemandMeter.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/DemandMeter.java
@@ -1,9 +1,10 @@
 package org.geraniumreach.coordination.budget;
 
 /**
- * The tokens a second that callers ask for, lately.
+ * Measures the recent demand of callers in tokens per second.
  *
- * <p>A running mean that forgets with a time constant of {@value #TIME_CONSTANT_SECONDS} seconds. Not safe for use by several threads.
+ * <p>The value is a moving average that decays exponentially with a time constant of {@value #TIME_CONSTANT_SECONDS}
+ * seconds. Not safe for use by several threads.
  */
 final class DemandMeter {
 
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/DepartedHolderDetector.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/DepartedHolderDetector.java
@@ -11,12 +11,12 @@
 import org.geraniumreach.model.table.RowKey;
 
 /**
- * Finds out which holders are gone for good, as this entry sees it.
+ * Detects holders that have departed and whose shares may be taken over.
  *
- * <p>Invariant: a row is named gone only if its version has stayed the same, and its holder has been off the list at each
- * reading, both for longer than the quarantine. Either alone would take shares from an entry that still spends them: one that
- * cannot reach the table service but is listed, or one that the list has dropped but that renews its lease. Not safe for use
- * by several threads.
+ * <p>Invariant: apart from earlier processes at this entry's own address, a holder counts as departed only if, for
+ * longer than the quarantine, the version of its row has not changed and every read of the instance list has lacked it.
+ * Either condition alone would take shares from an entry that still spends them: one that is listed but cannot reach
+ * the table service, or one that is missing from the list but renews its lease. Not safe for use by several threads.
  */
 final class DepartedHolderDetector {
 
@@ -25,7 +25,7 @@
     private final long predecessorLoansEndAt;
     private final Map<RowKey, Observation> observations = new HashMap<>();
 
-    /** What was seen of one row. */
+    /** The observations of one row. */
     private static final class Observation {
         private Row row;
         private HolderRow content;
@@ -39,25 +39,26 @@
     }
 
     /**
-     * Makes a watch.
+     * Creates a detector without observations.
      *
      * @param self this entry, not null
-     * @param quarantineNanos the quarantine
-     * @param loanEndAt the time when every loan that a predecessor of this process has given is over
+     * @param quarantineNanos the quarantine in nanoseconds
+     * @param predecessorLoansEndAt the time when all loans given by earlier processes at this entry's address have
+     *     ended
      */
-    DepartedHolderDetector(HolderId self, long quarantineNanos, long loanEndAt) {
+    DepartedHolderDetector(HolderId self, long quarantineNanos, long predecessorLoansEndAt) {
         this.self = self;
         this.quarantineNanos = quarantineNanos;
-        this.predecessorLoansEndAt = loanEndAt;
+        this.predecessorLoansEndAt = predecessorLoansEndAt;
     }
 
-    /** Takes a reading of a whole table of rows. */
+    /** Records the result of a scan of the holder table. */
     void onRowsScanned(List<Row> rows, long now) {
-        Map<RowKey, Observation> before = new HashMap<>(observations);
+        Map<RowKey, Observation> previous = new HashMap<>(observations);
         observations.clear();
         for (Row row : rows) {
             HolderRow.read(row.value()).ifPresent(content -> {
-                Observation known = before.getOrDefault(row.key(), new Observation());
+                Observation known = previous.getOrDefault(row.key(), new Observation());
                 if (known.row == null || known.row.version() != row.version()) {
                     known.row = row;
                     known.content = content;
@@ -68,38 +69,40 @@
         }
     }
 
-    /** Takes a reading of the list. */
-    void onHoldersListed(Set<ListedHolder> listed, long askedAt, long now) {
-        for (Observation sighting : observations.values()) {
-            if (listed.contains(sighting.content.holder().toListedHolder())) {
-                sighting.absentSince = Long.MAX_VALUE;
-                sighting.absentUntil = Long.MIN_VALUE;
+    /** Records the result of a read of the instance list. */
+    void onHoldersListed(Set<ListedHolder> listed, long requestedAt, long now) {
+        for (Observation observation : observations.values()) {
+            if (listed.contains(observation.content.holder().toListedHolder())) {
+                observation.absentSince = Long.MAX_VALUE;
+                observation.absentUntil = Long.MIN_VALUE;
                 continue;
             }
-            sighting.absentSince = Math.min(sighting.absentSince, now);
-            sighting.absentUntil = askedAt;
+            observation.absentSince = Math.min(observation.absentSince, now);
+            observation.absentUntil = requestedAt;
         }
     }
 
-    /** Gets the rows whose shares may be taken back, as they were seen. */
+    /** Gets the rows of departed holders, as last scanned. */
     List<Row> departedRows(long now) {
-        List<Row> gone = new ArrayList<>();
-        for (Observation sighting : observations.values()) {
-            if (isPredecessor(sighting.content.holder()) ? now > predecessorLoansEndAt : isDeparted(sighting, now)) {
-                gone.add(sighting.row);
+        List<Row> departed = new ArrayList<>();
+        for (Observation observation : observations.values()) {
+            if (isPredecessor(observation.content.holder())
+                    ? now > predecessorLoansEndAt
+                    : isDeparted(observation, now)) {
+                departed.add(observation.row);
             }
         }
-        return gone;
+        return departed;
     }
 
-    /** Queries whether a holder is an earlier process at this entry's address, which therefore has ended. */
+    /** Queries whether a holder is an earlier process at this entry's address, which must have ended. */
     private boolean isPredecessor(HolderId holder) {
         return holder.toListedHolder().equals(self.toListedHolder()) && holder.incarnation() != self.incarnation();
     }
 
-    private boolean isDeparted(Observation sighting, long now) {
-        return !sighting.content.holder().equals(self)
-                && now - sighting.unchangedSince > quarantineNanos
-                && sighting.isAbsentFor(quarantineNanos);
+    private boolean isDeparted(Observation observation, long now) {
+        return !observation.content.holder().equals(self)
+                && now - observation.unchangedSince > quarantineNanos
+                && observation.isAbsentFor(quarantineNanos);
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/EntryBudget.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/EntryBudget.java
@@ -15,11 +15,12 @@
 import org.geraniumreach.model.MonotonicClock;
 
 /**
- * The budgets of all client accounts at one entry, with the shares that they live on.
+ * The budgets of all client accounts at one entry and the shares that back them.
  *
- * <p>Invariants: an account's budget never has more own parts than {@link ShareKeeper#usableParts}; each event's step is handed
- * back to its caller, who carries the actions out. Safe for use by several threads: each account is under a lock of its own,
- * the keeper under another, and an account's lock is taken within the keeper's but never the other way round.
+ * <p>Invariants: an account's budget never has more own parts than {@link ShareKeeper#usableParts}; the caller of each
+ * method carries out the actions of the returned step. Safe for use by several threads: each account and the {@link
+ * ShareKeeper} have locks of their own, and an account's lock may be acquired while holding the latter, never the other
+ * way round.
  */
 public final class EntryBudget {
 
@@ -32,18 +33,18 @@
     private volatile List<InstanceId> peers = List.of();
 
     /**
-     * A step of one account.
+     * The step of one account.
      *
      * @param account the account
-     * @param step what came of an event
+     * @param step the result of an event
      */
     public record AccountStep(AccountId account, BudgetStep step) {}
 
     /**
-     * Makes budgets without accounts.
+     * Creates budgets without accounts.
      *
      * @param self this entry, not null
-     * @param policy times and choices, not null
+     * @param policy the time limits and the sharing policy, not null
      * @param clock the source of elapsed time, not null
      * @param random the source of random choices, safe for use by several threads, not null
      */
@@ -62,9 +63,9 @@
 
     private AccountBudget budget(AccountId account) {
         return accounts.computeIfAbsent(account, missing -> {
-            AccountBudget made = new AccountBudget(missing, policy, leaseValidity, clock, random);
-            made.setPeersAndHolderRow(peers, shareManager.rowKey());
-            return made;
+            AccountBudget created = new AccountBudget(missing, policy, leaseValidity, clock, random);
+            created.setPeersAndHolderRow(peers, shareManager.rowKey());
+            return created;
         });
     }
 
@@ -74,7 +75,7 @@
      * @param account the account, not null
      * @param tokensPerSecond the rate over all entries together, 0 to stop the account
      * @param burstTokens the burst over all entries together
-     * @return what came of it, not null
+     * @return the resulting step, not null
      */
     public BudgetStep setRate(AccountId account, long tokensPerSecond, long burstTokens) {
         return budget(account).setRate(tokensPerSecond, burstTokens);
@@ -100,23 +101,23 @@
     }
 
     /**
-     * Takes a reading of the instance list.
+     * Handles a read of the instance list.
      *
-     * @param listed the entries listed, not null
-     * @param askedAt the time before the list was asked for
+     * @param listed the listed entries, not null
+     * @param requestedAt a time before the list was requested
      */
-    public void listed(Set<ListedHolder> listed, long askedAt) {
-        shareManager.onHoldersListed(listed, askedAt);
+    public void listed(Set<ListedHolder> listed, long requestedAt) {
+        shareManager.onHoldersListed(listed, requestedAt);
     }
 
     /**
-     * Asks for tokens; see {@link AccountBudget#reserve}.
+     * Reserves tokens for a request; see {@link AccountBudget#reserve}.
      *
      * @param account the account, not null
-     * @param ticket the number by which the answer tells which request it is for
-     * @param tokens the tokens
-     * @param deadlineLeft the time that the request has left, not null
-     * @return what came of it, not null
+     * @param ticket the number that identifies the request in the answer
+     * @param tokens the tokens to reserve
+     * @param deadlineLeft the time left until the request's deadline, not null
+     * @return the resulting step, not null
      */
     public BudgetStep reserve(AccountId account, long ticket, long tokens, Duration deadlineLeft) {
         AccountBudget budget = budget(account);
@@ -128,36 +129,36 @@
     }
 
     /**
-     * Ends a request; see {@link AccountBudget#settle}.
+     * Settles a finished request; see {@link AccountBudget#settle}.
      *
      * @param account the account, not null
-     * @param grant the tokens set aside, not null
+     * @param grant the reserved tokens, not null
      * @param actualTokens the tokens used
-     * @return what came of it, not null
+     * @return the resulting step, not null
      */
     public BudgetStep settle(AccountId account, Grant grant, long actualTokens) {
         return budget(account).settle(grant, actualTokens);
     }
 
     /**
-     * Does what is due for an account.
+     * Handles expired timeouts and waiting requests of an account; see {@link BudgetStep#wakeAt}.
      *
      * @param account the account, not null
-     * @return what came of it, not null
+     * @return the resulting step, not null
      */
     public BudgetStep wake(AccountId account) {
         return budget(account).wake();
     }
 
     /**
-     * Answers another entry that asks for a loan, and notes what is to be handed over to it.
+     * Answers another entry's request for a loan and enqueues the resulting handover.
      *
      * @param peer the other entry, not null
-     * @param wish what it asks, not null
-     * @return what came of it, not null
+     * @param request its request, not null
+     * @return the resulting step, not null
      */
-    public BudgetStep loanAsked(InstanceId peer, LoanWish wish) {
-        BudgetStep step = budget(wish.account()).onLoanRequested(peer, wish);
+    public BudgetStep loanAsked(InstanceId peer, LoanWish request) {
+        BudgetStep step = budget(request.account()).onLoanRequested(peer, request);
         step.actions().stream()
                 .filter(BudgetAction.HandOver.class::isInstance)
                 .map(BudgetAction.HandOver.class::cast)
@@ -166,29 +167,29 @@
     }
 
     /**
-     * Takes another entry's answer to a request for a loan.
+     * Handles another entry's answer to a request for a loan.
      *
      * @param peer the other entry, not null
-     * @param loan what it lends, not null
-     * @return what came of it, not null
+     * @param loan the loan, not null
+     * @return the resulting step, not null
      */
     public BudgetStep loanAnswered(InstanceId peer, Loan loan) {
         return budget(loan.account()).onLoanAnswered(peer, loan);
     }
 
     /**
-     * Gets the keeper of this entry's shares; after each answer that it is given, {@link #publish} must be called.
+     * Gets the object that manages this entry's shares; {@link #publish} must be called after each result reported to it.
      *
-     * @return the keeper, not null
+     * @return the object, not null
      */
     public ShareKeeper keeper() {
         return shareManager;
     }
 
     /**
-     * Gives the accounts' budgets the parts that the keeper holds for certain now.
+     * Updates the accounts' budgets to the parts that this entry is certain to hold.
      *
-     * @return what came of it for the accounts whose parts have changed, not null
+     * @return the steps of the accounts whose parts have changed, not null
      */
     public List<AccountStep> publish() {
         Set<AccountId> first = shareManager.takeFirstIssued();
@@ -205,7 +206,7 @@
         return steps;
     }
 
-    /** Gives all shares back, once the loans given are over; nothing is granted from them any more. */
+    /** Stops granting from this entry's shares and returns them once all given loans have ended. */
     public void release() {
         long loansEndAt = clock.nanos();
         for (AccountBudget budget : accounts.values()) {
@@ -225,7 +226,7 @@
     }
 
     /**
-     * Queries whether the shares held may be spent now.
+     * Queries whether this entry's shares may be spent now.
      *
      * @return true if they may
      */
@@ -234,7 +235,7 @@
     }
 
     /**
-     * Gets the tokens that an account may spend here at once.
+     * Gets the tokens that an account may spend immediately at this entry.
      *
      * @param account the account, not null
      * @return the tokens
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/Grant.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/Grant.java
@@ -1,10 +1,10 @@
 package org.geraniumreach.coordination.budget;
 
 /**
- * Tokens set aside for one request.
+ * The tokens reserved for one request.
  *
- * <p>Invariant: what it may give back only shrinks. Its state belongs to the {@link AccountBudget} that made it, and is
- * under that object's lock.
+ * <p>Invariant: the refundable amount only decreases. The state is guarded by the lock of the {@link AccountBudget}
+ * that created the grant.
  */
 public final class Grant {
 
@@ -17,7 +17,7 @@
     }
 
     /**
-     * Gets the tokens set aside.
+     * Gets the reserved tokens.
      *
      * @return the number of tokens
      */
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/HolderId.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/HolderId.java
@@ -5,14 +5,14 @@
 import org.geraniumreach.model.InstanceId;
 
 /**
- * One start of an entry, which holds shares.
+ * Identifies one incarnation of an entry as a holder of shares.
  *
- * <p>The address tells two processes of one name apart: only one process at a time can have it bound. Immutable and safe for
- * use by several threads.
+ * <p>The address distinguishes two processes with the same name, since only one process at a time can be bound to it.
+ * Immutable and safe for use by several threads.
  *
- * @param instance the entry's name on the list
- * @param address its link address on the list
- * @param incarnation the number of its start
+ * @param instance the entry's name on the instance list
+ * @param address its link address on the instance list
+ * @param incarnation the number of this start of the process
  */
 public record HolderId(InstanceId instance, String address, long incarnation) {
 
@@ -22,16 +22,16 @@
     }
 
     /**
-     * Obtains what the list shows of the holder.
+     * Obtains the holder as the instance list shows it.
      *
-     * @return name and address, not null
+     * @return the name and address, not null
      */
     public ListedHolder toListedHolder() {
         return new ListedHolder(instance, address);
     }
 
     /**
-     * An entry as the list shows it.
+     * An entry as the instance list shows it.
      *
      * @param instance its name
      * @param address its link address
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/HolderRow.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/HolderRow.java
@@ -13,18 +13,18 @@
 import org.geraniumreach.model.table.RowKey;
 
 /**
- * The row that holds one entry's shares; its version is the entry's lease.
+ * The row with the shares of one entry; its version serves as the entry's lease.
  *
- * <p>Invariant: a key is never used again after its row was deleted, as a commit that comes late could then match the new
- * row's version. Immutable and safe for use by several threads.
+ * <p>Invariant: a key is never reused after its row was deleted, since a delayed commit could match the version of the
+ * new row. Immutable and safe for use by several threads.
  *
- * @param holder whose row it is
- * @param renewals how often the lease was renewed
+ * @param holder the owner of the row
+ * @param renewals the number of renewals of the lease
  * @param shares the shares
  */
 public record HolderRow(HolderId holder, long renewals, ShareSet shares) {
 
-    /** The table of these rows. */
+    /** The name of the table of holder rows. */
     public static final String TABLE = "budget-holder";
 
     private static final int SCHEMA_VERSION = 1;
@@ -36,20 +36,20 @@
     }
 
     /**
-     * Obtains the place of a holder's row.
+     * Obtains the key of a holder's row.
      *
      * @param holder the holder, not null
-     * @param generation how many rows it had before
-     * @return the place, not null
+     * @param generation the number of earlier rows of this holder
+     * @return the key, not null
      */
     public static RowKey keyOf(HolderId holder, int generation) {
         return RowKey.of(TABLE, holder.instance() + "/" + holder.incarnation() + "/" + generation);
     }
 
     /**
-     * Gets the instance whose row is at a place.
+     * Gets the instance that owns the row with a key.
      *
-     * @param key the place, not null
+     * @param key the key, not null
      * @return the instance, not null
      */
     public static InstanceId instanceOf(RowKey key) {
@@ -57,7 +57,7 @@
     }
 
     /**
-     * Writes the row.
+     * Serializes the row.
      *
      * @return its JSON text, not null
      */
@@ -74,10 +74,10 @@
     }
 
     /**
-     * Reads a row.
+     * Parses a row.
      *
      * @param text its JSON text, not null
-     * @return the row, or empty if the text is not one
+     * @return the row, or empty if the text is not a valid row
      */
     public static Optional<HolderRow> read(String text) {
         try {
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/HoldingProof.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/HoldingProof.java
@@ -1,13 +1,13 @@
 package org.geraniumreach.coordination.budget;
 
 /**
- * Whether this entry may still spend the shares that its row holds.
+ * Tracks whether this entry may still spend the shares in its row.
  *
- * <p>Two things prove it: a commit on the row that succeeded, and a reading of the instance list that shows the entry. Either
- * counts from before it was asked for, and for a limited time, checked at each spend against a clock that goes on while the
- * process is frozen. Invariant: once the proof has lapsed only a commit on the row restores it. An entry that was off the
- * list for long may be listed again after its shares were taken back, so being listed proves nothing then. Safe for use by
- * several threads.
+ * <p>Validity is extended by a successful commit on the row and by an instance list that contains the entry. Either
+ * counts for a limited time from the moment before the call was made, and each spend checks it against a clock that
+ * advances while the process is frozen. Invariant: once validity has expired, only a commit on the row restores it. An
+ * entry that was long absent from the list may be listed again after its shares were taken over, so the list does not
+ * restore it. Safe for use by several threads.
  */
 public final class HoldingProof {
 
@@ -15,36 +15,36 @@
     private long validUntil = Long.MIN_VALUE;
 
     /**
-     * Makes a proof that does not hold.
+     * Creates the state before the first commit on the row, in which the shares may not be spent.
      *
-     * @param limitNanos how long each proof counts
+     * @param validityNanos how long a commit or listing keeps the shares valid
      */
-    public HoldingProof(long limitNanos) {
-        this.validityNanos = limitNanos;
+    public HoldingProof(long validityNanos) {
+        this.validityNanos = validityNanos;
     }
 
     /**
-     * Tells that a commit on the row has succeeded.
+     * Extends the validity after a successful commit on the row.
      *
-     * @param sentAt the time before it was sent
+     * @param sentAt a time before the commit was sent
      */
     public synchronized void renewed(long sentAt) {
         validUntil = Math.max(validUntil, sentAt + validityNanos);
     }
 
     /**
-     * Tells that the list shows this entry.
+     * Extends the validity, unless expired, after a read of the instance list that contains this entry.
      *
-     * @param askedAt the time before the list was asked for
-     * @param now the time
+     * @param requestedAt a time before the list was requested
+     * @param now the current time
      */
-    public synchronized void onListed(long askedAt, long now) {
+    public synchronized void onListed(long requestedAt, long now) {
         if (isValid(now)) {
-            validUntil = Math.max(validUntil, askedAt + validityNanos);
+            validUntil = Math.max(validUntil, requestedAt + validityNanos);
         }
     }
 
-    /** Tells that the row is not this entry's any more. */
+    /** Ends the validity, as the row no longer belongs to this entry. */
     public synchronized void onLost() {
         validUntil = Long.MIN_VALUE;
     }
@@ -52,7 +52,7 @@
     /**
      * Queries whether the shares may be spent.
      *
-     * @param now the time
+     * @param now the current time
      * @return true if they may
      */
     public synchronized boolean isValid(long now) {
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/LoanRequester.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/LoanRequester.java
@@ -10,14 +10,14 @@
 import org.geraniumreach.model.InstanceId;
 
 /**
- * One account's requests for loans to other entries, one at a time.
+ * Selects the entries to ask for loans for one account and tracks the pending request; at most one is pending.
  *
- * <p>Invariant: an answer counts once, only if it is to the request under way and comes from whom was asked. Not safe for
- * use by several threads.
+ * <p>Invariant: an answer is accepted once, and only from the entry asked and for the pending request. Not safe for use
+ * by several threads.
  */
 final class LoanRequester {
 
-    /** How many other entries are asked before a shortage is taken for real. */
+    /** The number of entries to ask before concluding that no budget can be borrowed. */
     private static final int MAX_LENDERS_PER_ROUND = 4;
 
     private final RandomGenerator random;
@@ -30,20 +30,20 @@
     private long requestedAt;
     private long backOffUntil = Long.MIN_VALUE;
 
-    LoanRequester(RandomGenerator random, long answerNanos) {
+    LoanRequester(RandomGenerator random, long answerTimeoutNanos) {
         this.random = random;
-        // An answer to an earlier start of this process, had it the number of a later request, would be counted from
-        // that request, and the loan be held here after the lender has it back.
+        // Starts at a random number: an answer to an earlier incarnation of this process could otherwise match a later
+        // request, and the loan, timed from that request, would be spent here after the lender has reclaimed it.
         this.requestNumber = random.nextLong();
-        this.answerTimeoutNanos = answerNanos;
-        this.backOffNanos = 2 * answerNanos;
+        this.answerTimeoutNanos = answerTimeoutNanos;
+        this.backOffNanos = 2 * answerTimeoutNanos;
     }
 
     boolean isPending() {
         return pendingLender.isPresent();
     }
 
-    /** Gets when the answer waited for is given up. */
+    /** Gets the time after which the pending request has timed out. */
     long answerDeadline() {
         return requestedAt + answerTimeoutNanos;
     }
@@ -56,14 +56,17 @@
         return requestNumber;
     }
 
-    /** Chooses whom to ask next, or nobody if all were asked, or asking just now brought nothing. */
+    /**
+     * Starts a request to the next entry; empty while a request is pending, while backing off, or if none is candidates
+     * to ask.
+     */
     Optional<InstanceId> nextLender(List<InstanceId> peers, long now) {
         if (pendingLender.isPresent() || now < backOffUntil) {
             return Optional.empty();
         }
         Optional<InstanceId> chosen = selectLender(peers);
         if (chosen.isEmpty()) {
-            // Without a pause an account far above its rate would have every entry ask every other for each request.
+            // Without a back-off every entry would ask all others for each request of an account far above its rate.
             backOffUntil = now + backOffNanos;
             askedLenders.clear();
             return Optional.empty();
@@ -82,12 +85,12 @@
         if (lastLender.isPresent() && !askedLenders.contains(lastLender.get()) && peers.contains(lastLender.get())) {
             return lastLender;
         }
-        List<InstanceId> left = new ArrayList<>(peers);
-        left.removeAll(askedLenders);
-        return left.isEmpty() ? Optional.empty() : Optional.of(left.get(random.nextInt(left.size())));
+        List<InstanceId> candidates = new ArrayList<>(peers);
+        candidates.removeAll(askedLenders);
+        return candidates.isEmpty() ? Optional.empty() : Optional.of(candidates.get(random.nextInt(candidates.size())));
     }
 
-    /** Takes an answer; false if it is late, repeated, or from somebody else. */
+    /** Accepts the answer to the pending request; false if it is late, repeated, or from another entry. */
     boolean acceptAnswer(InstanceId peer, Loan loan) {
         if (!pendingLender.equals(Optional.of(peer)) || loan.number() != requestNumber) {
             return false;
@@ -99,14 +102,14 @@
         return true;
     }
 
-    /** Gives up an answer that is late. */
+    /** Drops the pending request if it has timed out. */
     void expireOverdue(long now) {
         if (pendingLender.isPresent() && now >= answerDeadline()) {
             pendingLender = Optional.empty();
         }
     }
 
-    /** Ends a round: nobody waits any more. */
+    /** Ends the round, as no request waits for budget; all entries may be asked again. */
     void endRound() {
         askedLenders.clear();
     }
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/LoanWish.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/LoanWish.java
@@ -8,18 +8,19 @@
 import org.geraniumreach.model.table.RowKey;
 
 /**
- * What an entry that is short of budget asks of another one.
+ * A request for a loan that an entry short of budget sends to another entry.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param number the request's number at the asker
+ * @param number the number of the request at the requesting entry
  * @param account the client account
- * @param tokens the tokens wanted at once
- * @param parts the parts of the share wanted for the time of the loan
- * @param duration how long the loan lasts
- * @param demand the tokens a second that the asker's callers ask for
- * @param heldParts the parts that the asker holds itself
- * @param holder the asker's row in the table service, to which parts may be handed over; empty if there is none yet
+ * @param tokens the tokens requested for immediate use
+ * @param parts the parts of the share requested for the duration of the loan
+ * @param duration the duration of the loan
+ * @param demand the demand of the requesting entry's callers in tokens per second
+ * @param heldParts the parts that the requesting entry holds itself
+ * @param holder the requesting entry's row in the table service, to which parts may be handed over; empty if it has no
+ *     row yet
  */
 public record LoanWish(
         long number,
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/ShareKeeper.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/ShareKeeper.java
@@ -17,15 +17,16 @@
 import org.geraniumreach.model.table.Transaction;
 
 /**
- * Keeps this entry's row of shares in the table service.
+ * Manages this entry's row of shares in the table service.
  *
- * <p>Invariants: {@link #usableParts} is never more than the row holds for certain. A commit that gives parts away counts from
- * before it is sent; if its answer is lost it counts until a later commit on the same row has succeeded or the row's version
- * has moved on, for until then it may yet take effect, and a reading that shows the old row proves nothing. Parts that come
- * count only once they were read or their commit was confirmed.
+ * <p>Invariants: {@link #usableParts} never exceeds what the row is certain to hold. A commit that gives parts away
+ * counts as applied from before it is sent. If its answer is lost, it counts until a later commit on the same row has
+ * succeeded or the row's version has changed: until then it may still take effect, even if a read returns the old row.
+ * Received parts count only once they have been read or their commit has been confirmed.
  *
- * <p>One call of the table service is made at a time: {@link #next} gives it, and one of {@link #read}, {@link #scanned},
- * {@link #committed} and {@link #failed} answers it. Safe for use by several threads; the state is under this object's lock.
+ * <p>At most one call to the table service is pending: {@link #next} returns it, and one of {@link #read}, {@link
+ * #scanned}, {@link #committed} and {@link #failed} reports its result. Safe for use by several threads; the state is
+ * guarded by this object's lock.
  */
 public final class ShareKeeper {
 
@@ -43,11 +44,14 @@
     private final Deque<ShareTransfer> transfers = new ArrayDeque<>();
     private int generation;
     private Optional<KnownRow> knownRow = Optional.empty();
-    /** What the row holds if a commit with a lost answer has taken effect. */
+    /**
+     * The shares in the row if a commit whose answer was lost has taken effect; per account the minimum over all such
+     * commits.
+     */
     private Optional<ShareSet> sharesIfCommitApplied = Optional.empty();
 
     private Optional<PendingCall> pendingCall = Optional.empty();
-    /** The commit that follows the reading of its other row. */
+    /** The commit of a transfer whose other row has been read. */
     private Optional<PendingCall> preparedCommit = Optional.empty();
 
     private boolean mustReadRow;
@@ -61,24 +65,24 @@
     private boolean isScanner = true;
     private long releaseAt = Long.MAX_VALUE;
 
-    /** Takes parts away from the account's budget before a commit that gives them away; returns those taken. */
+    /** Withdraws parts from an account's budget before a commit that gives them away. */
     @FunctionalInterface
     public interface Withdrawal {
 
         /**
-         * Takes parts away.
+         * Withdraws parts.
          *
          * @param account the client account, not null
-         * @param parts the parts wanted
-         * @return the parts taken, which are spent no more
+         * @param parts the parts requested
+         * @return the parts withdrawn, which are not spent afterwards
          */
         long withdraw(AccountId account, long parts);
     }
 
-    /** What the row is known to hold. */
+    /** The last known content of this entry's row. */
     private record KnownRow(long version, long renewals, ShareSet shares) {}
 
-    /** The call under way. */
+    /** A call to the table service and the transfer for which it is made, if any. */
     private record PendingCall(
             StoreCall call, long sentAt, Optional<ShareTransfer> transfer, Optional<ShareTransfer.Plan> plan) {
 
@@ -88,31 +92,35 @@
     }
 
     /**
-     * Makes a keeper that holds nothing.
+     * Creates an instance without shares.
      *
      * @param self this entry, not null
-     * @param policy times, not null
-     * @param proof told of what proves that the shares are held, not null
+     * @param policy the time limits, not null
+     * @param leaseValidity updated after commits on the row and reads of the instance list, not null
      * @param clock the source of elapsed time, not null
-     * @param withdrawal takes parts away before they are given, not null
+     * @param withdrawal withdraws parts before they are given away, not null
      */
     public ShareKeeper(
-            HolderId self, BudgetPolicy policy, HoldingProof proof, MonotonicClock clock, Withdrawal withdrawal) {
+            HolderId self,
+            BudgetPolicy policy,
+            HoldingProof leaseValidity,
+            MonotonicClock clock,
+            Withdrawal withdrawal) {
         this.self = Objects.requireNonNull(self, "self");
         this.policy = Objects.requireNonNull(policy, "policy");
-        this.leaseValidity = Objects.requireNonNull(proof, "proof");
+        this.leaseValidity = Objects.requireNonNull(leaseValidity, "leaseValidity");
         this.clock = Objects.requireNonNull(clock, "clock");
         this.withdrawal = Objects.requireNonNull(withdrawal, "withdrawal");
         this.startedAt = clock.nanos();
         this.renewedAt = startedAt;
         this.nextScanAt = startedAt;
-        long loanEndAt = startedAt + policy.lenderNanos(policy.loanDuration());
+        long predecessorLoansEndAt = startedAt + policy.lenderNanos(policy.loanDuration());
         this.departedHolders =
-                new DepartedHolderDetector(self, policy.quarantine().toNanos(), loanEndAt);
+                new DepartedHolderDetector(self, policy.quarantine().toNanos(), predecessorLoansEndAt);
     }
 
     /**
-     * Gets the parts of an account that this entry holds for certain, whether or not the proof holds now.
+     * Gets the parts of an account that this entry is certain to hold, whether or not its lease is valid.
      *
      * @param account the account, not null
      * @return the parts
@@ -122,16 +130,17 @@
         if (sharesIfCommitApplied.isPresent()) {
             parts = Math.min(parts, sharesIfCommitApplied.get().parts(account));
         }
-        // What a commit under way gives away counts as given: the other entry may have it before the answer is here.
-        for (Optional<PendingCall> underWay : List.of(pendingCall, preparedCommit)) {
-            Optional<ShareSet> after = underWay.flatMap(PendingCall::plan).map(ShareTransfer.Plan::sharesAfter);
+        // Parts that a pending commit gives away no longer count: the other entry may hold them before the answer
+        // arrives.
+        for (Optional<PendingCall> unanswered : List.of(pendingCall, preparedCommit)) {
+            Optional<ShareSet> after = unanswered.flatMap(PendingCall::plan).map(ShareTransfer.Plan::sharesAfter);
             parts = Math.min(parts, after.map(shares -> shares.parts(account)).orElse(parts));
         }
         return parts;
     }
 
     /**
-     * Gets the accounts whose parts this entry was the first ever to hold, once.
+     * Gets and clears the accounts whose parts this entry was the first ever to hold.
      *
      * @return the accounts, not null
      */
@@ -142,7 +151,7 @@
     }
 
     /**
-     * Gets the rows to which parts were handed over, once; their holders may be told to read them.
+     * Gets and clears the rows to which parts were handed over, so that their holders can be notified to read them.
      *
      * @return the rows, not null
      */
@@ -153,9 +162,9 @@
     }
 
     /**
-     * Gets this entry's row.
+     * Gets the key of this entry's row.
      *
-     * @return the row's place, empty if there is none
+     * @return the key, empty if the row does not exist
      */
     public synchronized Optional<RowKey> rowKey() {
         return knownRow.map(found -> ownKey());
@@ -175,18 +184,19 @@
     }
 
     /**
-     * Takes a reading of the instance list.
+     * Handles a read of the instance list.
      *
-     * @param listed the entries listed, not null
-     * @param askedAt the time before the list was asked for
+     * @param listed the listed entries, not null
+     * @param requestedAt a time before the list was requested
      */
-    public synchronized void onHoldersListed(Set<ListedHolder> listed, long askedAt) {
+    public synchronized void onHoldersListed(Set<ListedHolder> listed, long requestedAt) {
         long now = clock.nanos();
         if (listed.contains(self.toListedHolder())) {
-            leaseValidity.onListed(askedAt, now);
+            leaseValidity.onListed(requestedAt, now);
         }
-        departedHolders.onHoldersListed(listed, askedAt, now);
-        // With hundreds of entries, all of them reading all rows would take a good part of the platform's reads.
+        departedHolders.onHoldersListed(listed, requestedAt, now);
+        // Only a few entries scan: with hundreds of entries, scans by all of them would use a large part of the
+        // platform's read capacity.
         isScanner = listed.stream()
                         .filter(other -> scannerRank(other) < scannerRank(self.toListedHolder()))
                         .count()
@@ -198,7 +208,7 @@
     }
 
     /**
-     * Asks for the free parts of an account that has callers here and no share.
+     * Enqueues a claim of the free parts of an account.
      *
      * @param account the account, not null
      */
@@ -209,9 +219,9 @@
     }
 
     /**
-     * Asks for parts to be handed over.
+     * Enqueues a handover of parts.
      *
-     * @param handover what and to whom, not null
+     * @param handover the parts and the recipient, not null
      */
     public synchronized void handOver(BudgetAction.HandOver handover) {
         if (!handover.recipientRow().equals(ownKey())) {
@@ -226,15 +236,15 @@
         }
     }
 
-    /** Tells that another entry may have written this entry's row. */
+    /** Requests a read of this entry's row, which another entry may have changed. */
     public synchronized void refresh() {
         mustReadRow = knownRow.isPresent();
     }
 
     /**
-     * Begins to give all shares back, after the accounts' budgets have been released.
+     * Starts to return all shares; the accounts' budgets must have been released before.
      *
-     * @param loansEndAt the time when every loan given is over
+     * @param loansEndAt the time when all given loans have ended
      */
     public synchronized void release(long loansEndAt) {
         transfers.clear();
@@ -242,7 +252,7 @@
     }
 
     /**
-     * Queries whether all shares were given back.
+     * Queries whether all shares have been returned.
      *
      * @return true if so
      */
@@ -251,9 +261,9 @@
     }
 
     /**
-     * Gets the next call of the table service.
+     * Gets the next call to the table service.
      *
-     * @return the call, empty if none is due or one is under way
+     * @return the call, empty if none is due or one is pending
      */
     public synchronized Optional<StoreCall> next() {
         long now = clock.nanos();
@@ -281,18 +291,18 @@
     }
 
     private Optional<PendingCall> chooseRelease(long now) {
-        ShareSet left = currentShares();
+        ShareSet remainingShares = currentShares();
         if (now < releaseAt) {
             return Optional.empty();
         }
-        if (left.isEmpty()) {
+        if (remainingShares.isEmpty()) {
             Transaction delete = Transaction.empty()
                     .withCondition(ownKey(), knownRow.orElseThrow().version())
                     .withDelete(ownKey());
             return simpleCall(new StoreCall.Commit(delete), now);
         }
         ShareTransfer transfer =
-                ShareTransfer.giveBack(left.accounts().iterator().next());
+                ShareTransfer.giveBack(remainingShares.accounts().iterator().next());
         return Optional.of(
                 new PendingCall(new StoreCall.Read(transfer.other()), now, Optional.of(transfer), Optional.empty()));
     }
@@ -313,8 +323,8 @@
     }
 
     private Optional<PendingCall> chooseScan(long now) {
-        boolean young = now - startedAt < policy.quarantine().toNanos();
-        if (now < nextScanAt || !isScanner && !young) {
+        boolean startedRecently = now - startedAt < policy.quarantine().toNanos();
+        if (now < nextScanAt || !isScanner && !startedRecently) {
             return Optional.empty();
         }
         nextScanAt = now + policy.scanInterval().toNanos();
@@ -327,18 +337,18 @@
         return Optional.of(new PendingCall(call, now, Optional.empty(), Optional.empty()));
     }
 
-    /** Makes a commit that writes this entry's row, which renews the lease whatever else it does. */
+    /** Creates a commit that writes this entry's row and thereby renews the lease. */
     private Optional<PendingCall> commit(
-            Transaction more,
+            Transaction change,
             ShareSet after,
             Optional<ShareTransfer> transfer,
             Optional<ShareTransfer.Plan> plan,
             long now) {
         long version = knownRow.map(KnownRow::version).orElse(Transaction.ABSENT_VERSION);
         long renewals = knownRow.map(KnownRow::renewals).orElse(0L) + 1;
-        Transaction whole =
-                more.withCondition(ownKey(), version).withWrite(ownKey(), new HolderRow(self, renewals, after).write());
-        return Optional.of(new PendingCall(new StoreCall.Commit(whole), now, transfer, plan));
+        Transaction transaction = change.withCondition(ownKey(), version)
+                .withWrite(ownKey(), new HolderRow(self, renewals, after).write());
+        return Optional.of(new PendingCall(new StoreCall.Commit(transaction), now, transfer, plan));
     }
 
     private ShareSet currentShares() {
@@ -350,20 +360,20 @@
     }
 
     private PendingCall takePending() {
-        PendingCall answered = pendingCall.orElseThrow(() -> new IllegalStateException("no call is under way"));
+        PendingCall answeredCall = pendingCall.orElseThrow(() -> new IllegalStateException("no call is pending"));
         pendingCall = Optional.empty();
-        return answered;
+        return answeredCall;
     }
 
     /**
-     * Tells what a row holds.
+     * Handles the result of a read.
      *
      * @param found the row, empty if there is none, not null
      */
     public synchronized void read(Optional<Row> found) {
-        PendingCall answered = takePending();
-        if (answered.transfer().isPresent()) {
-            prepareTransfer(answered.transfer().get(), found);
+        PendingCall answeredCall = takePending();
+        if (answeredCall.transfer().isPresent()) {
+            prepareTransfer(answeredCall.transfer().get(), found);
             return;
         }
         mustReadRow = false;
@@ -387,25 +397,25 @@
         leaseValidity.onLost();
     }
 
-    /** Commits a transfer whose other row has just been read. */
+    /** Prepares the commit of a transfer whose other row has just been read. */
     private void prepareTransfer(ShareTransfer transfer, Optional<Row> found) {
         if (knownRow.isEmpty() || transfer.kind() == ShareTransfer.Kind.TAKEOVER && !isStillDeparted(found)) {
             return;
         }
-        ShareTransfer exact = transfer;
+        ShareTransfer adjusted = transfer;
         if (transfer.kind() == ShareTransfer.Kind.HANDOVER && found.isPresent()) {
             AccountId account = transfer.account().orElseThrow();
-            exact = ShareTransfer.handover(
+            adjusted = ShareTransfer.handover(
                     account,
                     transfer.other(),
                     withdrawal.withdraw(account, Math.min(transfer.parts(), usableParts(account))));
         }
-        Optional<ShareTransfer.Plan> plan = exact.plan(currentShares(), found);
+        Optional<ShareTransfer.Plan> plan = adjusted.plan(currentShares(), found);
         if (plan.isEmpty()) {
             return;
         }
         long now = clock.nanos();
-        preparedCommit = commit(plan.get().transaction(), plan.get().sharesAfter(), Optional.of(exact), plan, now);
+        preparedCommit = commit(plan.get().transaction(), plan.get().sharesAfter(), Optional.of(adjusted), plan, now);
     }
 
     private boolean isStillDeparted(Optional<Row> found) {
@@ -416,7 +426,7 @@
     }
 
     /**
-     * Tells what a scan has found.
+     * Handles the result of a scan.
      *
      * @param rows the rows, not null
      */
@@ -436,56 +446,59 @@
     }
 
     /**
-     * Tells whether a commit took effect.
+     * Handles the result of a commit.
      *
-     * @param effective false if a condition did not hold
+     * @param effective whether the commit took effect; false if a condition did not hold
      */
     public synchronized void committed(boolean effective) {
-        PendingCall answered = takePending();
+        PendingCall answeredCall = takePending();
         if (!effective) {
             mustReadRow = true;
             return;
         }
-        if (isDeletion(answered)) {
+        if (isDeletion(answeredCall)) {
             knownRow = Optional.empty();
             return;
         }
-        ShareSet after = answered.plan().map(ShareTransfer.Plan::sharesAfter).orElse(currentShares());
-        // The table service does not say which version the commit has made; the next commit needs it.
+        ShareSet after =
+                answeredCall.plan().map(ShareTransfer.Plan::sharesAfter).orElse(currentShares());
+        // The table service does not return the version created by the commit, which the next commit needs.
         mustReadRow = true;
         long version = knownRow.map(KnownRow::version).orElse(Transaction.ABSENT_VERSION);
         knownRow = Optional.of(
                 new KnownRow(version, knownRow.map(KnownRow::renewals).orElse(0L) + 1, after));
         sharesIfCommitApplied = Optional.empty();
-        renewedAt = answered.sentAt();
-        leaseValidity.renewed(answered.sentAt());
-        answered.transfer()
+        renewedAt = answeredCall.sentAt();
+        leaseValidity.renewed(answeredCall.sentAt());
+        answeredCall
+                .transfer()
                 .filter(transfer -> transfer.kind() == ShareTransfer.Kind.HANDOVER)
                 .ifPresent(transfer -> handoverRecipients.add(transfer.other()));
-        if (answered.plan().filter(ShareTransfer.Plan::firstIssue).isPresent()) {
-            answered.transfer().flatMap(ShareTransfer::account).ifPresent(firstIssued::add);
+        if (answeredCall.plan().filter(ShareTransfer.Plan::firstIssue).isPresent()) {
+            answeredCall.transfer().flatMap(ShareTransfer::account).ifPresent(firstIssued::add);
         }
     }
 
-    private boolean isDeletion(PendingCall answered) {
+    private boolean isDeletion(PendingCall answeredCall) {
         return releaseAt != Long.MAX_VALUE
-                && answered.transfer().isEmpty()
+                && answeredCall.transfer().isEmpty()
                 && currentShares().isEmpty();
     }
 
     /**
-     * Tells that the call had no answer.
+     * Handles the failure of the pending call.
      *
-     * @param mayTakeEffect whether it may have taken effect, or may yet
+     * @param mayTakeEffect whether the call may have taken effect or may still do so
      */
     public synchronized void failed(boolean mayTakeEffect) {
-        PendingCall answered = takePending();
+        PendingCall answeredCall = takePending();
         retryAt = clock.nanos() + RETRY_DELAY.toNanos();
-        if (!(answered.call() instanceof StoreCall.Commit) || !mayTakeEffect) {
+        if (!(answeredCall.call() instanceof StoreCall.Commit) || !mayTakeEffect) {
             return;
         }
         mustReadRow = true;
-        ShareSet after = answered.plan().map(ShareTransfer.Plan::sharesAfter).orElse(currentShares());
+        ShareSet after =
+                answeredCall.plan().map(ShareTransfer.Plan::sharesAfter).orElse(currentShares());
         sharesIfCommitApplied =
                 Optional.of(sharesIfCommitApplied.map(after::minimum).orElse(after));
     }
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/ShareParts.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/ShareParts.java
@@ -1,17 +1,17 @@
 package org.geraniumreach.coordination.budget;
 
 /**
- * The unit in which shares are counted.
+ * Defines the unit of shares.
  *
- * <p>A share is a number of parts of a whole; a bucket's content is counted in the same parts of a token, so that a share of
- * a rate or burst is an exact product. Stateless and safe for use by several threads.
+ * <p>A share is a number of parts of a whole. The contents of a bucket are counted in the same parts of a token, so
+ * that a share of a rate or burst is an exact integer product. Stateless and safe for use by several threads.
  */
 public final class ShareParts {
 
-    /** The parts that make the whole of an account's rate and burst, and of one token. */
+    /** The number of parts in an account's whole rate and burst, and in one token. */
     public static final long WHOLE = 1L << 20;
 
-    /** The greatest rate or burst, in tokens, for which all products fit. */
+    /** The maximum rate or burst in tokens for which no product overflows. */
     public static final long GREATEST_TOKENS = 1L << 40;
 
     private ShareParts() {}
@@ -19,8 +19,8 @@
     /**
      * Checks a number of parts.
      *
-     * @param parts the number
-     * @return the number
+     * @param parts the number of parts
+     * @return the same number
      * @throws IllegalArgumentException if it is negative or above the whole
      */
     public static long require(long parts) {
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/ShareSet.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/ShareSet.java
@@ -24,7 +24,7 @@
     }
 
     /**
-     * Gets the accounts of which there is a share.
+     * Gets the accounts with a share in this set.
      *
      * @return the accounts, unmodifiable, not null
      */
@@ -43,10 +43,10 @@
     }
 
     /**
-     * Gets a copy with another share of an account.
+     * Gets a copy with the share of one account replaced.
      *
      * @param account the account, not null
-     * @param newParts its parts, 0 to take it out
+     * @param newParts the new parts, 0 to remove the account
      * @return the copy, not null
      * @throws IllegalArgumentException if the parts are negative or above the whole
      */
@@ -77,17 +77,17 @@
     }
 
     /**
-     * Gets the shares that both sets have.
+     * Gets the minimum of two sets, account by account.
      *
      * @param other the other set, not null
-     * @return the lesser share of each account, not null
+     * @return the smaller share of each account, not null
      */
     public ShareSet minimum(ShareSet other) {
-        ShareSet least = EMPTY;
+        ShareSet minimum = EMPTY;
         for (AccountId account : parts.keySet()) {
-            least = least.with(account, Math.min(parts(account), other.parts(account)));
+            minimum = minimum.with(account, Math.min(parts(account), other.parts(account)));
         }
-        return least;
+        return minimum;
     }
 
     public boolean isEmpty() {
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/ShareTransfer.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/ShareTransfer.java
@@ -8,36 +8,36 @@
 import org.geraniumreach.model.table.Transaction;
 
 /**
- * A change of the shares in this entry's row that keeps their sum over all rows.
+ * A transfer of shares between this entry's row and another row.
  *
- * <p>Invariant: what the transaction adds to one row it takes from the other, and both versions are conditions, so the parts
- * of an account never come to more than the whole, whoever else writes at the same time. Immutable.
+ * <p>Invariant: the transaction removes from one row what it adds to the other and is conditional on the versions of
+ * both, so the parts of an account over all rows never exceed the whole, even with concurrent writers. Immutable.
  *
- * @param kind what is done
- * @param account the client account; empty for a takeover, which is of all accounts
- * @param other the other row
- * @param parts the parts to move, for a handover
+ * @param kind the kind of transfer
+ * @param account the client account; empty for a takeover, which moves the shares of all accounts
+ * @param other the key of the other row
+ * @param parts the parts to move in a handover, else 0
  */
 record ShareTransfer(Kind kind, Optional<AccountId> account, RowKey other, long parts) {
 
-    /** What a transfer does. */
+    /** The kinds of transfers. */
     enum Kind {
-        /** Takes the parts of an account that nobody holds. */
+        /** Takes the free parts of an account. */
         CLAIM,
         /** Gives parts to another holder. */
         HANDOVER,
-        /** Puts all parts of an account back to where nobody holds them. */
+        /** Returns all parts of an account to its free parts. */
         GIVE_BACK,
-        /** Takes all shares of a holder that is gone, and deletes its row. */
+        /** Takes all shares of a departed holder and deletes its row. */
         TAKEOVER
     }
 
     /**
-     * A transfer as worked out against the rows' present content.
+     * A transfer computed from the current contents of both rows.
      *
-     * @param transaction what it does to the other row
-     * @param sharesAfter what this entry holds afterwards
-     * @param firstIssue whether the account's parts were never held before
+     * @param transaction the condition and write on the other row
+     * @param sharesAfter the shares that this entry holds afterwards
+     * @param firstIssue whether no entry has ever held parts of the account before
      */
     record Plan(Transaction transaction, ShareSet sharesAfter, boolean firstIssue) {}
 
@@ -53,16 +53,16 @@
         return new ShareTransfer(Kind.GIVE_BACK, Optional.of(account), AccountRow.keyOf(account), 0);
     }
 
-    static ShareTransfer takeover(RowKey gone) {
-        return new ShareTransfer(Kind.TAKEOVER, Optional.empty(), gone, 0);
+    static ShareTransfer takeover(RowKey departed) {
+        return new ShareTransfer(Kind.TAKEOVER, Optional.empty(), departed, 0);
     }
 
     /**
-     * Works the transfer out.
+     * Computes the transfer.
      *
-     * @param own what this entry holds
+     * @param own the shares that this entry holds
      * @param found the other row, empty if it does not exist
-     * @return the plan, or empty if there is nothing to do
+     * @return the plan, or empty if there is nothing to transfer
      */
     Optional<Plan> plan(ShareSet own, Optional<Row> found) {
         return switch (kind) {
@@ -74,28 +74,28 @@
     }
 
     private Optional<Plan> planClaim(ShareSet own, Optional<Row> found) {
-        AccountId wanted = account.orElseThrow();
+        AccountId claimed = account.orElseThrow();
         Optional<AccountRow> row = accountRow(found);
         if (row.isEmpty() || row.get().freeParts() == 0) {
             return Optional.empty();
         }
-        long after = own.parts(wanted) + row.get().freeParts();
+        long after = own.parts(claimed) + row.get().freeParts();
         if (after > ShareParts.WHOLE) {
             return Optional.empty();
         }
         Transaction change = condition(found).withWrite(other, new AccountRow(0).write());
-        return Optional.of(new Plan(change, own.with(wanted, after), found.isEmpty()));
+        return Optional.of(new Plan(change, own.with(claimed, after), found.isEmpty()));
     }
 
     private Optional<Plan> planGiveBack(ShareSet own, Optional<Row> found) {
-        AccountId given = account.orElseThrow();
+        AccountId transferred = account.orElseThrow();
         Optional<AccountRow> row = accountRow(found);
-        if (found.isEmpty() || row.isEmpty() || own.parts(given) == 0) {
+        if (found.isEmpty() || row.isEmpty() || own.parts(transferred) == 0) {
             return Optional.empty();
         }
-        long free = Math.min(ShareParts.WHOLE, row.get().freeParts() + own.parts(given));
+        long free = Math.min(ShareParts.WHOLE, row.get().freeParts() + own.parts(transferred));
         Transaction change = condition(found).withWrite(other, new AccountRow(free).write());
-        return Optional.of(new Plan(change, own.with(given, 0), false));
+        return Optional.of(new Plan(change, own.with(transferred, 0), false));
     }
 
     private Optional<AccountRow> accountRow(Optional<Row> found) {
@@ -105,30 +105,31 @@
     }
 
     private Optional<Plan> planHandover(ShareSet own, Optional<Row> found) {
-        AccountId given = account.orElseThrow();
+        AccountId transferred = account.orElseThrow();
         Optional<HolderRow> recipient = found.flatMap(row -> HolderRow.read(row.value()));
-        if (recipient.isEmpty() || parts <= 0 || parts > own.parts(given)) {
+        if (recipient.isEmpty() || parts <= 0 || parts > own.parts(transferred)) {
             return Optional.empty();
         }
         HolderRow before = recipient.get();
-        if (before.shares().parts(given) + parts > ShareParts.WHOLE) {
-            // This entry was frozen, and the other one has taken over what is thought to be held here.
+        if (before.shares().parts(transferred) + parts > ShareParts.WHOLE) {
+            // This entry was frozen, and the recipient has taken over the shares that this entry believes to hold.
             return Optional.empty();
         }
-        ShareSet theirs = before.shares().with(given, before.shares().parts(given) + parts);
-        String after = new HolderRow(before.holder(), before.renewals(), theirs).write();
+        ShareSet recipientShares =
+                before.shares().with(transferred, before.shares().parts(transferred) + parts);
+        String after = new HolderRow(before.holder(), before.renewals(), recipientShares).write();
         Transaction change = condition(found).withWrite(other, after);
-        return Optional.of(new Plan(change, own.with(given, own.parts(given) - parts), false));
+        return Optional.of(new Plan(change, own.with(transferred, own.parts(transferred) - parts), false));
     }
 
     private Optional<Plan> planTakeover(ShareSet own, Optional<Row> found) {
-        Optional<HolderRow> gone = found.flatMap(row -> HolderRow.read(row.value()));
-        return gone.filter(row -> fits(own, row.shares()))
+        Optional<HolderRow> departed = found.flatMap(row -> HolderRow.read(row.value()));
+        return departed.filter(row -> fits(own, row.shares()))
                 .map(row -> new Plan(condition(found).withDelete(other), own.plus(row.shares()), false));
     }
 
-    private static boolean fits(ShareSet own, ShareSet more) {
-        return more.accounts().stream().allMatch(each -> own.parts(each) + more.parts(each) <= ShareParts.WHOLE);
+    private static boolean fits(ShareSet own, ShareSet added) {
+        return added.accounts().stream().allMatch(each -> own.parts(each) + added.parts(each) <= ShareParts.WHOLE);
     }
 
     private Transaction condition(Optional<Row> found) {
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/SharingPolicy.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/SharingPolicy.java
@@ -1,30 +1,30 @@
 package org.geraniumreach.coordination.budget;
 
 /**
- * Decides what an entry gives to another one that asks.
+ * Decides what an entry gives to another one that requests a loan.
  *
- * <p>Contract: pure and safe for use by several threads. The caller cuts the decision to what the entry really has, so a
- * policy cannot break a bound.
+ * <p>Implementations must be pure functions and safe for use by several threads. The caller limits the decision to what
+ * the entry actually has, so a policy cannot cause the rate or burst to be exceeded.
  */
 @FunctionalInterface
 public interface SharingPolicy {
 
     /**
-     * Decides.
+     * Decides what to lend and to hand over.
      *
-     * @param position what the entry has and needs, not null
-     * @param wish what the other one asks, not null
-     * @return what to give, not null
+     * @param lender the state of the lending entry, not null
+     * @param request the request of the other entry, not null
+     * @return the decision, not null
      */
-    Decision decide(LenderState position, LoanWish wish);
+    Decision decide(LenderState lender, LoanWish request);
 
     /**
-     * What an entry has of an account's budget, and needs.
+     * The budget of an account at the lending entry and the demand there.
      *
      * @param tokens the tokens in its bucket
      * @param parts the parts that it holds and has not lent
-     * @param tokensPerSecondDemanded the tokens a second that its callers ask for
-     * @param hasWaitingRequests whether requests wait for budget here
+     * @param tokensPerSecondDemanded the demand of its callers in tokens per second
+     * @param hasWaitingRequests whether requests wait for budget at this entry
      * @param tokensPerSecond the account's rate
      * @param burstTokens the account's burst
      */
@@ -37,29 +37,29 @@
             long burstTokens) {}
 
     /**
-     * What to give.
+     * The amounts to lend and to hand over.
      *
      * @param lentTokens the tokens to lend
      * @param lentParts the parts to lend
-     * @param handedOverParts the parts to hand over for good
+     * @param handedOverParts the parts to hand over permanently
      */
     record Decision(long lentTokens, long lentParts, long handedOverParts) {
 
-        /** To give nothing. */
+        /** Lends and hands over nothing. */
         public static final Decision NONE = new Decision(0, 0, 0);
     }
 
     /**
-     * Obtains the policy by which shares stay where they are, for comparison.
+     * Obtains the policy that never moves shares, for comparison.
      *
      * @return the policy, not null
      */
     static SharingPolicy staticSplit() {
-        return (position, wish) -> Decision.NONE;
+        return (lender, request) -> Decision.NONE;
     }
 
     /**
-     * Obtains the policy by which shares follow demand.
+     * Obtains the policy that moves shares according to demand.
      *
      * @return the policy, not null
      */
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/StoreCall.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/StoreCall.java
@@ -4,30 +4,30 @@
 import org.geraniumreach.model.table.Transaction;
 
 /**
- * A call of the table service that a {@link ShareKeeper} wants made; it wants one at a time.
+ * A call to the table service requested by a {@link ShareKeeper}, which has at most one call pending.
  *
  * <p>Immutable and safe for use by several threads.
  */
 public sealed interface StoreCall {
 
     /**
-     * Read a row; answered by {@code read} or {@code failed}.
+     * Reads a row; answered by {@link ShareKeeper#read} or {@link ShareKeeper#failed}.
      *
-     * @param key the row
+     * @param key the key of the row
      */
     record Read(RowKey key) implements StoreCall {}
 
     /**
-     * Read rows in order; answered by {@code scanned} or {@code failed}.
+     * Reads rows in the order of their keys; answered by {@link ShareKeeper#scanned} or {@link ShareKeeper#failed}.
      *
      * @param table the table
-     * @param after the key after which to begin
-     * @param limit the greatest number of rows
+     * @param after the key after which to start
+     * @param limit the maximum number of rows
      */
     record Scan(String table, String after, int limit) implements StoreCall {}
 
     /**
-     * Commit a transaction; answered by {@code committed} or {@code failed}.
+     * Commits a transaction; answered by {@link ShareKeeper#committed} or {@link ShareKeeper#failed}.
      *
      * @param transaction the transaction
      */
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/TokenBucket.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/TokenBucket.java
@@ -6,13 +6,13 @@
 import java.util.Set;
 
 /**
- * A bucket of tokens that takes back what reservations did not use.
+ * A token bucket that accepts refunds of unused reserved tokens.
  *
- * <p>Invariant: level and refundable amounts together never exceed the capacity. With it, the tokens used by the
- * reservations of any window are at most the capacity at its start and what has flowed in since: what comes back within the
- * window from reservations made before it was counted in that capacity. A refund that is merely cut off at the capacity is
- * not enough: a bucket that is full again, is emptied by a second request and then gets the first one's refund would admit
- * two bursts at once.
+ * <p>Invariant: the level and all refundable amounts together never exceed the capacity. Therefore the reservations of
+ * any time window use at most the capacity at its start plus the inflow since; a refund within the window of a
+ * reservation made before it is already counted in that capacity. Capping each refund at the capacity would not be
+ * enough: a bucket that has refilled, is emptied by a second request and then receives the refund of the first would
+ * admit two bursts at once.
  *
  * <p>Amounts are in parts of a token, see {@link ShareParts#WHOLE}. Not safe for use by several threads.
  */
@@ -30,18 +30,18 @@
     private long updatedAt;
 
     /**
-     * Makes an empty bucket without capacity.
+     * Creates an empty bucket with capacity 0.
      *
-     * @param clockDriftPartsPerMillion the greatest drift of the clock; inflow is slowed by it, as a clock that is fast
-     *     would admit more than the rate
-     * @param now the time
+     * @param clockDriftPartsPerMillion the maximum drift of the clock; the inflow is reduced by it, since a fast clock
+     *     would otherwise admit more than the rate
+     * @param now the current time in nanoseconds
      */
     TokenBucket(int clockDriftPartsPerMillion, long now) {
         this.clockFactor = 1 - clockDriftPartsPerMillion / PARTS_PER_MILLION;
         this.updatedAt = now;
     }
 
-    /** Lets flow in what is due. */
+    /** Adds the inflow since the last call. */
     void advance(long now) {
         if (now <= updatedAt) {
             return;
@@ -52,7 +52,7 @@
         limitRefunds();
     }
 
-    /** Sets capacity and inflow; a level above the capacity is lost, one below it stays. */
+    /** Sets the capacity and the inflow; tokens above the new capacity are lost. */
     void resize(long newCapacity, long newPartsPerSecond) {
         capacity = newCapacity;
         partsPerSecond = newPartsPerSecond;
@@ -60,14 +60,14 @@
         limitRefunds();
     }
 
-    /** Cuts what the oldest reservations can give back until it fits beside the level. */
+    /** Reduces the refundable amounts, oldest reservation first, until they and the level fit into the capacity. */
     private void limitRefunds() {
         Iterator<Grant> oldestFirst = refundable.iterator();
         while (level + refundableSum > capacity && oldestFirst.hasNext()) {
             Grant oldest = oldestFirst.next();
-            long cut = Math.min(oldest.refundable, level + refundableSum - capacity);
-            oldest.refundable -= cut;
-            refundableSum -= cut;
+            long reduction = Math.min(oldest.refundable, level + refundableSum - capacity);
+            oldest.refundable -= reduction;
+            refundableSum -= reduction;
             if (oldest.refundable == 0) {
                 oldestFirst.remove();
             }
@@ -82,7 +82,7 @@
         return capacity;
     }
 
-    /** Gets how long the inflow takes to bring an amount. */
+    /** Gets the time in seconds in which the inflow adds up to an amount. */
     double secondsFor(long amount, long inflow) {
         return amount / (inflow * clockFactor);
     }
@@ -111,17 +111,17 @@
         if (refundable.remove(grant)) {
             refundableSum -= grant.refundable;
         }
-        // What was used beyond the reservation is owed; what was not comes back as far as it was not cut meanwhile.
+        // Usage above the reservation is debited; unused tokens are refunded unless they are no longer refundable.
         level += Math.min(unused, grant.refundable);
         grant.refundable = 0;
     }
 
-    /** Takes out an amount that is lent. */
+    /** Removes an amount that is lent. */
     void withdraw(long amount) {
         level -= amount;
     }
 
-    /** Puts in an amount that is borrowed, after the capacity was raised for it. */
+    /** Adds a borrowed amount; the capacity must have been raised for it before. */
     void deposit(long amount) {
         level = Math.min(capacity, level + amount);
         limitRefunds();
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/WaitQueue.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/WaitQueue.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 
 /**
- * The requests that wait for budget, in order of arrival.
+ * A queue of the requests that wait for budget, in order of arrival.
  *
  * <p>Not safe for use by several threads.
  */
@@ -18,27 +18,30 @@
     private long totalTokens;
 
     /**
-     * A request that waits.
+     * A waiting request.
      *
-     * @param ticket its number
-     * @param tokens what it needs
-     * @param deadline when it is to be refused
+     * @param ticket the number of the request
+     * @param tokens the tokens that it needs
+     * @param deadline the time when it must be refused
      */
     record Waiter(long ticket, long tokens, long deadline) {}
 
     /**
-     * A request that cannot be served in time.
+     * A request that cannot be served before its deadline.
      *
      * @param waiter the request
-     * @param cumulativeTokens the tokens needed by those before it and itself
+     * @param cumulativeTokens the tokens needed by this request and all requests ahead of it
      */
     record Unservable(Waiter waiter, long cumulativeTokens) {}
 
-    /** Tells whether a request will be served in time, given the tokens needed by those before it and itself. */
+    /**
+     * Predicts whether a request can be served before its deadline, given the tokens needed by it and all requests
+     * ahead of it.
+     */
     @FunctionalInterface
     interface ServiceForecast {
 
-        boolean canServe(Waiter waiter, long neededAhead);
+        boolean canServe(Waiter waiter, long cumulativeTokens);
     }
 
     void add(Waiter waiter) {
@@ -50,7 +53,7 @@
         return waiters.isEmpty();
     }
 
-    /** Gets the tokens that all need together. */
+    /** Gets the sum of the tokens that all requests need. */
     long totalTokens() {
         return totalTokens;
     }
@@ -63,24 +66,24 @@
         totalTokens -= waiters.remove().tokens();
     }
 
-    /** Takes out those that will not be served in time; those behind them move up. */
-    List<Unservable> removeUnservable(ServiceForecast prospect) {
+    /** Removes the requests that cannot be served before their deadline; those behind them move up. */
+    List<Unservable> removeUnservable(ServiceForecast forecast) {
         List<Unservable> removed = new ArrayList<>();
-        long ahead = 0;
-        for (Iterator<Waiter> inOrder = waiters.iterator(); inOrder.hasNext(); ) {
-            Waiter waiter = inOrder.next();
-            if (prospect.canServe(waiter, ahead + waiter.tokens())) {
-                ahead += waiter.tokens();
+        long precedingTokens = 0;
+        for (Iterator<Waiter> iterator = waiters.iterator(); iterator.hasNext(); ) {
+            Waiter waiter = iterator.next();
+            if (forecast.canServe(waiter, precedingTokens + waiter.tokens())) {
+                precedingTokens += waiter.tokens();
                 continue;
             }
-            removed.add(new Unservable(waiter, ahead + waiter.tokens()));
-            inOrder.remove();
+            removed.add(new Unservable(waiter, precedingTokens + waiter.tokens()));
+            iterator.remove();
             totalTokens -= waiter.tokens();
         }
         return removed;
     }
 
-    /** Gets the earliest time at which one is to be refused. */
+    /** Gets the earliest deadline of all requests, or {@link Long#MAX_VALUE} if none wait. */
     long earliestDeadline() {
         return waiters.stream().mapToLong(Waiter::deadline).min().orElse(Long.MAX_VALUE);
     }
--- a/coordination/src/test/java/org/geraniumreach/coordination/budget/AccountBudgetTest.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/budget/AccountBudgetTest.java
@@ -33,17 +33,17 @@
                 MAX_WAIT,
                 SCAN_INTERVAL,
                 500);
-        HoldingProof proof = new HoldingProof(Duration.ofSeconds(12).toNanos());
-        proof.onListed(now.get(), now.get());
-        proof.renewed(now.get());
-        budget = new AccountBudget(AccountId.of("a"), policy, proof, now::get, new Random(1));
+        HoldingProof leaseValidity = new HoldingProof(Duration.ofSeconds(12).toNanos());
+        leaseValidity.onListed(now.get(), now.get());
+        leaseValidity.renewed(now.get());
+        budget = new AccountBudget(AccountId.of("a"), policy, leaseValidity, now::get, new Random(1));
         budget.setRate(1_000, 1_000);
     }
 
     @Test
     void requestBeforeTheFirstShareWaitsAndIsGranted() {
-        // The caller is served after a moment. Its entry has just begun and has asked the table service for a share,
-        // which it does not hold yet; a refusal would be wrongful, since the account is within its rate.
+        // A new entry does not hold a share until its claim has completed. Refusing the request in the meantime would
+        // be wrong, since the account is within its rate.
         assertThat(budget.reserve(1, 10, DEADLINE).actions()).isEmpty();
         now.addAndGet(Duration.ofMillis(300).toNanos());
         List<BudgetAction> actions = budget.setOwnParts(ShareParts.WHOLE, true).actions();
--- a/coordination/src/test/java/org/geraniumreach/coordination/budget/AdmittedTokens.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/budget/AdmittedTokens.java
@@ -5,7 +5,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** The oracle: what was admitted, in every window, against the rates in force. */
+/** Checks the tokens admitted in every time window against the rates and bursts in effect. */
 final class AdmittedTokens {
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -15,7 +15,7 @@
     private final List<Admission> admissions = new ArrayList<>();
     private final List<RatePeriod> ratePeriods = new ArrayList<>();
 
-    /** Tokens admitted at a time. */
+    /** The tokens admitted at one time. */
     private static final class Admission {
         private final long at;
         private final Grant grant;
@@ -28,7 +28,7 @@
         }
     }
 
-    /** The greatest rate and burst that any entry goes by, from a time on. */
+    /** The maximum rate and burst used by any entry from a time on. */
     private record RatePeriod(long from, long rate, long burst) {}
 
     void addRatePeriod(long from, long rate, long burst) {
@@ -40,29 +40,34 @@
     }
 
     void onSettled(Grant grant, long actual) {
-        admissions.stream().filter(one -> one.grant == grant).forEach(one -> one.tokens = actual);
+        admissions.stream()
+                .filter(admission -> admission.grant == grant)
+                .forEach(admission -> admission.tokens = actual);
     }
 
     int count() {
         return admissions.size();
     }
 
-    /** Checks every window: the greatest excess of those that end at an admission is found in one pass. */
+    /**
+     * Asserts that no window exceeds rate and burst; finds the largest excess of all windows ending at an admission in
+     * one pass.
+     */
     void assertWithinRate() {
-        double least = Double.MAX_VALUE;
-        long leastFrom = 0;
+        double minimumAllowance = Double.MAX_VALUE;
+        long windowStart = 0;
         long sum = 0;
         for (Admission admission : admissions) {
             double allowance = sum - inflowUntil(admission.at) + burstAt(admission.at);
-            if (allowance < least) {
-                least = allowance;
-                leastFrom = admission.at;
+            if (allowance < minimumAllowance) {
+                minimumAllowance = allowance;
+                windowStart = admission.at;
             }
             sum += admission.tokens;
-            assertThat(sum - inflowUntil(admission.at) - least)
+            assertThat(sum - inflowUntil(admission.at) - minimumAllowance)
                     .as(
                             "tokens above rate and burst from %d ms to %d ms",
-                            leastFrom / NANOS_PER_MILLI, admission.at / NANOS_PER_MILLI)
+                            windowStart / NANOS_PER_MILLI, admission.at / NANOS_PER_MILLI)
                     .isLessThanOrEqualTo(ROUNDING_TOLERANCE);
         }
     }
@@ -70,9 +75,9 @@
     private double burstAt(long time) {
         double burst = 0;
         for (int index = 0; index < ratePeriods.size(); index++) {
-            boolean over =
+            boolean ended =
                     index + 1 < ratePeriods.size() && ratePeriods.get(index + 1).from() < time;
-            if (ratePeriods.get(index).from() <= time && !over) {
+            if (ratePeriods.get(index).from() <= time && !ended) {
                 burst = Math.max(burst, ratePeriods.get(index).burst());
             }
         }
--- a/coordination/src/test/java/org/geraniumreach/coordination/budget/BudgetSimulation.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/budget/BudgetSimulation.java
@@ -12,7 +12,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** Entries, a network, an instance list and a table service under the fuzzer's hand. */
+/** Simulates entries, a network, an instance list and a table service, controlled by a fuzzer. */
 final class BudgetSimulation {
 
     static final int MAX_ENTRIES = 6;
@@ -22,7 +22,7 @@
     private static final int DRIFT_PARTS_PER_MILLION = 10_000;
     private static final int OUTAGE_ROUNDS = 24;
     private static final int OUTAGE_ROUND_MILLIS = 400;
-    /** The bursts are small beside the rates, so that little budget held twice shows above them. */
+    /** The bursts are small compared with the rates, so that even a little budget spent twice exceeds them. */
     private static final long[][] RATES = {{1000, 400}, {300, 100}, {3000, 800}};
 
     private static final BudgetPolicy POLICY = new BudgetPolicy(
@@ -59,13 +59,13 @@
         }
     }
 
-    /** A frame on its way. */
+    /** A message in transit. */
     private record Message(InstanceId from, InstanceId to, Object content) {}
 
-    /** What the list held from a time on. */
+    /** The contents of the instance list from a time on. */
     private record Listing(long from, Set<ListedHolder> holders) {}
 
-    /** A request that runs. */
+    /** A running request. */
     private record RunningRequest(SimulatedEntry entry, Grant grant) {}
 
     private void startEntry(InstanceId instance) {
@@ -128,15 +128,15 @@
         now += millis * NANOS_PER_MILLI;
     }
 
-    void reserve(int choice, int twenties) {
+    void reserve(int choice, int units) {
         SimulatedEntry entry = entry(choice);
         if (entry.isActive()) {
             entry.wake();
-            entry.requestTokens(twenties * 20L, Duration.ofSeconds(1));
+            entry.requestTokens(units * 20L, Duration.ofSeconds(1));
         }
     }
 
-    /** Every entry that acts spends all that it may: budget that is there twice is spent twice. */
+    /** Lets every active entry spend all available tokens, so that budget held by two entries is spent twice. */
     void spendAll() {
         for (SimulatedEntry entry : List.copyOf(entries)) {
             if (entry.isActive()) {
@@ -149,12 +149,12 @@
         if (runningRequests.isEmpty()) {
             return;
         }
-        RunningRequest one = runningRequests.get(choice % runningRequests.size());
-        if (one.entry().isActive()) {
-            runningRequests.remove(one);
-            long actual = one.grant().tokens() * percent / 100;
-            admittedTokens.onSettled(one.grant(), actual);
-            one.entry().settle(one.grant(), actual);
+        RunningRequest request = runningRequests.get(choice % runningRequests.size());
+        if (request.entry().isActive()) {
+            runningRequests.remove(request);
+            long actual = request.grant().tokens() * percent / 100;
+            admittedTokens.onSettled(request.grant(), actual);
+            request.entry().settle(request.grant(), actual);
         }
     }
 
@@ -184,15 +184,15 @@
         return found;
     }
 
-    void deliver(int choice, boolean again, boolean lost) {
+    void deliver(int choice, boolean redelivered, boolean dropped) {
         if (messages.isEmpty()) {
             return;
         }
         Message message = messages.get(choice % messages.size());
-        if (!again) {
+        if (!redelivered) {
             messages.remove(message);
         }
-        for (SimulatedEntry entry : lost ? List.<SimulatedEntry>of() : List.copyOf(entries)) {
+        for (SimulatedEntry entry : dropped ? List.<SimulatedEntry>of() : List.copyOf(entries)) {
             if (entry.isActive() && entry.instance().equals(message.to())) {
                 entry.receive(message.from(), message.content());
             }
@@ -203,22 +203,22 @@
         entry(choice).frozen = !entry(choice).frozen;
     }
 
-    /** Kills an entry; another one starts in its place, at its address or at a new one. */
+    /** Kills an entry and starts another one in its place, at the same address or at a new one. */
     void replace(int choice, boolean sameAddress) {
-        SimulatedEntry old = entry(choice);
-        if (old.dead || entries.size() >= MAX_ENTRIES) {
+        SimulatedEntry replaced = entry(choice);
+        if (replaced.dead || entries.size() >= MAX_ENTRIES) {
             return;
         }
-        old.dead = true;
-        runningRequests.removeIf(one -> one.entry() == old);
+        replaced.dead = true;
+        runningRequests.removeIf(request -> request.entry() == replaced);
         recordRates();
         if (!sameAddress) {
-            setListed(old.id.toListedHolder(), false);
+            setListed(replaced.id.toListedHolder(), false);
         }
-        startEntry(sameAddress ? old.instance() : InstanceId.of("entry" + (startedEntries + INITIAL_ENTRIES)));
+        startEntry(sameAddress ? replaced.instance() : InstanceId.of("entry" + (startedEntries + INITIAL_ENTRIES)));
     }
 
-    /** Takes a live entry off the list, or puts it back; another one starts beside it. */
+    /** Removes a live entry from the instance list or adds it again; optionally starts another entry. */
     void dropFromList(int choice, boolean replaced) {
         SimulatedEntry entry = entry(choice);
         setListed(entry.id.toListedHolder(), !entry.dead && !listed.contains(entry.id.toListedHolder()));
@@ -249,12 +249,12 @@
         }
     }
 
-    /** Everything works for a moment: the list is read, the table service answers, frames arrive. */
+    /** Runs all entries once without faults: they read the list, call the table service and receive their messages. */
     void runWithoutFaults() {
         runWithoutFaults(MAX_ENTRIES, 0);
     }
 
-    /** As above, but one entry's calls of the table service have another outcome. */
+    /** Runs all entries once, with a given outcome of one entry's calls to the table service. */
     void runWithoutFaults(int faulty, int outcome) {
         for (SimulatedEntry entry : List.copyOf(entries)) {
             if (entry.isActive()) {
@@ -272,7 +272,7 @@
         }
     }
 
-    /** What befalls an entry for longer than the quarantine, while the others go on. */
+    /** A fault of one entry that lasts longer than the quarantine while the other entries continue. */
     enum Outage {
         FROZEN_AND_UNLISTED(true, true, false),
         UNLISTED(false, true, false),
@@ -283,10 +283,10 @@
         private final boolean removesFromList;
         private final boolean disconnectsStore;
 
-        Outage(boolean freezes, boolean unlists, boolean cuts) {
-            this.freezesEntry = freezes;
-            this.removesFromList = unlists;
-            this.disconnectsStore = cuts;
+        Outage(boolean freezesEntry, boolean removesFromList, boolean disconnectsStore) {
+            this.freezesEntry = freezesEntry;
+            this.removesFromList = removesFromList;
+            this.disconnectsStore = disconnectsStore;
         }
     }
 
@@ -295,24 +295,24 @@
         if (entry.dead) {
             return;
         }
-        Outage episode = Outage.values()[kind];
-        entry.frozen = episode.freezesEntry;
-        setListed(entry.id.toListedHolder(), !episode.removesFromList);
-        int cut = episode.disconnectsStore ? entries.indexOf(entry) : MAX_ENTRIES;
+        Outage outage = Outage.values()[kind];
+        entry.frozen = outage.freezesEntry;
+        setListed(entry.id.toListedHolder(), !outage.removesFromList);
+        int disconnected = outage.disconnectsStore ? entries.indexOf(entry) : MAX_ENTRIES;
         for (int round = 0; round < OUTAGE_ROUNDS; round++) {
             advance(OUTAGE_ROUND_MILLIS);
-            runWithoutFaults(cut, 1);
+            runWithoutFaults(disconnected, 1);
             spendAll();
         }
         entry.frozen = false;
         spendAll();
         setListed(entry.id.toListedHolder(), true);
         advance((int) LIST_LAG_MILLIS);
-        runWithoutFaults(cut, 1);
+        runWithoutFaults(disconnected, 1);
         spendAll();
     }
 
-    /** Half a minute in which everything works while time goes by, with callers everywhere. */
+    /** Runs 20 seconds without faults, with requests at all entries. */
     void recover() {
         for (int round = 0; round < 40; round++) {
             advance(500);
--- a/coordination/src/test/java/org/geraniumreach/coordination/budget/EntryBudgetFuzzTest.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/budget/EntryBudgetFuzzTest.java
@@ -13,35 +13,34 @@
 import net.jqwik.api.state.Transformer;
 
 /**
- * Budgets over several entries, against all that may go wrong between them.
+ * Tests the budgets of several entries under randomly generated faults.
  *
  * <p>A longer run with a new seed: {@code mvn -pl coordination -am verify -Dtest=EntryBudgetFuzzTest
- * -Dsurefire.failIfNoSpecifiedTests=false -Dgeraniumreach.fuzz.seconds=60 -Djqwik.tries.default=1000000}; a failure prints
- * its seed and the shrunk sequence.
+ * -Dsurefire.failIfNoSpecifiedTests=false -Dgeraniumreach.fuzz.seconds=60 -Djqwik.tries.default=1000000}; a failure
+ * prints its seed and the shrunk sequence.
  */
 class EntryBudgetFuzzTest {
 
     private static final int MAX_STEPS = 80;
     private static final long STARTED_AT_NANOS = System.nanoTime();
 
-    /** Two integers of a step. */
+    /** A simulation step with two integer arguments. */
     @FunctionalInterface
     private interface Step {
-        void apply(BudgetSimulation world, int first, int second);
+        void apply(BudgetSimulation simulation, int first, int second);
     }
 
-    // A client account gets more than its rate if two entries spend one share at the same time: one that was frozen,
-    // cut off or dropped from the list, and another that has taken its share over; or a lender and its borrower. In
-    // between come late and repeated frames, lost answers of commits that took effect or take effect later, clocks
-    // that drift, and new rates. The oracle adds up what was admitted in every window, counting what was really used.
+    // A client account gets more than its rate if two entries spend one share at the same time: an entry that was
+    // frozen, cut off or dropped from the list and the entry that took over its share, or a lender and its borrower.
+    // The faults include late and repeated messages, lost answers of commits that took or later take effect, clock
+    // drift and rate changes. The check sums the tokens actually used in every window.
     @Property(seed = "4711", tries = 3000)
     void admissionNeverExceedsRateAndBurstInAnyWindow(@ForAll("chains") ActionChain<BudgetSimulation> chain) {
         run(chain);
     }
 
-    // The caller saw its entry's budget stop with an exception, with this seed: a transfer came back to an entry that
-    // had
-    // been frozen, whose outdated shares it no longer fitted. The transfer is left undone now.
+    // With this seed, a transfer came back to an entry that had been frozen and did not fit its outdated shares, which
+    // stopped the entry's budget with an exception. Such a transfer must be skipped.
     @Property(seed = "8271939391588662206", tries = 3000)
     void transferThatNoLongerFitsOutdatedSharesIsSkipped(@ForAll("chains") ActionChain<BudgetSimulation> chain) {
         run(chain);
@@ -56,9 +55,9 @@
     }
 
     private static void run(ActionChain<BudgetSimulation> chain) {
-        BudgetSimulation world = chain.run();
-        world.recover();
-        world.admittedTokens.assertWithinRate();
+        BudgetSimulation simulation = chain.run();
+        simulation.recover();
+        simulation.admittedTokens.assertWithinRate();
     }
 
     @Provide
@@ -66,45 +65,59 @@
         return ActionChain.startWith(BudgetSimulation::new)
                 .withAction(
                         6, step("settle down", 2 * BudgetSimulation.MAX_ENTRIES, 4, BudgetSimulation::runWithoutFaults))
-                .withAction(6, step("pass", 1500, 1, (world, millis, none) -> world.advance(millis)))
-                .withAction(2, step("pass long", 9000, 1, (world, millis, none) -> world.advance(millis)))
+                .withAction(6, step("pass", 1500, 1, (simulation, millis, unused) -> simulation.advance(millis)))
+                .withAction(2, step("pass long", 9000, 1, (simulation, millis, unused) -> simulation.advance(millis)))
                 .withAction(12, step("reserve", BudgetSimulation.MAX_ENTRIES, 20, BudgetSimulation::reserve))
-                .withAction(12, step("spend all", 1, 1, (world, none, nothing) -> world.spendAll()))
+                .withAction(12, step("spend all", 1, 1, (simulation, unused, ignored) -> simulation.spendAll()))
                 .withAction(5, step("settle", 6, 101, BudgetSimulation::settleRequest))
                 .withAction(10, step("store", BudgetSimulation.MAX_ENTRIES, 6, BudgetSimulation::storeStep))
-                .withAction(2, step("late commit", 3, 1, (world, which, none) -> world.applyDelayed(which)))
+                .withAction(2, step("late commit", 3, 1, (simulation, which, unused) -> simulation.applyDelayed(which)))
                 .withAction(3, step("list", BudgetSimulation.MAX_ENTRIES, 1001, BudgetSimulation::readList))
                 .withAction(
-                        6, step("deliver", 5, 6, (world, message, how) -> world.deliver(message, how == 1, how == 2)))
+                        6,
+                        step(
+                                "deliver",
+                                5,
+                                6,
+                                (simulation, message, how) -> simulation.deliver(message, how == 1, how == 2)))
                 .withAction(
-                        3, step("freeze", BudgetSimulation.MAX_ENTRIES, 1, (world, entry, none) -> world.freeze(entry)))
+                        3,
+                        step(
+                                "freeze",
+                                BudgetSimulation.MAX_ENTRIES,
+                                1,
+                                (simulation, entry, unused) -> simulation.freeze(entry)))
                 .withAction(
                         1,
                         step(
                                 "replace",
                                 BudgetSimulation.MAX_ENTRIES,
                                 2,
-                                (world, entry, same) -> world.replace(entry, same == 1)))
+                                (simulation, entry, same) -> simulation.replace(entry, same == 1)))
                 .withAction(
                         2,
                         step(
                                 "drop from list",
                                 BudgetSimulation.MAX_ENTRIES,
                                 2,
-                                (world, entry, replaced) -> world.dropFromList(entry, replaced == 1)))
+                                (simulation, entry, replaced) -> simulation.dropFromList(entry, replaced == 1)))
                 .withAction(2, step("episode", BudgetSimulation.MAX_ENTRIES, 4, BudgetSimulation::runOutage))
                 .withAction(
                         1,
-                        step("release", BudgetSimulation.MAX_ENTRIES, 1, (world, entry, none) -> world.release(entry)))
-                .withAction(1, step("toggle store", 1, 1, (world, none, nothing) -> world.toggleStore()))
-                .withAction(1, step("change rate", 3, 1, (world, rate, none) -> world.changeRate(rate)))
+                        step(
+                                "release",
+                                BudgetSimulation.MAX_ENTRIES,
+                                1,
+                                (simulation, entry, unused) -> simulation.release(entry)))
+                .withAction(1, step("toggle store", 1, 1, (simulation, unused, ignored) -> simulation.toggleStore()))
+                .withAction(1, step("change rate", 3, 1, (simulation, rate, unused) -> simulation.changeRate(rate)))
                 .withAction(
                         2,
                         step(
                                 "apply rate",
                                 BudgetSimulation.MAX_ENTRIES,
                                 1,
-                                (world, entry, none) -> world.applyRate(entry)))
+                                (simulation, entry, unused) -> simulation.applyRate(entry)))
                 .withMaxTransformations(MAX_STEPS);
     }
 
@@ -112,8 +125,9 @@
         Arbitrary<Transformer<BudgetSimulation>> transformers = Combinators.combine(
                         Arbitraries.integers().between(0, first - 1),
                         Arbitraries.integers().between(0, second - 1))
-                .as((one, two) ->
-                        Transformer.mutate(name + " " + one + " " + two, world -> step.apply(world, one, two)));
+                .as((firstValue, secondValue) -> Transformer.mutate(
+                        name + " " + firstValue + " " + secondValue,
+                        simulation -> step.apply(simulation, firstValue, secondValue)));
         return () -> transformers;
     }
 }
--- a/coordination/src/test/java/org/geraniumreach/coordination/budget/SimulatedEntry.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/budget/SimulatedEntry.java
@@ -12,7 +12,7 @@
 import org.geraniumreach.model.InstanceId;
 import org.geraniumreach.model.table.Row;
 
-/** One start of an entry in a {@link BudgetSimulation}, with a clock of its own. */
+/** One incarnation of an entry in a {@link BudgetSimulation}, with its own drifting clock. */
 final class SimulatedEntry {
 
     static final AccountId ACCOUNT = AccountId.of("account");
@@ -25,15 +25,15 @@
     long rate;
     long burst;
     private final int driftPartsPerMillion;
-    /** The call of the table service under way, and its answer once it is there. */
+    /** The call to the table service that has not taken effect yet. */
     private Optional<StoreCall> pendingCall = Optional.empty();
 
     private Optional<Runnable> pendingAnswer = Optional.empty();
     private Optional<Runnable> pendingList = Optional.empty();
     private long lastTicket;
 
-    SimulatedEntry(BudgetSimulation world, HolderId id, BudgetPolicy policy, int driftPartsPerMillion) {
-        this.simulation = world;
+    SimulatedEntry(BudgetSimulation simulation, HolderId id, BudgetPolicy policy, int driftPartsPerMillion) {
+        this.simulation = simulation;
         this.id = id;
         this.driftPartsPerMillion = driftPartsPerMillion;
         this.budget = new EntryBudget(id, policy, this::clockNanos, new Random(id.hashCode()));
@@ -79,17 +79,17 @@
         carryOut(budget.wake(ACCOUNT));
     }
 
-    /** Asks for the list, and takes the answer to the asking before. */
+    /** Requests the list and handles the answer to the previous request. */
     void readList(Set<HolderId.ListedHolder> listed) {
         pendingList.ifPresent(Runnable::run);
-        long askedAt = clockNanos();
-        pendingList = Optional.of(() -> budget.listed(listed, askedAt));
+        long requestedAt = clockNanos();
+        pendingList = Optional.of(() -> budget.listed(listed, requestedAt));
     }
 
     void receive(InstanceId peer, Object message) {
         carryOut(
-                message instanceof LoanWish wish
-                        ? budget.loanAsked(peer, wish)
+                message instanceof LoanWish request
+                        ? budget.loanAsked(peer, request)
                         : budget.loanAnswered(peer, (Loan) message));
     }
 
@@ -107,23 +107,23 @@
         }
     }
 
-    /** Does the next part of a call of the table service: asks, takes effect, is answered. */
+    /** Performs the next stage of a call to the table service: request, effect or answer. */
     void advanceStoreCall(int outcome) {
         if (pendingAnswer.isPresent()) {
-            Runnable arrived = pendingAnswer.get();
+            Runnable arrivedAnswer = pendingAnswer.get();
             pendingAnswer = Optional.empty();
-            arrived.run();
+            arrivedAnswer.run();
             budget.publish().forEach(step -> carryOut(step.step()));
         } else if (pendingCall.isPresent()) {
-            StoreCall made = pendingCall.get();
+            StoreCall storeCall = pendingCall.get();
             pendingCall = Optional.empty();
-            pendingAnswer = Optional.of(applyCall(made, outcome));
+            pendingAnswer = Optional.of(applyCall(storeCall, outcome));
         } else {
             pendingCall = budget.keeper().next();
         }
     }
 
-    /** Runs the table service's calls as long as there are any, with the same outcome for all. */
+    /** Runs calls to the table service for up to 40 stages, with the same outcome for all. */
     void runStoreCalls(int outcome) {
         budget.publish().forEach(step -> carryOut(step.step()));
         for (int step = 0; step < 40; step++) {
@@ -131,30 +131,30 @@
         }
     }
 
-    private Runnable applyCall(StoreCall made, int outcome) {
-        ShareKeeper keeper = budget.keeper();
+    private Runnable applyCall(StoreCall storeCall, int outcome) {
+        ShareKeeper shareManager = budget.keeper();
         SimulatedTable table = simulation.table;
         if (outcome == 1) {
-            return () -> keeper.failed(false);
+            return () -> shareManager.failed(false);
         }
-        if (made instanceof StoreCall.Read read) {
+        if (storeCall instanceof StoreCall.Read read) {
             Optional<Row> row = table.read(read.key());
-            return () -> keeper.read(row);
+            return () -> shareManager.read(row);
         }
-        if (made instanceof StoreCall.Scan scan) {
+        if (storeCall instanceof StoreCall.Scan scan) {
             List<Row> rows = new ArrayList<>(table.scan(scan.table(), scan.after(), scan.limit()));
-            return () -> keeper.scanned(rows);
+            return () -> shareManager.scanned(rows);
         }
-        StoreCall.Commit commit = (StoreCall.Commit) made;
+        StoreCall.Commit commit = (StoreCall.Commit) storeCall;
         if (outcome == 2) {
             table.commit(commit.transaction());
-            return () -> keeper.failed(true);
+            return () -> shareManager.failed(true);
         }
         if (outcome == 3) {
             table.delay(commit.transaction());
-            return () -> keeper.failed(true);
+            return () -> shareManager.failed(true);
         }
         boolean effective = table.commit(commit.transaction());
-        return () -> keeper.committed(effective);
+        return () -> shareManager.committed(effective);
     }
 }
