--- a/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerAction.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerAction.java
@@ -11,81 +11,85 @@
 import org.geraniumreach.model.table.Transaction;
 
 /**
- * What a {@link LedgerCall} wants done next; each is answered by one event.
+ * The next action that a {@link LedgerCall} asks its caller to carry out; each is answered by one event.
  *
  * <p>Immutable and safe for use by several threads.
  */
 public sealed interface LedgerAction {
 
     /**
-     * Commit a transaction; answered by {@code committed}, {@code conflicted} or {@code commitFailed}.
+     * Commits a transaction; answered by {@link LedgerCall#committed}, {@link LedgerCall#conflicted} or {@link
+     * LedgerCall#commitFailed}.
      *
      * @param transaction the transaction
      */
     record Commit(Transaction transaction) implements LedgerAction {}
 
     /**
-     * Read the row; answered by {@code read} or {@code readFailed}.
+     * Reads the row; answered by {@link LedgerCall#read} or {@link LedgerCall#readFailed}.
      *
-     * @param key the row
+     * @param key the key of the row
      */
     record Read(RowKey key) implements LedgerAction {}
 
     /**
-     * Wait; answered by {@code waited}.
+     * Waits; answered by {@link LedgerCall#waited}.
      *
-     * @param delay how long
+     * @param delay the time to wait
      */
     record Wait(Duration delay) implements LedgerAction {}
 
     /**
-     * Send the request; answered by {@code answered}, {@code refused} or {@code lost}.
+     * Sends the request; answered by {@link LedgerCall#answered}, {@link LedgerCall#refused} or {@link
+     * LedgerCall#lost}.
      *
      * @param attempt the attempt
-     * @param companion the only start of a companion that may run it
-     * @param notAfter the time of day after which the companion must refuse it as not run: the sender may be frozen on the
-     *     way for so long that the companion has forgotten that the attempt was sealed
+     * @param companion the only companion incarnation that may run it
+     * @param notAfter the time of day after which the companion must refuse it as not run: the sender may be frozen
+     *     before sending for so long that the companion no longer retains a seal of the attempt
      */
     record Send(AttemptId attempt, Companion companion, Instant notAfter) implements LedgerAction {}
 
     /**
-     * Ask that the attempt never start if it has not; answered by {@code sealed}.
+     * Asks the companion to prevent the attempt from starting if it has not started; answered by {@link
+     * LedgerCall#sealed}.
      *
      * @param attempt the attempt
-     * @param companion where it was sent
-     * @param age the time since it may have been sent, at most; a companion that has forgotten attempts as old must not
-     *     say that it never started
+     * @param companion the companion to which it was sent
+     * @param age the maximum time since it may have been sent; a companion that no longer retains attempts of this age
+     *     must not report that it never started
      */
     record Seal(AttemptId attempt, Companion companion, Duration age) implements LedgerAction {}
 
     /**
-     * Get the answer of an attempt that has started; answered like {@link Send}.
+     * Fetches the answer of an attempt that has started; answered like {@link Send}.
      *
      * @param attempt the attempt
-     * @param companion where it runs or has run
+     * @param companion the companion on which it runs or has run
      */
     record Resume(AttemptId attempt, Companion companion) implements LedgerAction {}
 
     /**
-     * Give the answer to the caller.
+     * Returns the answer to the caller.
      *
      * @param answer the answer
-     * @param replayed whether an earlier call got it already
-     * @param storeAgainAfter when to call {@code waited} so that the answer is stored after all, else the call is done
+     * @param replayed whether the answer is that of an earlier call
+     * @param storeAgainAfter the delay after which to call {@link LedgerCall#waited}, which retries to store the
+     *     answer; empty if the call is finished
      */
     record Reply(StoredAnswer answer, boolean replayed, Optional<Duration> storeAgainAfter) implements LedgerAction {}
 
     /**
-     * Refuse the call; it is done.
+     * Refuses the call, which is then finished.
      *
-     * @param code the result
+     * @param code the result code
      * @param ran whether the request ran; NO means that this call started no run and never will
-     * @param retryAfter when to come back, if that would help
-     * @param message what happened
+     * @param retryAfter the delay before a retry, if a retry may succeed
+     * @param message the reason
      */
     record Refuse(ResultCode code, ExecutionStatus ran, Optional<Duration> retryAfter, String message)
             implements LedgerAction {}
 
-    /** Nothing more; the call is done. */
+    /** Ends the call without further action. */
     record Done() implements LedgerAction {}
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerCall.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerCall.java
@@ -17,23 +17,24 @@
 import org.geraniumreach.model.table.Transaction;
 
 /**
- * Decides what one call with an idempotency key does.
+ * The state machine of one call with an idempotency key.
  *
- * <p>Invariants: {@link LedgerAction.Send} is given at most once for an attempt, and only after the row was seen to hold
- * that attempt, put there by this call; an attempt takes the place of another one only after the other's companion has
- * said that it never started and never will; once a row is FINISHED or UNKNOWN no attempt takes its place. So all calls
- * with one key together run the request at most once. A refusal with {@link ExecutionStatus#NO} is given only while every attempt of
- * this call is unsent, sealed or refused by its companion as not run.
+ * <p>Invariants: {@link LedgerAction.Send} is returned at most once for an attempt, and only after the row is known to
+ * hold that attempt, written by this call; an attempt replaces another one only if the latter was never sent or its
+ * companion has reported that it never started and never will; no attempt replaces one that is FINISHED or UNKNOWN.
+ * Therefore all calls with the same key together run the request at most once. A refusal with {@link
+ * ExecutionStatus#NO} is returned only while every attempt of this call is unsent, sealed or refused by its companion
+ * as not run.
  *
- * <p>One event is answered by one action, and the next event is the answer to that action. Not safe for use by several
+ * <p>Each event returns one action, and the next event reports the result of that action. Not safe for use by several
  * threads.
  */
 public final class LedgerCall {
 
-    /** The table service does not say which version a commit has made. */
-    /** An outage of the platform lasts seconds at least; coming back sooner only adds to it. */
+    /** An outage of the platform lasts at least seconds; earlier retries would only add load. */
     private static final Duration OUTAGE_RETRY_DELAY = Duration.ofSeconds(1);
 
+    /** Replaces the version after a commit, as the table service does not return the version that it created. */
     private static final long VERSION_UNKNOWN = -1;
 
     private static final int MAX_SEAL_TRIES = 3;
@@ -49,11 +50,11 @@
     private final Instant waitDeadline;
 
     private Step step = Step.IDLE;
-    /** The row that this call has put there or taken over, or is about to. */
+    /** The row that this call has written or taken over, or is about to write. */
     private LedgerRow row;
     /** The version of the stored row that the next commit expects. */
     private long version;
-    /** What ends the call once the state of the attempt is written. */
+    /** The refusal that ends the call once the state of the attempt is written. */
     private LedgerAction.Refuse finalRefusal;
 
     private StoredAnswer answer;
@@ -63,11 +64,11 @@
     private Instant sealRequestedAt;
     private boolean replied;
     private boolean resumed;
-    /** Attempts that a commit of this call may have put into the row, and that were not sent. */
+    /** Attempts that a commit of this call may have written into the row and that have not been sent. */
     private final Set<AttemptId> unsentAttempts = new HashSet<>();
-    /** The last attempt that was shown never to run. */
+    /** The last attempt that is known never to run. */
     private Optional<AttemptId> unstartedAttempt = Optional.empty();
-    /** Whether another call's attempt was seen that may have run. */
+    /** Whether an attempt of another call may have run. */
     private boolean otherMayHaveRun;
 
     private enum Step {
@@ -85,38 +86,38 @@
     }
 
     /**
-     * Makes a call.
+     * Creates a call.
      *
-     * @param key the row, see {@link LedgerRowFormat#keyOf}, not null
+     * @param key the key of the row, see {@link LedgerRowFormat#keyOf}, not null
      * @param requestDigest the digest, see {@link LedgerRowFormat#digestOf}, not null
      * @param self this entry, not null
-     * @param policy times and numbers, not null
-     * @param view the world around, not null
+     * @param policy the time limits and retry limits, not null
+     * @param context the functions to query the environment, not null
      */
-    public LedgerCall(RowKey key, String requestDigest, Sender self, LedgerPolicy policy, LedgerView view) {
+    public LedgerCall(RowKey key, String requestDigest, Sender self, LedgerPolicy policy, LedgerView context) {
         this.key = Objects.requireNonNull(key, "key");
         this.requestDigest = Objects.requireNonNull(requestDigest, "requestDigest");
         this.self = Objects.requireNonNull(self, "self");
         this.policy = Objects.requireNonNull(policy, "policy");
-        this.context = Objects.requireNonNull(view, "view");
-        this.waitDeadline = view.clock().get().plus(policy.patience());
+        this.context = Objects.requireNonNull(context, "context");
+        this.waitDeadline = context.clock().get().plus(policy.patience());
         this.sendTriesLeft = policy.sendTries();
         this.storeTriesLeft = policy.storeTries();
         this.sealTriesLeft = MAX_SEAL_TRIES;
     }
 
     /**
-     * Begins the call.
+     * Starts the call.
      *
-     * @return what to do, not null
+     * @return the next action, not null
      */
     public LedgerAction start() {
         Optional<Companion> companion = context.companionSelector().get();
-        // Without a target a call that has run already still gets its answer.
+        // Without a target a request that has already run still gets its answer.
         return companion.isPresent() ? claim(Transaction.ABSENT_VERSION, companion.get()) : readRow(Step.READING);
     }
 
-    /** Puts a new attempt into the row, if the row has still the version given. */
+    /** Writes a new attempt into the row if the row still has the given version. */
     private LedgerAction claim(long expectedVersion, Companion companion) {
         storeTriesLeft = policy.storeTries();
         sendTriesLeft--;
@@ -144,9 +145,9 @@
     }
 
     /**
-     * Tells that the commit took effect.
+     * Handles a commit that took effect.
      *
-     * @return what to do, not null
+     * @return the next action, not null
      */
     public LedgerAction committed() {
         version = VERSION_UNKNOWN;
@@ -155,8 +156,8 @@
 
     private LedgerAction send() {
         if (ageOf(row).compareTo(policy.sendLimit()) > 0) {
-            // This process was frozen since the commit. Another call may have had the attempt sealed meanwhile, and the
-            // companion may have forgotten the seal: what is sent now would be a second run.
+            // This process was frozen after the commit. Another call may have had the attempt sealed in the meantime,
+            // and the companion may no longer retain the seal, so sending could cause a second run.
             unsentAttempts.remove(row.attempt());
             return handleNeverStarted(NEVER_STARTED_REFUSAL);
         }
@@ -175,9 +176,9 @@
     }
 
     /**
-     * Tells that a condition of the commit did not hold.
+     * Handles a commit with a condition that did not hold.
      *
-     * @return what to do, not null
+     * @return the next action, not null
      */
     public LedgerAction conflicted() {
         if (step != Step.CLAIMING) {
@@ -188,17 +189,16 @@
     }
 
     /**
-     * Tells that the commit had no answer.
+     * Handles the failure of a commit.
      *
-     * @param mayTakeEffect whether it may have taken effect, or may yet
-     * @return what to do, not null
+     * @param mayTakeEffect whether the commit may have taken effect or may still do so
+     * @return the next action, not null
      */
     public LedgerAction commitFailed(boolean mayTakeEffect) {
         storeTriesLeft--;
         if (step == Step.CLAIMING) {
-            // A commit whose answer was lost may have put the attempt there, or another call's commit may have come
-            // first. To send on the strength of a lost answer would run the request twice; the row tells which it
-            // was.
+            // The commit may have taken effect, or another call's commit may have preceded it. Sending without knowing
+            // could run the request twice, so the row is read to find out.
             return mayTakeEffect ? readRow(Step.VERIFYING_CLAIM) : handleStoreUnavailable();
         }
         return retryRecord();
@@ -210,9 +210,9 @@
     }
 
     /**
-     * Tells that the row could not be read.
+     * Handles a read that failed.
      *
-     * @return what to do, not null
+     * @return the next action, not null
      */
     public LedgerAction readFailed() {
         storeTriesLeft--;
@@ -235,10 +235,10 @@
     }
 
     /**
-     * Tells what the row holds.
+     * Handles the result of a read.
      *
      * @param found the row, empty if there is none, not null
-     * @return what to do, not null
+     * @return the next action, not null
      */
     public LedgerAction read(Optional<Row> found) {
         if (found.isEmpty()) {
@@ -259,8 +259,8 @@
         }
         version = Transaction.ABSENT_VERSION;
         if (step == Step.VERIFYING_CLAIM && storeTriesLeft > 0) {
-            // The commit has not taken effect but may yet. The same attempt is put there again: whichever commit
-            // wins, the row holds this call's attempt or another call's, and never both.
+            // The commit has not taken effect but may still do so. The same attempt is written again: whichever commit
+            // wins, the row holds the attempt of either this call or another call.
             return commitClaim();
         }
         otherMayHaveRun = false;
@@ -292,11 +292,11 @@
     }
 
     private boolean isProvenUnstarted(LedgerRow stored) {
-        boolean open = stored.state() == LedgerRow.State.RUNNING || stored.state() == LedgerRow.State.UNSETTLED;
-        return open && unstartedAttempt.equals(Optional.of(stored.attempt()));
+        boolean undecided = stored.state() == LedgerRow.State.RUNNING || stored.state() == LedgerRow.State.UNSETTLED;
+        return undecided && unstartedAttempt.equals(Optional.of(stored.attempt()));
     }
 
-    /** Puts a new attempt where the row holds none that has run or may run. */
+    /** Writes a new attempt after the row was found to hold no attempt that has run or may run. */
     private LedgerAction claimNextAttempt() {
         Optional<Companion> companion =
                 sendTriesLeft > 0 ? context.companionSelector().get() : Optional.empty();
@@ -338,9 +338,9 @@
     }
 
     /**
-     * Tells that the wait is over.
+     * Handles the end of a wait.
      *
-     * @return what to do, not null
+     * @return the next action, not null
      */
     public LedgerAction waited() {
         if (step == Step.RECORD_RETRY_WAIT) {
@@ -363,18 +363,19 @@
     }
 
     /**
-     * Tells what the companion says of the attempt.
+     * Handles the companion's answer to the request to seal the attempt.
      *
      * @param result the answer, not null
-     * @return what to do, not null
+     * @return the next action, not null
      */
     public LedgerAction sealed(SealResult result) {
         boolean late = sealRequestedAt
                 .plus(policy.sealLimit())
                 .isBefore(context.clock().get());
         if (late && result == SealResult.NEVER_STARTED) {
-            // This process was frozen on the way. The companion may have judged by an age that was no longer true, have
-            // forgotten the attempt by then, and so taken one that has run for one that never came.
+            // This process was frozen in the meantime. The age in the request may have been outdated when the companion
+            // evaluated it; the companion may have discarded its record of an attempt that has run and report that it
+            // never started.
             return seal(row);
         }
         return switch (result) {
@@ -405,10 +406,10 @@
     }
 
     /**
-     * Tells that the attempt's answer has come whole.
+     * Handles the complete answer of the attempt.
      *
-     * @param stored where the answer is, not null
-     * @return what to do, not null
+     * @param stored the stored answer, not null
+     * @return the next action, not null
      */
     public LedgerAction answered(StoredAnswer stored) {
         answer = stored;
@@ -418,10 +419,10 @@
     }
 
     /**
-     * Tells that the companion gave the attempt up.
+     * Handles a refusal of the attempt by the companion.
      *
-     * @param refusal why, and whether it ran, not null
-     * @return what to do, not null
+     * @param refusal the reason and whether the attempt ran, not null
+     * @return the next action, not null
      */
     public LedgerAction refused(LedgerAction.Refuse refusal) {
         if (refusal.ran() != ExecutionStatus.NO) {
@@ -431,14 +432,16 @@
     }
 
     /**
-     * Tells that the companion cannot be reached any more, or is another incarnation.
+     * Handles the loss of the companion, which is unreachable or has another incarnation.
      *
-     * @param ran NO only if no byte of the attempt was sent or the companion has sealed it, not null
-     * @return what to do, not null
+     * @param executionStatus NO only if no byte of the attempt was sent or the companion has sealed it, not null
+     * @return the next action, not null
      */
-    public LedgerAction lost(ExecutionStatus ran) {
-        // That a resume was not sent says nothing of the attempt, which another call has sent.
-        return ran == ExecutionStatus.NO && !resumed ? handleNeverStarted(NEVER_STARTED_REFUSAL) : seal(row);
+    public LedgerAction lost(ExecutionStatus executionStatus) {
+        // An unsent resume says nothing about the attempt, which has been sent before.
+        return executionStatus == ExecutionStatus.NO && !resumed
+                ? handleNeverStarted(NEVER_STARTED_REFUSAL)
+                : seal(row);
     }
 
     private LedgerAction handleNeverStarted(LedgerAction.Refuse refusal) {
@@ -455,9 +458,9 @@
         return record(LedgerRow.State.UNKNOWN, refusal);
     }
 
-    private LedgerAction record(LedgerRow.State state, LedgerAction.Refuse then) {
+    private LedgerAction record(LedgerRow.State state, LedgerAction.Refuse refusal) {
         row = row.withState(state);
-        finalRefusal = then;
+        finalRefusal = refusal;
         storeTriesLeft = policy.storeTries();
         return record();
     }
@@ -470,19 +473,22 @@
         return commitRow();
     }
 
-    /** Decides what a record's commit that found another version is to do. */
+    /** Decides after an uncertain or conflicting commit of the outcome whether to write the outcome again. */
     private LedgerAction resolveRecordCommit(LedgerRow stored) {
         if (stored.equals(row) || !stored.attempt().equals(row.attempt())) {
             return finishRecorded();
         }
-        boolean better = answer != null && stored.state() != LedgerRow.State.FINISHED;
-        if (!better && stored.state() != LedgerRow.State.RUNNING && stored.state() != LedgerRow.State.UNSETTLED) {
+        boolean hasNewAnswer = answer != null && stored.state() != LedgerRow.State.FINISHED;
+        if (!hasNewAnswer && stored.state() != LedgerRow.State.RUNNING && stored.state() != LedgerRow.State.UNSETTLED) {
             return finishRecorded();
         }
         return record();
     }
 
-    /** Goes on without the store: what the caller is told stays true, and the next call asks the companion. */
+    /**
+     * Retries to write the outcome later or gives up; the caller's result stays true, and the next call asks the
+     * companion.
+     */
     private LedgerAction retryRecord() {
         if (storeTriesLeft <= 0) {
             return finishRecorded();
@@ -505,12 +511,13 @@
         return refuse(ResultCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN, message);
     }
 
-    private LedgerAction refuse(ResultCode code, ExecutionStatus ran, String message) {
-        return refuse(code, ran, Optional.empty(), message);
+    private LedgerAction refuse(ResultCode code, ExecutionStatus executionStatus, String message) {
+        return refuse(code, executionStatus, Optional.empty(), message);
     }
 
-    private LedgerAction refuse(ResultCode code, ExecutionStatus ran, Optional<Duration> retryAfter, String message) {
-        return finish(new LedgerAction.Refuse(code, ran, retryAfter, message));
+    private LedgerAction refuse(
+            ResultCode code, ExecutionStatus executionStatus, Optional<Duration> retryAfter, String message) {
+        return finish(new LedgerAction.Refuse(code, executionStatus, retryAfter, message));
     }
 
     private LedgerAction finish(LedgerAction.Refuse refusal) {
--- a/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerPolicy.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerPolicy.java
@@ -3,19 +3,19 @@
 import java.time.Duration;
 
 /**
- * The times and numbers that a {@link LedgerCall} goes by.
+ * The time limits and retry limits of a {@link LedgerCall}.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param patience how long a call waits for another one with its key
- * @param pollInterval how long it waits between two readings
- * @param takeoverAge the age from which a running row's companion is asked though the sender seems live
- * @param clockError how far the times of day of two entries may be apart
- * @param sendLimit how long after an attempt was put into the row it may be sent; with the longest time a frame is on
- *     its way it is below the time for which a companion remembers a seal
- * @param sealLimit how long after it was asked a companion is believed that an attempt never started
- * @param storeTries how often a commit or reading is tried
- * @param sendTries how many attempts one call may make, each after the one before was shown not to have run
+ * @param patience the maximum time for which a call waits for another call with its key
+ * @param pollInterval the interval between reads of the row while waiting
+ * @param takeoverAge the age from which the companion of a RUNNING row is asked although the sender seems live
+ * @param clockError the maximum difference between the times of day of two entries
+ * @param sendLimit how long after its creation an attempt may be sent; plus the maximum transit time of a frame, it
+ *     must be shorter than the time for which a companion retains a seal
+ * @param sealLimit how long after the request a companion's answer that an attempt never started is trusted
+ * @param storeTries the maximum number of tries of a commit or read
+ * @param sendTries the maximum number of attempts of one call; each requires proof that the previous one did not run
  */
 public record LedgerPolicy(
         Duration patience,
--- a/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerRow.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerRow.java
@@ -7,17 +7,17 @@
 import org.geraniumreach.model.AttemptId;
 
 /**
- * What the ledger's row for one idempotency key says.
+ * The ledger's row for one idempotency key.
  *
- * <p>Invariants: an answer is there if and only if the state is FINISHED; only the sender whose commit put an attempt into
- * the row may send that attempt. Immutable and safe for use by several threads.
+ * <p>Invariants: an answer is present if and only if the state is FINISHED; only the sender whose commit wrote an
+ * attempt into the row may send that attempt. Immutable and safe for use by several threads.
  *
- * @param requestDigest the digest of the request, which a later call with the key must share
- * @param sender the entry that put the attempt here
+ * @param requestDigest the digest of the request, which must match in later calls with the key
+ * @param sender the entry that wrote the attempt
  * @param attempt the attempt
- * @param companion where the attempt goes; no other start of the companion may run it
- * @param state how far the attempt has come
- * @param created when the attempt was put here
+ * @param companion the companion that receives the attempt; no other incarnation of it may run the attempt
+ * @param state the state of the attempt
+ * @param created the time when the attempt was created
  * @param answer the answer of a finished attempt
  */
 public record LedgerRow(
@@ -41,17 +41,17 @@
         }
     }
 
-    /** How far an attempt has come. */
+    /** The state of an attempt. */
     public enum State {
-        /** Its sender may send it, or has. */
+        /** The sender may send the attempt or has sent it. */
         RUNNING,
-        /** Its sender has given it up without knowing whether it ran; the next call asks the companion. */
+        /** The sender has abandoned the attempt without knowing whether it ran; the next call asks the companion. */
         UNSETTLED,
-        /** It has not run and never will; another may take its place. */
+        /** The attempt has not run and never will; another one may replace it. */
         NOT_RUN,
-        /** It has run, and its answer is kept. */
+        /** The attempt has run and its answer is stored. */
         FINISHED,
-        /** Whether it ran cannot be found out any more; nothing takes its place. */
+        /** Whether the attempt ran cannot be determined; no other attempt replaces it. */
         UNKNOWN
     }
 
@@ -66,7 +66,7 @@
     }
 
     /**
-     * Gets a copy that is finished.
+     * Gets a copy in state FINISHED.
      *
      * @param stored the answer, not null
      * @return the copy, not null
--- a/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerRowFormat.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerRowFormat.java
@@ -14,14 +14,14 @@
 import org.geraniumreach.model.table.RowKey;
 
 /**
- * The form of ledger rows in the table service.
+ * Serializes and parses ledger rows of the table service.
  *
- * <p>Invariants: {@link #read} gives back what {@link #write} was given; two client accounts never share a row. Stateless
- * and safe for use by several threads.
+ * <p>Invariants: {@link #read} returns the row passed to {@link #write}; two client accounts never share a row.
+ * Stateless and safe for use by several threads.
  */
 public final class LedgerRowFormat {
 
-    /** The table of the ledger. */
+    /** The name of the ledger's table. */
     public static final String TABLE = "ledger";
 
     private static final int SCHEMA_VERSION = 1;
@@ -29,7 +29,7 @@
 
     private LedgerRowFormat() {}
 
-    /** A row that cannot be read. */
+    /** Thrown if the text of a row is not valid. */
     public static final class UnreadableRowException extends Exception {
 
         private UnreadableRowException(String message, Throwable cause) {
@@ -38,18 +38,18 @@
     }
 
     /**
-     * Obtains the place of a row.
+     * Obtains the key of a row.
      *
      * @param account the client account, not null
-     * @param idempotencyKey what the caller sent, which may be any text and so is digested, not null
-     * @return the place, not null
+     * @param idempotencyKey the caller's key, which is digested since it may be any text, not null
+     * @return the key, not null
      */
     public static RowKey keyOf(AccountId account, String idempotencyKey) {
         return RowKey.of(TABLE, account + "/" + DigestUtils.sha256Hex(idempotencyKey));
     }
 
     /**
-     * Digests a request, so that another one under the same key is noticed.
+     * Computes the digest of a request, which detects a different request with the same key.
      *
      * @param operation the service and operation, not null
      * @param body the body, not null
@@ -60,7 +60,7 @@
     }
 
     /**
-     * Writes a row.
+     * Serializes a row.
      *
      * @param row the row, not null
      * @return its JSON text, not null
@@ -89,11 +89,11 @@
     }
 
     /**
-     * Reads a row.
+     * Parses a row.
      *
      * @param text its JSON text, not null
      * @return the row, not null
-     * @throws UnreadableRowException if the text is not a row
+     * @throws UnreadableRowException if the text is not a valid row
      */
     public static LedgerRow read(String text) throws UnreadableRowException {
         try {
--- a/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerView.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerView.java
@@ -8,15 +8,15 @@
 import org.geraniumreach.model.AttemptId;
 
 /**
- * What a {@link LedgerCall} asks about the world around it.
+ * The functions with which a {@link LedgerCall} queries its environment.
  *
- * <p>No answer is needed for safety: a wrong one costs time or an unknown outcome, never a second run.
+ * <p>Safety does not depend on the answers: a wrong one causes a delay or an unknown outcome, never a second run.
  *
- * @param clock the time of day
- * @param attemptIds makes attempt ids
- * @param companionSelector chooses a companion, empty if none offers the operation
+ * @param clock gets the current time of day
+ * @param attemptIds creates unique attempt ids
+ * @param companionSelector selects a companion, empty if none offers the operation
  * @param isSenderLive whether an entry is live
- * @param isCompanionGone whether a companion's instance is gone for good
+ * @param isCompanionGone whether a companion's instance is permanently gone
  */
 public record LedgerView(
         Supplier<Instant> clock,
--- a/coordination/src/main/java/org/geraniumreach/coordination/ledger/SealResult.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/ledger/SealResult.java
@@ -1,12 +1,12 @@
 package org.geraniumreach.coordination.ledger;
 
-/** What a companion says of an attempt that it was asked to seal. */
+/** The answer of a companion to the request to seal an attempt. */
 public enum SealResult {
-    /** It has not started and never will. */
+    /** The attempt has not started and never will. */
     NEVER_STARTED,
-    /** It is running or has ended. */
+    /** The attempt is running or has ended. */
     STARTED,
-    /** The companion is another incarnation, or has forgotten attempts that are as old. */
+    /** The companion is another incarnation or no longer keeps records of attempts of this age. */
     NOT_KNOWN,
     /** The companion cannot be reached. */
     UNREACHABLE
--- a/coordination/src/main/java/org/geraniumreach/coordination/ledger/Sender.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/ledger/Sender.java
@@ -5,12 +5,12 @@
 import org.geraniumreach.model.InstanceId;
 
 /**
- * One start of an entry process, which sends attempts.
+ * One incarnation of an entry process, which sends attempts.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @param instance the entry's instance
- * @param incarnation the number of its start
+ * @param incarnation the number of this start of the process
  */
 public record Sender(InstanceId instance, long incarnation) {
 
--- a/coordination/src/main/java/org/geraniumreach/coordination/ledger/StoredAnswer.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/ledger/StoredAnswer.java
@@ -3,14 +3,14 @@
 import java.util.Objects;
 
 /**
- * Where the answer of a finished request is.
+ * The location of the answer of a finished request.
  *
  * <p>Immutable and safe for use by several threads.
  */
 public sealed interface StoredAnswer {
 
     /**
-     * An answer within the row.
+     * An answer stored in the row.
      *
      * @param base64 the answer's bytes in base 64
      */
@@ -22,9 +22,9 @@
     }
 
     /**
-     * An answer in the object store.
+     * An answer stored in the object store.
      *
-     * @param key the object's name
+     * @param key the object's key
      */
     record InObject(String key) implements StoredAnswer {
 
--- a/coordination/src/main/java/org/geraniumreach/coordination/ledger/TransactionGroup.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/ledger/TransactionGroup.java
@@ -10,12 +10,12 @@
 import org.geraniumreach.model.table.Transaction;
 
 /**
- * Transactions that are committed as one.
+ * A group of transactions that are committed as a single one.
  *
- * <p>Invariant: no two of them touch the same row. Without that, two calls with one idempotency key would each be told that
- * their insert took effect, and both would send. Not safe for use by several threads.
+ * <p>Invariant: no two of them touch the same row. Otherwise two calls with the same idempotency key would both be told
+ * that their insert took effect, and both would send the request. Not safe for use by several threads.
  *
- * @param <T> what goes with each transaction, such as who waits for it
+ * @param <T> the type of the object attached to each transaction, such as a callback
  */
 public final class TransactionGroup<T> {
 
@@ -23,30 +23,30 @@
     private final Set<RowKey> rows = new HashSet<>();
 
     /**
-     * A transaction with what goes with it.
+     * A transaction and its attached object.
      *
      * @param transaction the transaction
-     * @param tag what goes with it
-     * @param <T> the type of what goes with it
+     * @param tag the attached object
+     * @param <T> the type of the attached object
      */
     public record Member<T>(Transaction transaction, T tag) {}
 
     /**
-     * Adds a transaction, unless it touches a row that another one touches.
+     * Adds a transaction unless it touches a row that a transaction of the group touches already.
      *
      * @param member the transaction, not null
      * @return false if it was not added
      */
     public boolean add(Member<T> member) {
-        Set<RowKey> touched = new HashSet<>();
+        Set<RowKey> touchedRows = new HashSet<>();
         Stream.concat(
                         member.transaction().conditions().stream().map(Transaction.Condition::key),
                         member.transaction().writes().stream().map(Transaction.Write::key))
-                .forEach(touched::add);
-        if (touched.stream().anyMatch(rows::contains)) {
+                .forEach(touchedRows::add);
+        if (touchedRows.stream().anyMatch(rows::contains)) {
             return false;
         }
-        rows.addAll(touched);
+        rows.addAll(touchedRows);
         members.add(member);
         return true;
     }
@@ -60,7 +60,7 @@
     }
 
     /**
-     * Gets the one transaction that does what all do.
+     * Gets a single transaction with the conditions and writes of all transactions.
      *
      * @return the transaction, not null
      */
@@ -75,7 +75,7 @@
     }
 
     /**
-     * Splits the group, to find out which transaction's condition did not hold.
+     * Splits the group to find the transaction whose condition did not hold.
      *
      * @return the two halves, not null
      */
--- a/coordination/src/test/java/org/geraniumreach/coordination/ledger/LedgerCallFuzzTest.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/ledger/LedgerCallFuzzTest.java
@@ -13,26 +13,27 @@
 import net.jqwik.api.state.Transformer;
 
 /**
- * The ledger against entries that crash, companions that restart or forget, and a table service that loses answers.
+ * Tests the ledger with entries that crash, companions that restart or discard records, and a table service that loses
+ * answers.
  *
  * <p>A longer run with a new seed: {@code mvn -pl coordination -am verify -Dtest=LedgerCallFuzzTest
- * -Dsurefire.failIfNoSpecifiedTests=false -Dgeraniumreach.fuzz.seconds=60 -Djqwik.tries.default=1000000}; a failure prints
- * its seed and the shrunk sequence.
+ * -Dsurefire.failIfNoSpecifiedTests=false -Dgeraniumreach.fuzz.seconds=60 -Djqwik.tries.default=1000000}; a failure
+ * prints its seed and the shrunk sequence.
  */
 class LedgerCallFuzzTest {
 
     private static final int MAX_STEPS = 60;
     private static final long STARTED_AT_NANOS = System.nanoTime();
 
-    /** Three integers of a step. */
+    /** A simulation step with three integer arguments. */
     @FunctionalInterface
     private interface Step {
-        void apply(LedgerSimulation world, int first, int second, int third);
+        void apply(LedgerSimulation simulation, int first, int second, int third);
     }
 
-    // A caller sees a booking made twice if two entries send it, or a refusal saying "not run" for one that was made.
-    // Two calls with one key meet at the row; in between come crashes, lost answers, late commits, restarts of
-    // companions and frames that arrive late or twice. The oracle counts the runs that companions start for each key.
+    // A request must not run twice when two entries send it, and must not be refused as "not run" after it ran. Calls
+    // with the same key compete for the row under crashes, lost answers, late commits, restarts of companions and
+    // frames that arrive late or twice. The check counts the runs that companions start for each key.
     @Property(seed = "4711", tries = 3000)
     void requestRunsAtMostOnceAndIsReportedNotRunOnlyIfItDidNotRun(
             @ForAll("chains") ActionChain<LedgerSimulation> chain) {
@@ -54,7 +55,13 @@
                         3,
                         step("start", LedgerSimulation.ENTRIES, LedgerSimulation.KEYS, 2, LedgerSimulation::startCall))
                 .withAction(
-                        20, step("progress", 6, 8, 1, (world, call, outcome, none) -> world.progress(call, outcome)))
+                        20,
+                        step(
+                                "progress",
+                                6,
+                                8,
+                                1,
+                                (simulation, call, outcome, unused) -> simulation.progress(call, outcome)))
                 .withAction(
                         5,
                         step(
@@ -62,10 +69,16 @@
                                 4,
                                 5,
                                 4,
-                                (world, frame, refusing, again) -> world.deliver(frame, refusing == 1, again == 1)))
+                                (simulation, frame, refusing, redelivered) ->
+                                        simulation.deliver(frame, refusing == 1, redelivered == 1)))
                 .withAction(
                         3,
-                        step("finish", 2, 1, 1, (world, companion, none, nothing) -> world.finishAttempts(companion)))
+                        step(
+                                "finish",
+                                2,
+                                1,
+                                1,
+                                (simulation, companion, unused, ignored) -> simulation.finishAttempts(companion)))
                 .withAction(
                         2,
                         step(
@@ -73,7 +86,7 @@
                                 LedgerSimulation.ENTRIES,
                                 1,
                                 1,
-                                (world, entry, none, nothing) -> world.crashEntry(entry)))
+                                (simulation, entry, unused, ignored) -> simulation.crashEntry(entry)))
                 .withAction(
                         1,
                         step(
@@ -81,9 +94,18 @@
                                 2,
                                 1,
                                 1,
-                                (world, companion, none, nothing) -> world.restartCompanion(companion)))
-                .withAction(2, step("late commit", 3, 1, 1, (world, which, none, nothing) -> world.applyDelayed(which)))
-                .withAction(2, step("pass", 90, 1, 1, (world, seconds, none, nothing) -> world.advance(seconds)))
+                                (simulation, companion, unused, ignored) -> simulation.restartCompanion(companion)))
+                .withAction(
+                        2,
+                        step(
+                                "late commit",
+                                3,
+                                1,
+                                1,
+                                (simulation, which, unused, ignored) -> simulation.applyDelayed(which)))
+                .withAction(
+                        2,
+                        step("pass", 90, 1, 1, (simulation, seconds, unused, ignored) -> simulation.advance(seconds)))
                 .withMaxTransformations(MAX_STEPS);
     }
 
@@ -92,8 +114,9 @@
                         Arbitraries.integers().between(0, first - 1),
                         Arbitraries.integers().between(0, second - 1),
                         Arbitraries.integers().between(0, third - 1))
-                .as((one, two, three) -> Transformer.mutate(
-                        name + " " + one + " " + two + " " + three, world -> step.apply(world, one, two, three)));
+                .as((firstValue, secondValue, thirdValue) -> Transformer.mutate(
+                        name + " " + firstValue + " " + secondValue + " " + thirdValue,
+                        simulation -> step.apply(simulation, firstValue, secondValue, thirdValue)));
         return () -> transformers;
     }
 }
--- a/coordination/src/test/java/org/geraniumreach/coordination/ledger/LedgerCallTest.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/ledger/LedgerCallTest.java
@@ -4,35 +4,34 @@
 
 class LedgerCallTest {
 
-    // A caller would see a booking made twice. The first entry's commit takes effect, and the entry is frozen before
-    // it has the answer. A second call has the attempt sealed and runs another one. A minute later the companion has
-    // forgotten the seal, and only then the first entry goes on. It must not send: it has been too long since its
-    // commit.
+    // Guards against a request that runs twice. The first entry is frozen after its commit took effect and before it
+    // gets the answer. A second call has the attempt sealed and runs another one. When the first entry resumes a minute
+    // later, the companion no longer retains the seal, so the entry must not send the attempt.
     @Test
     void attemptIsNotSentLongAfterItsCommit() {
-        LedgerSimulation world = new LedgerSimulation(false);
-        world.startCall(0, 0, 0);
-        world.progressCall(0, 0);
-        freezeFirstCallAndCompleteSecond(world);
-        world.completeAllCalls();
+        LedgerSimulation simulation = new LedgerSimulation(false);
+        simulation.startCall(0, 0, 0);
+        simulation.progressCall(0, 0);
+        freezeFirstCallAndCompleteSecond(simulation);
+        simulation.completeAllCalls();
     }
 
-    // As above, but the first entry is frozen after it has decided to send. Nothing at the entry can see that; the
-    // time that the attempt carries lets the companion refuse it.
+    // As above, but the first entry is frozen after its decision to send, which it cannot detect. The companion must
+    // refuse the attempt by the time limit that it carries.
     @Test
     void companionRefusesAnAttemptThatArrivesLate() {
-        LedgerSimulation world = new LedgerSimulation();
-        world.startCall(0, 0, 0);
-        world.progressCall(0, 0);
-        world.progressCall(0, 0);
-        freezeFirstCallAndCompleteSecond(world);
-        world.completeAllCalls();
+        LedgerSimulation simulation = new LedgerSimulation();
+        simulation.startCall(0, 0, 0);
+        simulation.progressCall(0, 0);
+        simulation.progressCall(0, 0);
+        freezeFirstCallAndCompleteSecond(simulation);
+        simulation.completeAllCalls();
     }
 
-    private static void freezeFirstCallAndCompleteSecond(LedgerSimulation world) {
-        world.advance(25);
-        world.startCall(1, 0, 0);
-        world.completeCall(1);
-        world.advance(70);
+    private static void freezeFirstCallAndCompleteSecond(LedgerSimulation simulation) {
+        simulation.advance(25);
+        simulation.startCall(1, 0, 0);
+        simulation.completeCall(1);
+        simulation.advance(70);
     }
 }
--- a/coordination/src/test/java/org/geraniumreach/coordination/ledger/LedgerSimulation.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/ledger/LedgerSimulation.java
@@ -23,14 +23,14 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** Entries, companions and a table service under the fuzzer's hand, with the oracle. */
+/** Simulates entries, companions and a table service, controlled by a fuzzer, and checks the results. */
 final class LedgerSimulation {
 
     static final int ENTRIES = 3;
     static final int COMPANIONS = 2;
     static final int KEYS = 2;
 
-    /** The outcome of a commit that takes effect, and whose answer is lost. */
+    /** The outcome of a commit that takes effect but whose answer is lost. */
     static final int ANSWER_LOST_OUTCOME = 2;
 
     private static final Duration COMPANION_RETENTION = Duration.ofSeconds(60);
@@ -59,18 +59,18 @@
         this(true);
     }
 
-    /** Makes a world whose companions refuse attempts that come too late, or do not. */
-    LedgerSimulation(boolean checkingAge) {
-        this.rejectsLateAttempts = checkingAge;
+    /** Creates a simulation whose companions reject or accept late attempts. */
+    LedgerSimulation(boolean rejectsLateAttempts) {
+        this.rejectsLateAttempts = rejectsLateAttempts;
         for (int index = 0; index < COMPANIONS; index++) {
             companions.add(new SimulatedCompanion(index));
         }
     }
 
-    /** An attempt on its way to a companion. */
+    /** An attempt in transit to a companion. */
     private record Frame(AttemptId attempt, Companion companion, Instant notAfter) {}
 
-    /** One start after another of a companion. */
+    /** A companion that can restart with a new incarnation. */
     private static final class SimulatedCompanion {
         private final InstanceId instance;
         private long incarnation = 1;
@@ -109,7 +109,7 @@
         private final Set<AttemptId> attempts = new HashSet<>();
         private final Set<AttemptId> sent = new HashSet<>();
         private LedgerAction pendingAction;
-        /** The answer to what is pending, which took effect already. */
+        /** The answer to the pending action, which has already taken effect. */
         private Optional<Supplier<LedgerAction>> pendingAnswer = Optional.empty();
 
         private boolean refusedAsNotRun;
@@ -165,10 +165,10 @@
         return new Companion(companions.get(index).instance, companions.get(index).incarnation);
     }
 
-    private Optional<SimulatedCompanion> find(Companion wanted) {
+    private Optional<SimulatedCompanion> find(Companion expected) {
         return companions.stream()
-                .filter(companion ->
-                        companion.instance.equals(wanted.instance()) && companion.incarnation == wanted.incarnation())
+                .filter(companion -> companion.instance.equals(expected.instance())
+                        && companion.incarnation == expected.incarnation())
                 .findFirst();
     }
 
@@ -195,16 +195,17 @@
         table.applyDelayed(choice);
     }
 
-    /** Lets an attempt arrive; it may arrive again later. */
-    void deliver(int choice, boolean refusing, boolean again) {
+    /** Delivers an attempt, which may be delivered again later. */
+    void deliver(int choice, boolean refusing, boolean redelivered) {
         if (frames.isEmpty()) {
             return;
         }
         Frame frame = frames.get(choice % frames.size());
-        if (!again) {
+        if (!redelivered) {
             frames.remove(frame);
         }
-        // A late frame may be the second copy of one that has run and is forgotten, so its refusal would prove nothing.
+        // A late frame is dropped without a seal: it may be a second copy of an attempt that ran and whose record was
+        // discarded, so a refusal would not prove that it did not run.
         if (!rejectsLateAttempts || !currentTime.isAfter(frame.notAfter())) {
             find(frame.companion()).ifPresent(companion -> receiveAttempt(companion, frame.attempt(), refusing));
         }
@@ -231,16 +232,16 @@
         companion.ended.addAll(companion.started.keySet());
     }
 
-    /** Carries out what a call wants; the outcome is the fuzzer's choice among those that may be. */
+    /** Carries out the pending action of one of the open calls, with an outcome chosen by the fuzzer. */
     void progress(int choice, int outcome) {
-        List<Call> open = calls.stream().filter(call -> !call.isFinished()).toList();
-        if (open.isEmpty()) {
+        List<Call> openCalls = calls.stream().filter(call -> !call.isFinished()).toList();
+        if (openCalls.isEmpty()) {
             return;
         }
-        progress(open.get(choice % open.size()), outcome);
+        progress(openCalls.get(choice % openCalls.size()), outcome);
     }
 
-    /** Carries out what the call that was started as the given one wants. */
+    /** Carries out the pending action of the call with an index in the order of start. */
     void progressCall(int index, int outcome) {
         progress(calls.get(index), outcome);
     }
@@ -296,7 +297,7 @@
         }
     }
 
-    /** Sends the attempt, or follows it once it was sent. */
+    /** Sends the attempt, or waits for its answer once it was sent. */
     private void sendOrFollow(Call call, LedgerAction.Send send, int outcome) {
         if (!call.sent.contains(send.attempt()) && outcome == 1) {
             call.pendingAction = call.ledgerCall.lost(ExecutionStatus.NO);
@@ -307,8 +308,8 @@
         }
     }
 
-    private void awaitAnswer(Call call, AttemptId attempt, Companion where, int outcome) {
-        Optional<SimulatedCompanion> companion = find(where);
+    private void awaitAnswer(Call call, AttemptId attempt, Companion receiver, int outcome) {
+        Optional<SimulatedCompanion> companion = find(receiver);
         if (outcome == 1 || companion.isEmpty()) {
             call.pendingAction = call.ledgerCall.lost(ExecutionStatus.UNKNOWN);
         } else if (companion.get().ended.contains(attempt)) {
@@ -338,11 +339,12 @@
         if (companion.started.containsKey(seal.attempt())) {
             return SealResult.STARTED;
         }
-        // An attempt that had been sent before the memory began when it was sealed may have run and been forgotten.
+        // An attempt sent before the start of the retained period at the time of the seal may have run and been
+        // discarded.
         Instant since = companion.sealed.computeIfAbsent(seal.attempt(), attempt -> currentTime);
-        boolean remembered = currentTime.minus(seal.age()).isAfter(since.minus(COMPANION_RETENTION))
+        boolean retained = currentTime.minus(seal.age()).isAfter(since.minus(COMPANION_RETENTION))
                 || companion.refused.contains(seal.attempt());
-        return remembered ? SealResult.NEVER_STARTED : SealResult.NOT_KNOWN;
+        return retained ? SealResult.NEVER_STARTED : SealResult.NOT_KNOWN;
     }
 
     private void verifyOutcome(Call call) {
@@ -373,7 +375,7 @@
         }
     }
 
-    /** Lets one call come to its end, while the others are frozen. */
+    /** Completes one call while the others are frozen. */
     void completeCall(int index) {
         for (int step = 0; step < 200 && !calls.get(index).isFinished(); step++) {
             deliver(0, false, false);
@@ -382,7 +384,7 @@
         }
     }
 
-    /** Ends all faults, and lets every call come to its end. */
+    /** Completes every call without further faults. */
     void completeAllCalls() {
         for (int step = 0; step < 800 && calls.stream().anyMatch(call -> !call.isFinished()); step++) {
             deliver(0, false, false);
