--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/AccountBudget.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/AccountBudget.java
@@ -15,60 +15,65 @@
 import org.geraniumreach.model.table.RowKey;
 
 /**
- * One client account's budget at one entry.
+ * The budget of one client account at one entry.
  *
- * <p>Invariants: the bucket's capacity and inflow are those of the parts held now, that is, the entry's own parts while the
- * proof holds, less those lent, and those borrowed; a part that arrives brings no tokens but those lent with it; each ticket
- * gets one answer; requests are served in order of arrival. Safe for use by several threads: the state is under this object's
- * lock, and the clock is read within it, so that a freeze before a spend is seen by the spend.
+ * <p>Invariants: the bucket's capacity and inflow correspond to the parts currently held, which are the entry's own
+ * parts less those lent, while the lease is valid, plus the borrowed parts; added parts bring no tokens except those
+ * lent with them or, for the first holder ever, a full bucket; each ticket gets one answer; requests are served in
+ * order of arrival. Safe for use by several threads: the state is guarded by this object's lock, and the clock is read
+ * while holding it, so that a process freeze before a spend is noticed.
  */
 public final class AccountBudget {
 
     private static final double NANOS_PER_SECOND = 1e9;
-    private static final long LEAST_WAKE_NANOS = 1_000_000;
-    private static final long HANDOVER_PAUSE_NANOS = 1_000_000_000;
-    private static final Duration LONGEST_RETRY = Duration.ofHours(1);
-    private static final Duration LEAST_RETRY = Duration.ofMillis(1);
+    private static final long MIN_WAKE_DELAY_NANOS = 1_000_000;
+    private static final long HANDOVER_INTERVAL_NANOS = 1_000_000_000;
+    private static final Duration MAX_RETRY_DELAY = Duration.ofHours(1);
+    private static final Duration MIN_RETRY_DELAY = Duration.ofMillis(1);
 
     private final AccountId account;
     private final BudgetPolicy policy;
-    private final HoldingProof proof;
+    private final HoldingProof leaseValidity;
     private final MonotonicClock clock;
     private final TokenBucket bucket;
-    private final WaitingLine line = new WaitingLine();
-    private final Borrowing borrowing;
-    private final LoanBook lent = new LoanBook();
-    private final LoanBook borrowed = new LoanBook();
+    private final WaitQueue waitQueue = new WaitQueue();
+    private final LoanRequester loanRequester;
+    private final ActiveLoans loansGiven = new ActiveLoans();
+    private final ActiveLoans loansTaken = new ActiveLoans();
     private final DemandMeter demand;
     private long tokensPerSecond;
     private long burstTokens;
     private long ownParts;
-    private long joiningUntil;
+    private long firstClaimDeadline;
     private long nextHandoverAt = Long.MIN_VALUE;
     private boolean released;
     private List<InstanceId> peers = List.of();
-    private Optional<RowKey> holder = Optional.empty();
+    private Optional<RowKey> holderRow = Optional.empty();
 
     /**
-     * Makes a budget without rate and share.
+     * Creates a budget without a rate or a share.
      *
      * @param account the client account, not null
-     * @param policy times and choices, not null
-     * @param proof whether the entry's own parts may be spent, not null
+     * @param policy the time limits and the sharing policy, not null
+     * @param leaseValidity whether the entry's own parts may be spent, not null
      * @param clock the source of elapsed time, not null
      * @param random the source of random choices, not null
      */
     public AccountBudget(
-            AccountId account, BudgetPolicy policy, HoldingProof proof, MonotonicClock clock, RandomGenerator random) {
+            AccountId account,
+            BudgetPolicy policy,
+            HoldingProof leaseValidity,
+            MonotonicClock clock,
+            RandomGenerator random) {
         this.account = Objects.requireNonNull(account, "account");
         this.policy = Objects.requireNonNull(policy, "policy");
-        this.proof = Objects.requireNonNull(proof, "proof");
+        this.leaseValidity = Objects.requireNonNull(leaseValidity, "leaseValidity");
         this.clock = Objects.requireNonNull(clock, "clock");
         long now = clock.nanos();
         this.bucket = new TokenBucket(policy.clockDriftPartsPerMillion(), now);
         this.demand = new DemandMeter(now);
-        this.joiningUntil = now + policy.longestWait().toNanos();
-        this.borrowing = new Borrowing(random, policy.loanAnswerLimit().toNanos());
+        this.firstClaimDeadline = now + policy.longestWait().toNanos();
+        this.loanRequester = new LoanRequester(random, policy.loanAnswerLimit().toNanos());
     }
 
     /**
@@ -76,71 +81,72 @@
      *
      * @param newTokensPerSecond the rate, 0 to stop the account
      * @param newBurstTokens the burst
-     * @return what came of it, not null
+     * @return the resulting step, not null
      */
     public synchronized BudgetStep setRate(long newTokensPerSecond, long newBurstTokens) {
         long now = advance();
         tokensPerSecond = Math.min(newTokensPerSecond, ShareParts.GREATEST_TOKENS);
         burstTokens = Math.min(newBurstTokens, ShareParts.GREATEST_TOKENS);
         resize(now);
-        return serve(now);
+        return processQueue(now);
     }
 
     /**
-     * Tells which entries may be asked for loans, and where this entry's shares are kept.
+     * Sets the entries that may be asked for loans and the key of this entry's row.
      *
      * @param newPeers the other entries, not null
-     * @param newHolder this entry's row, empty if there is none, not null
+     * @param newHolderRow the key of this entry's row, empty if it does not exist, not null
      */
-    public synchronized void setSurroundings(List<InstanceId> newPeers, Optional<RowKey> newHolder) {
+    public synchronized void setPeersAndHolderRow(List<InstanceId> newPeers, Optional<RowKey> newHolderRow) {
         peers = List.copyOf(newPeers);
-        holder = newHolder;
+        holderRow = newHolderRow;
     }
 
     /**
-     * Sets the entry's own parts; those that are new bring no tokens.
+     * Sets the entry's own parts; added parts bring no tokens unless {@code full} is set.
      *
      * @param parts the parts
-     * @param full whether the bucket is filled, which is right only for the first holder that the account ever has
-     * @return what came of it, not null
+     * @param full whether added parts bring a full bucket, which is correct only for the first holder that the account
+     *     ever has
+     * @return the resulting step, not null
      */
     public synchronized BudgetStep setOwnParts(long parts, boolean full) {
         long now = advance();
         long before = ownParts;
         ownParts = released ? 0 : ShareParts.require(parts);
-        joiningUntil = ownParts > 0 ? now : joiningUntil;
+        firstClaimDeadline = ownParts > 0 ? now : firstClaimDeadline;
         resize(now);
         if (full && ownParts > before) {
-            bucket.add((ownParts - before) * burstTokens);
+            bucket.deposit((ownParts - before) * burstTokens);
         }
-        return serve(now);
+        return processQueue(now);
     }
 
     /**
-     * Takes own parts away that are to be handed over.
+     * Withdraws own parts that are to be handed over.
      *
-     * @param parts the parts wanted
-     * @return the parts taken, fewer if more are lent
+     * @param parts the parts requested
+     * @return the parts withdrawn, fewer than requested if not enough are idle
      */
     public synchronized long withdraw(long parts) {
         long now = advance();
-        long taken = Math.min(parts, idleParts());
-        ownParts -= taken;
+        long withdrawn = Math.min(parts, idleParts());
+        ownParts -= withdrawn;
         resize(now);
-        return taken;
+        return withdrawn;
     }
 
     /**
-     * Takes all own parts away for good.
+     * Removes all own parts permanently.
      *
-     * @return the time by the clock when the last loan given has ended
+     * @return the clock time when all given loans have ended
      */
     public synchronized long release() {
         long now = advance();
         released = true;
         ownParts = 0;
         resize(now);
-        return lent.nextEnd() == Long.MAX_VALUE ? now : now + policy.lenderNanos(policy.loanDuration());
+        return loansGiven.nextExpiry() == Long.MAX_VALUE ? now : now + policy.lenderNanos(policy.loanDuration());
     }
 
     public synchronized long ownParts() {
@@ -152,124 +158,125 @@
      *
      * @return the tokens
      */
-    public synchronized long level() {
+    public synchronized long availableTokens() {
         advance();
         return bucket.level() / ShareParts.WHOLE;
     }
 
     /**
-     * Asks for tokens for a request.
+     * Reserves tokens for a request, which may have to wait for them.
      *
-     * @param ticket the number by which the answer tells which request it is for
-     * @param tokens the tokens
-     * @param deadlineLeft the time that the request has left, not null
-     * @return what came of it, not null
+     * @param ticket the number that identifies the request in the answer
+     * @param tokens the tokens to reserve
+     * @param deadlineLeft the time left until the request's deadline, not null
+     * @return the resulting step, not null
      */
     public synchronized BudgetStep reserve(long ticket, long tokens, Duration deadlineLeft) {
         long now = advance();
         if (tokens > burstTokens) {
-            boolean known = burstTokens > 0;
-            ResultCode code = known ? ResultCode.REQUEST_ABOVE_BURST : ResultCode.OUT_OF_BUDGET;
-            return new BudgetStep(List.of(new BudgetAction.Refused(ticket, code, LEAST_RETRY)), OptionalLong.empty());
+            boolean hasRate = burstTokens > 0;
+            ResultCode code = hasRate ? ResultCode.REQUEST_ABOVE_BURST : ResultCode.OUT_OF_BUDGET;
+            return new BudgetStep(
+                    List.of(new BudgetAction.Refused(ticket, code, MIN_RETRY_DELAY)), OptionalLong.empty());
         }
         demand.add(tokens, now);
         long wait = Math.min(deadlineLeft.toNanos(), policy.longestWait().toNanos());
-        line.add(new WaitingLine.Waiter(ticket, tokens, now + Math.max(0, wait)));
-        return serve(now);
+        waitQueue.add(new WaitQueue.Waiter(ticket, tokens, now + Math.max(0, wait)));
+        return processQueue(now);
     }
 
     /**
-     * Ends a request, and gives back what it did not use.
+     * Settles a finished request and refunds the tokens that it did not use.
      *
-     * @param grant the tokens set aside, not null
+     * @param grant the reserved tokens, not null
      * @param actualTokens the tokens used
-     * @return what came of it, not null
+     * @return the resulting step, not null
      */
     public synchronized BudgetStep settle(Grant grant, long actualTokens) {
         long now = advance();
         bucket.settle(grant, Math.max(0, actualTokens));
-        return serve(now);
+        return processQueue(now);
     }
 
     /**
-     * Does what is due.
+     * Handles expired timeouts and waiting requests; see {@link BudgetStep#wakeAt}.
      *
-     * @return what came of it, not null
+     * @return the resulting step, not null
      */
     public synchronized BudgetStep wake() {
-        return serve(advance());
+        return processQueue(advance());
     }
 
     /**
-     * Answers another entry that asks for a loan.
+     * Answers another entry's request for a loan.
      *
      * @param peer the other entry, not null
-     * @param wish what it asks, not null
-     * @return what came of it, not null
+     * @param request its request, not null
+     * @return the resulting step, not null
      */
-    public synchronized BudgetStep loanAsked(InstanceId peer, LoanWish wish) {
+    public synchronized BudgetStep onLoanRequested(InstanceId peer, LoanWish request) {
         long now = advance();
         List<BudgetAction> actions = new ArrayList<>();
-        SharingPolicy.Decision decision = decide(wish, now);
-        long wanted = Math.min(decision.lentParts(), unlentParts());
+        SharingPolicy.Decision decision = decideLoan(request, now);
+        long lendableParts = Math.min(decision.lentParts(), unlentParts());
         long tokens = Math.max(0, Math.min(decision.lentTokens(), bucket.level() / ShareParts.WHOLE));
-        // More tokens than the parts lent can hold would let the borrower's bucket stand above its capacity.
-        tokens = Math.min(tokens, wanted * burstTokens / ShareParts.WHOLE);
-        bucket.take(tokens * ShareParts.WHOLE);
-        long parts = Math.min(wanted, Math.max(partsFor(tokens * ShareParts.WHOLE), idleParts()));
+        // More tokens than fit into the lent parts would raise the borrower's bucket above its capacity.
+        tokens = Math.min(tokens, lendableParts * burstTokens / ShareParts.WHOLE);
+        bucket.withdraw(tokens * ShareParts.WHOLE);
+        long parts = Math.min(lendableParts, Math.max(partsFor(tokens * ShareParts.WHOLE), idleParts()));
         Duration duration =
-                wish.duration().compareTo(policy.loanDuration()) < 0 ? wish.duration() : policy.loanDuration();
-        lent.add(parts, now + policy.lenderNanos(duration));
+                request.duration().compareTo(policy.loanDuration()) < 0 ? request.duration() : policy.loanDuration();
+        loansGiven.add(parts, now + policy.lenderNanos(duration));
         resize(now);
-        actions.add(new BudgetAction.GiveLoan(peer, new Loan(wish.number(), account, tokens, parts, duration)));
-        handOver(decision.handedOverParts(), wish, now).ifPresent(actions::add);
+        actions.add(new BudgetAction.GiveLoan(peer, new Loan(request.number(), account, tokens, parts, duration)));
+        planHandover(decision.handedOverParts(), request, now).ifPresent(actions::add);
         return new BudgetStep(actions, OptionalLong.empty());
     }
 
-    private SharingPolicy.Decision decide(LoanWish wish, long now) {
-        if (!proof.holds(now) || tokensPerSecond <= 0 || released) {
-            return SharingPolicy.Decision.NOTHING;
+    private SharingPolicy.Decision decideLoan(LoanWish request, long now) {
+        if (!leaseValidity.isValid(now) || tokensPerSecond <= 0 || released) {
+            return SharingPolicy.Decision.NONE;
         }
-        SharingPolicy.Position position = new SharingPolicy.Position(
+        SharingPolicy.LenderState position = new SharingPolicy.LenderState(
                 Math.max(0, bucket.level() / ShareParts.WHOLE),
                 unlentParts(),
-                demand.perSecond(now),
-                !line.isEmpty(),
+                demand.tokensPerSecond(now),
+                !waitQueue.isEmpty(),
                 tokensPerSecond,
                 burstTokens);
-        return policy.sharing().decide(position, wish);
+        return policy.sharing().decide(position, request);
     }
 
-    private Optional<BudgetAction> handOver(long parts, LoanWish wish, long now) {
-        if (parts <= 0 || wish.holder().isEmpty() || now < nextHandoverAt) {
+    private Optional<BudgetAction> planHandover(long parts, LoanWish request, long now) {
+        if (parts <= 0 || request.holder().isEmpty() || now < nextHandoverAt) {
             return Optional.empty();
         }
-        nextHandoverAt = now + HANDOVER_PAUSE_NANOS;
-        return Optional.of(new BudgetAction.HandOver(account, wish.holder().get(), parts));
+        nextHandoverAt = now + HANDOVER_INTERVAL_NANOS;
+        return Optional.of(new BudgetAction.HandOver(account, request.holder().get(), parts));
     }
 
     /**
-     * Takes another entry's answer to a request for a loan.
+     * Handles another entry's answer to a request for a loan.
      *
      * @param peer the other entry, not null
-     * @param loan what it lends, not null
-     * @return what came of it, not null
+     * @param loan the loan, not null
+     * @return the resulting step, not null
      */
-    public synchronized BudgetStep loanAnswered(InstanceId peer, Loan loan) {
+    public synchronized BudgetStep onLoanAnswered(InstanceId peer, Loan loan) {
         long now = advance();
-        if (borrowing.answered(peer, loan)) {
-            // The lender counts from after it was asked, so counting from before cannot outlast it.
-            long until = borrowing.askedAt() + loan.duration().toNanos();
-            if (now < until) {
-                borrowed.add(loan.parts(), until);
+        if (loanRequester.acceptAnswer(peer, loan)) {
+            // The lender measures the duration from after it received the request, so the loan ends here first.
+            long expiresAt = loanRequester.requestedAt() + loan.duration().toNanos();
+            if (now < expiresAt) {
+                loansTaken.add(loan.parts(), expiresAt);
                 resize(now);
-                bucket.add(loan.tokens() * ShareParts.WHOLE);
+                bucket.deposit(loan.tokens() * ShareParts.WHOLE);
             }
         }
-        return serve(now);
+        return processQueue(now);
     }
 
-    /** Gets the parts that are not needed to hold the tokens in the bucket; with more taken, the tokens would be lost. */
+    /** Gets the parts not needed to hold the tokens in the bucket; removing more would lose tokens. */
     private long idleParts() {
         return Math.max(0, unlentParts() - partsFor(Math.max(0, bucket.level())));
     }
@@ -279,128 +286,133 @@
     }
 
     private long unlentParts() {
-        return Math.max(0, ownParts - lent.sum());
+        return Math.max(0, ownParts - loansGiven.totalParts());
     }
 
-    /** Brings bucket and loans up to the present, loan by loan, and returns the present. */
+    /** Advances the bucket and the loans to the current time, one loan expiry at a time, and returns that time. */
     private long advance() {
         long now = clock.nanos();
-        long end = Math.min(lent.nextEnd(), borrowed.nextEnd());
-        while (end <= now) {
-            bucket.advance(end);
-            lent.expire(end);
-            borrowed.expire(end);
+        long expiry = Math.min(loansGiven.nextExpiry(), loansTaken.nextExpiry());
+        while (expiry <= now) {
+            bucket.advance(expiry);
+            loansGiven.expire(expiry);
+            loansTaken.expire(expiry);
             resize(now);
-            end = Math.min(lent.nextEnd(), borrowed.nextEnd());
+            expiry = Math.min(loansGiven.nextExpiry(), loansTaken.nextExpiry());
         }
         bucket.advance(now);
         resize(now);
-        borrowing.expire(now);
+        loanRequester.expireOverdue(now);
         return now;
     }
 
     private void resize(long now) {
-        long parts = Math.min(ShareParts.WHOLE, certainParts(now) + borrowed.sum());
+        long parts = Math.min(ShareParts.WHOLE, spendableOwnParts(now) + loansTaken.totalParts());
         bucket.resize(parts * burstTokens, parts * tokensPerSecond);
     }
 
-    /** Gets the own parts that may be spent, and that no loan's end takes away. */
-    private long certainParts(long now) {
-        return proof.holds(now) ? unlentParts() : 0;
+    /** Gets the own parts that may be spent, without borrowed parts. */
+    private long spendableOwnParts(long now) {
+        return leaseValidity.isValid(now) ? unlentParts() : 0;
     }
 
-    private BudgetStep serve(long now) {
+    private BudgetStep processQueue(long now) {
         List<BudgetAction> actions = new ArrayList<>();
-        grantInOrder(actions);
-        if (line.isEmpty()) {
-            borrowing.satisfied();
+        grantInArrivalOrder(actions);
+        if (waitQueue.isEmpty()) {
+            loanRequester.endRound();
             return new BudgetStep(actions, OptionalLong.empty());
         }
-        if (!borrowing.isUnderWay()) {
-            borrowing.next(peers, now).ifPresent(peer -> actions.add(new BudgetAction.AskLoan(peer, wish(now))));
+        if (!loanRequester.isPending()) {
+            loanRequester
+                    .nextLender(peers, now)
+                    .ifPresent(peer -> actions.add(new BudgetAction.AskLoan(peer, loanRequest(now))));
         }
-        refuseHopeless(actions, now);
+        refuseUnservable(actions, now);
         return new BudgetStep(actions, wakeAt(now));
     }
 
-    private void grantInOrder(List<BudgetAction> actions) {
-        while (!line.isEmpty()) {
-            WaitingLine.Waiter head = line.head().orElseThrow();
+    private void grantInArrivalOrder(List<BudgetAction> actions) {
+        while (!waitQueue.isEmpty()) {
+            WaitQueue.Waiter head = waitQueue.head().orElseThrow();
             Optional<Grant> grant = bucket.reserve(head.tokens());
             if (grant.isEmpty()) {
                 return;
             }
-            line.removeHead();
+            waitQueue.removeHead();
             actions.add(new BudgetAction.Granted(head.ticket(), grant.get()));
         }
     }
 
-    private LoanWish wish(long now) {
-        long perSecond = demand.perSecond(now);
-        long missing = line.tokens() - Math.max(0, bucket.level() / ShareParts.WHOLE);
-        long tokens = Math.min(burstTokens, Math.max(missing, perSecond / 2));
-        double room = (double) line.head().orElseThrow().tokens() * ShareParts.WHOLE - bucket.capacity();
+    private LoanWish loanRequest(long now) {
+        long demandedPerSecond = demand.tokensPerSecond(now);
+        long missing = waitQueue.totalTokens() - Math.max(0, bucket.level() / ShareParts.WHOLE);
+        long tokens = Math.min(burstTokens, Math.max(missing, demandedPerSecond / 2));
+        double missingCapacity =
+                (double) waitQueue.head().orElseThrow().tokens() * ShareParts.WHOLE - bucket.capacity();
         double parts = Math.max(
-                Math.max(0, room) / Math.max(1, burstTokens),
-                (double) perSecond / Math.max(1, tokensPerSecond) * ShareParts.WHOLE - unlentParts());
+                Math.max(0, missingCapacity) / Math.max(1, burstTokens),
+                (double) demandedPerSecond / Math.max(1, tokensPerSecond) * ShareParts.WHOLE - unlentParts());
         return new LoanWish(
-                borrowing.number(),
+                loanRequester.requestNumber(),
                 account,
                 tokens,
                 (long) Math.min(ShareParts.WHOLE, Math.max(0, Math.ceil(parts))),
                 policy.loanDuration(),
-                perSecond,
+                demandedPerSecond,
                 ownParts,
-                holder);
+                holderRow);
     }
 
-    private void refuseHopeless(List<BudgetAction> actions, long now) {
-        long certain = certainParts(now);
-        // An entry that has just begun, or a client account that has, holds no share for the moment that the claim
-        // takes. Its first requests would be refused though the account is within its rate, so they wait for the
-        // claim.
-        boolean mayCome = borrowing.isUnderWay() || now < joiningUntil;
-        for (WaitingLine.Hopeless hopeless : line.removeHopeless((waiter, needed) -> now < waiter.latest()
-                && (mayCome || certainDelay(waiter.tokens(), needed, certain) <= waiter.latest() - now))) {
-            Duration retry = retryAfter(hopeless.waiter().tokens(), hopeless.neededAhead(), certain);
-            actions.add(new BudgetAction.Refused(hopeless.waiter().ticket(), ResultCode.OUT_OF_BUDGET, retry));
+    private void refuseUnservable(List<BudgetAction> actions, long now) {
+        long spendableParts = spendableOwnParts(now);
+        // A new entry or client account has no share until its claim has completed. Its first requests wait for the
+        // claim; otherwise they would be refused although the account is within its rate.
+        boolean mayReceiveBudget = loanRequester.isPending() || now < firstClaimDeadline;
+        for (WaitQueue.Unservable unservable :
+                waitQueue.removeUnservable((waiter, cumulativeTokens) -> now < waiter.deadline()
+                        && (mayReceiveBudget
+                                || ownInflowDelayNanos(waiter.tokens(), cumulativeTokens, spendableParts)
+                                        <= waiter.deadline() - now))) {
+            Duration retry = retryAfter(unservable.waiter().tokens(), unservable.cumulativeTokens(), spendableParts);
+            actions.add(new BudgetAction.Refused(unservable.waiter().ticket(), ResultCode.OUT_OF_BUDGET, retry));
         }
     }
 
-    /** Gets the nanoseconds until the entry's own parts alone have brought what is needed, or infinity. */
-    private double certainDelay(long tokens, long needed, long certain) {
-        if (certain <= 0 || tokensPerSecond <= 0 || tokens * ShareParts.WHOLE > certain * burstTokens) {
+    /** Gets the nanoseconds until the inflow of the entry's own parts alone covers the tokens needed, or infinity. */
+    private double ownInflowDelayNanos(long tokens, long cumulativeTokens, long spendableParts) {
+        if (spendableParts <= 0 || tokensPerSecond <= 0 || tokens * ShareParts.WHOLE > spendableParts * burstTokens) {
             return Double.POSITIVE_INFINITY;
         }
-        long missing = needed * ShareParts.WHOLE - Math.min(bucket.level(), certain * burstTokens);
-        return bucket.secondsFor(Math.max(0, missing), certain * tokensPerSecond) * NANOS_PER_SECOND;
+        long missing = cumulativeTokens * ShareParts.WHOLE - Math.min(bucket.level(), spendableParts * burstTokens);
+        return bucket.secondsFor(Math.max(0, missing), spendableParts * tokensPerSecond) * NANOS_PER_SECOND;
     }
 
-    private Duration retryAfter(long tokens, long needed, long certain) {
-        double delay = certainDelay(tokens, needed, certain);
+    private Duration retryAfter(long tokens, long cumulativeTokens, long spendableParts) {
+        double delay = ownInflowDelayNanos(tokens, cumulativeTokens, spendableParts);
         if (Double.isInfinite(delay) && tokensPerSecond > 0) {
-            long missing = needed * ShareParts.WHOLE - Math.max(0, bucket.level());
+            long missing = cumulativeTokens * ShareParts.WHOLE - Math.max(0, bucket.level());
             delay = bucket.secondsFor(missing, ShareParts.WHOLE * tokensPerSecond) * NANOS_PER_SECOND;
         }
-        Duration exact = Duration.ofNanos((long) Math.min(delay, LONGEST_RETRY.toNanos()));
-        // Without a share of its own the entry can only do better once it has looked for one again.
-        Duration least = certain > 0 ? LEAST_RETRY : policy.scanInterval();
-        return exact.compareTo(least) < 0 ? least : exact;
+        Duration exact = Duration.ofNanos((long) Math.min(delay, MAX_RETRY_DELAY.toNanos()));
+        // Without a share of its own the entry cannot grant the request before its next scan for one.
+        Duration minimum = spendableParts > 0 ? MIN_RETRY_DELAY : policy.scanInterval();
+        return exact.compareTo(minimum) < 0 ? minimum : exact;
     }
 
     private OptionalLong wakeAt(long now) {
-        if (line.isEmpty()) {
+        if (waitQueue.isEmpty()) {
             return OptionalLong.empty();
         }
-        long at = line.earliestLimit();
-        if (borrowing.isUnderWay()) {
-            at = Math.min(at, borrowing.answerLimit());
+        long wakeTime = waitQueue.earliestDeadline();
+        if (loanRequester.isPending()) {
+            wakeTime = Math.min(wakeTime, loanRequester.answerDeadline());
         }
-        at = Math.min(at, Math.min(lent.nextEnd(), borrowed.nextEnd()));
-        WaitingLine.Waiter head = line.head().orElseThrow();
-        at = now < joiningUntil ? Math.min(at, joiningUntil) : at;
-        double delay = certainDelay(head.tokens(), head.tokens(), certainParts(now));
-        at = (long) Math.min(at, now + delay);
-        return OptionalLong.of(Math.max(at, now + LEAST_WAKE_NANOS));
+        wakeTime = Math.min(wakeTime, Math.min(loansGiven.nextExpiry(), loansTaken.nextExpiry()));
+        WaitQueue.Waiter head = waitQueue.head().orElseThrow();
+        wakeTime = now < firstClaimDeadline ? Math.min(wakeTime, firstClaimDeadline) : wakeTime;
+        double delay = ownInflowDelayNanos(head.tokens(), head.tokens(), spendableOwnParts(now));
+        wakeTime = (long) Math.min(wakeTime, now + delay);
+        return OptionalLong.of(Math.max(wakeTime, now + MIN_WAKE_DELAY_NANOS));
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/EntryBudget.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/EntryBudget.java
@@ -15,35 +15,36 @@
 import org.geraniumreach.model.MonotonicClock;
 
 /**
- * The budgets of all client accounts at one entry, with the shares that they live on.
+ * The budgets of all client accounts at one entry and the shares that back them.
  *
- * <p>Invariants: an account's budget never has more own parts than {@link ShareKeeper#usable}; each event's step is handed
- * back to its caller, who carries the actions out. Safe for use by several threads: each account is under a lock of its own,
- * the keeper under another, and an account's lock is taken within the keeper's but never the other way round.
+ * <p>Invariants: an account's budget never has more own parts than {@link ShareKeeper#usableParts}; the caller of each
+ * method carries out the actions of the returned step. Safe for use by several threads: each account and the {@link
+ * ShareKeeper} have locks of their own, and an account's lock may be acquired while holding the latter, never the other
+ * way round.
  */
 public final class EntryBudget {
 
     private final BudgetPolicy policy;
     private final MonotonicClock clock;
     private final RandomGenerator random;
-    private final HoldingProof proof;
-    private final ShareKeeper keeper;
+    private final HoldingProof leaseValidity;
+    private final ShareKeeper shareManager;
     private final Map<AccountId, AccountBudget> accounts = new ConcurrentHashMap<>();
     private volatile List<InstanceId> peers = List.of();
 
     /**
-     * A step of one account.
+     * The step of one account.
      *
      * @param account the account
-     * @param step what came of an event
+     * @param step the result of an event
      */
     public record AccountStep(AccountId account, BudgetStep step) {}
 
     /**
-     * Makes budgets without accounts.
+     * Creates budgets without accounts.
      *
      * @param self this entry, not null
-     * @param policy times and choices, not null
+     * @param policy the time limits and the sharing policy, not null
      * @param clock the source of elapsed time, not null
      * @param random the source of random choices, safe for use by several threads, not null
      */
@@ -51,8 +52,8 @@
         this.policy = Objects.requireNonNull(policy, "policy");
         this.clock = Objects.requireNonNull(clock, "clock");
         this.random = Objects.requireNonNull(random, "random");
-        this.proof = new HoldingProof(policy.proofLimit().toNanos());
-        this.keeper = new ShareKeeper(self, policy, proof, clock, this::withdraw);
+        this.leaseValidity = new HoldingProof(policy.proofLimit().toNanos());
+        this.shareManager = new ShareKeeper(self, policy, leaseValidity, clock, this::withdraw);
     }
 
     private long withdraw(AccountId account, long parts) {
@@ -62,9 +63,9 @@
 
     private AccountBudget budget(AccountId account) {
         return accounts.computeIfAbsent(account, missing -> {
-            AccountBudget made = new AccountBudget(missing, policy, proof, clock, random);
-            made.setSurroundings(peers, keeper.row());
-            return made;
+            AccountBudget created = new AccountBudget(missing, policy, leaseValidity, clock, random);
+            created.setPeersAndHolderRow(peers, shareManager.rowKey());
+            return created;
         });
     }
 
@@ -74,7 +75,7 @@
      * @param account the account, not null
      * @param tokensPerSecond the rate over all entries together, 0 to stop the account
      * @param burstTokens the burst over all entries together
-     * @return what came of it, not null
+     * @return the resulting step, not null
      */
     public BudgetStep setRate(AccountId account, long tokensPerSecond, long burstTokens) {
         return budget(account).setRate(tokensPerSecond, burstTokens);
@@ -86,7 +87,7 @@
      * @param existing the accounts, not null
      */
     public void setAccounts(Set<AccountId> existing) {
-        keeper.setAccounts(existing);
+        shareManager.setAccounts(existing);
     }
 
     /**
@@ -96,107 +97,107 @@
      */
     public void setPeers(List<InstanceId> newPeers) {
         peers = List.copyOf(newPeers);
-        accounts.values().forEach(budget -> budget.setSurroundings(peers, keeper.row()));
+        accounts.values().forEach(budget -> budget.setPeersAndHolderRow(peers, shareManager.rowKey()));
     }
 
     /**
-     * Takes a reading of the instance list.
+     * Handles a read of the instance list.
      *
-     * @param listed the entries listed, not null
-     * @param askedAt the time before the list was asked for
+     * @param listed the listed entries, not null
+     * @param requestedAt a time before the list was requested
      */
-    public void listed(Set<ListedHolder> listed, long askedAt) {
-        keeper.listed(listed, askedAt);
+    public void listed(Set<ListedHolder> listed, long requestedAt) {
+        shareManager.onHoldersListed(listed, requestedAt);
     }
 
     /**
-     * Asks for tokens; see {@link AccountBudget#reserve}.
+     * Reserves tokens for a request; see {@link AccountBudget#reserve}.
      *
      * @param account the account, not null
-     * @param ticket the number by which the answer tells which request it is for
-     * @param tokens the tokens
-     * @param deadlineLeft the time that the request has left, not null
-     * @return what came of it, not null
+     * @param ticket the number that identifies the request in the answer
+     * @param tokens the tokens to reserve
+     * @param deadlineLeft the time left until the request's deadline, not null
+     * @return the resulting step, not null
      */
     public BudgetStep reserve(AccountId account, long ticket, long tokens, Duration deadlineLeft) {
         AccountBudget budget = budget(account);
         BudgetStep step = budget.reserve(ticket, tokens, deadlineLeft);
         if (budget.ownParts() == 0) {
-            keeper.claim(account);
+            shareManager.claim(account);
         }
         return step;
     }
 
     /**
-     * Ends a request; see {@link AccountBudget#settle}.
+     * Settles a finished request; see {@link AccountBudget#settle}.
      *
      * @param account the account, not null
-     * @param grant the tokens set aside, not null
+     * @param grant the reserved tokens, not null
      * @param actualTokens the tokens used
-     * @return what came of it, not null
+     * @return the resulting step, not null
      */
     public BudgetStep settle(AccountId account, Grant grant, long actualTokens) {
         return budget(account).settle(grant, actualTokens);
     }
 
     /**
-     * Does what is due for an account.
+     * Handles expired timeouts and waiting requests of an account; see {@link BudgetStep#wakeAt}.
      *
      * @param account the account, not null
-     * @return what came of it, not null
+     * @return the resulting step, not null
      */
     public BudgetStep wake(AccountId account) {
         return budget(account).wake();
     }
 
     /**
-     * Answers another entry that asks for a loan, and notes what is to be handed over to it.
+     * Answers another entry's request for a loan and enqueues the resulting handover.
      *
      * @param peer the other entry, not null
-     * @param wish what it asks, not null
-     * @return what came of it, not null
+     * @param request its request, not null
+     * @return the resulting step, not null
      */
-    public BudgetStep loanAsked(InstanceId peer, LoanWish wish) {
-        BudgetStep step = budget(wish.account()).loanAsked(peer, wish);
+    public BudgetStep loanAsked(InstanceId peer, LoanWish request) {
+        BudgetStep step = budget(request.account()).onLoanRequested(peer, request);
         step.actions().stream()
                 .filter(BudgetAction.HandOver.class::isInstance)
                 .map(BudgetAction.HandOver.class::cast)
-                .forEach(keeper::handOver);
+                .forEach(shareManager::handOver);
         return step;
     }
 
     /**
-     * Takes another entry's answer to a request for a loan.
+     * Handles another entry's answer to a request for a loan.
      *
      * @param peer the other entry, not null
-     * @param loan what it lends, not null
-     * @return what came of it, not null
+     * @param loan the loan, not null
+     * @return the resulting step, not null
      */
     public BudgetStep loanAnswered(InstanceId peer, Loan loan) {
-        return budget(loan.account()).loanAnswered(peer, loan);
+        return budget(loan.account()).onLoanAnswered(peer, loan);
     }
 
     /**
-     * Gets the keeper of this entry's shares; after each answer that it is given, {@link #publish} must be called.
+     * Gets the object that manages this entry's shares; {@link #publish} must be called after each result reported to it.
      *
-     * @return the keeper, not null
+     * @return the object, not null
      */
     public ShareKeeper keeper() {
-        return keeper;
+        return shareManager;
     }
 
     /**
-     * Gives the accounts' budgets the parts that the keeper holds for certain now.
+     * Updates the accounts' budgets to the parts that this entry is certain to hold.
      *
-     * @return what came of it for the accounts whose parts have changed, not null
+     * @return the steps of the accounts whose parts have changed, not null
      */
     public List<AccountStep> publish() {
-        Set<AccountId> first = keeper.takeFirstIssued();
+        Set<AccountId> first = shareManager.takeFirstIssued();
         List<AccountStep> steps = new ArrayList<>();
         for (Map.Entry<AccountId, AccountBudget> entry : accounts.entrySet()) {
             AccountBudget budget = entry.getValue();
-            long parts = keeper.usable(entry.getKey());
-            budget.setSurroundings(peers, keeper.row());
+            long parts = shareManager.usableParts(entry.getKey());
+            budget.setPeersAndHolderRow(peers, shareManager.rowKey());
             if (parts != budget.ownParts()) {
                 BudgetStep step = budget.setOwnParts(parts, first.contains(entry.getKey()));
                 steps.add(new AccountStep(entry.getKey(), step));
@@ -205,13 +206,13 @@
         return steps;
     }
 
-    /** Gives all shares back, once the loans given are over; nothing is granted from them any more. */
+    /** Stops granting from this entry's shares and returns them once all given loans have ended. */
     public void release() {
         long loansEndAt = clock.nanos();
         for (AccountBudget budget : accounts.values()) {
             loansEndAt = Math.max(loansEndAt, budget.release());
         }
-        keeper.release(loansEndAt);
+        shareManager.release(loansEndAt);
     }
 
     /**
@@ -225,21 +226,21 @@
     }
 
     /**
-     * Queries whether the shares held may be spent now.
+     * Queries whether this entry's shares may be spent now.
      *
      * @return true if they may
      */
     public boolean isProved() {
-        return proof.holds(clock.nanos());
+        return leaseValidity.isValid(clock.nanos());
     }
 
     /**
-     * Gets the tokens that an account may spend here at once.
+     * Gets the tokens that an account may spend immediately at this entry.
      *
      * @param account the account, not null
      * @return the tokens
      */
-    public long level(AccountId account) {
-        return budget(account).level();
+    public long availableTokens(AccountId account) {
+        return budget(account).availableTokens();
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerView.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerView.java
@@ -8,19 +8,19 @@
 import org.geraniumreach.model.AttemptId;
 
 /**
- * What a {@link LedgerCall} asks about the world around it.
+ * The functions with which a {@link LedgerCall} queries its environment.
  *
- * <p>No answer is needed for safety: a wrong one costs time or an unknown outcome, never a second run.
+ * <p>Safety does not depend on the answers: a wrong one causes a delay or an unknown outcome, never a second run.
  *
- * @param now the time of day
- * @param newAttempt makes attempt ids
- * @param chooser chooses a companion, empty if none offers the operation
- * @param liveSender whether an entry is live
- * @param goneCompanion whether a companion's instance is gone for good
+ * @param clock gets the current time of day
+ * @param attemptIds creates unique attempt ids
+ * @param companionSelector selects a companion, empty if none offers the operation
+ * @param isSenderLive whether an entry is live
+ * @param isCompanionGone whether a companion's instance is permanently gone
  */
 public record LedgerView(
-        Supplier<Instant> now,
-        Supplier<AttemptId> newAttempt,
-        Supplier<Optional<Companion>> chooser,
-        Predicate<Sender> liveSender,
-        Predicate<Companion> goneCompanion) {}
+        Supplier<Instant> clock,
+        Supplier<AttemptId> attemptIds,
+        Supplier<Optional<Companion>> companionSelector,
+        Predicate<Sender> isSenderLive,
+        Predicate<Companion> isCompanionGone) {}
