--- a/node/src/main/java/org/geraniumreach/node/AdapterLoadCoordinator.java
+++ b/node/src/main/java/org/geraniumreach/node/AdapterLoadCoordinator.java
@@ -54,16 +54,16 @@
     private static final Duration POLL_INTERVAL = Duration.ofMillis(12);
 
     /** Between two looks at a target that nothing may be sent to. */
-    private static final Duration CLOSED_POLL_INTERVAL = Duration.ofMillis(500);
+    private static final Duration EVACUATED_POLL_INTERVAL = Duration.ofMillis(500);
 
-    private static final Duration SHORTEST_POLL_INTERVAL = Duration.ofMillis(1);
+    private static final Duration MIN_POLL_INTERVAL = Duration.ofMillis(1);
 
     /** Orders are answered within 10 ms; one that is not was lost, or is carried out late, and a copy of it does no harm. */
     private static final Duration ORDER_TIMEOUT = Duration.ofMillis(150);
 
     private static final Duration REPORT_TIMEOUT = Duration.ofMillis(300);
 
-    private static final Duration REQUEST_INTERVAL = Duration.ofMillis(300);
+    private static final Duration LOAD_REQUEST_INTERVAL = Duration.ofMillis(300);
 
     private final TargetRegistry registry;
     private final TargetOwnership ownership;
@@ -74,21 +74,21 @@
     private final DecisionLog log;
     private final String self;
     private final Supplier<Optional<TrafficConfiguration>> configuration;
-    private final FetchWindow fetches = new FetchWindow();
-    private final Map<Target, Owned> owned = new HashMap<>();
+    private final FetchWindow fetchWindow = new FetchWindow();
+    private final Map<Target, OwnedTarget> ownedTargets = new HashMap<>();
     private final NamedVersions versions;
-    private final AdapterWaiters waiting = new AdapterWaiters();
-    private final UsageReports usage = new UsageReports();
-    private final DeclinedLoads declines = new DeclinedLoads();
-    private final Map<Target, Map<AdapterName, Long>> asked = new HashMap<>();
+    private final AdapterWaiters waiters = new AdapterWaiters();
+    private final UsageReports usageReports = new UsageReports();
+    private final DeclinedLoads declinedLoads = new DeclinedLoads();
+    private final Map<Target, Map<AdapterName, Long>> recentLoadRequests = new HashMap<>();
     private Optional<EntryLinks> links = Optional.empty();
 
     /** A target that this entry holds. */
-    private static final class Owned {
+    private static final class OwnedTarget {
         private final AdapterSlots slots;
-        private Cancellable poll = Cancellable.NOOP;
+        private Cancellable pollTimer = Cancellable.NOOP;
 
-        private Owned(AdapterSlots slots) {
+        private OwnedTarget(AdapterSlots slots) {
             this.slots = slots;
         }
     }
@@ -101,11 +101,11 @@
      * @param mayBeCalled whether anything may be sent to a target now
      * @param port calls them
      */
-    record Targets(
+    record TargetAccess(
             TargetRegistry registry, TargetOwnership ownership, Predicate<Target> mayBeCalled, TargetPort port) {}
 
     AdapterLoadCoordinator(
-            Targets targets,
+            TargetAccess targets,
             Timers timers,
             MonotonicClock clock,
             DecisionLog log,
@@ -128,29 +128,29 @@
     }
 
     /** Queries whether somebody can have adapters loaded at a target now. */
-    boolean isOrderable(Target target) {
+    boolean canReceiveOrders(Target target) {
         if (ownership.fence(target.id()).isPresent()) {
             return true;
         }
         return ownership
                 .holder(target.id())
                 .filter(holder -> !holder.equals(self))
-                .filter(holder -> links.isPresent() && links.get().isVisible(holder))
+                .filter(holder -> links.isPresent() && links.get().isConnected(holder))
                 .isPresent();
     }
 
     /** Gets the targets that hold models, which need a holder. */
-    List<TargetId> needingOwner() {
+    List<TargetId> targetsNeedingOwner() {
         List<TargetId> needing = new ArrayList<>();
         for (Target target : registry.all()) {
-            if (engine(target).isPresent()) {
+            if (findEngine(target).isPresent()) {
                 needing.add(target.id());
             }
         }
         return needing;
     }
 
-    private Optional<ServiceDefinition.Engine> engine(Target target) {
+    private Optional<ServiceDefinition.Engine> findEngine(Target target) {
         return configuration
                 .get()
                 .flatMap(current -> current.service(target.description().service()))
@@ -165,23 +165,23 @@
 
     private void refresh(Target target) {
         boolean own = ownership.fence(target.id()).isPresent();
-        if (own && !owned.containsKey(target)) {
-            engine(target).ifPresent(engine -> takeUp(target, engine));
+        if (own && !ownedTargets.containsKey(target)) {
+            findEngine(target).ifPresent(engine -> startManaging(target, engine));
         } else if (!own
-                && owned.containsKey(target)
+                && ownedTargets.containsKey(target)
                 && !ownership.holder(target.id()).equals(Optional.of(self))) {
-            letGo(target);
+            stopManaging(target);
         }
     }
 
-    private void takeUp(Target target, ServiceDefinition.Engine engine) {
+    private void startManaging(Target target, ServiceDefinition.Engine engine) {
         AdapterSlots slots = new AdapterSlots(
                 engine.adapterSlots(),
                 engine.models().get(0),
                 adapter -> Math.max(1, namedVersion(adapter)),
-                fetches,
-                new Changes(target, engine.models().get(0)));
-        owned.put(target, new Owned(slots));
+                fetchWindow,
+                new ChangePublisher(target, engine.models().get(0)));
+        ownedTargets.put(target, new OwnedTarget(slots));
         log.write(
                 EventCode.HOLDER_CHANGED,
                 target.id().value(),
@@ -190,20 +190,20 @@
         poll(target);
     }
 
-    private void letGo(Target target) {
-        Owned former = owned.remove(target);
+    private void stopManaging(Target target) {
+        OwnedTarget former = ownedTargets.remove(target);
         if (former != null) {
-            former.poll.cancel();
+            former.pollTimer.cancel();
             former.slots.close();
         }
     }
 
     /** Passes on what changes at an owned target. */
-    private final class Changes implements AdapterSlots.Listener {
+    private final class ChangePublisher implements AdapterSlots.Listener {
         private final Target target;
         private final String model;
 
-        private Changes(Target target, String model) {
+        private ChangePublisher(Target target, String model) {
             this.target = target;
             this.model = model;
         }
@@ -211,23 +211,23 @@
         @Override
         public void onAdapterLoaded(AdapterName adapter, long version) {
             target.learnResident(adapter, version, clock.nanos());
-            publish(changes().addLoaded(loaded(adapter.adapter(), version)));
-            waiting.wake(adapter);
+            publish(newMessage().addLoaded(toLoadedMessage(adapter.adapter(), version)));
+            waiters.wake(adapter);
         }
 
         @Override
         public void onAdapterUnavailable(AdapterName adapter) {
             target.learnAbsent(adapter, clock.nanos());
-            publish(changes().addUnloaded(adapter.adapter()));
+            publish(newMessage().addUnloaded(adapter.adapter()));
         }
 
         @Override
         public void onModelLoaded() {
             target.learnModel(model);
-            publish(changes());
+            publish(newMessage());
         }
 
-        private AdapterChanges.Builder changes() {
+        private AdapterChanges.Builder newMessage() {
             return AdapterChanges.newBuilder()
                     .setTarget(target.id().value())
                     .setStartedAt(target.description().startedAt())
@@ -237,11 +237,11 @@
 
         private void publish(AdapterChanges.Builder changes) {
             links.ifPresent(open ->
-                    open.sendAll(Frame.newBuilder().setAdapterChanges(changes).build()));
+                    open.sendToAll(Frame.newBuilder().setAdapterChanges(changes).build()));
         }
     }
 
-    private static AdapterLoaded loaded(String adapter, long version) {
+    private static AdapterLoaded toLoadedMessage(String adapter, long version) {
         return AdapterLoaded.newBuilder()
                 .setAdapter(adapter)
                 .setVersion(version)
@@ -250,45 +250,45 @@
 
     /** Makes the next call that is due at an owned target, and comes back while anything is. */
     private void poll(Target target) {
-        Owned now = owned.get(target);
+        OwnedTarget now = ownedTargets.get(target);
         if (now == null) {
             return;
         }
-        now.poll.cancel();
+        now.pollTimer.cancel();
         if (!mayBeCalled.test(target)) {
-            now.poll = timers.schedule(CLOSED_POLL_INTERVAL, () -> poll(target));
+            now.pollTimer = timers.schedule(EVACUATED_POLL_INTERVAL, () -> poll(target));
             return;
         }
         OptionalLong fence = ownership.fence(target.id());
         if (fence.isPresent()) {
-            now.slots.nextCall(clock.nanos()).ifPresent(step -> carryOut(target, now, step, fence.getAsLong()));
+            now.slots.nextCall(clock.nanos()).ifPresent(step -> execute(target, now, step, fence.getAsLong()));
         }
         if (now.slots.isBusy()) {
-            now.poll = timers.schedule(untilPoll(now.slots), () -> poll(target));
+            now.pollTimer = timers.schedule(nextPollDelay(now.slots), () -> poll(target));
         }
     }
 
-    private Duration untilPoll(AdapterSlots slots) {
+    private Duration nextPollDelay(AdapterSlots slots) {
         Duration until = slots.untilNextCall(clock.nanos()).orElse(POLL_INTERVAL);
-        return until.compareTo(SHORTEST_POLL_INTERVAL) < 0 ? SHORTEST_POLL_INTERVAL : until;
+        return until.compareTo(MIN_POLL_INTERVAL) < 0 ? MIN_POLL_INTERVAL : until;
     }
 
-    private void carryOut(Target target, Owned now, AdapterSlots.Call step, long fence) {
+    private void execute(Target target, OwnedTarget now, AdapterSlots.Call step, long fence) {
         if (step instanceof AdapterSlots.Call.SendOrder send) {
-            order(target, now, send, fence);
+            sendOrder(target, now, send, fence);
         } else {
-            report(target, now);
+            fetchReport(target, now);
         }
     }
 
-    private void order(Target target, Owned now, AdapterSlots.Call.SendOrder send, long fence) {
+    private void sendOrder(Target target, OwnedTarget now, AdapterSlots.Call.SendOrder send, long fence) {
         Order order = new Order(
                 send.operation(),
                 now.slots.model(),
                 send.adapter().map(AdapterName::adapter),
                 OptionalLong.of(send.expectedOrders()),
                 fence);
-        OneAnswer<OrderResult> answer = new OneAnswer<>(result -> {
+        TimeoutCallback<OrderResult> answer = new TimeoutCallback<>(result -> {
             logOrder(target, send, fence, result);
             now.slots.onOrderResult(send, result, clock.nanos());
             if (result == OrderResult.ANOTHER_TARGET) {
@@ -296,8 +296,8 @@
             }
             poll(target);
         });
-        answer.within(ORDER_TIMEOUT, OrderResult.UNKNOWN, timers);
-        answer.from(targets.sendOrder(target, order, self, answer));
+        answer.startTimeout(ORDER_TIMEOUT, OrderResult.UNKNOWN, timers);
+        answer.setCall(targets.sendOrder(target, order, self, answer));
     }
 
     private void logOrder(Target target, AdapterSlots.Call.SendOrder send, long fence, OrderResult result) {
@@ -311,8 +311,8 @@
                 Field.of("result", result));
     }
 
-    private void report(Target target, Owned now) {
-        OneAnswer<Optional<TargetReport>> answer = new OneAnswer<>(report -> {
+    private void fetchReport(Target target, OwnedTarget now) {
+        TimeoutCallback<Optional<TargetReport>> answer = new TimeoutCallback<>(report -> {
             if (report.isPresent()) {
                 now.slots.onReport(report.get(), clock.nanos());
             } else {
@@ -320,36 +320,36 @@
             }
             poll(target);
         });
-        answer.within(REPORT_TIMEOUT, Optional.empty(), timers);
-        answer.from(targets.fetchReport(target, answer));
+        answer.startTimeout(REPORT_TIMEOUT, Optional.empty(), timers);
+        answer.setCall(targets.fetchReport(target, answer));
     }
 
     @Override
     public void enqueue(Target target, AdapterName adapter, Optional<Duration> untilLate, boolean mayDecline) {
-        Owned own = owned.get(target);
+        OwnedTarget own = ownedTargets.get(target);
         long now = clock.nanos();
         if (own != null) {
-            if (enqueueUnlessDeclined(own.slots, adapter, untilLate, mayDecline)) {
+            if (tryEnqueue(own.slots, adapter, untilLate, mayDecline)) {
                 poll(target);
             } else {
-                declined(target.id(), adapter);
+                onDeclined(target.id(), adapter);
             }
             return;
         }
-        Map<AdapterName, Long> recent = asked.computeIfAbsent(target, missing -> new LinkedHashMap<>());
-        recent.values().removeIf(at -> now - at > REQUEST_INTERVAL.toNanos());
+        Map<AdapterName, Long> recent = recentLoadRequests.computeIfAbsent(target, missing -> new LinkedHashMap<>());
+        recent.values().removeIf(at -> now - at > LOAD_REQUEST_INTERVAL.toNanos());
         if (recent.putIfAbsent(adapter, now) == null) {
             AdapterLoadRequest.Builder request = AdapterLoadRequest.newBuilder()
                     .setAdapter(adapter.adapter())
                     .setWaitedFor(untilLate.isPresent())
                     .setMayDecline(mayDecline)
                     .setUntilLateMillis((int) untilLate.orElse(Duration.ZERO).toMillis());
-            demand(target, adapter.baseModel(), AdapterDemand.newBuilder().addLoadRequests(request));
+            sendDemand(target, adapter.baseModel(), AdapterDemand.newBuilder().addLoadRequests(request));
         }
     }
 
     /** Enqueues a load request, or tells that it is declined because all slots are in use. */
-    private boolean enqueueUnlessDeclined(
+    private boolean tryEnqueue(
             AdapterSlots slots, AdapterName adapter, Optional<Duration> untilLate, boolean mayDecline) {
         long now = clock.nanos();
         if (mayDecline && !slots.hasSlotFor(adapter, now)) {
@@ -365,7 +365,7 @@
                 : OptionalLong.of(now + untilLate.get().toNanos());
     }
 
-    private void demand(Target target, String model, AdapterDemand.Builder demand) {
+    private void sendDemand(Target target, String model, AdapterDemand.Builder demand) {
         Frame frame = Frame.newBuilder()
                 .setAdapterDemand(demand.setTarget(target.id().value()).setModel(model))
                 .build();
@@ -374,8 +374,8 @@
 
     @Override
     public void onRequestSent(Target target, AdapterName adapter) {
-        usage.onRequestStarted(target, adapter);
-        Owned own = owned.get(target);
+        usageReports.onRequestStarted(target, adapter);
+        OwnedTarget own = ownedTargets.get(target);
         if (own != null) {
             own.slots.recordUses(adapter, 1, clock.nanos());
         }
@@ -383,13 +383,13 @@
 
     @Override
     public void onRequestEnded(Target target, AdapterName adapter) {
-        usage.onRequestEnded(target, adapter);
+        usageReports.onRequestEnded(target, adapter);
     }
 
     private void reportUsage() {
         long now = clock.nanos();
-        for (UsageReports.Report report : usage.takeDue(now)) {
-            Owned own = owned.get(report.target());
+        for (UsageReports.Report report : usageReports.takeDue(now)) {
+            OwnedTarget own = ownedTargets.get(report.target());
             if (own != null) {
                 own.slots.updateRunning(self, report.running(), now);
             } else {
@@ -401,34 +401,34 @@
 
     private void reportToOwner(UsageReports.Report report) {
         Map<String, AdapterDemand.Builder> byModel = new HashMap<>();
-        report.started().forEach(adapter -> byModel.computeIfAbsent(adapter.baseModel(), missing -> report())
+        report.started().forEach(adapter -> byModel.computeIfAbsent(adapter.baseModel(), missing -> fetchReport())
                 .addUsed(adapter.adapter()));
-        report.running().forEach(adapter -> byModel.computeIfAbsent(adapter.baseModel(), missing -> report())
+        report.running().forEach(adapter -> byModel.computeIfAbsent(adapter.baseModel(), missing -> fetchReport())
                 .addRunning(adapter.adapter()));
         if (byModel.isEmpty()) {
-            engine(report.target())
-                    .ifPresent(engine -> byModel.put(engine.models().get(0), report()));
+            findEngine(report.target())
+                    .ifPresent(engine -> byModel.put(engine.models().get(0), fetchReport()));
         }
-        byModel.forEach((model, demand) -> demand(report.target(), model, demand));
+        byModel.forEach((model, demand) -> sendDemand(report.target(), model, demand));
     }
 
-    private static AdapterDemand.Builder report() {
+    private static AdapterDemand.Builder fetchReport() {
         return AdapterDemand.newBuilder().setTellsRunning(true);
     }
 
     @Override
     public Cancellable await(AdapterName adapter, Runnable changed) {
-        return waiting.add(adapter, changed);
+        return waiters.add(adapter, changed);
     }
 
     @Override
     public long namedVersion(AdapterName adapter) {
-        return versions.newest(adapter);
+        return versions.newestVersion(adapter);
     }
 
     @Override
     public long minimumVersion(AdapterName adapter) {
-        return versions.required(adapter);
+        return versions.requiredVersion(adapter);
     }
 
     /** Gets the versions that the operator has named, to be kept up to date. */
@@ -449,9 +449,9 @@
     @Override
     public void onLeft(Target target) {
         log.write(EventCode.TARGET_LEFT, target.id().value());
-        letGo(target);
-        usage.remove(target);
-        asked.remove(target);
+        stopManaging(target);
+        usageReports.remove(target);
+        recentLoadRequests.remove(target);
     }
 
     @Override
@@ -460,35 +460,36 @@
     }
 
     @Override
-    public void opened(String entry) {
-        owned.forEach((target, own) -> {
+    public void onLinkOpened(String entry) {
+        ownedTargets.forEach((target, own) -> {
             AdapterChanges.Builder changes = AdapterChanges.newBuilder()
                     .setTarget(target.id().value())
                     .setStartedAt(target.description().startedAt())
                     .setModel(own.slots.model())
                     .setModelPresent(target.holdsModel(own.slots.model()));
-            target.residents().forEach((adapter, version) -> changes.addLoaded(loaded(adapter.adapter(), version)));
+            target.residents()
+                    .forEach((adapter, version) -> changes.addLoaded(toLoadedMessage(adapter.adapter(), version)));
             links.ifPresent(open -> open.send(
                     entry, Frame.newBuilder().setAdapterChanges(changes).build()));
         });
     }
 
     @Override
-    public void demanded(String entry, AdapterDemand demand) {
+    public void onAdapterDemand(String entry, AdapterDemand demand) {
         Optional<Target> target = registry.find(TargetId.of(demand.getTarget()));
-        if (target.isEmpty() || !owned.containsKey(target.get())) {
+        if (target.isEmpty() || !ownedTargets.containsKey(target.get())) {
             return;
         }
-        AdapterSlots slots = owned.get(target.get()).slots;
+        AdapterSlots slots = ownedTargets.get(target.get()).slots;
         long now = clock.nanos();
         demand.getUsedList().forEach(name -> slots.recordUses(new AdapterName(demand.getModel(), name), 1, now));
         if (demand.getTellsRunning()) {
-            slots.updateRunning(entry, adapters(demand.getModel(), demand.getRunningList()), now);
+            slots.updateRunning(entry, toAdapterNames(demand.getModel(), demand.getRunningList()), now);
         }
         AdapterChanges.Builder answer = AdapterChanges.newBuilder();
         for (AdapterLoadRequest request : demand.getLoadRequestsList()) {
-            AdapterName adapter = adapter(demand, request);
-            if (!enqueueUnlessDeclined(slots, adapter, untilLate(request), request.getMayDecline())) {
+            AdapterName adapter = toAdapterName(demand, request);
+            if (!tryEnqueue(slots, adapter, untilLate(request), request.getMayDecline())) {
                 answer.addDeclined(adapter.adapter());
             }
         }
@@ -502,21 +503,21 @@
         poll(target.get());
     }
 
-    private void declined(TargetId target, AdapterName adapter) {
-        declines.add(target, adapter, clock.nanos());
-        waiting.wake(adapter);
+    private void onDeclined(TargetId target, AdapterName adapter) {
+        declinedLoads.add(target, adapter, clock.nanos());
+        waiters.wake(adapter);
     }
 
     @Override
     public boolean hasDeclined(TargetId target, AdapterName adapter) {
-        return declines.contains(target, adapter, clock.nanos());
+        return declinedLoads.contains(target, adapter, clock.nanos());
     }
 
-    private static Set<AdapterName> adapters(String model, List<String> names) {
+    private static Set<AdapterName> toAdapterNames(String model, List<String> names) {
         return names.stream().map(name -> new AdapterName(model, name)).collect(Collectors.toUnmodifiableSet());
     }
 
-    private static AdapterName adapter(AdapterDemand demand, AdapterLoadRequest request) {
+    private static AdapterName toAdapterName(AdapterDemand demand, AdapterLoadRequest request) {
         return new AdapterName(demand.getModel(), request.getAdapter());
     }
 
@@ -525,7 +526,7 @@
     }
 
     @Override
-    public void adaptersChanged(AdapterChanges changes) {
+    public void onAdapterChanges(AdapterChanges changes) {
         Optional<Target> target = registry.find(TargetId.of(changes.getTarget()))
                 .filter(known -> known.description().startedAt() == changes.getStartedAt());
         if (target.isEmpty()) {
@@ -539,11 +540,11 @@
             target.get().learnAbsent(new AdapterName(changes.getModel(), gone), now);
         }
         changes.getDeclinedList()
-                .forEach(name -> declined(target.get().id(), new AdapterName(changes.getModel(), name)));
+                .forEach(name -> onDeclined(target.get().id(), new AdapterName(changes.getModel(), name)));
         for (AdapterLoaded loaded : changes.getLoadedList()) {
             AdapterName adapter = new AdapterName(changes.getModel(), loaded.getAdapter());
             target.get().learnResident(adapter, loaded.getVersion(), now);
-            waiting.wake(adapter);
+            waiters.wake(adapter);
         }
     }
 }
--- a/node/src/main/java/org/geraniumreach/node/EntryDirectory.java
+++ b/node/src/main/java/org/geraniumreach/node/EntryDirectory.java
@@ -58,21 +58,21 @@
     private final MonotonicClock clock;
     private final StoreAvailability availability;
     private final DecisionLog log;
-    private final Map<String, EntryRow> entries = new HashMap<>();
+    private final Map<String, EntryRow> entryRows = new HashMap<>();
     private final Map<String, Double> capacities = new HashMap<>();
     private final long startedAt;
-    private List<String> reachable = List.of();
-    private boolean read;
-    private boolean claiming;
-    private boolean sharing;
-    private boolean readingLeases;
-    private boolean introduced;
-    private boolean introducing;
+    private List<String> reachableInstances = List.of();
+    private boolean tableRead;
+    private boolean claimInProgress;
+    private boolean shareUpdateInProgress;
+    private boolean leaseReadInProgress;
+    private boolean registered;
+    private boolean registrationInProgress;
     private long leasesReadAt = Long.MIN_VALUE;
     private boolean stopped;
 
     /** What a table works with. */
-    record Parts(
+    record Dependencies(
             StorePort store,
             TargetOwnership ownership,
             Quotas quotas,
@@ -83,7 +83,7 @@
             StoreAvailability availability,
             DecisionLog log) {}
 
-    EntryDirectory(ProcessSettings settings, long incarnation, Parts parts) {
+    EntryDirectory(ProcessSettings settings, long incarnation, Dependencies parts) {
         this.settings = Objects.requireNonNull(settings, "settings");
         this.incarnation = incarnation;
         this.store = parts.store();
@@ -99,7 +99,7 @@
     }
 
     void start() {
-        introduce();
+        register();
         tick();
     }
 
@@ -107,11 +107,11 @@
         stopped = true;
     }
 
-    private void introduce() {
-        if (introduced || introducing) {
+    private void register() {
+        if (registered || registrationInProgress) {
             return;
         }
-        introducing = true;
+        registrationInProgress = true;
         Transaction transaction = Transaction.empty()
                 .withWrite(
                         EntryRow.key(TargetOwnership.FLEET_TABLE, settings.instance()),
@@ -120,60 +120,60 @@
                         CapacityRow.key(TargetOwnership.FLEET_TABLE, settings.instance()),
                         CapacityRow.toText(settings.capacity()));
         commit(transaction, committed -> {
-            introducing = false;
-            introduced = committed.isPresent();
+            registrationInProgress = false;
+            registered = committed.isPresent();
         });
     }
 
     /** Tells of a decision of the store, or of none where nobody knows. */
     private void commit(Transaction transaction, Consumer<Optional<StorePort.CommitResult>> decided) {
-        OneAnswer<StoreReply<StorePort.CommitResult>> answer = new OneAnswer<>(reply -> {
+        TimeoutCallback<StoreReply<StorePort.CommitResult>> answer = new TimeoutCallback<>(reply -> {
             availability.record(reply);
             boolean known = reply instanceof StoreReply.Value<StorePort.CommitResult>;
             decided.accept(
                     known ? Optional.of(((StoreReply.Value<StorePort.CommitResult>) reply).value()) : Optional.empty());
         });
-        answer.within(STORE_TIMEOUT, new StoreReply.Unknown<>("no answer to a transaction"), timers);
-        answer.from(store.commit(transaction, answer));
+        answer.startTimeout(STORE_TIMEOUT, new StoreReply.Unknown<>("no answer to a transaction"), timers);
+        answer.setCall(store.commit(transaction, answer));
     }
 
     /** Takes the table's news. */
-    void onNews(StorePort.TableUpdate<RowChange> news) {
-        read = true;
+    void onTableUpdate(StorePort.TableUpdate<RowChange> news) {
+        tableRead = true;
         for (RowChange change : news.items()) {
-            put(change.key(), change.row());
+            applyRow(change.key(), change.row());
         }
-        keepLinks();
+        updateLinks();
         coordinator.refresh();
     }
 
-    private void put(String key, Optional<Row> row) {
+    private void applyRow(String key, Optional<Row> row) {
         if (TargetOwnership.isHolderRow(key)) {
             ownership.updateHolder(key, row);
         } else if (Quotas.isShareRow(key)) {
             quotas.applyRow(key, row);
         } else if (EntryRow.isEntryRow(key)) {
-            putEntry(EntryRow.instance(key), row);
+            applyEntryRow(EntryRow.instance(key), row);
         } else if (CapacityRow.isCapacityRow(key)) {
-            putCapacity(CapacityRow.instance(key), row);
+            applyCapacityRow(CapacityRow.instance(key), row);
         }
     }
 
-    private void putEntry(String instance, Optional<Row> row) {
+    private void applyEntryRow(String instance, Optional<Row> row) {
         Optional<EntryRow> parsed = row.flatMap(present -> EntryRow.parse(present.value()));
         if (parsed.isEmpty()) {
-            entries.remove(instance);
+            entryRows.remove(instance);
             log.write(EventCode.INSTANCE_LEFT, instance);
             return;
         }
-        entries.put(instance, parsed.get());
+        entryRows.put(instance, parsed.get());
         log.write(
                 EventCode.INSTANCE_JOINED,
                 instance,
                 Field.of("incarnation", parsed.get().incarnation()));
     }
 
-    private void putCapacity(String instance, Optional<Row> row) {
+    private void applyCapacityRow(String instance, Optional<Row> row) {
         Optional<Double> capacity = row.flatMap(present -> CapacityRow.parse(present.value()));
         if (capacity.isPresent()) {
             capacities.put(instance, capacity.get());
@@ -187,14 +187,14 @@
         return capacities.getOrDefault(instance, 1.0);
     }
 
-    private void keepLinks() {
+    private void updateLinks() {
         Map<String, InetSocketAddress> others = new HashMap<>();
-        entries.forEach((instance, row) -> {
+        entryRows.forEach((instance, row) -> {
             if (!instance.equals(settings.instance())) {
-                others.put(instance, row.links());
+                others.put(instance, row.linkAddress());
             }
         });
-        links.keep(others);
+        links.setOtherEntries(others);
     }
 
     private void tick() {
@@ -202,78 +202,80 @@
             return;
         }
         timers.schedule(TICK_INTERVAL, this::tick);
-        introduce();
-        act();
+        register();
+        reconcile();
     }
 
     /** Takes over what is to be taken over; run at each tick and after each renewal of the lease. */
-    void act() {
-        if (!read || stopped) {
+    void reconcile() {
+        if (!tableRead || stopped) {
             return;
         }
-        reachable = reachable();
+        reachableInstances = findReachableInstances();
         coordinator.refresh();
-        claim();
-        share();
+        claimTargets();
+        updateShares();
         readLeases();
     }
 
-    private void claim() {
-        if (claiming) {
+    private void claimTargets() {
+        if (claimInProgress) {
             return;
         }
-        List<String> known = new ArrayList<>(entries.keySet());
+        List<String> known = new ArrayList<>(entryRows.keySet());
         if (!known.contains(settings.instance())) {
             known.add(settings.instance());
         }
-        ownership.claim(coordinator.needingOwner(), known, links::isVisible).ifPresent(transaction -> {
-            claiming = true;
-            commit(transaction, decision -> {
-                claiming = false;
-                decision.filter(StorePort.CommitResult::committed)
-                        .ifPresent(done -> apply(transaction, done.version()));
-            });
-        });
+        ownership
+                .claim(coordinator.targetsNeedingOwner(), known, links::isConnected)
+                .ifPresent(transaction -> {
+                    claimInProgress = true;
+                    commit(transaction, decision -> {
+                        claimInProgress = false;
+                        decision.filter(StorePort.CommitResult::committed)
+                                .ifPresent(done -> applyWrites(transaction, done.version()));
+                    });
+                });
     }
 
-    private void share() {
+    private void updateShares() {
         boolean settled = clock.nanos() - startedAt >= SETTLING_TIME.toNanos();
-        if (sharing || !settled) {
+        if (shareUpdateInProgress || !settled) {
             return;
         }
         Map<String, Long> abandoned = ownership.endedEntries(Quotas.SHARE_TAKEOVER_DELAY);
-        quotas.proposeTransaction(reachable, abandoned).ifPresent(transaction -> {
-            sharing = true;
-            commit(transaction, decision -> shared(transaction, decision));
+        quotas.proposeTransaction(reachableInstances, abandoned).ifPresent(transaction -> {
+            shareUpdateInProgress = true;
+            commit(transaction, decision -> onShareUpdateDecided(transaction, decision));
         });
     }
 
-    private List<String> reachable() {
+    private List<String> findReachableInstances() {
         List<String> found = new ArrayList<>();
         found.add(settings.instance());
-        entries.keySet().stream()
-                .filter(entry -> !entry.equals(settings.instance()) && links.isVisible(entry))
+        entryRows.keySet().stream()
+                .filter(entry -> !entry.equals(settings.instance()) && links.isConnected(entry))
                 .forEach(found::add);
         return found;
     }
 
-    private void shared(Transaction transaction, Optional<StorePort.CommitResult> decision) {
-        sharing = false;
+    private void onShareUpdateDecided(Transaction transaction, Optional<StorePort.CommitResult> decision) {
+        shareUpdateInProgress = false;
         if (decision.isEmpty()) {
             // It may have been done, so what it gave up stays given up until the table's news tell.
             return;
         }
         if (decision.get().committed()) {
-            apply(transaction, decision.get().version());
+            applyWrites(transaction, decision.get().version());
         } else {
             quotas.onTransactionRefused();
         }
     }
 
-    private void apply(Transaction transaction, long version) {
+    private void applyWrites(Transaction transaction, long version) {
         for (Transaction.Write write : transaction.writes()) {
             RowKey key = write.key();
-            put(key.key(), write.value().map(value -> new Row(key, version, value)));
+            applyRow(key.key(), write.value().map(value -> new Row(key, version, value)));
         }
         coordinator.refresh();
     }
@@ -281,36 +283,36 @@
     private void readLeases() {
         long now = clock.nanos();
         boolean due = leasesReadAt == Long.MIN_VALUE || now - leasesReadAt >= LEASE_READ_INTERVAL.toNanos();
-        List<TargetId> targets = coordinator.needingOwner();
-        if (readingLeases || !due || !ownership.shouldReadLeases(targets, links::isVisible)) {
+        List<TargetId> targets = coordinator.targetsNeedingOwner();
+        if (leaseReadInProgress || !due || !ownership.shouldReadLeases(targets, links::isConnected)) {
             return;
         }
-        readingLeases = true;
+        leaseReadInProgress = true;
         leasesReadAt = now;
-        OneAnswer<StoreReply<StorePort.Page>> answer = new OneAnswer<>(reply -> {
-            readingLeases = false;
+        TimeoutCallback<StoreReply<StorePort.Page>> answer = new TimeoutCallback<>(reply -> {
+            leaseReadInProgress = false;
             availability.record(reply);
             if (reply instanceof StoreReply.Value<StorePort.Page> value) {
-                value.value().rows().forEach(this::sawLease);
+                value.value().rows().forEach(this::onLeaseRead);
             }
         });
-        answer.within(STORE_TIMEOUT, new StoreReply.Unknown<>("no answer to a reading"), timers);
-        answer.from(store.read(StorePort.Table.LEASES, StorePort.Position.start(), () -> {}, answer));
+        answer.startTimeout(STORE_TIMEOUT, new StoreReply.Unknown<>("no answer to a reading"), timers);
+        answer.setCall(store.read(StorePort.Table.LEASES, StorePort.Position.start(), () -> {}, answer));
     }
 
-    private void sawLease(StorePort.StoredRow row) {
+    private void onLeaseRead(StorePort.StoredRow row) {
         row.value()
                 .ifPresent(value ->
                         ownership.updateLease(row.key(), row.version(), LeaseRenewer.releasedIncarnation(value)));
     }
 
     /** Gets the instances of all entries that have introduced themselves, whether they can be reached or not. */
-    Collection<String> known() {
-        return Collections.unmodifiableSet(entries.keySet());
+    Collection<String> knownInstances() {
+        return Collections.unmodifiableSet(entryRows.keySet());
     }
 
     /** Gets the number of entries that can be spoken to, this one too, as of the last tick. */
-    int entries() {
-        return Math.max(1, reachable.size());
+    int reachableEntryCount() {
+        return Math.max(1, reachableInstances.size());
     }
 }
--- a/node/src/main/java/org/geraniumreach/node/EntryDrain.java
+++ b/node/src/main/java/org/geraniumreach/node/EntryDrain.java
@@ -18,18 +18,18 @@
  */
 final class EntryDrain {
 
-    private static final Duration LEAST_TIME = Duration.ofMillis(3_500);
+    private static final Duration MIN_DRAIN_TIME = Duration.ofMillis(3_500);
 
     /** Left for the end of the process itself. */
-    private static final Duration MARGIN = Duration.ofMillis(900);
+    private static final Duration EXIT_MARGIN = Duration.ofMillis(900);
 
     private static final Duration LEASE_RELEASE_TIMEOUT = Duration.ofMillis(300);
 
     private static final Duration POLL_INTERVAL = Duration.ofMillis(50);
 
-    private final IntSupplier open;
-    private final Consumer<Runnable> release;
-    private final Duration longest;
+    private final IntSupplier openRequests;
+    private final Consumer<Runnable> releaseLease;
+    private final Duration maxDuration;
     private final MonotonicClock clock;
 
     /**
@@ -41,9 +41,9 @@
      * @param clock the clock, not null
      */
     EntryDrain(IntSupplier open, Consumer<Runnable> release, Duration limit, MonotonicClock clock) {
-        this.open = Objects.requireNonNull(open, "open");
-        this.release = Objects.requireNonNull(release, "release");
-        this.longest = limit.minus(MARGIN);
+        this.openRequests = Objects.requireNonNull(open, "open");
+        this.releaseLease = Objects.requireNonNull(release, "release");
+        this.maxDuration = limit.minus(EXIT_MARGIN);
         this.clock = Objects.requireNonNull(clock, "clock");
     }
 
@@ -56,24 +56,24 @@
      */
     void run(Consumer<Duration> begin, Runnable close, Consumer<Boolean> released) {
         long begunAt = clock.nanos();
-        begin.accept(longest);
+        begin.accept(maxDuration);
         try {
-            awaitQuiet(begunAt);
+            awaitIdle(begunAt);
             close.run();
             CountDownLatch answered = new CountDownLatch(1);
-            release.accept(answered::countDown);
+            releaseLease.accept(answered::countDown);
             released.accept(answered.await(LEASE_RELEASE_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS));
-            awaitQuiet(begunAt);
+            awaitIdle(begunAt);
         } catch (InterruptedException stopped) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void awaitQuiet(long begunAt) throws InterruptedException {
+    private void awaitIdle(long begunAt) throws InterruptedException {
         while (true) {
             Duration passed = Duration.ofNanos(clock.nanos() - begunAt);
-            boolean quiet = open.getAsInt() == 0 && passed.compareTo(LEAST_TIME) >= 0;
-            if (quiet || passed.compareTo(longest) >= 0) {
+            boolean quiet = openRequests.getAsInt() == 0 && passed.compareTo(MIN_DRAIN_TIME) >= 0;
+            if (quiet || passed.compareTo(maxDuration) >= 0) {
                 return;
             }
             Thread.sleep(POLL_INTERVAL.toMillis());
--- a/node/src/main/java/org/geraniumreach/node/EntryLinks.java
+++ b/node/src/main/java/org/geraniumreach/node/EntryLinks.java
@@ -45,7 +45,7 @@
     private static final int PROTOCOL_VERSION = 3;
 
     /** Entries of earlier versions close a link over a frame that they do not know, such as a feed update or a quota request. */
-    private static final int CURRENT_VERSION = 2;
+    private static final int FEED_AND_QUOTA_VERSION = 2;
 
     /** The version from which on entries pace prompts by the targets' owners. */
     private static final int ADMISSION_VERSION = 3;
@@ -53,17 +53,17 @@
     /** Heartbeats are most of the frames between many entries; a lost entry's targets are taken over after its lease, much later. */
     private static final Duration PING_INTERVAL = Duration.ofSeconds(1);
 
-    private static final int UNANSWERED_PINGS = 2;
+    private static final int MAX_UNANSWERED_PINGS = 2;
 
     /** An entry that starts again is of little use before its links are open, half of which the others open. */
-    private static final Duration GREATEST_BACKOFF = Duration.ofMillis(400);
+    private static final Duration MAX_BACKOFF = Duration.ofMillis(400);
 
-    private final LinkNode links;
+    private final LinkNode linkNode;
     private final String self;
     private final Listener listener;
     private final DecisionLog log;
     private final String failureDomain;
-    private final Map<String, InetSocketAddress> known = new HashMap<>();
+    private final Map<String, InetSocketAddress> knownAddresses = new HashMap<>();
     private Consumer<FeedUpdate> feedUpdates = update -> {};
     private BiConsumer<String, QuotaRequest> quotaRequests = (entry, request) -> {};
     private Consumer<QuotaResponse> quotaResponses = response -> {};
@@ -73,11 +73,11 @@
     /** Is told of what other entries send. */
     interface Listener {
 
-        void opened(String entry);
+        void onLinkOpened(String entry);
 
-        void demanded(String entry, AdapterDemand demand);
+        void onAdapterDemand(String entry, AdapterDemand demand);
 
-        void adaptersChanged(AdapterChanges changes);
+        void onAdapterChanges(AdapterChanges changes);
     }
 
     private EntryLinks(
@@ -93,10 +93,10 @@
                 .setIncarnation(incarnation)
                 .setFailureDomain(failureDomain)
                 .build();
-        this.links = LinkNode.createOn(
+        this.linkNode = LinkNode.createOn(
                 LinkSettings.defaults()
-                        .withPings(PING_INTERVAL, UNANSWERED_PINGS)
-                        .withGreatestBackoff(GREATEST_BACKOFF),
+                        .withPings(PING_INTERVAL, MAX_UNANSWERED_PINGS)
+                        .withGreatestBackoff(MAX_BACKOFF),
                 () -> hello,
                 (event, detail) -> log.write(event, "", Field.of("detail", detail)),
                 loops);
@@ -106,7 +106,7 @@
             ProcessSettings settings, long incarnation, EventLoopGroup loops, Listener listener, DecisionLog log)
             throws IOException {
         EntryLinks entryLinks = new EntryLinks(settings, incarnation, loops, listener, log);
-        entryLinks.links.handle(
+        entryLinks.linkNode.handle(
                 EnumSet.of(
                         Frame.BodyCase.ADAPTER_DEMAND,
                         Frame.BodyCase.ADAPTER_CHANGES,
@@ -116,56 +116,56 @@
                         Frame.BodyCase.TARGET_ADMISSION_REQUEST,
                         Frame.BodyCase.TARGET_ADMISSION_RESPONSE),
                 entryLinks);
-        entryLinks.links.listen(settings.linkAddress());
+        entryLinks.linkNode.listen(settings.linkAddress());
         return entryLinks;
     }
 
     /** Sets the other entries that links are kept with. */
-    void keep(Map<String, InetSocketAddress> entries) {
-        Set<String> gone = new HashSet<>(known.keySet());
+    void setOtherEntries(Map<String, InetSocketAddress> entries) {
+        Set<String> gone = new HashSet<>(knownAddresses.keySet());
         gone.removeAll(entries.keySet());
-        gone.forEach(entry -> links.release(InstanceId.of(entry)));
-        known.keySet().removeAll(gone);
+        gone.forEach(entry -> linkNode.release(InstanceId.of(entry)));
+        knownAddresses.keySet().removeAll(gone);
         entries.forEach((entry, address) -> {
-            if (self.compareTo(entry) < 0 && !address.equals(known.get(entry))) {
-                links.keep(InstanceId.of(entry), address);
+            if (self.compareTo(entry) < 0 && !address.equals(knownAddresses.get(entry))) {
+                linkNode.keep(InstanceId.of(entry), address);
             }
-            known.put(entry, address);
+            knownAddresses.put(entry, address);
         });
     }
 
-    boolean isVisible(String entry) {
-        return links.find(InstanceId.of(entry)).isPresent();
+    boolean isConnected(String entry) {
+        return linkNode.find(InstanceId.of(entry)).isPresent();
     }
 
     boolean send(String entry, Frame frame) {
-        Optional<Peer> peer = links.find(InstanceId.of(entry));
+        Optional<Peer> peer = linkNode.find(InstanceId.of(entry));
         return peer.isPresent() && peer.get().send(frame);
     }
 
     /** Sends a frame that entries of earlier versions do not know. */
-    boolean sendCurrent(String entry, Frame frame) {
-        return sendSince(CURRENT_VERSION, entry, frame);
+    boolean sendFeedOrQuota(String entry, Frame frame) {
+        return sendIfVersionAtLeast(FEED_AND_QUOTA_VERSION, entry, frame);
     }
 
     /** Sends a frame of the pacing of prompts, which entries of version 2 do not know. */
     boolean sendAdmission(String entry, Frame frame) {
-        return sendSince(ADMISSION_VERSION, entry, frame);
+        return sendIfVersionAtLeast(ADMISSION_VERSION, entry, frame);
     }
 
-    private boolean sendSince(int version, String entry, Frame frame) {
-        return links.find(InstanceId.of(entry))
-                .filter(peer -> isSince(version, peer))
+    private boolean sendIfVersionAtLeast(int version, String entry, Frame frame) {
+        return linkNode.find(InstanceId.of(entry))
+                .filter(peer -> isVersionAtLeast(version, peer))
                 .filter(peer -> peer.send(frame))
                 .isPresent();
     }
 
-    private static boolean isSince(int version, Peer peer) {
+    private static boolean isVersionAtLeast(int version, Peer peer) {
         return peer.hello().getProtocolVersion() >= version;
     }
 
-    void sendAll(Frame frame) {
-        List<Peer> peers = links.peers();
+    void sendToAll(Frame frame) {
+        List<Peer> peers = linkNode.peers();
         peers.forEach(peer -> peer.send(frame));
     }
 
@@ -189,24 +189,24 @@
 
     /** Gets the open links to entries of this entry's failure domain that take feed updates. */
     List<Peer> domainPeers() {
-        return links.peers().stream()
+        return linkNode.peers().stream()
                 .filter(peer -> peer.hello().getFailureDomain().equals(failureDomain))
-                .filter(peer -> isSince(CURRENT_VERSION, peer))
+                .filter(peer -> isVersionAtLeast(FEED_AND_QUOTA_VERSION, peer))
                 .toList();
     }
 
     @Override
     public void opened(Peer peer) {
         log.write(EventCode.LINK_OPENED, peer.hello().getInstance());
-        listener.opened(peer.hello().getInstance());
+        listener.onLinkOpened(peer.hello().getInstance());
     }
 
     @Override
     public void received(Peer peer, Frame frame) {
         if (frame.hasAdapterDemand()) {
-            listener.demanded(peer.hello().getInstance(), frame.getAdapterDemand());
+            listener.onAdapterDemand(peer.hello().getInstance(), frame.getAdapterDemand());
         } else if (frame.hasAdapterChanges()) {
-            listener.adaptersChanged(frame.getAdapterChanges());
+            listener.onAdapterChanges(frame.getAdapterChanges());
         } else if (frame.hasFeedUpdate()) {
             FeedUpdates.fromMessage(frame.getFeedUpdate()).ifPresent(feedUpdates);
         } else if (frame.hasQuotaRequest()) {
@@ -227,6 +227,6 @@
 
     @Override
     public void close() {
-        links.close();
+        linkNode.close();
     }
 }
--- a/node/src/main/java/org/geraniumreach/node/EntryMetrics.java
+++ b/node/src/main/java/org/geraniumreach/node/EntryMetrics.java
@@ -25,7 +25,7 @@
 final class EntryMetrics implements DecisionLog {
 
     /** From the time to read a short prompt to the time after which callers have left; 0.3 s is the pause and 0.8 s the objective of most. */
-    private static final Duration[] BOUNDS = {
+    private static final Duration[] BUCKET_BOUNDS = {
         Duration.ofMillis(25),
         Duration.ofMillis(50),
         Duration.ofMillis(100),
@@ -40,36 +40,37 @@
 
     private final DecisionLog log;
     private final ProcessMeters meters = new ProcessMeters();
-    private final Map<EventCode, Map<String, Counter>> events = new EnumMap<>(EventCode.class);
-    private final Map<String, RequestMeters> requests = new HashMap<>();
+    private final Map<EventCode, Map<String, Counter>> eventCounters = new EnumMap<>(EventCode.class);
+    private final Map<String, RequestMeters> requestMeters = new HashMap<>();
 
     /** The meters of one client account's requests. */
     private static final class RequestMeters {
         private final Timer firstPart;
-        private final Timer pause;
+        private final Timer longestPause;
         private final Timer total;
         private final Timer rateWait;
         private final Timer adapterWait;
-        private final Timer roomWait;
-        private final Timer firstAfterSend;
-        private final Map<OutcomeListener.Kind, Counter> ends = new EnumMap<>(OutcomeListener.Kind.class);
-        private final Counter repeats;
+        private final Timer prefillWait;
+        private final Timer firstPartAfterSend;
+        private final Map<OutcomeListener.Kind, Counter> endsByKind = new EnumMap<>(OutcomeListener.Kind.class);
+        private final Counter repeatedSends;
 
         private RequestMeters(MeterRegistry registry, String account) {
             firstPart = timer(registry, "geraniumreach.first.part", "Time to the first part of an answer.", account);
-            pause = timer(registry, "geraniumreach.longest.pause", "Longest pause within an answer.", account);
+            longestPause = timer(registry, "geraniumreach.longest.pause", "Longest pause within an answer.", account);
             total = timer(registry, "geraniumreach.request.time", "Time to the end of a request.", account);
             rateWait = timer(registry, "geraniumreach.rate.wait", "Wait for units of the account's rate.", account);
             adapterWait = timer(registry, "geraniumreach.adapter.wait", "Wait for the load of an adapter.", account);
-            roomWait = timer(registry, "geraniumreach.room.wait", "Wait for room to read at a target.", account);
-            firstAfterSend = timer(
+            prefillWait = timer(registry, "geraniumreach.room.wait", "Wait for room to read at a target.", account);
+            firstPartAfterSend = timer(
                     registry,
                     "geraniumreach.target.first.part",
                     "Time from the last sending to the first part.",
                     account);
-            repeats = registry.counter("geraniumreach.repeated.sends", "account", account);
+            repeatedSends = registry.counter("geraniumreach.repeated.sends", "account", account);
             for (OutcomeListener.Kind kind : OutcomeListener.Kind.values()) {
-                ends.put(kind, registry.counter("geraniumreach.requests", "account", account, "end", kind.name()));
+                endsByKind.put(
+                        kind, registry.counter("geraniumreach.requests", "account", account, "end", kind.name()));
             }
         }
 
@@ -77,7 +78,7 @@
             return Timer.builder(name)
                     .description(about)
                     .tag("account", account)
-                    .serviceLevelObjectives(BOUNDS)
+                    .serviceLevelObjectives(BUCKET_BOUNDS)
                     .register(registry);
         }
     }
@@ -88,11 +89,11 @@
 
     @Override
     public void write(EventCode event, String subject, Field... fields) {
-        count(event, result(fields));
+        count(event, resultLabel(fields));
         log.write(event, subject, fields);
     }
 
-    private static String result(Field... fields) {
+    private static String resultLabel(Field... fields) {
         for (Field field : fields) {
             boolean names = field.name().equals("code") || field.name().equals("result");
             if (names && field.value() instanceof Enum<?> value) {
@@ -103,28 +104,29 @@
     }
 
     private synchronized void count(EventCode event, String result) {
-        events.computeIfAbsent(event, missing -> new HashMap<>())
+        eventCounters
+                .computeIfAbsent(event, missing -> new HashMap<>())
                 .computeIfAbsent(result, missing -> meters.registry()
                         .counter("geraniumreach.events", "event", event.name(), "result", result))
                 .increment();
     }
 
     /** Counts the end of a request. */
-    synchronized void ended(OutcomeListener.Outcome outcome) {
+    synchronized void onRequestEnded(OutcomeListener.Outcome outcome) {
         String account =
                 meters.accountLabel(outcome.account().map(Object::toString).orElse(""));
         RequestMeters ofAccount =
-                requests.computeIfAbsent(account, missing -> new RequestMeters(meters.registry(), account));
-        ofAccount.ends.get(outcome.kind()).increment();
+                requestMeters.computeIfAbsent(account, missing -> new RequestMeters(meters.registry(), account));
+        ofAccount.endsByKind.get(outcome.kind()).increment();
         ofAccount.total.record(outcome.total());
-        ofAccount.repeats.increment(Math.max(0, outcome.sends() - 1));
+        ofAccount.repeatedSends.increment(Math.max(0, outcome.sends() - 1));
         ofAccount.rateWait.record(outcome.waits().rate());
         ofAccount.adapterWait.record(outcome.waits().adapter());
-        ofAccount.roomWait.record(outcome.waits().prefillCapacity());
-        outcome.firstPartAfterSend().ifPresent(ofAccount.firstAfterSend::record);
+        ofAccount.prefillWait.record(outcome.waits().prefillCapacity());
+        outcome.firstPartAfterSend().ifPresent(ofAccount.firstPartAfterSend::record);
         outcome.firstPart().ifPresent(ofAccount.firstPart::record);
         if (outcome.firstPart().isPresent()) {
-            ofAccount.pause.record(outcome.maximumPause());
+            ofAccount.longestPause.record(outcome.maximumPause());
         }
     }
 
--- a/node/src/main/java/org/geraniumreach/node/EntryProcess.java
+++ b/node/src/main/java/org/geraniumreach/node/EntryProcess.java
@@ -65,20 +65,20 @@
     private static final Duration IDLE_CONNECTION_TIMEOUT = Duration.ofSeconds(12);
     private static final Duration SWEEP_INTERVAL = Duration.ofMillis(500);
 
-    private static final Ingress.Limits FIRST_LIMITS =
+    private static final Ingress.Limits INITIAL_LIMITS =
             new Ingress.Limits(16_384, 4 * 1024 * 1024, Duration.ofSeconds(75));
 
     /** Part of what all entries may cause that is planned for; the rest covers entries that come and go. */
-    private static final double REPEAT_CAUTION = 0.75;
+    private static final double RETRY_BUDGET_FRACTION = 0.75;
 
     /** Entries among which the fixed part of the repeats is divided, until it is known how many there are. */
-    private static final int LIKELY_ENTRIES = 6;
+    private static final int ASSUMED_ENTRY_COUNT = 6;
 
     /** Callers wait for an entry that starts; who reads metrics does not. */
-    private static final Duration METRICS_DELAY = Duration.ofMillis(1_500);
+    private static final Duration METRICS_START_DELAY = Duration.ofMillis(1_500);
 
     private final ProcessSettings settings;
-    private final JsonLog lines;
+    private final JsonLog jsonLog;
     private final EntryMetrics metrics;
     private final DecisionLog log;
     private final OptionalInt metricsPort;
@@ -99,14 +99,14 @@
     private final Lease lease = new Lease(clock, System::currentTimeMillis);
     private final TargetOwnership ownership;
     private final Quotas quotas;
-    private final QuotaAdmission admission;
+    private final QuotaAdmission quotaAdmission;
     private final HttpConnections connections = new HttpConnections(loop, clock, CONNECT_TIMEOUT);
     private final StorePort store;
     private final TargetClient targets = new TargetClient(connections);
     private final AdapterLoadCoordinator coordinator;
     private final TargetHealth health;
     private final Evacuations evacuations;
-    private final ColdStartLimiter cold;
+    private final ColdStartLimiter coldStartLimiter;
     private final RequestHandler requests;
     private volatile Optional<TrafficConfiguration> configuration = Optional.empty();
     private StoreFeeds feeds;
@@ -115,22 +115,22 @@
     /** Without the shares, every request of a limited account would be refused. */
     private volatile boolean sharesKnown;
 
-    private volatile boolean admits;
+    private volatile boolean leaseObtained;
     private volatile int evacuatedRequests;
     private volatile int coldTargets;
     private boolean wasReady;
     private Ingress ingress;
     private EntryLinks links;
     private QuotaLinks quotaLinks;
-    private OwnerAdmission admissionOfTargets;
-    private TargetAdmissionLinks admissionLinks;
+    private OwnerAdmission ownerAdmission;
+    private TargetAdmissionLinks targetAdmissionLinks;
     private EntryDirectory directory;
     private LeaseRenewer leaseRenewer;
 
     EntryProcess(ProcessSettings settings, OptionalInt metricsPort, JsonLog lines) {
         this.settings = Objects.requireNonNull(settings, "settings");
         this.metricsPort = Objects.requireNonNull(metricsPort, "metricsPort");
-        this.lines = Objects.requireNonNull(lines, "lines");
+        this.jsonLog = Objects.requireNonNull(lines, "lines");
         this.metrics = new EntryMetrics(lines);
         this.log = metrics;
         this.storeAvailability = new StoreAvailability(clock, log, "");
@@ -138,18 +138,18 @@
         this.targetUpdates = new TargetUpdates(registry, log);
         this.ownership = new TargetOwnership(settings.instance(), incarnation, lease, clock);
         this.quotas = new Quotas(settings.instance(), lease, settings.quotaTolerance(), clock, log);
-        this.admission = new QuotaAdmission(quotas, this::askForUnits, timers, clock, new Random());
+        this.quotaAdmission = new QuotaAdmission(quotas, this::requestUnits, timers, clock, new Random());
         this.store = new StoreClient(connections, settings.storeAddress());
         this.health = TargetHealth.create(EjectionRules.standard(), clock, random);
         this.evacuations = new Evacuations(settings.evacuationLimit(), clock, log);
-        this.cold = new ColdStartLimiter(
+        this.coldStartLimiter = new ColdStartLimiter(
                 name -> configuration.flatMap(current -> current.service(name)),
                 settings.coldTolerance(),
-                new EqualDivision(settings.instance(), () -> directory.known()),
+                new EqualDivision(settings.instance(), () -> directory.knownInstances()),
                 clock,
                 log);
         this.coordinator = new AdapterLoadCoordinator(
-                new AdapterLoadCoordinator.Targets(registry, ownership, this::mayBeCalled, targets),
+                new AdapterLoadCoordinator.TargetAccess(registry, ownership, this::mayBeCalled, targets),
                 timers,
                 clock,
                 log,
@@ -162,28 +162,28 @@
                 registry,
                 new TargetConditions(
                         target -> health.admits(target.id()),
-                        coordinator::isOrderable,
+                        coordinator::canReceiveOrders,
                         evacuations::phase,
-                        cold::maySendTo),
-                () -> directory.entries(),
+                        coldStartLimiter::maySendTo),
+                () -> directory.reachableEntryCount(),
                 settings.failureDomain(),
                 PlacementSettings.defaults(),
                 clock);
-        admissionOfTargets = new OwnerAdmission(
-                ownership, registry, placement::netPrefillTokensPerMilli, this::askForTurn, timers, clock);
+        ownerAdmission = new OwnerAdmission(
+                ownership, registry, placement::netPrefillTokensPerMilli, this::requestAdmission, timers, clock);
         return new ExchangeServices(
                 placement,
                 registry,
                 targets,
                 coordinator,
-                admission,
-                admissionOfTargets,
-                new RetryBudgets(this::repeatBudget),
+                quotaAdmission,
+                ownerAdmission,
+                new RetryBudgets(this::createRetryBudget),
                 health,
                 timers,
                 clock,
                 log,
-                this::ended,
+                this::onRequestEnded,
                 ExchangeSettings.defaults());
     }
 
@@ -192,22 +192,24 @@
     }
 
     /** Nobody is asked before the links are open. */
-    private boolean askForUnits(String entry, long number, AccountId account, double units) {
+    private boolean requestUnits(String entry, long number, AccountId account, double units) {
         return quotaLinks != null && quotaLinks.requestUnits(entry, number, account, units);
     }
 
-    private boolean askForTurn(String entry, long number, TargetId target, long promptTokens, Duration longestDelay) {
-        return admissionLinks != null && admissionLinks.ask(entry, number, target, promptTokens, longestDelay);
+    private boolean requestAdmission(
+            String entry, long number, TargetId target, long promptTokens, Duration longestDelay) {
+        return targetAdmissionLinks != null
+                && targetAdmissionLinks.requestAdmission(entry, number, target, promptTokens, longestDelay);
     }
 
-    private RetryBudget repeatBudget() {
+    private RetryBudget createRetryBudget() {
         ProcessSettings.RepeatLimits repeats = settings.repeatLimits();
-        double size = Math.max(1, repeats.extra() * REPEAT_CAUTION / LIKELY_ENTRIES);
-        return RetryBudget.create(clock, repeats.ratio() * REPEAT_CAUTION, 0, size);
+        double size = Math.max(1, repeats.extra() * RETRY_BUDGET_FRACTION / ASSUMED_ENTRY_COUNT);
+        return RetryBudget.create(clock, repeats.ratio() * RETRY_BUDGET_FRACTION, 0, size);
     }
 
-    private void ended(OutcomeListener.Outcome outcome) {
-        metrics.ended(outcome);
+    private void onRequestEnded(OutcomeListener.Outcome outcome) {
+        metrics.onRequestEnded(outcome);
         if (outcome.kind() == OutcomeListener.Kind.ANSWERED) {
             log.write(
                     EventCode.REQUEST_ANSWERED,
@@ -248,15 +250,15 @@
         ingress = Ingress.start(
                 settings.callerAddress(),
                 settings.readinessAddress(),
-                FIRST_LIMITS,
+                INITIAL_LIMITS,
                 requests::receive,
                 this::isReady,
                 loop,
                 log);
         links = EntryLinks.start(settings, incarnation, group, coordinator, log);
-        loop.execute(this::begin);
+        loop.execute(this::startOnLoop);
         if (metricsPort.isPresent()) {
-            timers.schedule(METRICS_DELAY, () -> new DefaultThreadFactory("metrics", true)
+            timers.schedule(METRICS_START_DELAY, () -> new DefaultThreadFactory("metrics", true)
                     .newThread(() -> serveMetrics(metricsPort.getAsInt()))
                     .start());
         }
@@ -274,11 +276,11 @@
                 () -> evacuatedRequests);
         metrics.gauge("geraniumreach.cold.targets", "Targets that have not warmed up.", () -> coldTargets);
         metrics.gauge("geraniumreach.ready", "1 if callers are wanted.", () -> isReady() ? 1 : 0);
-        metrics.gauge("geraniumreach.log.lines.dropped", "Lines that the log had no room for.", lines::droppedInAll);
+        metrics.gauge("geraniumreach.log.lines.dropped", "Lines that the log had no room for.", jsonLog::totalDropped);
         InetSocketAddress address =
                 new InetSocketAddress(settings.callerAddress().getAddress(), port);
         try {
-            MetricsPort.start(address, metrics::scrape);
+            MetricsServer.start(address, metrics::scrape);
         } catch (IOException taken) {
             log.write(
                     EventCode.UNEXPECTED_FAILURE,
@@ -287,14 +289,14 @@
         }
     }
 
-    private void begin() {
+    private void startOnLoop() {
         directory = new EntryDirectory(
                 settings,
                 incarnation,
-                new EntryDirectory.Parts(
+                new EntryDirectory.Dependencies(
                         store, ownership, quotas, coordinator, links, timers, clock, storeAvailability, log));
         leaseRenewer = new LeaseRenewer(
-                lease, store, timers, storeAvailability, settings.instance(), incarnation, this::leaseRenewed);
+                lease, store, timers, storeAvailability, settings.instance(), incarnation, this::onLeaseRenewed);
         targetRowsAvailability.addListener(new StoreAvailability.Listener() {
             @Override
             public void onUnreachable() {
@@ -307,15 +309,15 @@
             }
         });
         registry.addListener(coordinator);
-        registry.addListener(new HealthMembers());
-        registry.addListener(cold);
-        registry.addListener(admissionOfTargets);
+        registry.addListener(new HealthUpdater());
+        registry.addListener(coldStartLimiter);
+        registry.addListener(ownerAdmission);
         coordinator.start(links);
         quotaLinks = new QuotaLinks(quotas, links);
         links.onQuota(
                 quotaLinks::onRequest,
-                response -> admission.onAnswer(response.getNumber(), QuotaLinks.answer(response)));
-        admissionLinks = new TargetAdmissionLinks(admissionOfTargets, links);
+                response -> quotaAdmission.onAnswer(response.getNumber(), QuotaLinks.toAdmission(response)));
+        targetAdmissionLinks = new TargetAdmissionLinks(ownerAdmission, links);
         startFeeds();
         leaseRenewer.renew();
         ownership.setCapacity(directory::capacity);
@@ -325,7 +327,7 @@
     }
 
     /** Keeps the health of known targets only. */
-    private final class HealthMembers implements TargetRegistry.Listener {
+    private final class HealthUpdater implements TargetRegistry.Listener {
 
         @Override
         public void onJoined(Target target) {
@@ -345,14 +347,14 @@
         }
     }
 
-    private void leaseRenewed() {
-        directory.act();
-        admits = true;
-        noteStart();
+    private void onLeaseRenewed() {
+        directory.reconcile();
+        leaseObtained = true;
+        notifyIfStarted();
     }
 
-    private void noteStart() {
-        if (configuration.isPresent() && targetsKnown && sharesKnown && admits) {
+    private void notifyIfStarted() {
+        if (configuration.isPresent() && targetsKnown && sharesKnown && leaseObtained) {
             requests.onStarted();
         }
     }
@@ -368,21 +370,21 @@
                 context,
                 storeAvailability,
                 targetRowsAvailability,
-                this::onOperatorNews,
-                this::onTargetNews,
-                this::onDirectoryNews);
+                this::onOperatorUpdate,
+                this::onTargetUpdate,
+                this::onFleetUpdate);
         links.onFeedUpdate(feeds::onUpdate);
         feeds.start();
     }
 
     /** Evacuations first: a configuration may let requests go on that have waited for it. */
-    private void onOperatorNews(StorePort.TableUpdate<StorePort.OperatorItem> news) {
+    private void onOperatorUpdate(StorePort.TableUpdate<StorePort.OperatorItem> news) {
         evacuations.onOperatorItems(news, feeds.operatorReadAt());
         for (StorePort.OperatorItem item : news.items()) {
             if (item instanceof StorePort.OperatorItem.Configuration newer) {
-                configure(newer.configuration());
+                applyConfiguration(newer.configuration());
             } else if (item instanceof StorePort.OperatorItem.AdapterVersion named) {
-                coordinator.versions().named(named.adapter(), named.version(), feeds.operatorReadAt());
+                coordinator.versions().update(named.adapter(), named.version(), feeds.operatorReadAt());
             } else if (item instanceof StorePort.OperatorItem.Unreadable bad) {
                 log.write(EventCode.ROW_UNREADABLE, bad.key(), Field.of("reason", bad.reason()));
             }
@@ -390,7 +392,7 @@
     }
 
     /** A reader that begins anew may be given an older one by a store that lags; what is in force never goes back. */
-    private void configure(TrafficConfiguration newer) {
+    private void applyConfiguration(TrafficConfiguration newer) {
         if (configuration.isPresent() && configuration.get().version() >= newer.version()) {
             return;
         }
@@ -398,41 +400,42 @@
         quotas.configure(newer.accounts(), newer.shortestObjective());
         ingress.limit(newer.limits().maxBodyBytes(), newer.limits().idleTimeout());
         coordinator.refresh();
-        directory.act();
+        directory.reconcile();
         log.write(EventCode.CONFIGURATION_ADVANCED, "", Field.of("version", newer.version()));
-        noteStart();
+        notifyIfStarted();
     }
 
-    private void onTargetNews(StorePort.TableUpdate<StorePort.TargetItem> news) {
+    private void onTargetUpdate(StorePort.TableUpdate<StorePort.TargetItem> news) {
         targetUpdates.onUpdate(news);
         targetsKnown = true;
-        noteStart();
+        notifyIfStarted();
     }
 
-    private void onDirectoryNews(StorePort.TableUpdate<StorePort.RowChange> changes) {
-        directory.onNews(changes);
+    private void onFleetUpdate(StorePort.TableUpdate<StorePort.RowChange> changes) {
+        directory.onTableUpdate(changes);
         sharesKnown = true;
-        noteStart();
+        notifyIfStarted();
     }
 
     private void sweep() {
-        noteReadiness();
+        logReadinessChange();
         connections.closeIdle(IDLE_CONNECTION_TIMEOUT);
-        noteTargets();
+        updateTargetGauges();
         registry.expire();
         timers.schedule(SWEEP_INTERVAL, this::sweep);
     }
 
     /** Counted on the event loop for the thread that scrapes. */
-    private void noteTargets() {
+    private void updateTargetGauges() {
         evacuatedRequests = registry.all().stream()
                 .filter(target -> evacuations.phase(target.description().failureDomain()) != Evacuations.Phase.IN_USE)
                 .mapToInt(Target::outstanding)
                 .sum();
-        coldTargets = (int) registry.all().stream().filter(cold::isCold).count();
+        coldTargets =
+                (int) registry.all().stream().filter(coldStartLimiter::isCold).count();
     }
 
-    private void noteReadiness() {
+    private void logReadinessChange() {
         boolean ready = isReady();
         if (ready == wasReady) {
             return;
@@ -445,11 +448,11 @@
                 Field.of("configured", configuration.isPresent()),
                 Field.of("targetsKnown", targetsKnown),
                 Field.of("sharesKnown", sharesKnown),
-                Field.of("admits", admits));
+                Field.of("admits", leaseObtained));
     }
 
     boolean isReady() {
-        return !draining.get() && configuration.isPresent() && targetsKnown && sharesKnown && admits;
+        return !draining.get() && configuration.isPresent() && targetsKnown && sharesKnown && leaseObtained;
     }
 
     /** Stops taking new callers, finishes what runs, and returns when the process may end. */
@@ -459,7 +462,7 @@
         }
         log.write(EventCode.DRAINING, settings.instance(), Field.of("open", ingress.open()));
         ingress.drain();
-        new EntryDrain(ingress::open, this::release, settings.drainLimit(), clock)
+        new EntryDrain(ingress::open, this::releaseLease, settings.drainLimit(), clock)
                 .run(
                         longest -> loop.execute(() -> {
                             requests.drain(longest);
@@ -472,11 +475,11 @@
                                 Field.of("holder", ""),
                                 Field.of("told", told)));
         log.write(EventCode.DRAINED, settings.instance(), Field.of("open", ingress.open()));
-        lines.close();
+        jsonLog.close();
     }
 
     /** Gives up the right to order targets. */
-    private void release(Runnable released) {
+    private void releaseLease(Runnable released) {
         loop.execute(() -> leaseRenewer.release(released));
     }
 }
--- a/node/src/main/java/org/geraniumreach/node/EntryRow.java
+++ b/node/src/main/java/org/geraniumreach/node/EntryRow.java
@@ -13,15 +13,15 @@
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param links where it listens to other entries
+ * @param linkAddress where it listens to other entries
  * @param incarnation the life of its process
  */
-record EntryRow(InetSocketAddress links, long incarnation) {
+record EntryRow(InetSocketAddress linkAddress, long incarnation) {
 
     private static final String PREFIX = "entry/";
 
     EntryRow {
-        Objects.requireNonNull(links, "links");
+        Objects.requireNonNull(linkAddress, "linkAddress");
     }
 
     static boolean isEntryRow(String key) {
@@ -37,7 +37,7 @@
     }
 
     String toText() {
-        return links.getAddress().getHostAddress() + ' ' + links.getPort() + ' ' + incarnation;
+        return linkAddress.getAddress().getHostAddress() + ' ' + linkAddress.getPort() + ' ' + incarnation;
     }
 
     static Optional<EntryRow> parse(String text) {
--- a/node/src/main/java/org/geraniumreach/node/FeedUpdates.java
+++ b/node/src/main/java/org/geraniumreach/node/FeedUpdates.java
@@ -51,7 +51,7 @@
 
     /** Reads an update, empty if it is of a table that this version does not know. */
     static Optional<FeedUpdate> fromMessage(org.geraniumreach.messages.FeedUpdate message) {
-        return table(message.getTable()).map(table -> fromMessage(table, message));
+        return toTable(message.getTable()).map(table -> fromMessage(table, message));
     }
 
     private static FeedUpdate fromMessage(StorePort.Table table, org.geraniumreach.messages.FeedUpdate message) {
@@ -69,7 +69,7 @@
                 row.getKey(), row.getVersion(), row.getRemoved() ? Optional.empty() : Optional.of(row.getValue()));
     }
 
-    private static Optional<StorePort.Table> table(org.geraniumreach.messages.FeedUpdate.Table table) {
+    private static Optional<StorePort.Table> toTable(org.geraniumreach.messages.FeedUpdate.Table table) {
         return switch (table) {
             case OPERATOR -> Optional.of(StorePort.Table.OPERATOR);
             case TARGETS -> Optional.of(StorePort.Table.TARGETS);
--- a/node/src/main/java/org/geraniumreach/node/JsonLog.java
+++ b/node/src/main/java/org/geraniumreach/node/JsonLog.java
@@ -15,29 +15,29 @@
 /**
  * Writes decisions as JSON, one object a line.
  *
- * <p>Invariants: a writer never waits for the reader of the output; lines beyond {@link #MOST_LINES} that wait are dropped, and a
+ * <p>Invariants: a writer never waits for the reader of the output; lines beyond {@link #MAX_PENDING_LINES} that wait are dropped, and a
  * line says how many were. A thread of its own writes what has gathered, so a decision costs no system call. Safe for use by
  * several threads.
  */
 final class JsonLog implements DecisionLog, AutoCloseable {
 
     /** Lines that may wait: four seconds of an entry at its busiest, some 2 MB. */
-    static final int MOST_LINES = 8_192;
+    static final int MAX_PENDING_LINES = 8_192;
 
     /** Lines gather for so long, which makes a write of many. */
-    private static final long GATHER_MILLIS = 100;
+    private static final long FLUSH_INTERVAL_MILLIS = 100;
 
     private final OutputStream output;
-    private final LongSupplier millis;
-    private final Deque<String> waiting = new ArrayDeque<>();
-    private final Thread writer = new Thread(this::run, "log");
-    private long dropped;
-    private long droppedInAll;
+    private final LongSupplier wallClockMillis;
+    private final Deque<String> pendingLines = new ArrayDeque<>();
+    private final Thread writer = new Thread(this::runWriter, "log");
+    private long droppedSinceFlush;
+    private long totalDropped;
     private boolean closed;
 
     private JsonLog(OutputStream output, LongSupplier millis) {
         this.output = Objects.requireNonNull(output, "output");
-        this.millis = Objects.requireNonNull(millis, "millis");
+        this.wallClockMillis = Objects.requireNonNull(millis, "millis");
         writer.setDaemon(true);
     }
 
@@ -54,42 +54,42 @@
 
     @Override
     public void write(EventCode event, String subject, Field... fields) {
-        String line = line(event, subject, fields);
-        synchronized (waiting) {
-            if (waiting.size() >= MOST_LINES) {
-                dropped++;
-                droppedInAll++;
+        String line = formatLine(event, subject, fields);
+        synchronized (pendingLines) {
+            if (pendingLines.size() >= MAX_PENDING_LINES) {
+                droppedSinceFlush++;
+                totalDropped++;
                 return;
             }
-            waiting.add(line);
+            pendingLines.add(line);
         }
     }
 
-    private String line(EventCode event, String subject, Field... fields) {
+    private String formatLine(EventCode event, String subject, Field... fields) {
         StringBuilder line = new StringBuilder(192);
-        line.append("{\"time\":").append(millis.getAsLong());
+        line.append("{\"time\":").append(wallClockMillis.getAsLong());
         line.append(",\"event\":").append(event.number());
         line.append(",\"name\":\"").append(event.name()).append('"');
         if (!subject.isEmpty()) {
             line.append(",\"id\":");
-            quote(line, subject);
+            appendQuoted(line, subject);
         }
         for (Field field : fields) {
             line.append(",\"").append(field.name()).append("\":");
-            value(line, field.value());
+            appendValue(line, field.value());
         }
         return line.append("}\n").toString();
     }
 
-    private static void value(StringBuilder line, Object value) {
+    private static void appendValue(StringBuilder line, Object value) {
         if (value instanceof Number || value instanceof Boolean) {
             line.append(value);
         } else {
-            quote(line, String.valueOf(value));
+            appendQuoted(line, String.valueOf(value));
         }
     }
 
-    private static void quote(StringBuilder line, String text) {
+    private static void appendQuoted(StringBuilder line, String text) {
         line.append('"');
         for (int index = 0; index < text.length(); index++) {
             char each = text.charAt(index);
@@ -104,10 +104,10 @@
         line.append('"');
     }
 
-    private void run() {
+    private void runWriter() {
         try {
             while (!isClosed()) {
-                Thread.sleep(GATHER_MILLIS);
+                Thread.sleep(FLUSH_INTERVAL_MILLIS);
                 flush();
             }
         } catch (InterruptedException stopped) {
@@ -118,19 +118,19 @@
     }
 
     private boolean isClosed() {
-        synchronized (waiting) {
+        synchronized (pendingLines) {
             return closed;
         }
     }
 
     private void flush() {
         StringBuilder batch = new StringBuilder();
-        synchronized (waiting) {
-            waiting.forEach(batch::append);
-            waiting.clear();
-            if (dropped > 0) {
-                batch.append(line(EventCode.LOG_LINES_DROPPED, "", Field.of("lines", dropped)));
-                dropped = 0;
+        synchronized (pendingLines) {
+            pendingLines.forEach(batch::append);
+            pendingLines.clear();
+            if (droppedSinceFlush > 0) {
+                batch.append(formatLine(EventCode.LOG_LINES_DROPPED, "", Field.of("lines", droppedSinceFlush)));
+                droppedSinceFlush = 0;
             }
         }
         if (batch.isEmpty()) {
@@ -140,28 +140,28 @@
             output.write(batch.toString().getBytes(StandardCharsets.UTF_8));
             output.flush();
         } catch (IOException nobodyReads) {
-            synchronized (waiting) {
-                dropped++;
-                droppedInAll++;
+            synchronized (pendingLines) {
+                droppedSinceFlush++;
+                totalDropped++;
             }
         }
     }
 
     /** Gets how many lines had no room since the start. */
-    long droppedInAll() {
-        synchronized (waiting) {
-            return droppedInAll;
+    long totalDropped() {
+        synchronized (pendingLines) {
+            return totalDropped;
         }
     }
 
     @Override
     public void close() {
-        synchronized (waiting) {
+        synchronized (pendingLines) {
             closed = true;
         }
         writer.interrupt();
         try {
-            writer.join(GATHER_MILLIS);
+            writer.join(FLUSH_INTERVAL_MILLIS);
         } catch (InterruptedException stopped) {
             Thread.currentThread().interrupt();
         }
--- a/node/src/main/java/org/geraniumreach/node/LibraryLog.java
+++ b/node/src/main/java/org/geraniumreach/node/LibraryLogHandler.java
@@ -16,11 +16,11 @@
  *
  * <p>Everything below a warning is left out. Safe for use by several threads.
  */
-final class LibraryLog extends Handler {
+final class LibraryLogHandler extends Handler {
 
     private final DecisionLog log;
 
-    private LibraryLog(DecisionLog log) {
+    private LibraryLogHandler(DecisionLog log) {
         this.log = Objects.requireNonNull(log, "log");
     }
 
@@ -29,7 +29,7 @@
         LogManager.getLogManager().reset();
         Logger root = Logger.getLogger("");
         root.setLevel(Level.WARNING);
-        root.addHandler(new LibraryLog(log));
+        root.addHandler(new LibraryLogHandler(log));
     }
 
     @Override
--- a/node/src/main/java/org/geraniumreach/node/Main.java
+++ b/node/src/main/java/org/geraniumreach/node/Main.java
@@ -26,9 +26,9 @@
  */
 public final class Main {
 
-    private static final int WRONG_SETTINGS = 2;
-    private static final int NO_ADDRESS = 3;
-    private static final int GREATEST_PORT = 65_535;
+    private static final int EXIT_INVALID_SETTINGS = 2;
+    private static final int EXIT_ADDRESS_UNAVAILABLE = 3;
+    private static final int MAX_PORT = 65_535;
 
     @Argument(
             index = 0,
@@ -70,14 +70,14 @@
         } catch (CmdLineException wrong) {
             System.err.println(wrong.getMessage());
             parser.printUsage(System.err);
-            return WRONG_SETTINGS;
+            return EXIT_INVALID_SETTINGS;
         }
-        if (metricsPort != null && (metricsPort < 1 || metricsPort > GREATEST_PORT)) {
+        if (metricsPort != null && (metricsPort < 1 || metricsPort > MAX_PORT)) {
             System.err.println("--metrics-port: not a port: " + metricsPort);
-            return WRONG_SETTINGS;
+            return EXIT_INVALID_SETTINGS;
         }
         JsonLog log = JsonLog.toStandardOutput();
-        LibraryLog.install(log);
+        LibraryLogHandler.install(log);
         if (command == Command.REHEARSE) {
             return rehearse(log);
         }
@@ -89,7 +89,7 @@
         } catch (DocumentException wrong) {
             log.write(EventCode.SETTINGS_INVALID, "", Field.of("reason", wrong.getMessage()));
             log.close();
-            return WRONG_SETTINGS;
+            return EXIT_INVALID_SETTINGS;
         }
     }
 
@@ -99,7 +99,7 @@
             return 0;
         } catch (IOException failed) {
             log.write(EventCode.UNEXPECTED_FAILURE, "", Field.of("reason", String.valueOf(failed.getMessage())));
-            return NO_ADDRESS;
+            return EXIT_ADDRESS_UNAVAILABLE;
         } finally {
             log.close();
         }
@@ -115,7 +115,7 @@
         } catch (IOException taken) {
             log.write(EventCode.UNEXPECTED_FAILURE, "", Field.of("reason", String.valueOf(taken.getMessage())));
             log.close();
-            return NO_ADDRESS;
+            return EXIT_ADDRESS_UNAVAILABLE;
         }
         try {
             end.await();
--- a/node/src/main/java/org/geraniumreach/node/MetricsPort.java
+++ b/node/src/main/java/org/geraniumreach/node/MetricsServer.java
@@ -16,26 +16,26 @@
  *
  * <p>Safe for use by several threads.
  */
-final class MetricsPort implements AutoCloseable {
+final class MetricsServer implements AutoCloseable {
 
     static final String PATH = "/metrics";
 
-    private static final String TEXT = "text/plain; version=0.0.4";
+    private static final String CONTENT_TYPE = "text/plain; version=0.0.4";
 
     private final HttpServer server;
 
-    private MetricsPort(HttpServer server) {
+    private MetricsServer(HttpServer server) {
         this.server = server;
     }
 
-    static MetricsPort start(InetSocketAddress address, Supplier<String> text) throws IOException {
+    static MetricsServer start(InetSocketAddress address, Supplier<String> text) throws IOException {
         NetworkListener listener = OneThreadListener.create("metrics", address);
         HttpServer server = new HttpServer();
         server.addListener(listener);
         server.getServerConfiguration().addHttpHandler(new TextHandler(text), PATH);
         server.getServerConfiguration().setJmxEnabled(false);
         server.start();
-        return new MetricsPort(server);
+        return new MetricsServer(server);
     }
 
     private static final class TextHandler extends HttpHandler {
@@ -47,7 +47,7 @@
 
         @Override
         public void service(Request request, Response response) throws IOException {
-            response.setContentType(TEXT);
+            response.setContentType(CONTENT_TYPE);
             response.getWriter().write(text.get());
         }
     }
--- a/node/src/main/java/org/geraniumreach/node/QuotaLinks.java
+++ b/node/src/main/java/org/geraniumreach/node/QuotaLinks.java
@@ -33,7 +33,7 @@
                 .setAccount(account.value())
                 .setUnits(units)
                 .build();
-        return links.sendCurrent(
+        return links.sendFeedOrQuota(
                 entry, Frame.newBuilder().setQuotaRequest(request).build());
     }
 
@@ -44,10 +44,11 @@
                 .setGranted(answer.admitted())
                 .setDelayKnown(answer.delay().isPresent())
                 .setDelayNanos(answer.delay().orElse(Duration.ZERO).toNanos());
-        links.sendCurrent(entry, Frame.newBuilder().setQuotaResponse(response).build());
+        links.sendFeedOrQuota(
+                entry, Frame.newBuilder().setQuotaResponse(response).build());
     }
 
-    static Quotas.Admission answer(QuotaResponse response) {
+    static Quotas.Admission toAdmission(QuotaResponse response) {
         Optional<Duration> delay = response.getDelayKnown()
                 ? Optional.of(Duration.ofNanos(Math.max(0, response.getDelayNanos())))
                 : Optional.empty();
--- a/node/src/main/java/org/geraniumreach/node/Rehearsal.java
+++ b/node/src/main/java/org/geraniumreach/node/Rehearsal.java
@@ -34,16 +34,16 @@
  */
 final class Rehearsal {
 
-    private static final Duration PAUSE = Duration.ofMillis(100);
-    private static final Duration READ_LIMIT = Duration.ofSeconds(1);
+    private static final Duration ROUND_INTERVAL = Duration.ofMillis(100);
+    private static final Duration READ_TIMEOUT = Duration.ofSeconds(1);
 
     /** Entries that start together take their parts of accounts' rates after this. */
-    private static final Duration UNTIL_SHARES = Duration.ofMillis(2_500);
+    private static final Duration SHARE_ASSIGNMENT_TIME = Duration.ofMillis(2_500);
 
     private static final int ROUNDS = 10;
-    private static final byte[] QUESTION =
+    private static final byte[] GET_REQUEST =
             "GET / HTTP/1.1\r\nHost: rehearsal\r\nConnection: close\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-    private static final String OWN_PREFIX = "geraniumreach";
+    private static final String OWN_JAR_PREFIX = "geraniumreach";
     private static final String CLASS_SUFFIX = ".class";
 
     private final JsonLog log;
@@ -54,21 +54,21 @@
 
     void run() throws IOException {
         loadOwnClasses();
-        try (SamplePlatform platform = SamplePlatform.start(this::note)) {
+        try (SamplePlatform platform = SamplePlatform.start(this::logFailure)) {
             ProcessSettings settings = settings("rehearsal-1", platform);
-            InetSocketAddress metrics = free();
+            InetSocketAddress metrics = freeAddress();
             new EntryProcess(settings, OptionalInt.of(metrics.getPort()), log).start();
             new EntryProcess(settings("rehearsal-2", platform), OptionalInt.empty(), log).start();
-            ask(settings.callerAddress(), QUESTION);
-            Thread.sleep(UNTIL_SHARES.toMillis());
+            sendRequest(settings.callerAddress(), GET_REQUEST);
+            Thread.sleep(SHARE_ASSIGNMENT_TIME.toMillis());
             for (int round = 0; round < ROUNDS; round++) {
                 for (byte[] request : SamplePlatform.callersRequests(round)) {
-                    ask(settings.callerAddress(), request);
+                    sendRequest(settings.callerAddress(), request);
                 }
-                ask(settings.readinessAddress(), QUESTION);
-                Thread.sleep(PAUSE.toMillis());
+                sendRequest(settings.readinessAddress(), GET_REQUEST);
+                Thread.sleep(ROUND_INTERVAL.toMillis());
             }
-            ask(metrics, QUESTION);
+            sendRequest(metrics, GET_REQUEST);
         } catch (InterruptedException stopped) {
             Thread.currentThread().interrupt();
         }
@@ -78,9 +78,9 @@
         return new ProcessSettings(
                 instance,
                 FailureDomain.of("loopback"),
-                free(),
-                free(),
-                free(),
+                freeAddress(),
+                freeAddress(),
+                freeAddress(),
                 platform.address(),
                 new ProcessSettings.RepeatLimits(0, 0, Duration.ofSeconds(1)),
                 new Quotas.Tolerance(0, 0, Duration.ofSeconds(1)),
@@ -90,24 +90,24 @@
                 Duration.ofSeconds(1));
     }
 
-    private static InetSocketAddress free() throws IOException {
+    private static InetSocketAddress freeAddress() throws IOException {
         try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return (InetSocketAddress) probe.getLocalSocketAddress();
         }
     }
 
     /** A question that stays unanswered has loaded what it could. */
-    private void ask(InetSocketAddress address, byte[] request) {
+    private void sendRequest(InetSocketAddress address, byte[] request) {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
-            socket.setSoTimeout((int) READ_LIMIT.toMillis());
+            socket.setSoTimeout((int) READ_TIMEOUT.toMillis());
             socket.getOutputStream().write(request);
             socket.getInputStream().readAllBytes();
         } catch (IOException unanswered) {
-            note(String.valueOf(unanswered.getMessage()));
+            logFailure(String.valueOf(unanswered.getMessage()));
         }
     }
 
-    private void note(String reason) {
+    private void logFailure(String reason) {
         log.write(EventCode.LIBRARY_MESSAGE, "rehearsal", Field.of("reason", reason));
     }
 
@@ -122,30 +122,30 @@
         } catch (URISyntaxException unreadable) {
             throw new IOException("the program's own place: " + unreadable.getMessage(), unreadable);
         }
-        loadAll(main);
+        loadClasses(main);
         try (Stream<Path> libraries = Files.list(main.resolveSibling("lib"))) {
             List<Path> own = libraries
-                    .filter(path -> path.getFileName().toString().startsWith(OWN_PREFIX))
+                    .filter(path -> path.getFileName().toString().startsWith(OWN_JAR_PREFIX))
                     .toList();
             for (Path library : own) {
-                loadAll(library);
+                loadClasses(library);
             }
         }
     }
 
-    private void loadAll(Path library) throws IOException {
+    private void loadClasses(Path library) throws IOException {
         try (JarFile jar = new JarFile(library.toFile())) {
             for (JarEntry entry : (Iterable<JarEntry>) jar.stream()::iterator) {
                 String name = entry.getName();
                 if (name.endsWith(CLASS_SUFFIX) && !name.endsWith("-info" + CLASS_SUFFIX)) {
-                    load(name.substring(0, name.length() - CLASS_SUFFIX.length())
+                    loadClass(name.substring(0, name.length() - CLASS_SUFFIX.length())
                             .replace('/', '.'));
                 }
             }
         }
     }
 
-    private void load(String name) {
+    private void loadClass(String name) {
         try {
             Class.forName(name, false, Rehearsal.class.getClassLoader());
         } catch (ClassNotFoundException | LinkageError absent) {
--- a/node/src/main/java/org/geraniumreach/node/StoreFeeds.java
+++ b/node/src/main/java/org/geraniumreach/node/StoreFeeds.java
@@ -25,15 +25,15 @@
 final class StoreFeeds {
 
     /** A change must be in force within 2 s, also where the connection to the store or the reader has gone silent. */
-    private static final FeedReader.Timing OPERATOR_PACE = new FeedReader.Timing(
+    private static final FeedReader.Timing OPERATOR_TIMING = new FeedReader.Timing(
             Duration.ofMillis(1_200), Duration.ZERO, Duration.ofMillis(500), Duration.ofMillis(1_600));
 
     /** Bounds how long a leaving target is still used; see docs/CAPACITY.md for the cost of shorter intervals. */
-    private static final FeedReader.Timing TARGET_PACE = new FeedReader.Timing(
+    private static final FeedReader.Timing TARGET_TIMING = new FeedReader.Timing(
             Duration.ofMillis(1_200), Duration.ofMillis(800), Duration.ofMillis(500), Duration.ofMillis(1_500));
 
     /** Changes of shares wake every reader; what an entry changes itself it knows at once. */
-    private static final FeedReader.Timing FLEET_PACE = new FeedReader.Timing(
+    private static final FeedReader.Timing FLEET_TIMING = new FeedReader.Timing(
             Duration.ofSeconds(4), Duration.ofMillis(900), Duration.ofSeconds(1), Duration.ofMillis(4_500));
 
     private final FeedReader<OperatorItem> operator;
@@ -63,21 +63,21 @@
                 StoredRows::operatorItem,
                 operatorChanged,
                 availability,
-                OPERATOR_PACE,
+                OPERATOR_TIMING,
                 context);
         targets = new FeedReader<>(
                 StorePort.Table.TARGETS,
                 StoredRows::targetItem,
                 targetsChanged,
                 targetAvailability,
-                TARGET_PACE,
+                TARGET_TIMING,
                 context);
         fleet = new FeedReader<>(
                 StorePort.Table.FLEET,
                 row -> Optional.of(RowChange.of(TargetOwnership.FLEET_TABLE, row)),
                 fleetChanged,
                 availability,
-                FLEET_PACE,
+                FLEET_TIMING,
                 context);
         readers = Map.of(
                 StorePort.Table.OPERATOR, operator,
--- a/node/src/main/java/org/geraniumreach/node/TargetAdmissionLinks.java
+++ b/node/src/main/java/org/geraniumreach/node/TargetAdmissionLinks.java
@@ -26,7 +26,7 @@
         links.onTargetAdmission(this::onRequest, this::onResponse);
     }
 
-    boolean ask(String entry, long number, TargetId target, long promptTokens, Duration longestDelay) {
+    boolean requestAdmission(String entry, long number, TargetId target, long promptTokens, Duration longestDelay) {
         TargetAdmissionRequest request = TargetAdmissionRequest.newBuilder()
                 .setNumber(number)
                 .setTarget(target.value())
--- a/node/src/main/java/org/geraniumreach/node/OneAnswer.java
+++ b/node/src/main/java/org/geraniumreach/node/TimeoutCallback.java
@@ -13,19 +13,19 @@
  *
  * @param <T> what the call gives
  */
-final class OneAnswer<T> implements Consumer<T> {
+final class TimeoutCallback<T> implements Consumer<T> {
 
     private final Consumer<T> listener;
     private Cancellable timer = Cancellable.NOOP;
     private Cancellable call = Cancellable.NOOP;
-    private boolean told;
+    private boolean delivered;
 
-    OneAnswer(Consumer<T> listener) {
+    TimeoutCallback(Consumer<T> listener) {
         this.listener = listener;
     }
 
     /** Sets what is told if there is no answer within a time. */
-    void within(Duration limit, T missing, Timers timers) {
+    void startTimeout(Duration limit, T missing, Timers timers) {
         timer = timers.schedule(limit, () -> {
             call.cancel();
             accept(missing);
@@ -33,16 +33,16 @@
     }
 
     /** Sets the call, which is called off when the time is up. */
-    void from(Cancellable begun) {
+    void setCall(Cancellable begun) {
         call = begun;
     }
 
     @Override
     public void accept(T answer) {
-        if (told) {
+        if (delivered) {
             return;
         }
-        told = true;
+        delivered = true;
         timer.cancel();
         listener.accept(answer);
     }
--- a/node/src/test/java/org/geraniumreach/node/AdapterLoadCoordinatorTest.java
+++ b/node/src/test/java/org/geraniumreach/node/AdapterLoadCoordinatorTest.java
@@ -28,16 +28,16 @@
 class AdapterLoadCoordinatorTest {
 
     private static final AdapterName ADAPTER = new AdapterName("base", "a7");
-    private static final long BEGIN = 1_000_000_000_000L;
+    private static final long START_NANOS = 1_000_000_000_000L;
 
-    private final AtomicLong now = new AtomicLong(BEGIN);
+    private final AtomicLong now = new AtomicLong(START_NANOS);
     private final MonotonicClock clock = now::get;
-    private final AdapterLoadCoordinator desk = new AdapterLoadCoordinator(
-            new AdapterLoadCoordinator.Targets(
+    private final AdapterLoadCoordinator coordinator = new AdapterLoadCoordinator(
+            new AdapterLoadCoordinator.TargetAccess(
                     new TargetRegistry(clock),
                     new TargetOwnership("one", 1, new Lease(clock, () -> now.get() / 1_000_000), clock),
                     target -> true,
-                    new NoTargets()),
+                    new UnsupportedTargetPort()),
             (delay, action) -> Cancellable.NOOP,
             clock,
             (event, id, fields) -> {},
@@ -46,30 +46,30 @@
     // A caller would be answered by an adapter that was replaced long ago: an entry starts again in mid-day, reads the
     // version for the first time and cannot tell when it was named, so the version before may not run any more.
     @Test
-    void aVersionThatAFirstReadingFindsIsRequiredAtOnce() {
-        desk.versions().named(ADAPTER, 2, OptionalLong.empty());
-        assertThat(desk.minimumVersion(ADAPTER)).isEqualTo(2);
+    void versionFoundByFirstReadIsRequiredAtOnce() {
+        coordinator.versions().update(ADAPTER, 2, OptionalLong.empty());
+        assertThat(coordinator.minimumVersion(ADAPTER)).isEqualTo(2);
     }
 
     // Callers need not wait for a load while the version before may still run; the time counts from the last reading
     // that had not found the version, since it may have been named right after.
     @ParameterizedTest
     @CsvSource({"0, 0", "2400, 0", "2600, 2"})
-    void theVersionBeforeMayRunForAMomentAfterTheLastReadingWithoutTheNewOne(long millis, long required) {
-        desk.versions().named(ADAPTER, 2, OptionalLong.of(BEGIN));
+    void previousVersionMayRunForGracePeriodAfterLastReadWithoutNewVersion(long millis, long required) {
+        coordinator.versions().update(ADAPTER, 2, OptionalLong.of(START_NANOS));
         now.addAndGet(Duration.ofMillis(millis).toNanos());
-        assertThat(desk.minimumVersion(ADAPTER)).isEqualTo(required);
+        assertThat(coordinator.minimumVersion(ADAPTER)).isEqualTo(required);
     }
 
     @Test
-    void anOlderVersionThatIsReadLateChangesNothing() {
-        desk.versions().named(ADAPTER, 3, OptionalLong.empty());
-        desk.versions().named(ADAPTER, 2, OptionalLong.empty());
-        assertThat(desk.namedVersion(ADAPTER)).isEqualTo(3);
+    void olderVersionReadLaterIsIgnored() {
+        coordinator.versions().update(ADAPTER, 3, OptionalLong.empty());
+        coordinator.versions().update(ADAPTER, 2, OptionalLong.empty());
+        assertThat(coordinator.namedVersion(ADAPTER)).isEqualTo(3);
     }
 
     /** Nothing is sent here. */
-    private static final class NoTargets implements TargetPort {
+    private static final class UnsupportedTargetPort implements TargetPort {
 
         @Override
         public Cancellable send(
--- a/node/src/test/java/org/geraniumreach/node/CapacityRowTest.java
+++ b/node/src/test/java/org/geraniumreach/node/CapacityRowTest.java
@@ -9,7 +9,7 @@
 class CapacityRowTest {
 
     @Test
-    void readsWhatItWrites() {
+    void readsBackWrittenKeyAndCapacity() {
         assertThat(CapacityRow.parse(CapacityRow.toText(0.27))).contains(0.27);
         assertThat(CapacityRow.instance(CapacityRow.key("fleet", "edge-1").key()))
                 .isEqualTo("edge-1");
@@ -18,7 +18,7 @@
     /** Guards against an entry that takes all duties, or none, for a row that another writer has damaged. */
     @ParameterizedTest
     @ValueSource(strings = {"", "0", "-1", "NaN", "Infinity", "much"})
-    void aRowThatIsNoCapacityIsPassedOver(String text) {
+    void invalidCapacityTextIsIgnored(String text) {
         assertThat(CapacityRow.parse(text)).isEmpty();
     }
 }
--- a/node/src/test/java/org/geraniumreach/node/EntryDrainTest.java
+++ b/node/src/test/java/org/geraniumreach/node/EntryDrainTest.java
@@ -16,7 +16,7 @@
 
     /** Guards against a process that ends while a request which came during the release of its lease is open. */
     @Test
-    void aRequestThatComesWhileTheLeaseIsGivenUpIsAnsweredBeforeTheEnd() {
+    void requestArrivingDuringLeaseReleaseIsAnsweredBeforeDrainReturns() {
         List<String> events = new ArrayList<>();
         AtomicInteger open = new AtomicInteger();
         MonotonicClock fast = new MonotonicClock() {
--- a/node/src/test/java/org/geraniumreach/node/EntryLinksTest.java
+++ b/node/src/test/java/org/geraniumreach/node/EntryLinksTest.java
@@ -35,35 +35,36 @@
 
 class EntryLinksTest {
 
-    private static final long LIMIT_SECONDS = 10;
+    private static final long TIMEOUT_SECONDS = 10;
 
     private final NioEventLoopGroup loops = new NioEventLoopGroup(1);
     private final BlockingQueue<String> received = new LinkedBlockingQueue<>();
-    private EntryLinks one;
-    private EntryLinks two;
+    private EntryLinks firstLinks;
+    private EntryLinks secondLinks;
 
     @BeforeEach
     void open() throws Exception {
         ProcessSettings first = settings("one");
         ProcessSettings second = settings("two");
-        one = EntryLinks.start(first, 1, loops, new Recorder(), (event, id, fields) -> {});
-        two = EntryLinks.start(second, 1, loops, new Recorder(), (event, id, fields) -> {});
-        two.onFeedUpdate(update -> received.add("feed update " + update.table()));
-        two.onQuota(
+        firstLinks = EntryLinks.start(first, 1, loops, new Recorder(), (event, id, fields) -> {});
+        secondLinks = EntryLinks.start(second, 1, loops, new Recorder(), (event, id, fields) -> {});
+        secondLinks.onFeedUpdate(update -> received.add("feed update " + update.table()));
+        secondLinks.onQuota(
                 (entry, request) -> received.add("quota request of " + entry),
                 response -> received.add("quota response " + response.getNumber()));
-        two.onTargetAdmission(
+        secondLinks.onTargetAdmission(
                 (entry, request) -> received.add("admission request of " + entry),
                 response -> received.add("admission response " + response.getNumber()));
-        loops.submit(() -> one.keep(Map.of("two", second.linkAddress()))).sync();
-        assertThat(received.poll(LIMIT_SECONDS, TimeUnit.SECONDS)).startsWith("opened");
-        assertThat(received.poll(LIMIT_SECONDS, TimeUnit.SECONDS)).startsWith("opened");
+        loops.submit(() -> firstLinks.setOtherEntries(Map.of("two", second.linkAddress())))
+                .sync();
+        assertThat(received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS)).startsWith("opened");
+        assertThat(received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS)).startsWith("opened");
     }
 
     @AfterEach
     void close() {
-        one.close();
-        two.close();
+        firstLinks.close();
+        secondLinks.close();
         loops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
@@ -71,10 +72,10 @@
         return new ProcessSettings(
                 instance,
                 FailureDomain.of("domain"),
-                free(),
-                free(),
-                free(),
-                free(),
+                freeAddress(),
+                freeAddress(),
+                freeAddress(),
+                freeAddress(),
                 new ProcessSettings.RepeatLimits(0, 0, Duration.ofSeconds(1)),
                 new Quotas.Tolerance(0, 0, Duration.ofSeconds(1)),
                 new ColdStartLimiter.Tolerance(1, 0),
@@ -83,7 +84,7 @@
                 Duration.ofSeconds(1));
     }
 
-    private static InetSocketAddress free() throws IOException {
+    private static InetSocketAddress freeAddress() throws IOException {
         try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return (InetSocketAddress) probe.getLocalSocketAddress();
         }
@@ -117,25 +118,25 @@
     /** Guards against a kind of frame that is sent and that nobody at the other end takes. */
     @ParameterizedTest
     @MethodSource("frames")
-    void eachKindOfFrameIsTaken(Frame frame) throws Exception {
-        loops.submit(() -> one.sendCurrent("two", frame)).sync();
-        assertThat(received.poll(LIMIT_SECONDS, TimeUnit.SECONDS)).isNotNull();
+    void everyKindOfFrameReachesItsHandler(Frame frame) throws Exception {
+        loops.submit(() -> firstLinks.sendFeedOrQuota("two", frame)).sync();
+        assertThat(received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isNotNull();
     }
 
     private final class Recorder implements EntryLinks.Listener {
 
         @Override
-        public void opened(String entry) {
+        public void onLinkOpened(String entry) {
             received.add("opened " + entry);
         }
 
         @Override
-        public void demanded(String entry, AdapterDemand demand) {
+        public void onAdapterDemand(String entry, AdapterDemand demand) {
             received.add("demand of " + entry);
         }
 
         @Override
-        public void adaptersChanged(AdapterChanges changes) {
+        public void onAdapterChanges(AdapterChanges changes) {
             received.add("adapters changed");
         }
     }
--- a/node/src/test/java/org/geraniumreach/node/EntryMetricsTest.java
+++ b/node/src/test/java/org/geraniumreach/node/EntryMetricsTest.java
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void refusalsAreCountedByTheirCode() {
+    void refusalsAreCountedByResultCode() {
         metrics.write(EventCode.REQUEST_REFUSED, "a", Field.of("code", ResultCode.OUT_OF_BUDGET));
         metrics.write(EventCode.REQUEST_REFUSED, "b", Field.of("code", ResultCode.OUT_OF_BUDGET));
         metrics.write(EventCode.REQUEST_REFUSED, "c", Field.of("code", ResultCode.DRAINING));
@@ -66,8 +66,8 @@
     }
 
     @Test
-    void endsAndTimesAreCountedForEachAccount() {
-        metrics.ended(outcome("acme", OutcomeListener.Kind.ANSWERED));
+    void requestEndsAndTimesAreRecordedPerAccount() {
+        metrics.onRequestEnded(outcome("acme", OutcomeListener.Kind.ANSWERED));
         assertThat(metrics.scrape())
                 .contains("geraniumreach_requests_total{account=\"acme\",end=\"ANSWERED\"} 1.0")
                 .contains("geraniumreach_repeated_sends_total{account=\"acme\"} 1.0")
@@ -82,23 +82,23 @@
     // Operators would lose all metrics to a client account list that grows without end: each account has some forty
     // series.
     @Test
-    void accountsBeyondTheFirstShareTheirSeries() {
+    void accountsBeyondLimitShareOneSeries() {
         for (int number = 0; number < 10 * ProcessMeters.MOST_ACCOUNTS; number++) {
-            metrics.ended(outcome("account" + number, OutcomeListener.Kind.ANSWERED));
+            metrics.onRequestEnded(outcome("account" + number, OutcomeListener.Kind.ANSWERED));
         }
         assertThat(metrics.scrape().lines().filter(line -> line.startsWith("geraniumreach_repeated_sends_total")))
                 .hasSize(ProcessMeters.MOST_ACCOUNTS + 1);
     }
 
     @Test
-    void thePortServesTheMetersAsText() throws IOException {
+    void serverServesMetricsAsText() throws IOException {
         metrics.gauge("geraniumreach.ready", "1 if callers are wanted.", () -> 1);
         InetSocketAddress address;
         try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             address = (InetSocketAddress) probe.getLocalSocketAddress();
         }
-        String url = "http://127.0.0.1:" + address.getPort() + MetricsPort.PATH;
-        try (MetricsPort port = MetricsPort.start(address, metrics::scrape);
+        String url = "http://127.0.0.1:" + address.getPort() + MetricsServer.PATH;
+        try (MetricsServer port = MetricsServer.start(address, metrics::scrape);
                 InputStream answer = URI.create(url).toURL().openStream()) {
             assertThat(port).isNotNull();
             assertThat(new String(answer.readAllBytes(), StandardCharsets.UTF_8))
--- a/node/src/test/java/org/geraniumreach/node/EvacuatedTargetCallsTest.java
+++ b/node/src/test/java/org/geraniumreach/node/EvacuatedTargetCallsTest.java
@@ -36,22 +36,22 @@
 class EvacuatedTargetCallsTest {
 
     private static final TargetId ID = TargetId.of("t1");
-    private static final long BEGIN = 1_000_000_000_000L;
+    private static final long START_NANOS = 1_000_000_000_000L;
 
-    private final AtomicLong now = new AtomicLong(BEGIN);
+    private final AtomicLong now = new AtomicLong(START_NANOS);
     private final MonotonicClock clock = now::get;
-    private final List<Runnable> due = new ArrayList<>();
+    private final List<Runnable> scheduled = new ArrayList<>();
     private final TargetRegistry registry = new TargetRegistry(clock);
     private final Lease lease = new Lease(clock, () -> now.get() / 1_000_000);
     private final TargetOwnership ownership = new TargetOwnership("one", 1, lease, clock);
-    private final CountedCalls calls = new CountedCalls();
+    private final CallCounter calls = new CallCounter();
     private boolean evacuated;
 
     private final AdapterLoadCoordinator coordinator = new AdapterLoadCoordinator(
-            new AdapterLoadCoordinator.Targets(registry, ownership, target -> !evacuated, calls),
+            new AdapterLoadCoordinator.TargetAccess(registry, ownership, target -> !evacuated, calls),
             (delay, action) -> {
-                due.add(action);
-                return () -> due.remove(action);
+                scheduled.add(action);
+                return () -> scheduled.remove(action);
             },
             clock,
             (event, id, fields) -> {},
@@ -72,7 +72,7 @@
     }
 
     /** Counts calls that are never answered. */
-    private static final class CountedCalls implements TargetPort {
+    private static final class CallCounter implements TargetPort {
         private int count;
 
         @Override
@@ -98,7 +98,7 @@
         }
     }
 
-    private void own() {
+    private void joinOwnedTarget() {
         lease.onRenewed(lease.startRenewal());
         registry.addListener(coordinator);
         Transaction claim =
@@ -121,12 +121,12 @@
 
     /** Guards against orders and reports that still go to targets of an evacuated failure domain. */
     @Test
-    void nothingIsSentToATargetThatMayNotBeCalledUntilItMay() {
+    void nothingIsSentToTargetUntilItMayBeCalledAgain() {
         evacuated = true;
-        own();
+        joinOwnedTarget();
         assertThat(calls.count).isZero();
         evacuated = false;
-        List.copyOf(due).forEach(Runnable::run);
+        List.copyOf(scheduled).forEach(Runnable::run);
         assertThat(calls.count).isEqualTo(1);
     }
 }
--- a/node/src/test/java/org/geraniumreach/node/FeedUpdatesTest.java
+++ b/node/src/test/java/org/geraniumreach/node/FeedUpdatesTest.java
@@ -34,14 +34,14 @@
 
     @ParameterizedTest
     @MethodSource("updates")
-    void anUpdateArrivesAsItWasSent(FeedUpdate update) {
+    void updateIsUnchangedByConversionToMessageAndBack(FeedUpdate update) {
         assertThat(FeedUpdates.fromMessage(FeedUpdates.toFrame(update).getFeedUpdate()))
                 .contains(update);
     }
 
     /** Guards against a failure while entries of two versions run side by side. */
     @Test
-    void anUpdateOfAnUnknownTableIsPassedOver() {
+    void updateOfUnknownTableIsIgnored() {
         assertThat(FeedUpdates.fromMessage(org.geraniumreach.messages.FeedUpdate.newBuilder()
                         .setTableValue(99)
                         .build()))
--- a/node/src/test/java/org/geraniumreach/node/JsonLogTest.java
+++ b/node/src/test/java/org/geraniumreach/node/JsonLogTest.java
@@ -17,7 +17,7 @@
 class JsonLogTest {
 
     @Test
-    void writesOneObjectALineWithNumberNameAndFields() {
+    void writesOneJsonObjectPerLineWithNumberNameAndFields() {
         ByteArrayOutputStream output = new ByteArrayOutputStream();
         JsonLog log = JsonLog.start(output, () -> 5);
         log.write(EventCode.CALLER_GONE, "r\"1", Field.of("arrivals", 2), Field.of("reason", "a\nb"));
@@ -30,12 +30,12 @@
     // Callers would wait for a reader of the log that has stopped. The ring is full then, lines are dropped, and the
     // log says how many once it is read again.
     @Test
-    void aReaderThatHasStoppedHoldsNobodyUp() {
+    void writersDoNotBlockWhenOutputIsNotRead() {
         CountDownLatch reads = new CountDownLatch(1);
         ByteArrayOutputStream output = new ByteArrayOutputStream();
-        JsonLog log = JsonLog.start(new Stuck(output, reads), () -> 5);
+        JsonLog log = JsonLog.start(new BlockedOutputStream(output, reads), () -> 5);
         assertTimeoutPreemptively(Duration.ofSeconds(10), () -> {
-            for (int line = 0; line < 3 * JsonLog.MOST_LINES; line++) {
+            for (int line = 0; line < 3 * JsonLog.MAX_PENDING_LINES; line++) {
                 log.write(EventCode.CALLER_GONE, "r");
                 if (line == 0) {
                     Thread.sleep(300);
@@ -47,13 +47,13 @@
         assertThat(output.toString(StandardCharsets.UTF_8)).contains("LOG_LINES_DROPPED");
     }
 
-    private static final class Stuck extends OutputStream {
-        private final OutputStream behind;
-        private final CountDownLatch reads;
+    private static final class BlockedOutputStream extends OutputStream {
+        private final OutputStream delegate;
+        private final CountDownLatch readable;
 
-        private Stuck(OutputStream behind, CountDownLatch reads) {
-            this.behind = behind;
-            this.reads = reads;
+        private BlockedOutputStream(OutputStream behind, CountDownLatch reads) {
+            this.delegate = behind;
+            this.readable = reads;
         }
 
         @Override
@@ -64,11 +64,11 @@
         @Override
         public void write(byte[] batch) throws IOException {
             try {
-                reads.await();
+                readable.await();
             } catch (InterruptedException stopped) {
                 Thread.currentThread().interrupt();
             }
-            behind.write(batch);
+            delegate.write(batch);
         }
     }
 }
--- a/node/src/test/java/org/geraniumreach/node/LibraryLogTest.java
+++ b/node/src/test/java/org/geraniumreach/node/LibraryLogHandlerTest.java
@@ -14,7 +14,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class LibraryLogTest {
+class LibraryLogHandlerTest {
 
     private final List<String> lines = new ArrayList<>();
 
@@ -25,7 +25,7 @@
 
     /** Guards against plain lines among the JSON lines of the log, which a reader of the log would take for damage. */
     @Test
-    void aLibrarysWarningBecomesALineOfTheLog() {
+    void libraryWarningIsWrittenToDecisionLog() {
         install();
         Logger.getLogger("a.library").log(Level.WARNING, "odd", new IllegalStateException("why"));
         assertThat(lines).containsExactly("LIBRARY_MESSAGE a.library odd java.lang.IllegalStateException: why");
@@ -33,14 +33,14 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"INFO", "FINE"})
-    void whatALibraryTellsOfItsUsualWorkIsLeftOut(String level) {
+    void libraryMessagesBelowWarningAreDropped(String level) {
         install();
         Logger.getLogger("a.library").log(Level.parse(level), "started");
         assertThat(lines).isEmpty();
     }
 
     private void install() {
-        LibraryLog.install((event, id, fields) -> {
+        LibraryLogHandler.install((event, id, fields) -> {
             assertThat(event).isEqualTo(EventCode.LIBRARY_MESSAGE);
             lines.add(event + " " + fields[0].value() + " " + fields[1].value() + " " + fields[2].value());
         });
--- a/node/src/test/java/org/geraniumreach/node/PlatformBoundaryTest.java
+++ b/node/src/test/java/org/geraniumreach/node/PlatformBoundaryTest.java
@@ -46,8 +46,8 @@
                 "model_load",
                 "tombstone"
             })
-    void noMainSourceOutsideThePlatformsFolderHoldsItsWords(String word) throws IOException {
-        assertThat(sources().filter(file -> holds(file, word)).toList()).isEmpty();
+    void noMainSourceOutsidePlatformFolderContainsPlatformTerm(String word) throws IOException {
+        assertThat(sources().filter(file -> containsText(file, word)).toList()).isEmpty();
     }
 
     private static Stream<Path> sources() throws IOException {
@@ -58,7 +58,7 @@
                 .filter(file -> !ROOT.relativize(file).startsWith("standins"));
     }
 
-    private static boolean holds(Path file, String word) {
+    private static boolean containsText(Path file, String word) {
         try {
             return Files.readString(file).contains(word);
         } catch (IOException unreadable) {
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void thePlatformsFolderHasNoClockTimerOrChance() {
+    void platformFolderUsesNoClockTimerOrRandomness() {
         noClasses()
                 .that()
                 .resideInAPackage("org.geraniumreach.platform..")
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void theGatewayDoesNoInputOrOutput() {
+    void gatewayDoesNoInputOrOutput() {
         noClasses()
                 .that()
                 .resideInAPackage("org.geraniumreach.gateway..")
@@ -104,7 +104,7 @@
     }
 
     @Test
-    void thePlatformsFolderIsUsedByTheProcessOnly() {
+    void platformFolderIsUsedOnlyByNodeProcess() {
         List<String> product = List.of("gateway", "coordination", "serving", "link", "daemon", "model");
         for (String module : product) {
             noClasses()
