--- a/node/src/main/java/org/geraniumreach/node/AdapterLoadCoordinator.java
+++ b/node/src/main/java/org/geraniumreach/node/AdapterLoadCoordinator.java
@@ -43,22 +43,22 @@
 import org.geraniumreach.model.TargetId;
 
 /**
- * Has adapters loaded: orders the targets that this entry holds, and asks the holders of the others.
+ * Coordinates the loading of adapters: sends orders to the targets that this entry owns, and load requests to the owners of the others.
  *
- * <p>Invariants: no order is sent to a target without the fence that the store gave this entry, asked for at the moment of the
- * sending; nothing is sent to a target that may not be called, and what is due there is taken up when it may. Confined to the event loop.
+ * <p>Invariants: each order carries the fencing token that the store has given this entry, looked up at the time of sending; nothing
+ * is sent to a target that may not be called, and calls due there are made once it may be called again. Confined to the event loop.
  */
 final class AdapterLoadCoordinator implements AdapterLoader, TargetRegistry.Listener, EntryLinks.Listener {
 
-    /** Between two looks while load requests wait for a slot, for the weight store or for an adapter to be idle. */
+    /** Polling interval while load requests wait for a slot, for the weight store or for an adapter to be idle. */
     private static final Duration POLL_INTERVAL = Duration.ofMillis(12);
 
-    /** Between two looks at a target that nothing may be sent to. */
+    /** Polling interval of a target that may not be called. */
     private static final Duration EVACUATED_POLL_INTERVAL = Duration.ofMillis(500);
 
     private static final Duration MIN_POLL_INTERVAL = Duration.ofMillis(1);
 
-    /** Orders are answered within 10 ms; one that is not was lost, or is carried out late, and a copy of it does no harm. */
+    /** Orders are normally answered within 10 ms; an unanswered one was lost or is executed late, and repeating it is harmless. */
     private static final Duration ORDER_TIMEOUT = Duration.ofMillis(150);
 
     private static final Duration REPORT_TIMEOUT = Duration.ofMillis(300);
@@ -83,7 +83,7 @@
     private final Map<Target, Map<AdapterName, Long>> recentLoadRequests = new HashMap<>();
     private Optional<EntryLinks> links = Optional.empty();
 
-    /** A target that this entry holds. */
+    /** A target that this entry owns. */
     private static final class OwnedTarget {
         private final AdapterSlots slots;
         private Cancellable pollTimer = Cancellable.NOOP;
@@ -94,12 +94,12 @@
     }
 
     /**
-     * Which targets there are, and how they are called.
+     * The known targets, their owners, and the port to call them.
      *
-     * @param registry the targets
-     * @param ownership who owns which
-     * @param mayBeCalled whether anything may be sent to a target now
-     * @param port calls them
+     * @param registry the known targets
+     * @param ownership the owners of the targets
+     * @param mayBeCalled whether a target may be called now
+     * @param port sends calls to targets
      */
     record TargetAccess(
             TargetRegistry registry, TargetOwnership ownership, Predicate<Target> mayBeCalled, TargetPort port) {}
@@ -127,7 +127,7 @@
         timers.schedule(UsageReports.CHECK_INTERVAL, this::reportUsage);
     }
 
-    /** Queries whether somebody can have adapters loaded at a target now. */
+    /** Checks whether this entry or a connected owner can have adapters loaded at a target now. */
     boolean canReceiveOrders(Target target) {
         if (ownership.fence(target.id()).isPresent()) {
             return true;
@@ -139,15 +139,15 @@
                 .isPresent();
     }
 
-    /** Gets the targets that hold models, which need a holder. */
+    /** Gets the targets that serve models, each of which needs an owner. */
     List<TargetId> targetsNeedingOwner() {
-        List<TargetId> needing = new ArrayList<>();
+        List<TargetId> ids = new ArrayList<>();
         for (Target target : registry.all()) {
             if (findEngine(target).isPresent()) {
-                needing.add(target.id());
+                ids.add(target.id());
             }
         }
-        return needing;
+        return ids;
     }
 
     private Optional<ServiceDefinition.Engine> findEngine(Target target) {
@@ -158,16 +158,16 @@
                 .filter(engine -> !engine.models().isEmpty());
     }
 
-    /** Takes up the targets that this entry holds now, and lets go of those that it does not. */
+    /** Starts managing targets that this entry has come to own, and stops managing those that others own. */
     void refresh() {
         registry.all().forEach(this::refresh);
     }
 
     private void refresh(Target target) {
-        boolean own = ownership.fence(target.id()).isPresent();
-        if (own && !ownedTargets.containsKey(target)) {
+        boolean hasFence = ownership.fence(target.id()).isPresent();
+        if (hasFence && !ownedTargets.containsKey(target)) {
             findEngine(target).ifPresent(engine -> startManaging(target, engine));
-        } else if (!own
+        } else if (!hasFence
                 && ownedTargets.containsKey(target)
                 && !ownership.holder(target.id()).equals(Optional.of(self))) {
             stopManaging(target);
@@ -191,14 +191,14 @@
     }
 
     private void stopManaging(Target target) {
-        OwnedTarget former = ownedTargets.remove(target);
-        if (former != null) {
-            former.pollTimer.cancel();
-            former.slots.close();
+        OwnedTarget removed = ownedTargets.remove(target);
+        if (removed != null) {
+            removed.pollTimer.cancel();
+            removed.slots.close();
         }
     }
 
-    /** Passes on what changes at an owned target. */
+    /** Records the changes of adapters at an owned target and publishes them to all entries. */
     private final class ChangePublisher implements AdapterSlots.Listener {
         private final Target target;
         private final String model;
@@ -248,49 +248,49 @@
                 .build();
     }
 
-    /** Makes the next call that is due at an owned target, and comes back while anything is. */
+    /** Makes the next due call to an owned target, and schedules the next poll while work is pending. */
     private void poll(Target target) {
-        OwnedTarget now = ownedTargets.get(target);
-        if (now == null) {
+        OwnedTarget owned = ownedTargets.get(target);
+        if (owned == null) {
             return;
         }
-        now.pollTimer.cancel();
+        owned.pollTimer.cancel();
         if (!mayBeCalled.test(target)) {
-            now.pollTimer = timers.schedule(EVACUATED_POLL_INTERVAL, () -> poll(target));
+            owned.pollTimer = timers.schedule(EVACUATED_POLL_INTERVAL, () -> poll(target));
             return;
         }
         OptionalLong fence = ownership.fence(target.id());
         if (fence.isPresent()) {
-            now.slots.nextCall(clock.nanos()).ifPresent(step -> execute(target, now, step, fence.getAsLong()));
+            owned.slots.nextCall(clock.nanos()).ifPresent(call -> execute(target, owned, call, fence.getAsLong()));
         }
-        if (now.slots.isBusy()) {
-            now.pollTimer = timers.schedule(nextPollDelay(now.slots), () -> poll(target));
+        if (owned.slots.isBusy()) {
+            owned.pollTimer = timers.schedule(nextPollDelay(owned.slots), () -> poll(target));
         }
     }
 
     private Duration nextPollDelay(AdapterSlots slots) {
-        Duration until = slots.untilNextCall(clock.nanos()).orElse(POLL_INTERVAL);
-        return until.compareTo(MIN_POLL_INTERVAL) < 0 ? MIN_POLL_INTERVAL : until;
+        Duration delay = slots.untilNextCall(clock.nanos()).orElse(POLL_INTERVAL);
+        return delay.compareTo(MIN_POLL_INTERVAL) < 0 ? MIN_POLL_INTERVAL : delay;
     }
 
-    private void execute(Target target, OwnedTarget now, AdapterSlots.Call step, long fence) {
-        if (step instanceof AdapterSlots.Call.SendOrder send) {
-            sendOrder(target, now, send, fence);
+    private void execute(Target target, OwnedTarget owned, AdapterSlots.Call call, long fence) {
+        if (call instanceof AdapterSlots.Call.SendOrder send) {
+            sendOrder(target, owned, send, fence);
         } else {
-            fetchReport(target, now);
+            fetchReport(target, owned);
         }
     }
 
-    private void sendOrder(Target target, OwnedTarget now, AdapterSlots.Call.SendOrder send, long fence) {
+    private void sendOrder(Target target, OwnedTarget owned, AdapterSlots.Call.SendOrder send, long fence) {
         Order order = new Order(
                 send.operation(),
-                now.slots.model(),
+                owned.slots.model(),
                 send.adapter().map(AdapterName::adapter),
                 OptionalLong.of(send.expectedOrders()),
                 fence);
         TimeoutCallback<OrderResult> answer = new TimeoutCallback<>(result -> {
             logOrder(target, send, fence, result);
-            now.slots.onOrderResult(send, result, clock.nanos());
+            owned.slots.onOrderResult(send, result, clock.nanos());
             if (result == OrderResult.ANOTHER_TARGET) {
                 registry.removeEnded(target);
             }
@@ -311,12 +311,12 @@
                 Field.of("result", result));
     }
 
-    private void fetchReport(Target target, OwnedTarget now) {
+    private void fetchReport(Target target, OwnedTarget owned) {
         TimeoutCallback<Optional<TargetReport>> answer = new TimeoutCallback<>(report -> {
             if (report.isPresent()) {
-                now.slots.onReport(report.get(), clock.nanos());
+                owned.slots.onReport(report.get(), clock.nanos());
             } else {
-                now.slots.onReportFailed(clock.nanos());
+                owned.slots.onReportFailed(clock.nanos());
             }
             poll(target);
         });
@@ -326,19 +326,20 @@
 
     @Override
     public void enqueue(Target target, AdapterName adapter, Optional<Duration> untilLate, boolean mayDecline) {
-        OwnedTarget own = ownedTargets.get(target);
+        OwnedTarget owned = ownedTargets.get(target);
         long now = clock.nanos();
-        if (own != null) {
-            if (tryEnqueue(own.slots, adapter, untilLate, mayDecline)) {
+        if (owned != null) {
+            if (tryEnqueue(owned.slots, adapter, untilLate, mayDecline)) {
                 poll(target);
             } else {
                 onDeclined(target.id(), adapter);
             }
             return;
         }
-        Map<AdapterName, Long> recent = recentLoadRequests.computeIfAbsent(target, missing -> new LinkedHashMap<>());
-        recent.values().removeIf(at -> now - at > LOAD_REQUEST_INTERVAL.toNanos());
-        if (recent.putIfAbsent(adapter, now) == null) {
+        Map<AdapterName, Long> recentTimes =
+                recentLoadRequests.computeIfAbsent(target, missing -> new LinkedHashMap<>());
+        recentTimes.values().removeIf(sentAt -> now - sentAt > LOAD_REQUEST_INTERVAL.toNanos());
+        if (recentTimes.putIfAbsent(adapter, now) == null) {
             AdapterLoadRequest.Builder request = AdapterLoadRequest.newBuilder()
                     .setAdapter(adapter.adapter())
                     .setWaitedFor(untilLate.isPresent())
@@ -348,18 +349,18 @@
         }
     }
 
-    /** Enqueues a load request, or tells that it is declined because all slots are in use. */
+    /** Enqueues a load request; returns false if it is declined because the target has no slot for it. */
     private boolean tryEnqueue(
             AdapterSlots slots, AdapterName adapter, Optional<Duration> untilLate, boolean mayDecline) {
         long now = clock.nanos();
         if (mayDecline && !slots.hasSlotFor(adapter, now)) {
             return false;
         }
-        slots.enqueue(adapter, lateAt(untilLate, now), now);
+        slots.enqueue(adapter, deadlineNanos(untilLate, now), now);
         return true;
     }
 
-    private static OptionalLong lateAt(Optional<Duration> untilLate, long now) {
+    private static OptionalLong deadlineNanos(Optional<Duration> untilLate, long now) {
         return untilLate.isEmpty()
                 ? OptionalLong.empty()
                 : OptionalLong.of(now + untilLate.get().toNanos());
@@ -375,9 +376,9 @@
     @Override
     public void onRequestSent(Target target, AdapterName adapter) {
         usageReports.onRequestStarted(target, adapter);
-        OwnedTarget own = ownedTargets.get(target);
-        if (own != null) {
-            own.slots.recordUses(adapter, 1, clock.nanos());
+        OwnedTarget owned = ownedTargets.get(target);
+        if (owned != null) {
+            owned.slots.recordUses(adapter, 1, clock.nanos());
         }
     }
 
@@ -389,9 +390,9 @@
     private void reportUsage() {
         long now = clock.nanos();
         for (UsageReports.Report report : usageReports.takeDue(now)) {
-            OwnedTarget own = ownedTargets.get(report.target());
-            if (own != null) {
-                own.slots.updateRunning(self, report.running(), now);
+            OwnedTarget owned = ownedTargets.get(report.target());
+            if (owned != null) {
+                owned.slots.updateRunning(self, report.running(), now);
             } else {
                 reportToOwner(report);
             }
@@ -401,24 +402,24 @@
 
     private void reportToOwner(UsageReports.Report report) {
         Map<String, AdapterDemand.Builder> byModel = new HashMap<>();
-        report.started().forEach(adapter -> byModel.computeIfAbsent(adapter.baseModel(), missing -> fetchReport())
+        report.started().forEach(adapter -> byModel.computeIfAbsent(adapter.baseModel(), missing -> newUsageReport())
                 .addUsed(adapter.adapter()));
-        report.running().forEach(adapter -> byModel.computeIfAbsent(adapter.baseModel(), missing -> fetchReport())
+        report.running().forEach(adapter -> byModel.computeIfAbsent(adapter.baseModel(), missing -> newUsageReport())
                 .addRunning(adapter.adapter()));
         if (byModel.isEmpty()) {
             findEngine(report.target())
-                    .ifPresent(engine -> byModel.put(engine.models().get(0), fetchReport()));
+                    .ifPresent(engine -> byModel.put(engine.models().get(0), newUsageReport()));
         }
         byModel.forEach((model, demand) -> sendDemand(report.target(), model, demand));
     }
 
-    private static AdapterDemand.Builder fetchReport() {
+    private static AdapterDemand.Builder newUsageReport() {
         return AdapterDemand.newBuilder().setTellsRunning(true);
     }
 
     @Override
-    public Cancellable await(AdapterName adapter, Runnable changed) {
-        return waiters.add(adapter, changed);
+    public Cancellable await(AdapterName adapter, Runnable callback) {
+        return waiters.add(adapter, callback);
     }
 
     @Override
@@ -431,7 +432,7 @@
         return versions.requiredVersion(adapter);
     }
 
-    /** Gets the versions that the operator has named, to be kept up to date. */
+    /** Gets the adapter versions in force, which the caller updates. */
     NamedVersions versions() {
         return versions;
     }
@@ -456,17 +457,17 @@
 
     @Override
     public void onChanged(Target target) {
-        // Its row's models are in the target already.
+        // The target itself already has the models of its row.
     }
 
     @Override
     public void onLinkOpened(String entry) {
-        ownedTargets.forEach((target, own) -> {
+        ownedTargets.forEach((target, owned) -> {
             AdapterChanges.Builder changes = AdapterChanges.newBuilder()
                     .setTarget(target.id().value())
                     .setStartedAt(target.description().startedAt())
-                    .setModel(own.slots.model())
-                    .setModelPresent(target.holdsModel(own.slots.model()));
+                    .setModel(owned.slots.model())
+                    .setModelPresent(target.holdsModel(owned.slots.model()));
             target.residents()
                     .forEach((adapter, version) -> changes.addLoaded(toLoadedMessage(adapter.adapter(), version)));
             links.ifPresent(open -> open.send(
@@ -486,19 +487,19 @@
         if (demand.getTellsRunning()) {
             slots.updateRunning(entry, toAdapterNames(demand.getModel(), demand.getRunningList()), now);
         }
-        AdapterChanges.Builder answer = AdapterChanges.newBuilder();
+        AdapterChanges.Builder response = AdapterChanges.newBuilder();
         for (AdapterLoadRequest request : demand.getLoadRequestsList()) {
             AdapterName adapter = toAdapterName(demand, request);
             if (!tryEnqueue(slots, adapter, untilLate(request), request.getMayDecline())) {
-                answer.addDeclined(adapter.adapter());
+                response.addDeclined(adapter.adapter());
             }
         }
-        if (answer.getDeclinedCount() > 0) {
-            answer.setTarget(demand.getTarget())
+        if (response.getDeclinedCount() > 0) {
+            response.setTarget(demand.getTarget())
                     .setStartedAt(target.get().description().startedAt())
                     .setModel(demand.getModel());
             links.ifPresent(open -> open.send(
-                    entry, Frame.newBuilder().setAdapterChanges(answer).build()));
+                    entry, Frame.newBuilder().setAdapterChanges(response).build()));
         }
         poll(target.get());
     }
@@ -536,8 +537,8 @@
         if (changes.getModelPresent()) {
             target.get().learnModel(changes.getModel());
         }
-        for (String gone : changes.getUnloadedList()) {
-            target.get().learnAbsent(new AdapterName(changes.getModel(), gone), now);
+        for (String unloaded : changes.getUnloadedList()) {
+            target.get().learnAbsent(new AdapterName(changes.getModel(), unloaded), now);
         }
         changes.getDeclinedList()
                 .forEach(name -> onDeclined(target.get().id(), new AdapterName(changes.getModel(), name)));
--- a/node/src/main/java/org/geraniumreach/node/AdapterWaiters.java
+++ b/node/src/main/java/org/geraniumreach/node/AdapterWaiters.java
@@ -9,28 +9,29 @@
 import org.geraniumreach.gateway.traffic.AdapterName;
 
 /**
- * Who waits for which adapter.
+ * Callbacks of requests that wait for adapters, by adapter.
  *
- * <p>Invariant: who was woken waits no longer. Confined to the event loop.
+ * <p>Invariant: a callback is removed before it runs. Confined to the event loop.
  */
 final class AdapterWaiters {
 
     private final Map<AdapterName, Set<Runnable>> waiting = new HashMap<>();
 
-    Cancellable add(AdapterName adapter, Runnable changed) {
-        waiting.computeIfAbsent(adapter, missing -> new LinkedHashSet<>()).add(changed);
+    /** Adds a callback, which runs at the next {@link #wake} of the adapter unless it is cancelled. */
+    Cancellable add(AdapterName adapter, Runnable callback) {
+        waiting.computeIfAbsent(adapter, missing -> new LinkedHashSet<>()).add(callback);
         return () -> {
-            Set<Runnable> others = waiting.get(adapter);
-            if (others != null && others.remove(changed) && others.isEmpty()) {
+            Set<Runnable> callbacks = waiting.get(adapter);
+            if (callbacks != null && callbacks.remove(callback) && callbacks.isEmpty()) {
                 waiting.remove(adapter);
             }
         };
     }
 
     void wake(AdapterName adapter) {
-        Set<Runnable> woken = waiting.remove(adapter);
-        if (woken != null) {
-            woken.forEach(Runnable::run);
+        Set<Runnable> callbacks = waiting.remove(adapter);
+        if (callbacks != null) {
+            callbacks.forEach(Runnable::run);
         }
     }
 }
--- a/node/src/main/java/org/geraniumreach/node/CapacityRow.java
+++ b/node/src/main/java/org/geraniumreach/node/CapacityRow.java
@@ -5,7 +5,9 @@
 import org.geraniumreach.model.table.RowKey;
 
 /**
- * The stored row of an entry's capacity, apart from {@link EntryRow}, which entries of earlier versions read.
+ * Format of the stored row that holds an entry's capacity.
+ *
+ * <p>Separate from {@link EntryRow}, since entries of earlier versions must still be able to read that row.
  *
  * <p>Stateless and safe for use by several threads.
  */
@@ -27,12 +29,12 @@
         return key.substring(PREFIX.length());
     }
 
-    /** Writes a capacity in processor cores. */
+    /** Formats a capacity in processor cores. */
     static String toText(double cores) {
         return Double.toString(cores);
     }
 
-    /** Reads a capacity, empty if the text is none above zero. */
+    /** Parses a capacity in processor cores; empty if the text is not a finite number above zero. */
     static Optional<Double> parse(String text) {
         try {
             double cores = Double.parseDouble(text);
--- a/node/src/main/java/org/geraniumreach/node/DomainRelay.java
+++ b/node/src/main/java/org/geraniumreach/node/DomainRelay.java
@@ -11,7 +11,7 @@
 import org.geraniumreach.messages.Frame;
 
 /**
- * Passes readings of the store on over the links within this entry's failure domain.
+ * Forwards the store updates that this entry reads to the other entries of its failure domain, over the links.
  *
  * <p>Confined to the event loop.
  */
@@ -42,7 +42,7 @@
             return;
         }
         Frame frame = FeedUpdates.toFrame(update);
-        // A peer whose link is choked gets no update late, but notices the gap and reads the store.
+        // A peer whose link is not writable misses the update, detects the gap and reads the store itself.
         peers.stream().filter(Peer::isWritable).forEach(peer -> peer.send(frame));
     }
 }
--- a/node/src/main/java/org/geraniumreach/node/EntryDirectory.java
+++ b/node/src/main/java/org/geraniumreach/node/EntryDirectory.java
@@ -31,20 +31,20 @@
 import org.geraniumreach.model.table.Transaction;
 
 /**
- * The entries' own table: who is there, who holds which target, who has which share.
+ * Maintains this entry's view of the entries' table, with all entries, the holders of targets and the quota shares, and writes its changes.
  *
- * <p>Invariant: one transaction of a kind is under way at a time, and its outcome is believed only from the store's answer or from the
- * table's news. Confined to the event loop.
+ * <p>Invariant: at most one transaction of each kind is in progress, and its outcome is taken only from the store's answer or from an
+ * update of the table. Confined to the event loop.
  */
 final class EntryDirectory {
 
     private static final Duration TICK_INTERVAL = Duration.ofMillis(500);
     private static final Duration STORE_TIMEOUT = Duration.ofMillis(1_500);
 
-    /** Leases are read only while an entry is out of sight, at a quarter of what one lasts. */
+    /** A quarter of the duration of a lease; leases are read only while an entry is unreachable. */
     private static final Duration LEASE_READ_INTERVAL = Duration.ofSeconds(2);
 
-    /** Entries that start together see each other's rows by then, and divide accounts' rates evenly. */
+    /** By then, entries that start together have read each other's rows and can divide the accounts' rates evenly. */
     private static final Duration SETTLING_TIME = Duration.ofMillis(1_500);
 
     private final ProcessSettings settings;
@@ -71,7 +71,7 @@
     private long leasesReadAt = Long.MIN_VALUE;
     private boolean stopped;
 
-    /** What a table works with. */
+    /** The collaborators of a directory. */
     record Dependencies(
             StorePort store,
             TargetOwnership ownership,
@@ -83,18 +83,18 @@
             StoreAvailability availability,
             DecisionLog log) {}
 
-    EntryDirectory(ProcessSettings settings, long incarnation, Dependencies parts) {
+    EntryDirectory(ProcessSettings settings, long incarnation, Dependencies dependencies) {
         this.settings = Objects.requireNonNull(settings, "settings");
         this.incarnation = incarnation;
-        this.store = parts.store();
-        this.ownership = parts.ownership();
-        this.quotas = parts.quotas();
-        this.coordinator = parts.coordinator();
-        this.links = parts.links();
-        this.timers = parts.timers();
-        this.clock = parts.clock();
-        this.availability = parts.availability();
-        this.log = parts.log();
+        this.store = dependencies.store();
+        this.ownership = dependencies.ownership();
+        this.quotas = dependencies.quotas();
+        this.coordinator = dependencies.coordinator();
+        this.links = dependencies.links();
+        this.timers = dependencies.timers();
+        this.clock = dependencies.clock();
+        this.availability = dependencies.availability();
+        this.log = dependencies.log();
         this.startedAt = clock.nanos();
     }
 
@@ -125,22 +125,24 @@
         });
     }
 
-    /** Tells of a decision of the store, or of none where nobody knows. */
-    private void commit(Transaction transaction, Consumer<Optional<StorePort.CommitResult>> decided) {
+    /** Commits a transaction; the callback gets the store's decision, empty if it is unknown. */
+    private void commit(Transaction transaction, Consumer<Optional<StorePort.CommitResult>> callback) {
         TimeoutCallback<StoreReply<StorePort.CommitResult>> answer = new TimeoutCallback<>(reply -> {
             availability.record(reply);
-            boolean known = reply instanceof StoreReply.Value<StorePort.CommitResult>;
-            decided.accept(
-                    known ? Optional.of(((StoreReply.Value<StorePort.CommitResult>) reply).value()) : Optional.empty());
+            boolean answered = reply instanceof StoreReply.Value<StorePort.CommitResult>;
+            callback.accept(
+                    answered
+                            ? Optional.of(((StoreReply.Value<StorePort.CommitResult>) reply).value())
+                            : Optional.empty());
         });
         answer.startTimeout(STORE_TIMEOUT, new StoreReply.Unknown<>("no answer to a transaction"), timers);
         answer.setCall(store.commit(transaction, answer));
     }
 
-    /** Takes the table's news. */
-    void onTableUpdate(StorePort.TableUpdate<RowChange> news) {
+    /** Applies an update of the entries' table. */
+    void onTableUpdate(StorePort.TableUpdate<RowChange> update) {
         tableRead = true;
-        for (RowChange change : news.items()) {
+        for (RowChange change : update.items()) {
             applyRow(change.key(), change.row());
         }
         updateLinks();
@@ -182,7 +184,7 @@
         }
     }
 
-    /** Gets an entry's capacity in processor cores, 1 if it has not said. */
+    /** Gets an entry's capacity in processor cores, 1 if it has published none. */
     double capacity(String instance) {
         return capacities.getOrDefault(instance, 1.0);
     }
@@ -206,7 +208,7 @@
         reconcile();
     }
 
-    /** Takes over what is to be taken over; run at each tick and after each renewal of the lease. */
+    /** Claims targets, updates shares and reads leases as needed; called at each tick and after each renewal of the lease. */
     void reconcile() {
         if (!tableRead || stopped) {
             return;
@@ -222,18 +224,18 @@
         if (claimInProgress) {
             return;
         }
-        List<String> known = new ArrayList<>(entryRows.keySet());
-        if (!known.contains(settings.instance())) {
-            known.add(settings.instance());
+        List<String> instances = new ArrayList<>(entryRows.keySet());
+        if (!instances.contains(settings.instance())) {
+            instances.add(settings.instance());
         }
         ownership
-                .claim(coordinator.targetsNeedingOwner(), known, links::isConnected)
+                .claim(coordinator.targetsNeedingOwner(), instances, links::isConnected)
                 .ifPresent(transaction -> {
                     claimInProgress = true;
                     commit(transaction, decision -> {
                         claimInProgress = false;
                         decision.filter(StorePort.CommitResult::committed)
-                                .ifPresent(done -> applyWrites(transaction, done.version()));
+                                .ifPresent(result -> applyWrites(transaction, result.version()));
                     });
                 });
     }
@@ -251,18 +253,19 @@
     }
 
     private List<String> findReachableInstances() {
-        List<String> found = new ArrayList<>();
-        found.add(settings.instance());
+        List<String> instances = new ArrayList<>();
+        instances.add(settings.instance());
         entryRows.keySet().stream()
                 .filter(entry -> !entry.equals(settings.instance()) && links.isConnected(entry))
-                .forEach(found::add);
-        return found;
+                .forEach(instances::add);
+        return instances;
     }
 
     private void onShareUpdateDecided(Transaction transaction, Optional<StorePort.CommitResult> decision) {
         shareUpdateInProgress = false;
         if (decision.isEmpty()) {
-            // It may have been done, so what it gave up stays given up until the table's news tell.
+            // The transaction may have been committed, so released shares stay released until an update of the table
+            // shows the outcome.
             return;
         }
         if (decision.get().committed()) {
@@ -306,12 +309,12 @@
                         ownership.updateLease(row.key(), row.version(), LeaseRenewer.releasedIncarnation(value)));
     }
 
-    /** Gets the instances of all entries that have introduced themselves, whether they can be reached or not. */
+    /** Gets the instances of all registered entries, reachable or not, as a read-only view. */
     Collection<String> knownInstances() {
         return Collections.unmodifiableSet(entryRows.keySet());
     }
 
-    /** Gets the number of entries that can be spoken to, this one too, as of the last tick. */
+    /** Gets the number of reachable entries as of the last tick, including this one. */
     int reachableEntryCount() {
         return Math.max(1, reachableInstances.size());
     }
--- a/node/src/main/java/org/geraniumreach/node/EntryDrain.java
+++ b/node/src/main/java/org/geraniumreach/node/EntryDrain.java
@@ -10,17 +10,17 @@
 import org.geraniumreach.model.MonotonicClock;
 
 /**
- * The order in which an entry that is to end lets go of its callers and its targets.
+ * Drains an entry before its process exits: waits for open requests, then releases the lease.
  *
- * <p>Invariants: the lease is given up once no request is open or the time is up, since targets would have nobody to load adapters for the seconds
- * in which its last order may still arrive, and at a restart of all entries in turn again and again; what comes meanwhile is refused and
- * answered before the process ends. Confined to the thread that runs it.
+ * <p>Invariants: the lease is released only when no request is open or the time is up, because after a release nobody can load adapters
+ * at the entry's targets for the seconds in which its last order may still arrive, and a rolling restart would repeat that for each
+ * entry; requests that arrive during the release are refused, and answered before the process exits. Confined to the calling thread.
  */
 final class EntryDrain {
 
     private static final Duration MIN_DRAIN_TIME = Duration.ofMillis(3_500);
 
-    /** Left for the end of the process itself. */
+    /** Time reserved for the exit of the process itself. */
     private static final Duration EXIT_MARGIN = Duration.ofMillis(900);
 
     private static final Duration LEASE_RELEASE_TIMEOUT = Duration.ofMillis(300);
@@ -35,45 +35,45 @@
     /**
      * Creates a drain.
      *
-     * @param open gives the number of open requests, not null
-     * @param release gives the lease up, and runs what it is given when the store has answered, not null
-     * @param limit after what time the process is killed, not null
+     * @param openRequests supplies the number of open requests, not null
+     * @param releaseLease releases the lease and runs the given callback when the store has answered, not null
+     * @param killTimeout the time after which the process is killed, not null
      * @param clock the clock, not null
      */
-    EntryDrain(IntSupplier open, Consumer<Runnable> release, Duration limit, MonotonicClock clock) {
-        this.openRequests = Objects.requireNonNull(open, "open");
-        this.releaseLease = Objects.requireNonNull(release, "release");
-        this.maxDuration = limit.minus(EXIT_MARGIN);
+    EntryDrain(IntSupplier openRequests, Consumer<Runnable> releaseLease, Duration killTimeout, MonotonicClock clock) {
+        this.openRequests = Objects.requireNonNull(openRequests, "openRequests");
+        this.releaseLease = Objects.requireNonNull(releaseLease, "releaseLease");
+        this.maxDuration = killTimeout.minus(EXIT_MARGIN);
         this.clock = Objects.requireNonNull(clock, "clock");
     }
 
     /**
-     * Drains, and returns when the process may end.
+     * Drains the entry, and returns when the process may exit.
      *
-     * @param begin told at the beginning after what time it ends at the latest, not null
-     * @param close run when nothing more is to be taken, not null
-     * @param released told whether the store has answered the release in time, not null
+     * @param onStart called first, with the maximum duration of the drain, not null
+     * @param stopAccepting called before the lease is released, to refuse further requests, not null
+     * @param onReleased called with whether the store has answered the release in time, not null
      */
-    void run(Consumer<Duration> begin, Runnable close, Consumer<Boolean> released) {
-        long begunAt = clock.nanos();
-        begin.accept(maxDuration);
+    void run(Consumer<Duration> onStart, Runnable stopAccepting, Consumer<Boolean> onReleased) {
+        long startedAt = clock.nanos();
+        onStart.accept(maxDuration);
         try {
-            awaitIdle(begunAt);
-            close.run();
+            awaitIdle(startedAt);
+            stopAccepting.run();
             CountDownLatch answered = new CountDownLatch(1);
             releaseLease.accept(answered::countDown);
-            released.accept(answered.await(LEASE_RELEASE_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS));
-            awaitIdle(begunAt);
-        } catch (InterruptedException stopped) {
+            onReleased.accept(answered.await(LEASE_RELEASE_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS));
+            awaitIdle(startedAt);
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void awaitIdle(long begunAt) throws InterruptedException {
+    private void awaitIdle(long startedAt) throws InterruptedException {
         while (true) {
-            Duration passed = Duration.ofNanos(clock.nanos() - begunAt);
-            boolean quiet = openRequests.getAsInt() == 0 && passed.compareTo(MIN_DRAIN_TIME) >= 0;
-            if (quiet || passed.compareTo(maxDuration) >= 0) {
+            Duration elapsed = Duration.ofNanos(clock.nanos() - startedAt);
+            boolean idle = openRequests.getAsInt() == 0 && elapsed.compareTo(MIN_DRAIN_TIME) >= 0;
+            if (idle || elapsed.compareTo(maxDuration) >= 0) {
                 return;
             }
             Thread.sleep(POLL_INTERVAL.toMillis());
--- a/node/src/main/java/org/geraniumreach/node/EntryLinks.java
+++ b/node/src/main/java/org/geraniumreach/node/EntryLinks.java
@@ -35,27 +35,30 @@
 import org.geraniumreach.model.InstanceId;
 
 /**
- * The links between entries.
+ * The links of this entry to the other entries.
  *
- * <p>Invariant: of two entries the one whose instance comes first opens the link. Confined to the event loop, which carries the
- * links too.
+ * <p>Invariant: of two entries, the one whose instance sorts first opens the link. Confined to the event loop, on which the links
+ * run as well.
  */
 final class EntryLinks implements FrameHandler, AutoCloseable {
 
     private static final int PROTOCOL_VERSION = 3;
 
-    /** Entries of earlier versions close a link over a frame that they do not know, such as a feed update or a quota request. */
+    /** The first version with feed updates and quota requests; entries of earlier versions close the link on an unknown frame. */
     private static final int FEED_AND_QUOTA_VERSION = 2;
 
-    /** The version from which on entries pace prompts by the targets' owners. */
+    /** The first version in which the owners of targets pace prompts. */
     private static final int ADMISSION_VERSION = 3;
 
-    /** Heartbeats are most of the frames between many entries; a lost entry's targets are taken over after its lease, much later. */
+    /**
+     * Long, since heartbeats are most of the frames between many entries, and the targets of a lost entry are taken over only after
+     * its lease has expired, which takes much longer.
+     */
     private static final Duration PING_INTERVAL = Duration.ofSeconds(1);
 
     private static final int MAX_UNANSWERED_PINGS = 2;
 
-    /** An entry that starts again is of little use before its links are open, half of which the others open. */
+    /** Short, since a restarted entry can do little until its links are open, half of which the other entries open. */
     private static final Duration MAX_BACKOFF = Duration.ofMillis(400);
 
     private final LinkNode linkNode;
@@ -70,7 +73,7 @@
     private BiConsumer<String, TargetAdmissionRequest> admissionRequests = (entry, request) -> {};
     private Consumer<TargetAdmissionResponse> admissionResponses = response -> {};
 
-    /** Is told of what other entries send. */
+    /** Receives the adapter messages of other entries. */
     interface Listener {
 
         void onLinkOpened(String entry);
@@ -120,12 +123,12 @@
         return entryLinks;
     }
 
-    /** Sets the other entries that links are kept with. */
+    /** Sets the other entries, by instance, that links are kept open to. */
     void setOtherEntries(Map<String, InetSocketAddress> entries) {
-        Set<String> gone = new HashSet<>(knownAddresses.keySet());
-        gone.removeAll(entries.keySet());
-        gone.forEach(entry -> linkNode.release(InstanceId.of(entry)));
-        knownAddresses.keySet().removeAll(gone);
+        Set<String> removed = new HashSet<>(knownAddresses.keySet());
+        removed.removeAll(entries.keySet());
+        removed.forEach(entry -> linkNode.release(InstanceId.of(entry)));
+        knownAddresses.keySet().removeAll(removed);
         entries.forEach((entry, address) -> {
             if (self.compareTo(entry) < 0 && !address.equals(knownAddresses.get(entry))) {
                 linkNode.keep(InstanceId.of(entry), address);
@@ -134,21 +137,23 @@
         });
     }
 
+    /** Checks whether a link to an entry is open. */
     boolean isConnected(String entry) {
         return linkNode.find(InstanceId.of(entry)).isPresent();
     }
 
+    /** Sends a frame to an entry; returns whether it was sent. */
     boolean send(String entry, Frame frame) {
         Optional<Peer> peer = linkNode.find(InstanceId.of(entry));
         return peer.isPresent() && peer.get().send(frame);
     }
 
-    /** Sends a frame that entries of earlier versions do not know. */
+    /** Sends a frame about feeds or quotas; not sent to entries whose version does not know it. */
     boolean sendFeedOrQuota(String entry, Frame frame) {
         return sendIfVersionAtLeast(FEED_AND_QUOTA_VERSION, entry, frame);
     }
 
-    /** Sends a frame of the pacing of prompts, which entries of version 2 do not know. */
+    /** Sends a frame about the pacing of prompts; not sent to entries whose version does not know it. */
     boolean sendAdmission(String entry, Frame frame) {
         return sendIfVersionAtLeast(ADMISSION_VERSION, entry, frame);
     }
@@ -169,25 +174,25 @@
         peers.forEach(peer -> peer.send(frame));
     }
 
-    /** Sets who is told of the updates that others publish. */
+    /** Sets the handler of feed updates that other entries publish. */
     void onFeedUpdate(Consumer<FeedUpdate> consumer) {
         feedUpdates = Objects.requireNonNull(consumer, "consumer");
     }
 
-    /** Sets who is told of requests for units, with the entry that sent them, and of their answers. */
+    /** Sets the handlers of quota requests, which get the sending entry too, and of quota responses. */
     void onQuota(BiConsumer<String, QuotaRequest> requests, Consumer<QuotaResponse> responses) {
         quotaRequests = Objects.requireNonNull(requests, "requests");
         quotaResponses = Objects.requireNonNull(responses, "responses");
     }
 
-    /** Sets who is told of requests for turns at targets, with the entry that sent them, and of their answers. */
+    /** Sets the handlers of target admission requests, which get the sending entry too, and of their responses. */
     void onTargetAdmission(
             BiConsumer<String, TargetAdmissionRequest> requests, Consumer<TargetAdmissionResponse> responses) {
         admissionRequests = Objects.requireNonNull(requests, "requests");
         admissionResponses = Objects.requireNonNull(responses, "responses");
     }
 
-    /** Gets the open links to entries of this entry's failure domain that take feed updates. */
+    /** Gets the connected entries of this entry's failure domain that support feed updates. */
     List<Peer> domainPeers() {
         return linkNode.peers().stream()
                 .filter(peer -> peer.hello().getFailureDomain().equals(failureDomain))
@@ -222,7 +227,7 @@
 
     @Override
     public void closed(Peer peer, String reason) {
-        // The node has logged the loss; what was on its way is asked for again by whoever waits for it.
+        // The link node has logged the loss, and requests that are still waiting are sent again.
     }
 
     @Override
--- a/node/src/main/java/org/geraniumreach/node/EntryMetrics.java
+++ b/node/src/main/java/org/geraniumreach/node/EntryMetrics.java
@@ -16,15 +16,18 @@
 import org.geraniumreach.process.ProcessMeters;
 
 /**
- * The meters of an entry.
+ * Records the metrics of an entry.
  *
- * <p>Each line of the log is counted, also one that the full log drops, by its event and by the result that it names: refusals by cause,
- * orders by result, changes of belief by kind. Invariant: the number of series is bounded, by the events, by the results, which
- * are enumerations, and by {@link ProcessMeters#MOST_ACCOUNTS}. Safe for use by several threads.
+ * <p>Counts each log line, even if the log drops it, by its event and the result in its fields, such as the code of a refusal or the
+ * result of an order. Invariant: the number of series is bounded by the number of events, by the number of results, which are enum
+ * constants, and by {@link ProcessMeters#MOST_ACCOUNTS}. Safe for use by several threads.
  */
 final class EntryMetrics implements DecisionLog {
 
-    /** From the time to read a short prompt to the time after which callers have left; 0.3 s is the pause and 0.8 s the objective of most. */
+    /**
+     * Range from the prefill time of a short prompt to the time after which callers have disconnected; 0.3 s is the usual limit of a
+     * pause, and 0.8 s the usual objective.
+     */
     private static final Duration[] BUCKET_BOUNDS = {
         Duration.ofMillis(25),
         Duration.ofMillis(50),
@@ -74,9 +77,9 @@
             }
         }
 
-        private static Timer timer(MeterRegistry registry, String name, String about, String account) {
+        private static Timer timer(MeterRegistry registry, String name, String description, String account) {
             return Timer.builder(name)
-                    .description(about)
+                    .description(description)
                     .tag("account", account)
                     .serviceLevelObjectives(BUCKET_BOUNDS)
                     .register(registry);
@@ -95,8 +98,8 @@
 
     private static String resultLabel(Field... fields) {
         for (Field field : fields) {
-            boolean names = field.name().equals("code") || field.name().equals("result");
-            if (names && field.value() instanceof Enum<?> value) {
+            boolean isResult = field.name().equals("code") || field.name().equals("result");
+            if (isResult && field.value() instanceof Enum<?> value) {
                 return value.name();
             }
         }
@@ -111,31 +114,31 @@
                 .increment();
     }
 
-    /** Counts the end of a request. */
+    /** Records the outcome and the times of a request. */
     synchronized void onRequestEnded(OutcomeListener.Outcome outcome) {
         String account =
                 meters.accountLabel(outcome.account().map(Object::toString).orElse(""));
-        RequestMeters ofAccount =
+        RequestMeters accountMeters =
                 requestMeters.computeIfAbsent(account, missing -> new RequestMeters(meters.registry(), account));
-        ofAccount.endsByKind.get(outcome.kind()).increment();
-        ofAccount.total.record(outcome.total());
-        ofAccount.repeatedSends.increment(Math.max(0, outcome.sends() - 1));
-        ofAccount.rateWait.record(outcome.waits().rate());
-        ofAccount.adapterWait.record(outcome.waits().adapter());
-        ofAccount.prefillWait.record(outcome.waits().prefillCapacity());
-        outcome.firstPartAfterSend().ifPresent(ofAccount.firstPartAfterSend::record);
-        outcome.firstPart().ifPresent(ofAccount.firstPart::record);
+        accountMeters.endsByKind.get(outcome.kind()).increment();
+        accountMeters.total.record(outcome.total());
+        accountMeters.repeatedSends.increment(Math.max(0, outcome.sends() - 1));
+        accountMeters.rateWait.record(outcome.waits().rate());
+        accountMeters.adapterWait.record(outcome.waits().adapter());
+        accountMeters.prefillWait.record(outcome.waits().prefillCapacity());
+        outcome.firstPartAfterSend().ifPresent(accountMeters.firstPartAfterSend::record);
+        outcome.firstPart().ifPresent(accountMeters.firstPart::record);
         if (outcome.firstPart().isPresent()) {
-            ofAccount.longestPause.record(outcome.maximumPause());
+            accountMeters.longestPause.record(outcome.maximumPause());
         }
     }
 
-    /** Adds a gauge; it is read by the thread that scrapes. */
-    void gauge(String name, String about, DoubleSupplier value) {
-        meters.gauge(name, about, value);
+    /** Adds a gauge, whose value is read on the scraping thread. */
+    void gauge(String name, String description, DoubleSupplier value) {
+        meters.gauge(name, description, value);
     }
 
-    /** Prints all meters in Prometheus' text form. */
+    /** Formats all metrics in the Prometheus text format. */
     String scrape() {
         return meters.scrape();
     }
--- a/node/src/main/java/org/geraniumreach/node/EntryProcess.java
+++ b/node/src/main/java/org/geraniumreach/node/EntryProcess.java
@@ -55,9 +55,9 @@
 import org.geraniumreach.serving.retry.TargetHealth;
 
 /**
- * An entry on the users' platform.
+ * The process of an entry on the users' platform.
  *
- * <p>Invariant: all decisions and all connections but the callers' reading are on one event loop. Safe for use by several threads.
+ * <p>Invariant: all decisions and all connections run on one event loop, except reading from callers. Safe for use by several threads.
  */
 final class EntryProcess {
 
@@ -68,13 +68,13 @@
     private static final Ingress.Limits INITIAL_LIMITS =
             new Ingress.Limits(16_384, 4 * 1024 * 1024, Duration.ofSeconds(75));
 
-    /** Part of what all entries may cause that is planned for; the rest covers entries that come and go. */
+    /** Fraction of the repeats allowed for all entries that is given out; the rest covers entries that join and leave. */
     private static final double RETRY_BUDGET_FRACTION = 0.75;
 
-    /** Entries among which the fixed part of the repeats is divided, until it is known how many there are. */
+    /** Number of entries that share the fixed part of the repeats while the actual number is unknown. */
     private static final int ASSUMED_ENTRY_COUNT = 6;
 
-    /** Callers wait for an entry that starts; who reads metrics does not. */
+    /** Serving callers has priority at the start; metrics can wait. */
     private static final Duration METRICS_START_DELAY = Duration.ofMillis(1_500);
 
     private final ProcessSettings settings;
@@ -92,7 +92,7 @@
     private final TargetRegistry registry = new TargetRegistry(clock);
     private final StoreAvailability storeAvailability;
 
-    /** Of the targets' rows alone: while only writes fail, a row that is gone tells of a target that is gone. */
+    /** Availability of the targets' rows alone: while only writes fail, a missing row still means that the target has left. */
     private final StoreAvailability targetRowsAvailability;
 
     private final TargetUpdates targetUpdates;
@@ -112,7 +112,7 @@
     private StoreFeeds feeds;
     private volatile boolean targetsKnown;
 
-    /** Without the shares, every request of a limited account would be refused. */
+    /** Required for readiness, because without shares every request of a limited account would be refused. */
     private volatile boolean sharesKnown;
 
     private volatile boolean leaseObtained;
@@ -191,21 +191,20 @@
         return evacuations.phase(target.description().failureDomain()) != Evacuations.Phase.DRAINED;
     }
 
-    /** Nobody is asked before the links are open. */
+    /** Sends a quota request to another entry; none is sent before the links have been started. */
     private boolean requestUnits(String entry, long number, AccountId account, double units) {
         return quotaLinks != null && quotaLinks.requestUnits(entry, number, account, units);
     }
 
-    private boolean requestAdmission(
-            String entry, long number, TargetId target, long promptTokens, Duration longestDelay) {
+    private boolean requestAdmission(String entry, long number, TargetId target, long promptTokens, Duration maxDelay) {
         return targetAdmissionLinks != null
-                && targetAdmissionLinks.requestAdmission(entry, number, target, promptTokens, longestDelay);
+                && targetAdmissionLinks.requestAdmission(entry, number, target, promptTokens, maxDelay);
     }
 
     private RetryBudget createRetryBudget() {
-        ProcessSettings.RepeatLimits repeats = settings.repeatLimits();
-        double size = Math.max(1, repeats.extra() * RETRY_BUDGET_FRACTION / ASSUMED_ENTRY_COUNT);
-        return RetryBudget.create(clock, repeats.ratio() * RETRY_BUDGET_FRACTION, 0, size);
+        ProcessSettings.RepeatLimits limits = settings.repeatLimits();
+        double size = Math.max(1, limits.extra() * RETRY_BUDGET_FRACTION / ASSUMED_ENTRY_COUNT);
+        return RetryBudget.create(clock, limits.ratio() * RETRY_BUDGET_FRACTION, 0, size);
     }
 
     private void onRequestEnded(OutcomeListener.Outcome outcome) {
@@ -264,7 +263,7 @@
         }
     }
 
-    /** An entry without metrics serves its callers; whoever watches it sees that nothing answers. */
+    /** Starts the metrics server; a failure is only logged, since callers can be served without it and monitoring notices its absence. */
     private void serveMetrics(int port) {
         metrics.gauge("geraniumreach.requests.open", "Requests read or answered now.", () -> ingress.open());
         metrics.gauge("geraniumreach.configuration.version", "The version in force, 0 for none.", () -> configuration
@@ -281,11 +280,11 @@
                 new InetSocketAddress(settings.callerAddress().getAddress(), port);
         try {
             MetricsServer.start(address, metrics::scrape);
-        } catch (IOException taken) {
+        } catch (IOException unavailable) {
             log.write(
                     EventCode.UNEXPECTED_FAILURE,
                     "",
-                    Field.of("reason", "no metrics at " + address + ": " + taken.getMessage()));
+                    Field.of("reason", "no metrics at " + address + ": " + unavailable.getMessage()));
         }
     }
 
@@ -326,7 +325,7 @@
         sweep();
     }
 
-    /** Keeps the health of known targets only. */
+    /** Limits the recorded health to known targets. */
     private final class HealthUpdater implements TargetRegistry.Listener {
 
         @Override
@@ -343,7 +342,7 @@
 
         @Override
         public void onChanged(Target target) {
-            // A newer row says nothing of failures.
+            // A changed row does not affect the recorded failures.
         }
     }
 
@@ -377,21 +376,21 @@
         feeds.start();
     }
 
-    /** Evacuations first: a configuration may let requests go on that have waited for it. */
-    private void onOperatorUpdate(StorePort.TableUpdate<StorePort.OperatorItem> news) {
-        evacuations.onOperatorItems(news, feeds.operatorReadAt());
-        for (StorePort.OperatorItem item : news.items()) {
+    /** Applies evacuations first, because a configuration may release requests that wait for it. */
+    private void onOperatorUpdate(StorePort.TableUpdate<StorePort.OperatorItem> update) {
+        evacuations.onOperatorItems(update, feeds.operatorReadAt());
+        for (StorePort.OperatorItem item : update.items()) {
             if (item instanceof StorePort.OperatorItem.Configuration newer) {
                 applyConfiguration(newer.configuration());
             } else if (item instanceof StorePort.OperatorItem.AdapterVersion named) {
                 coordinator.versions().update(named.adapter(), named.version(), feeds.operatorReadAt());
-            } else if (item instanceof StorePort.OperatorItem.Unreadable bad) {
-                log.write(EventCode.ROW_UNREADABLE, bad.key(), Field.of("reason", bad.reason()));
+            } else if (item instanceof StorePort.OperatorItem.Unreadable unreadable) {
+                log.write(EventCode.ROW_UNREADABLE, unreadable.key(), Field.of("reason", unreadable.reason()));
             }
         }
     }
 
-    /** A reader that begins anew may be given an older one by a store that lags; what is in force never goes back. */
+    /** Puts a configuration in force only if it is newer, since a restarted reader may get an older one from a lagging store. */
     private void applyConfiguration(TrafficConfiguration newer) {
         if (configuration.isPresent() && configuration.get().version() >= newer.version()) {
             return;
@@ -405,14 +404,14 @@
         notifyIfStarted();
     }
 
-    private void onTargetUpdate(StorePort.TableUpdate<StorePort.TargetItem> news) {
-        targetUpdates.onUpdate(news);
+    private void onTargetUpdate(StorePort.TableUpdate<StorePort.TargetItem> update) {
+        targetUpdates.onUpdate(update);
         targetsKnown = true;
         notifyIfStarted();
     }
 
-    private void onFleetUpdate(StorePort.TableUpdate<StorePort.RowChange> changes) {
-        directory.onTableUpdate(changes);
+    private void onFleetUpdate(StorePort.TableUpdate<StorePort.RowChange> update) {
+        directory.onTableUpdate(update);
         sharesKnown = true;
         notifyIfStarted();
     }
@@ -425,7 +424,7 @@
         timers.schedule(SWEEP_INTERVAL, this::sweep);
     }
 
-    /** Counted on the event loop for the thread that scrapes. */
+    /** Computes the gauges on the event loop; the scraping thread reads the results. */
     private void updateTargetGauges() {
         evacuatedRequests = registry.all().stream()
                 .filter(target -> evacuations.phase(target.description().failureDomain()) != Evacuations.Phase.IN_USE)
@@ -455,7 +454,7 @@
         return !draining.get() && configuration.isPresent() && targetsKnown && sharesKnown && leaseObtained;
     }
 
-    /** Stops taking new callers, finishes what runs, and returns when the process may end. */
+    /** Stops accepting callers, finishes open requests, and returns when the process may exit. */
     void drain() {
         if (!draining.compareAndSet(false, true)) {
             return;
@@ -464,21 +463,21 @@
         ingress.drain();
         new EntryDrain(ingress::open, this::releaseLease, settings.drainLimit(), clock)
                 .run(
-                        longest -> loop.execute(() -> {
-                            requests.drain(longest);
+                        maxDuration -> loop.execute(() -> {
+                            requests.drain(maxDuration);
                             directory.stop();
                         }),
                         () -> loop.execute(requests::close),
-                        told -> log.write(
+                        answered -> log.write(
                                 EventCode.HOLDER_CHANGED,
                                 settings.instance(),
                                 Field.of("holder", ""),
-                                Field.of("told", told)));
+                                Field.of("told", answered)));
         log.write(EventCode.DRAINED, settings.instance(), Field.of("open", ingress.open()));
         jsonLog.close();
     }
 
-    /** Gives up the right to order targets. */
+    /** Releases the lease, and with it the right to send orders to targets. */
     private void releaseLease(Runnable released) {
         loop.execute(() -> leaseRenewer.release(released));
     }
--- a/node/src/main/java/org/geraniumreach/node/EntryRow.java
+++ b/node/src/main/java/org/geraniumreach/node/EntryRow.java
@@ -9,12 +9,12 @@
 import org.geraniumreach.model.table.RowKey;
 
 /**
- * The stored row by which an entry is found by the others.
+ * The stored row that tells the other entries how to reach an entry.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param linkAddress where it listens to other entries
- * @param incarnation the life of its process
+ * @param linkAddress the address on which the entry accepts links from other entries
+ * @param incarnation identifies one start of the entry's process
  */
 record EntryRow(InetSocketAddress linkAddress, long incarnation) {
 
@@ -40,6 +40,7 @@
         return linkAddress.getAddress().getHostAddress() + ' ' + linkAddress.getPort() + ' ' + incarnation;
     }
 
+    /** Parses a row; empty if the text is malformed. */
     static Optional<EntryRow> parse(String text) {
         String[] words = text.split(" ");
         try {
--- a/node/src/main/java/org/geraniumreach/node/EventLoopTimers.java
+++ b/node/src/main/java/org/geraniumreach/node/EventLoopTimers.java
@@ -9,7 +9,7 @@
 import org.geraniumreach.gateway.port.Timers;
 
 /**
- * Timers of an event loop.
+ * Schedules timers on a Netty event loop.
  *
  * <p>Confined to the event loop.
  */
--- a/node/src/main/java/org/geraniumreach/node/FeedUpdates.java
+++ b/node/src/main/java/org/geraniumreach/node/FeedUpdates.java
@@ -9,7 +9,7 @@
 import org.geraniumreach.messages.StoredRow;
 
 /**
- * Converts feed updates to and from their messages.
+ * Converts feed updates to and from protocol messages.
  *
  * <p>Stateless and safe for use by several threads.
  */
@@ -49,7 +49,7 @@
         };
     }
 
-    /** Reads an update, empty if it is of a table that this version does not know. */
+    /** Converts a message to an update; empty if this version does not know the message's table. */
     static Optional<FeedUpdate> fromMessage(org.geraniumreach.messages.FeedUpdate message) {
         return toTable(message.getTable()).map(table -> fromMessage(table, message));
     }
--- a/node/src/main/java/org/geraniumreach/node/JsonLog.java
+++ b/node/src/main/java/org/geraniumreach/node/JsonLog.java
@@ -13,18 +13,17 @@
 import org.geraniumreach.model.EventCode;
 
 /**
- * Writes decisions as JSON, one object a line.
+ * Writes the decision log as JSON, one object per line.
  *
- * <p>Invariants: a writer never waits for the reader of the output; lines beyond {@link #MAX_PENDING_LINES} that wait are dropped, and a
- * line says how many were. A thread of its own writes what has gathered, so a decision costs no system call. Safe for use by
- * several threads.
+ * <p>Invariants: callers never block on the output; lines beyond {@link #MAX_PENDING_LINES} are dropped, and their number is logged.
+ * A dedicated thread writes the pending lines in batches, so that logging costs callers no system call. Safe for use by several threads.
  */
 final class JsonLog implements DecisionLog, AutoCloseable {
 
-    /** Lines that may wait: four seconds of an entry at its busiest, some 2 MB. */
+    /** Four seconds of lines of an entry at peak load, about 2 MB. */
     static final int MAX_PENDING_LINES = 8_192;
 
-    /** Lines gather for so long, which makes a write of many. */
+    /** Lines are collected for this long and written in one batch. */
     private static final long FLUSH_INTERVAL_MILLIS = 100;
 
     private final OutputStream output;
@@ -35,14 +34,14 @@
     private long totalDropped;
     private boolean closed;
 
-    private JsonLog(OutputStream output, LongSupplier millis) {
+    private JsonLog(OutputStream output, LongSupplier wallClockMillis) {
         this.output = Objects.requireNonNull(output, "output");
-        this.wallClockMillis = Objects.requireNonNull(millis, "millis");
+        this.wallClockMillis = Objects.requireNonNull(wallClockMillis, "wallClockMillis");
         writer.setDaemon(true);
     }
 
-    static JsonLog start(OutputStream output, LongSupplier millis) {
-        JsonLog log = new JsonLog(output, millis);
+    static JsonLog start(OutputStream output, LongSupplier wallClockMillis) {
+        JsonLog log = new JsonLog(output, wallClockMillis);
         log.writer.start();
         return log;
     }
@@ -92,13 +91,13 @@
     private static void appendQuoted(StringBuilder line, String text) {
         line.append('"');
         for (int index = 0; index < text.length(); index++) {
-            char each = text.charAt(index);
-            if (each == '"' || each == '\\') {
-                line.append('\\').append(each);
-            } else if (each < ' ') {
-                line.append(String.format("\\u%04x", (int) each));
+            char character = text.charAt(index);
+            if (character == '"' || character == '\\') {
+                line.append('\\').append(character);
+            } else if (character < ' ') {
+                line.append(String.format("\\u%04x", (int) character));
             } else {
-                line.append(each);
+                line.append(character);
             }
         }
         line.append('"');
@@ -110,7 +109,7 @@
                 Thread.sleep(FLUSH_INTERVAL_MILLIS);
                 flush();
             }
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         } finally {
             flush();
@@ -139,7 +138,7 @@
         try {
             output.write(batch.toString().getBytes(StandardCharsets.UTF_8));
             output.flush();
-        } catch (IOException nobodyReads) {
+        } catch (IOException writeFailed) {
             synchronized (pendingLines) {
                 droppedSinceFlush++;
                 totalDropped++;
@@ -147,7 +146,7 @@
         }
     }
 
-    /** Gets how many lines had no room since the start. */
+    /** Gets the number of lines dropped since the start. */
     long totalDropped() {
         synchronized (pendingLines) {
             return totalDropped;
@@ -162,7 +161,7 @@
         writer.interrupt();
         try {
             writer.join(FLUSH_INTERVAL_MILLIS);
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
--- a/node/src/main/java/org/geraniumreach/node/LibraryLogHandler.java
+++ b/node/src/main/java/org/geraniumreach/node/LibraryLogHandler.java
@@ -12,9 +12,9 @@
 import org.geraniumreach.model.EventCode;
 
 /**
- * Writes the warnings of libraries that log through the Java platform to the log of this process.
+ * Writes the warnings of libraries that use {@code java.util.logging} to the decision log of this process.
  *
- * <p>Everything below a warning is left out. Safe for use by several threads.
+ * <p>Records below {@link Level#WARNING} are dropped. Safe for use by several threads.
  */
 final class LibraryLogHandler extends Handler {
 
@@ -24,7 +24,7 @@
         this.log = Objects.requireNonNull(log, "log");
     }
 
-    /** Replaces the handlers of the Java platform, which write plain lines. */
+    /** Replaces all handlers of {@code java.util.logging}, whose plain lines would mix with the JSON lines. */
     static void install(DecisionLog log) {
         LogManager.getLogManager().reset();
         Logger root = Logger.getLogger("");
@@ -33,26 +33,26 @@
     }
 
     @Override
-    public void publish(LogRecord logged) {
-        if (logged.getLevel().intValue() < Level.WARNING.intValue()) {
+    public void publish(LogRecord logRecord) {
+        if (logRecord.getLevel().intValue() < Level.WARNING.intValue()) {
             return;
         }
-        Throwable thrown = logged.getThrown();
+        Throwable thrown = logRecord.getThrown();
         log.write(
                 EventCode.LIBRARY_MESSAGE,
                 "",
-                Field.of("logger", String.valueOf(logged.getLoggerName())),
-                Field.of("message", String.valueOf(logged.getMessage())),
+                Field.of("logger", String.valueOf(logRecord.getLoggerName())),
+                Field.of("message", String.valueOf(logRecord.getMessage())),
                 Field.of("thrown", thrown == null ? "" : thrown.toString()));
     }
 
     @Override
     public void flush() {
-        // The log writes what has gathered by itself.
+        // The decision log flushes itself.
     }
 
     @Override
     public void close() {
-        // The log belongs to the process.
+        // The decision log is closed by the process.
     }
 }
--- a/node/src/main/java/org/geraniumreach/node/Main.java
+++ b/node/src/main/java/org/geraniumreach/node/Main.java
@@ -19,10 +19,10 @@
 import org.kohsuke.args4j.Option;
 
 /**
- * The command line of the process on the users' platform.
+ * Command line of the entry process on the users' platform.
  *
- * <p>Exit codes: 0 after a drain or a check that passed, 2 if the command line or the settings are wrong, 3 if an address cannot be
- * had. Confined to the main thread.
+ * <p>Exit codes: 0 after a drain or a successful check, 2 if the command line or the settings are invalid, 3 if an address cannot be
+ * bound. Confined to the main thread.
  */
 public final class Main {
 
@@ -43,7 +43,7 @@
     @Option(name = "--metrics-port", metaVar = "PORT", usage = "the port that serves metrics; without it none does")
     private Integer metricsPort;
 
-    /** What to do. */
+    /** The commands, as given on the command line. */
     enum Command {
         ENTRY,
         CHECK,
@@ -58,7 +58,7 @@
      * @param arguments the command line, not null
      */
     public static void main(String[] arguments) {
-        // Netty would look for three loggers that are not delivered, in each start, while callers wait.
+        // Otherwise Netty searches for three logging libraries that are not on the class path, which delays each start.
         InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
         System.exit(new Main().run(arguments));
     }
@@ -67,8 +67,8 @@
         CmdLineParser parser = new CmdLineParser(this);
         try {
             parser.parseArgument(arguments);
-        } catch (CmdLineException wrong) {
-            System.err.println(wrong.getMessage());
+        } catch (CmdLineException invalid) {
+            System.err.println(invalid.getMessage());
             parser.printUsage(System.err);
             return EXIT_INVALID_SETTINGS;
         }
@@ -86,8 +86,8 @@
             return command == Command.CHECK
                     ? 0
                     : serve(settings, metricsPort == null ? OptionalInt.empty() : OptionalInt.of(metricsPort), log);
-        } catch (DocumentException wrong) {
-            log.write(EventCode.SETTINGS_INVALID, "", Field.of("reason", wrong.getMessage()));
+        } catch (DocumentException invalid) {
+            log.write(EventCode.SETTINGS_INVALID, "", Field.of("reason", invalid.getMessage()));
             log.close();
             return EXIT_INVALID_SETTINGS;
         }
@@ -107,32 +107,32 @@
 
     private static int serve(ProcessSettings settings, OptionalInt metricsPort, JsonLog log) {
         EntryProcess process = new EntryProcess(settings, metricsPort, log);
-        CountDownLatch end = new CountDownLatch(1);
-        Signals.onEnd(end::countDown);
+        CountDownLatch endSignal = new CountDownLatch(1);
+        Signals.onEnd(endSignal::countDown);
         Signals.onReload(() -> reload(log));
         try {
             process.start();
-        } catch (IOException taken) {
-            log.write(EventCode.UNEXPECTED_FAILURE, "", Field.of("reason", String.valueOf(taken.getMessage())));
+        } catch (IOException unavailable) {
+            log.write(EventCode.UNEXPECTED_FAILURE, "", Field.of("reason", String.valueOf(unavailable.getMessage())));
             log.close();
             return EXIT_ADDRESS_UNAVAILABLE;
         }
         try {
-            end.await();
-        } catch (InterruptedException stopped) {
+            endSignal.await();
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
         process.drain();
         return 0;
     }
 
-    /** What an entry goes by comes from the store; the file only says where it stands, which needs a start to change. */
+    /** Only validates the file: the configuration comes from the store, and changes of the file take effect at a restart. */
     private static void reload(JsonLog log) {
         try {
             BootFile.read(BootFile.path());
             log.write(EventCode.SETTINGS_READ, "");
-        } catch (DocumentException wrong) {
-            log.write(EventCode.SETTINGS_INVALID, "", Field.of("reason", wrong.getMessage()));
+        } catch (DocumentException invalid) {
+            log.write(EventCode.SETTINGS_INVALID, "", Field.of("reason", invalid.getMessage()));
         }
     }
 }
--- a/node/src/main/java/org/geraniumreach/node/MetricsServer.java
+++ b/node/src/main/java/org/geraniumreach/node/MetricsServer.java
@@ -12,7 +12,7 @@
 import org.glassfish.grizzly.http.server.Response;
 
 /**
- * Serves the meters as text.
+ * Serves the metrics over HTTP in the Prometheus text format.
  *
  * <p>Safe for use by several threads.
  */
--- a/node/src/main/java/org/geraniumreach/node/NamedVersions.java
+++ b/node/src/main/java/org/geraniumreach/node/NamedVersions.java
@@ -13,20 +13,20 @@
 import org.geraniumreach.model.MonotonicClock;
 
 /**
- * The versions of adapters that the operator has named.
+ * The adapter versions that the operator has put in force.
  *
- * <p>Invariant: the version of an adapter never goes back. Confined to the event loop.
+ * <p>Invariant: the version of an adapter never decreases. Confined to the event loop.
  */
 final class NamedVersions {
 
-    /** A version must be in force within 5 s; a request that is sent later than this might begin after them. */
+    /** A new version must be in force within 5 s; a request sent with the previous version after the grace period might start too late. */
     private static final Duration GRACE_PERIOD = Duration.ofMillis(2_500);
 
     private final MonotonicClock clock;
     private final DecisionLog log;
     private final Map<AdapterName, NamedVersion> versions = new HashMap<>();
 
-    /** A version that was named, and the one before it. */
+    /** A version in force, its predecessor, and the time of the last read of the operator's rows that did not have it yet. */
     private record NamedVersion(long version, long previousVersion, OptionalLong lastReadWithoutAt) {}
 
     NamedVersions(MonotonicClock clock, DecisionLog log) {
@@ -35,35 +35,35 @@
     }
 
     /**
-     * Takes a version that is to be served from now on.
+     * Puts a version in force; ignored unless it is newer than the known one.
      *
      * @param adapter the adapter
      * @param version the version
-     * @param knownBefore when the operator's rows were last read without it, empty if they never were
+     * @param lastReadWithoutAt when the operator's rows were last read without the version, empty if they never were
      */
-    void update(AdapterName adapter, long version, OptionalLong knownBefore) {
+    void update(AdapterName adapter, long version, OptionalLong lastReadWithoutAt) {
         if (newestVersion(adapter) >= version) {
             return;
         }
-        versions.put(adapter, new NamedVersion(version, newestVersion(adapter), knownBefore));
+        versions.put(adapter, new NamedVersion(version, newestVersion(adapter), lastReadWithoutAt));
         log.write(EventCode.ADAPTER_VERSION_NAMED, adapter.toString(), Field.of("version", version));
     }
 
-    /** Gets the newest version of an adapter, 0 if none was named. */
+    /** Gets the version of an adapter that is in force, 0 if there is none. */
     long newestVersion(AdapterName adapter) {
         NamedVersion named = versions.get(adapter);
         return named == null ? 0 : named.version();
     }
 
-    /** Gets the least version that may still run: for a moment after a version was named, the one before. */
+    /** Gets the lowest version that may serve requests: during the grace period, the previous version. */
     long requiredVersion(AdapterName adapter) {
         NamedVersion named = versions.get(adapter);
         if (named == null) {
             return 0;
         }
-        // A process that has just started, or whose store was away, cannot tell how long ago the version was named.
-        boolean grace = named.lastReadWithoutAt().isPresent()
+        // Without an earlier read, or after a store outage, it is unknown how long the version has been in force.
+        boolean inGracePeriod = named.lastReadWithoutAt().isPresent()
                 && clock.nanos() - named.lastReadWithoutAt().getAsLong() < GRACE_PERIOD.toNanos();
-        return grace ? named.previousVersion() : named.version();
+        return inGracePeriod ? named.previousVersion() : named.version();
     }
 }
--- a/node/src/main/java/org/geraniumreach/node/QuotaLinks.java
+++ b/node/src/main/java/org/geraniumreach/node/QuotaLinks.java
@@ -12,7 +12,7 @@
 import org.geraniumreach.model.AccountId;
 
 /**
- * Asks other entries for units of accounts' rates over the links, and answers them from this entry's shares.
+ * Sends quota requests for client accounts to other entries over the links, and answers theirs from this entry's shares.
  *
  * <p>Confined to the event loop.
  */
@@ -38,12 +38,12 @@
     }
 
     void onRequest(String entry, QuotaRequest request) {
-        Quotas.Admission answer = quotas.admitForPeer(AccountId.of(request.getAccount()), request.getUnits());
+        Quotas.Admission admission = quotas.admitForPeer(AccountId.of(request.getAccount()), request.getUnits());
         QuotaResponse.Builder response = QuotaResponse.newBuilder()
                 .setNumber(request.getNumber())
-                .setGranted(answer.admitted())
-                .setDelayKnown(answer.delay().isPresent())
-                .setDelayNanos(answer.delay().orElse(Duration.ZERO).toNanos());
+                .setGranted(admission.admitted())
+                .setDelayKnown(admission.delay().isPresent())
+                .setDelayNanos(admission.delay().orElse(Duration.ZERO).toNanos());
         links.sendFeedOrQuota(
                 entry, Frame.newBuilder().setQuotaResponse(response).build());
     }
--- a/node/src/main/java/org/geraniumreach/node/Rehearsal.java
+++ b/node/src/main/java/org/geraniumreach/node/Rehearsal.java
@@ -25,19 +25,19 @@
 import org.geraniumreach.platform.SamplePlatform;
 
 /**
- * Starts two entries on loopback, lets them serve a few requests, and loads what they are made of, so that the build can archive
- * the classes.
+ * Training run for the build's class data archive: starts two entries on loopback, sends them a few requests, and loads all of this
+ * project's classes.
  *
- * <p>A process that is restarted while callers wait spends most of its start reading, checking and linking classes; from an
- * archive it maps them. What is not rehearsed here is loaded as without an archive, so an omission costs time and breaks nothing.
- * Confined to the main thread.
+ * <p>Without an archive, a process spends most of its start on reading, verifying and linking classes, while callers wait. Classes that
+ * this run does not load are loaded at run time as usual, so an omission costs start time only. Confined to the
+ * main thread.
  */
 final class Rehearsal {
 
     private static final Duration ROUND_INTERVAL = Duration.ofMillis(100);
     private static final Duration READ_TIMEOUT = Duration.ofSeconds(1);
 
-    /** Entries that start together take their parts of accounts' rates after this. */
+    /** Entries that start together have divided the accounts' rates among them by then. */
     private static final Duration SHARE_ASSIGNMENT_TIME = Duration.ofMillis(2_500);
 
     private static final int ROUNDS = 10;
@@ -69,7 +69,7 @@
                 Thread.sleep(ROUND_INTERVAL.toMillis());
             }
             sendRequest(metrics, GET_REQUEST);
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
@@ -96,14 +96,14 @@
         }
     }
 
-    /** A question that stays unanswered has loaded what it could. */
+    /** Sends a request; a failure is only logged, since the classes used until then have been loaded. */
     private void sendRequest(InetSocketAddress address, byte[] request) {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             socket.setSoTimeout((int) READ_TIMEOUT.toMillis());
             socket.getOutputStream().write(request);
             socket.getInputStream().readAllBytes();
-        } catch (IOException unanswered) {
-            logFailure(String.valueOf(unanswered.getMessage()));
+        } catch (IOException failed) {
+            logFailure(String.valueOf(failed.getMessage()));
         }
     }
 
@@ -112,9 +112,9 @@
     }
 
     private void loadOwnClasses() throws IOException {
-        Path main;
+        Path mainJar;
         try {
-            main = Path.of(Rehearsal.class
+            mainJar = Path.of(Rehearsal.class
                     .getProtectionDomain()
                     .getCodeSource()
                     .getLocation()
@@ -122,12 +122,12 @@
         } catch (URISyntaxException unreadable) {
             throw new IOException("the program's own place: " + unreadable.getMessage(), unreadable);
         }
-        loadClasses(main);
-        try (Stream<Path> libraries = Files.list(main.resolveSibling("lib"))) {
-            List<Path> own = libraries
+        loadClasses(mainJar);
+        try (Stream<Path> libraries = Files.list(mainJar.resolveSibling("lib"))) {
+            List<Path> ownLibraries = libraries
                     .filter(path -> path.getFileName().toString().startsWith(OWN_JAR_PREFIX))
                     .toList();
-            for (Path library : own) {
+            for (Path library : ownLibraries) {
                 loadClasses(library);
             }
         }
@@ -149,7 +149,7 @@
         try {
             Class.forName(name, false, Rehearsal.class.getClassLoader());
         } catch (ClassNotFoundException | LinkageError absent) {
-            // A class of a part that is not delivered to this process; it is not loaded in service either.
+            // The class needs a part that is not shipped with this process, so it is not loaded in production either.
             log.write(EventCode.UNEXPECTED_FAILURE, name, Field.of("reason", String.valueOf(absent.getMessage())));
         }
     }
--- a/node/src/main/java/org/geraniumreach/node/StoreFeeds.java
+++ b/node/src/main/java/org/geraniumreach/node/StoreFeeds.java
@@ -18,21 +18,21 @@
 import org.geraniumreach.platform.StoredRows;
 
 /**
- * The tables of the store that an entry follows, and how current it keeps each.
+ * The feeds of the store's tables that an entry follows, each with its own timing.
  *
  * <p>Confined to the event loop.
  */
 final class StoreFeeds {
 
-    /** A change must be in force within 2 s, also where the connection to the store or the reader has gone silent. */
+    /** A change must be in force within 2 s, even if the connection to the store or the reading entry has stopped responding. */
     private static final FeedReader.Timing OPERATOR_TIMING = new FeedReader.Timing(
             Duration.ofMillis(1_200), Duration.ZERO, Duration.ofMillis(500), Duration.ofMillis(1_600));
 
-    /** Bounds how long a leaving target is still used; see docs/CAPACITY.md for the cost of shorter intervals. */
+    /** Limits how long a target that leaves is still used; see docs/CAPACITY.md for the cost of shorter intervals. */
     private static final FeedReader.Timing TARGET_TIMING = new FeedReader.Timing(
             Duration.ofMillis(1_200), Duration.ofMillis(800), Duration.ofMillis(500), Duration.ofMillis(1_500));
 
-    /** Changes of shares wake every reader; what an entry changes itself it knows at once. */
+    /** Relaxed, as changes of shares wake every reader, and an entry applies its own changes at once. */
     private static final FeedReader.Timing FLEET_TIMING = new FeedReader.Timing(
             Duration.ofSeconds(4), Duration.ofMillis(900), Duration.ofSeconds(1), Duration.ofMillis(4_500));
 
@@ -42,14 +42,14 @@
     private final Map<StorePort.Table, FeedReader<?>> readers;
 
     /**
-     * Creates feeds that have not started.
+     * Creates the feeds without starting them.
      *
-     * @param context what the readers share
-     * @param availability told of what came of calls
-     * @param targetAvailability the same for the targets' rows alone
-     * @param operatorChanged told of what the operator wrote
-     * @param targetsChanged told of targets' rows
-     * @param fleetChanged told of entries' rows
+     * @param context the services that all readers share
+     * @param availability records the results of calls to the store
+     * @param targetAvailability records the results of calls for the table of targets
+     * @param operatorChanged called with updates of the operator's table
+     * @param targetsChanged called with updates of the table of targets
+     * @param fleetChanged called with updates of the entries' table
      */
     StoreFeeds(
             FeedReader.Context context,
@@ -91,12 +91,12 @@
         fleet.read();
     }
 
-    /** Takes what another entry read. */
+    /** Applies an update that another entry has read. */
     void onUpdate(FeedUpdate update) {
         Optional.ofNullable(readers.get(update.table())).ifPresent(reader -> reader.onUpdate(update));
     }
 
-    /** Gets the moment of the operator's rows that are known; see {@link FeedReader#readAt}. */
+    /** Gets the time as of which the operator's rows are known; see {@link FeedReader#readAt}. */
     OptionalLong operatorReadAt() {
         return operator.readAt();
     }
--- a/node/src/main/java/org/geraniumreach/node/TargetAdmissionLinks.java
+++ b/node/src/main/java/org/geraniumreach/node/TargetAdmissionLinks.java
@@ -11,7 +11,7 @@
 import org.geraniumreach.model.TargetId;
 
 /**
- * Asks targets' owners for turns over the links, and answers the entries that ask.
+ * Sends admission requests for prompts to the owners of targets over the links, and answers those of other entries.
  *
  * <p>Confined to the event loop.
  */
@@ -26,12 +26,13 @@
         links.onTargetAdmission(this::onRequest, this::onResponse);
     }
 
-    boolean requestAdmission(String entry, long number, TargetId target, long promptTokens, Duration longestDelay) {
+    /** Sends a request to an entry; returns whether it was sent. */
+    boolean requestAdmission(String entry, long number, TargetId target, long promptTokens, Duration maxDelay) {
         TargetAdmissionRequest request = TargetAdmissionRequest.newBuilder()
                 .setNumber(number)
                 .setTarget(target.value())
                 .setPromptTokens(promptTokens)
-                .setLongestDelayNanos(longestDelay.toNanos())
+                .setLongestDelayNanos(maxDelay.toNanos())
                 .build();
         return links.sendAdmission(
                 entry, Frame.newBuilder().setTargetAdmissionRequest(request).build());
--- a/node/src/main/java/org/geraniumreach/node/TimeoutCallback.java
+++ b/node/src/main/java/org/geraniumreach/node/TimeoutCallback.java
@@ -7,11 +7,11 @@
 import org.geraniumreach.gateway.port.Timers;
 
 /**
- * Takes the one answer to a call, or a stand-in for it when the time is up.
+ * Passes the first answer to a call to a listener, or a fallback value if none arrives in time.
  *
- * <p>Invariant: its listener is told once. Confined to the event loop.
+ * <p>Invariant: the listener is called at most once. Confined to the event loop.
  *
- * @param <T> what the call gives
+ * @param <T> the type of the answer
  */
 final class TimeoutCallback<T> implements Consumer<T> {
 
@@ -24,17 +24,17 @@
         this.listener = listener;
     }
 
-    /** Sets what is told if there is no answer within a time. */
-    void startTimeout(Duration limit, T missing, Timers timers) {
-        timer = timers.schedule(limit, () -> {
+    /** Starts the timeout, after which the call is cancelled and the listener gets the fallback value. */
+    void startTimeout(Duration timeout, T fallback, Timers timers) {
+        timer = timers.schedule(timeout, () -> {
             call.cancel();
-            accept(missing);
+            accept(fallback);
         });
     }
 
-    /** Sets the call, which is called off when the time is up. */
-    void setCall(Cancellable begun) {
-        call = begun;
+    /** Sets the call that is cancelled on timeout. */
+    void setCall(Cancellable startedCall) {
+        call = startedCall;
     }
 
     @Override
--- a/node/src/main/java/org/geraniumreach/node/package-info.java
+++ b/node/src/main/java/org/geraniumreach/node/package-info.java
@@ -1,2 +1,2 @@
-/** The process that runs on the users' platform: wires the decisions of {@code gateway} to one event loop. */
+/** The entry process on the users' platform, which runs the decision logic of {@code gateway} on one event loop. */
 package org.geraniumreach.node;
--- a/node/src/test/java/org/geraniumreach/node/AdapterLoadCoordinatorTest.java
+++ b/node/src/test/java/org/geraniumreach/node/AdapterLoadCoordinatorTest.java
@@ -43,16 +43,16 @@
             (event, id, fields) -> {},
             Optional::empty);
 
-    // A caller would be answered by an adapter that was replaced long ago: an entry starts again in mid-day, reads the
-    // version for the first time and cannot tell when it was named, so the version before may not run any more.
+    // Guards against answers from an adapter version that was replaced long ago: a restarted entry cannot tell since
+    // when the version that it reads first has been in force, so the previous version must not run.
     @Test
     void versionFoundByFirstReadIsRequiredAtOnce() {
         coordinator.versions().update(ADAPTER, 2, OptionalLong.empty());
         assertThat(coordinator.minimumVersion(ADAPTER)).isEqualTo(2);
     }
 
-    // Callers need not wait for a load while the version before may still run; the time counts from the last reading
-    // that had not found the version, since it may have been named right after.
+    // Callers need not wait for a load while the previous version may still run. The grace period starts at the last
+    // read without the new version, since the operator may have put it in force right after that read.
     @ParameterizedTest
     @CsvSource({"0, 0", "2400, 0", "2600, 2"})
     void previousVersionMayRunForGracePeriodAfterLastReadWithoutNewVersion(long millis, long required) {
@@ -68,15 +68,15 @@
         assertThat(coordinator.namedVersion(ADAPTER)).isEqualTo(3);
     }
 
-    /** Nothing is sent here. */
+    /** Fails on every call, as these tests send nothing. */
     private static final class UnsupportedTargetPort implements TargetPort {
 
         @Override
         public Cancellable send(
                 Target target,
                 GatewayRequest request,
-                RequestMetadata envelope,
-                Duration longestIdle,
+                RequestMetadata metadata,
+                Duration idleTimeout,
                 TargetAnswerListener listener) {
             throw new UnsupportedOperationException("no requests here");
         }
--- a/node/src/test/java/org/geraniumreach/node/CapacityRowTest.java
+++ b/node/src/test/java/org/geraniumreach/node/CapacityRowTest.java
@@ -15,7 +15,7 @@
                 .isEqualTo("edge-1");
     }
 
-    /** Guards against an entry that takes all duties, or none, for a row that another writer has damaged. */
+    /** A corrupted row must not make an entry take all the work or none. */
     @ParameterizedTest
     @ValueSource(strings = {"", "0", "-1", "NaN", "Infinity", "much"})
     void invalidCapacityTextIsIgnored(String text) {
--- a/node/src/test/java/org/geraniumreach/node/EntryDrainTest.java
+++ b/node/src/test/java/org/geraniumreach/node/EntryDrainTest.java
@@ -12,38 +12,38 @@
 
 class EntryDrainTest {
 
-    private static final Duration LIMIT = Duration.ofSeconds(8);
+    private static final Duration KILL_TIMEOUT = Duration.ofSeconds(8);
 
-    /** Guards against a process that ends while a request which came during the release of its lease is open. */
+    /** Guards against a process that exits while a request that arrived during the lease release is still open. */
     @Test
     void requestArrivingDuringLeaseReleaseIsAnsweredBeforeDrainReturns() {
         List<String> events = new ArrayList<>();
         AtomicInteger open = new AtomicInteger();
-        MonotonicClock fast = new MonotonicClock() {
-            private final long begunAt = System.nanoTime();
+        MonotonicClock fastClock = new MonotonicClock() {
+            private final long startedAt = System.nanoTime();
 
             @Override
             public long nanos() {
-                return (System.nanoTime() - begunAt) * 20;
+                return (System.nanoTime() - startedAt) * 20;
             }
         };
         EntryDrain drain = new EntryDrain(
                 () -> {
-                    int now = open.get();
-                    if (now > 0) {
+                    int count = open.get();
+                    if (count > 0) {
                         events.add("answered");
                         open.decrementAndGet();
                     }
-                    return now;
+                    return count;
                 },
-                released -> {
+                onReleased -> {
                     events.add("released");
                     open.incrementAndGet();
-                    released.run();
+                    onReleased.run();
                 },
-                LIMIT,
-                fast);
-        drain.run(longest -> events.add("began"), () -> events.add("closed"), answered -> assertThat(answered)
+                KILL_TIMEOUT,
+                fastClock);
+        drain.run(maxDuration -> events.add("began"), () -> events.add("closed"), answered -> assertThat(answered)
                 .isTrue());
         assertThat(events).containsExactly("began", "closed", "released", "answered");
         assertThat(open).hasValue(0);
--- a/node/src/test/java/org/geraniumreach/node/EntryLinksTest.java
+++ b/node/src/test/java/org/geraniumreach/node/EntryLinksTest.java
@@ -44,10 +44,10 @@
 
     @BeforeEach
     void open() throws Exception {
-        ProcessSettings first = settings("one");
-        ProcessSettings second = settings("two");
-        firstLinks = EntryLinks.start(first, 1, loops, new Recorder(), (event, id, fields) -> {});
-        secondLinks = EntryLinks.start(second, 1, loops, new Recorder(), (event, id, fields) -> {});
+        ProcessSettings firstSettings = settings("one");
+        ProcessSettings secondSettings = settings("two");
+        firstLinks = EntryLinks.start(firstSettings, 1, loops, new Recorder(), (event, id, fields) -> {});
+        secondLinks = EntryLinks.start(secondSettings, 1, loops, new Recorder(), (event, id, fields) -> {});
         secondLinks.onFeedUpdate(update -> received.add("feed update " + update.table()));
         secondLinks.onQuota(
                 (entry, request) -> received.add("quota request of " + entry),
@@ -55,7 +55,7 @@
         secondLinks.onTargetAdmission(
                 (entry, request) -> received.add("admission request of " + entry),
                 response -> received.add("admission response " + response.getNumber()));
-        loops.submit(() -> firstLinks.setOtherEntries(Map.of("two", second.linkAddress())))
+        loops.submit(() -> firstLinks.setOtherEntries(Map.of("two", secondSettings.linkAddress())))
                 .sync();
         assertThat(received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS)).startsWith("opened");
         assertThat(received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS)).startsWith("opened");
@@ -115,7 +115,7 @@
                         .build());
     }
 
-    /** Guards against a kind of frame that is sent and that nobody at the other end takes. */
+    /** Guards against a kind of frame that is sent but has no handler at the receiving entry. */
     @ParameterizedTest
     @MethodSource("frames")
     void everyKindOfFrameReachesItsHandler(Frame frame) throws Exception {
--- a/node/src/test/java/org/geraniumreach/node/EntryMetricsTest.java
+++ b/node/src/test/java/org/geraniumreach/node/EntryMetricsTest.java
@@ -79,8 +79,8 @@
                 .contains("geraniumreach_room_wait_seconds_bucket{account=\"acme\",le=\"0.1\"} 1");
     }
 
-    // Operators would lose all metrics to a client account list that grows without end: each account has some forty
-    // series.
+    // Guards against an unbounded number of series, which would cost operators all metrics: each client account has
+    // about forty.
     @Test
     void accountsBeyondLimitShareOneSeries() {
         for (int number = 0; number < 10 * ProcessMeters.MOST_ACCOUNTS; number++) {
@@ -98,9 +98,9 @@
             address = (InetSocketAddress) probe.getLocalSocketAddress();
         }
         String url = "http://127.0.0.1:" + address.getPort() + MetricsServer.PATH;
-        try (MetricsServer port = MetricsServer.start(address, metrics::scrape);
+        try (MetricsServer server = MetricsServer.start(address, metrics::scrape);
                 InputStream answer = URI.create(url).toURL().openStream()) {
-            assertThat(port).isNotNull();
+            assertThat(server).isNotNull();
             assertThat(new String(answer.readAllBytes(), StandardCharsets.UTF_8))
                     .contains("geraniumreach_ready 1.0");
         }
--- a/node/src/test/java/org/geraniumreach/node/EvacuatedTargetCallsTest.java
+++ b/node/src/test/java/org/geraniumreach/node/EvacuatedTargetCallsTest.java
@@ -71,7 +71,7 @@
                         Optional.of(new ServiceDefinition.Engine(4, 64, List.of("base"))))));
     }
 
-    /** Counts calls that are never answered. */
+    /** Counts orders and report requests, and never answers them. */
     private static final class CallCounter implements TargetPort {
         private int count;
 
@@ -79,8 +79,8 @@
         public Cancellable send(
                 Target target,
                 GatewayRequest request,
-                RequestMetadata envelope,
-                Duration longestIdle,
+                RequestMetadata metadata,
+                Duration idleTimeout,
                 TargetAnswerListener listener) {
             throw new UnsupportedOperationException("no requests here");
         }
@@ -119,7 +119,7 @@
                 Map.of("base", Map.of())));
     }
 
-    /** Guards against orders and reports that still go to targets of an evacuated failure domain. */
+    /** Guards against orders and report requests that are sent to targets of an evacuated failure domain. */
     @Test
     void nothingIsSentToTargetUntilItMayBeCalledAgain() {
         evacuated = true;
--- a/node/src/test/java/org/geraniumreach/node/FeedUpdatesTest.java
+++ b/node/src/test/java/org/geraniumreach/node/FeedUpdatesTest.java
@@ -39,7 +39,7 @@
                 .contains(update);
     }
 
-    /** Guards against a failure while entries of two versions run side by side. */
+    /** Entries of two versions run side by side during an upgrade, so an older one may receive tables that it does not know. */
     @Test
     void updateOfUnknownTableIsIgnored() {
         assertThat(FeedUpdates.fromMessage(org.geraniumreach.messages.FeedUpdate.newBuilder()
--- a/node/src/test/java/org/geraniumreach/node/JsonLogTest.java
+++ b/node/src/test/java/org/geraniumreach/node/JsonLogTest.java
@@ -27,13 +27,13 @@
                         + "\"reason\":\"a\\u000ab\"}\n");
     }
 
-    // Callers would wait for a reader of the log that has stopped. The ring is full then, lines are dropped, and the
-    // log says how many once it is read again.
+    // Guards against requests that block when the reader of the log has stopped: once the buffer is full, lines are
+    // dropped, and their number is logged when the output is read again.
     @Test
     void writersDoNotBlockWhenOutputIsNotRead() {
-        CountDownLatch reads = new CountDownLatch(1);
+        CountDownLatch readable = new CountDownLatch(1);
         ByteArrayOutputStream output = new ByteArrayOutputStream();
-        JsonLog log = JsonLog.start(new BlockedOutputStream(output, reads), () -> 5);
+        JsonLog log = JsonLog.start(new BlockedOutputStream(output, readable), () -> 5);
         assertTimeoutPreemptively(Duration.ofSeconds(10), () -> {
             for (int line = 0; line < 3 * JsonLog.MAX_PENDING_LINES; line++) {
                 log.write(EventCode.CALLER_GONE, "r");
@@ -42,7 +42,7 @@
                 }
             }
         });
-        reads.countDown();
+        readable.countDown();
         log.close();
         assertThat(output.toString(StandardCharsets.UTF_8)).contains("LOG_LINES_DROPPED");
     }
@@ -51,9 +51,9 @@
         private final OutputStream delegate;
         private final CountDownLatch readable;
 
-        private BlockedOutputStream(OutputStream behind, CountDownLatch reads) {
-            this.delegate = behind;
-            this.readable = reads;
+        private BlockedOutputStream(OutputStream delegate, CountDownLatch readable) {
+            this.delegate = delegate;
+            this.readable = readable;
         }
 
         @Override
@@ -65,7 +65,7 @@
         public void write(byte[] batch) throws IOException {
             try {
                 readable.await();
-            } catch (InterruptedException stopped) {
+            } catch (InterruptedException interrupted) {
                 Thread.currentThread().interrupt();
             }
             delegate.write(batch);
--- a/node/src/test/java/org/geraniumreach/node/LibraryLogHandlerTest.java
+++ b/node/src/test/java/org/geraniumreach/node/LibraryLogHandlerTest.java
@@ -23,7 +23,7 @@
         LogManager.getLogManager().readConfiguration();
     }
 
-    /** Guards against plain lines among the JSON lines of the log, which a reader of the log would take for damage. */
+    /** Guards against plain lines in the JSON log, which log readers would treat as corrupted. */
     @Test
     void libraryWarningIsWrittenToDecisionLog() {
         install();
--- a/node/src/test/java/org/geraniumreach/node/PlatformBoundaryTest.java
+++ b/node/src/test/java/org/geraniumreach/node/PlatformBoundaryTest.java
@@ -16,7 +16,7 @@
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** Holds the platform's words to their folder, and that folder to translating. */
+/** Keeps the platform's own terms inside its folder, and restricts the code in that folder to conversion. */
 class PlatformBoundaryTest {
 
     private static final JavaClasses CLASSES = new ClassFileImporter()
@@ -46,8 +46,8 @@
                 "model_load",
                 "tombstone"
             })
-    void noMainSourceOutsidePlatformFolderContainsPlatformTerm(String word) throws IOException {
-        assertThat(sources().filter(file -> containsText(file, word)).toList()).isEmpty();
+    void noMainSourceOutsidePlatformFolderContainsPlatformTerm(String term) throws IOException {
+        assertThat(sources().filter(file -> containsText(file, term)).toList()).isEmpty();
     }
 
     private static Stream<Path> sources() throws IOException {
@@ -58,9 +58,9 @@
                 .filter(file -> !ROOT.relativize(file).startsWith("standins"));
     }
 
-    private static boolean containsText(Path file, String word) {
+    private static boolean containsText(Path file, String term) {
         try {
-            return Files.readString(file).contains(word);
+            return Files.readString(file).contains(term);
         } catch (IOException unreadable) {
             throw new IllegalStateException("cannot read " + file, unreadable);
         }
@@ -105,8 +105,8 @@
 
     @Test
     void platformFolderIsUsedOnlyByNodeProcess() {
-        List<String> product = List.of("gateway", "coordination", "serving", "link", "daemon", "model");
-        for (String module : product) {
+        List<String> modules = List.of("gateway", "coordination", "serving", "link", "daemon", "model");
+        for (String module : modules) {
             noClasses()
                     .that()
                     .resideInAPackage("org.geraniumreach." + module + "..")
