--- a/node/src/main/java/org/geraniumreach/node/EntryMetrics.java
+++ b/node/src/main/java/org/geraniumreach/node/EntryMetrics.java
@@ -16,16 +16,19 @@
 import org.geraniumreach.process.ProcessMeters;
 
 /**
- * The meters of an entry.
+ * Records the metrics of an entry.
  *
- * <p>Each line of the log is counted, also one that the full log drops, by its event and by the result that it names: refusals by cause,
- * orders by result, changes of belief by kind. Invariant: the number of series is bounded, by the events, by the results, which
- * are enumerations, and by {@link ProcessMeters#MOST_ACCOUNTS}. Safe for use by several threads.
+ * <p>Counts each log line, even if the log drops it, by its event and the result in its fields, such as the code of a refusal or the
+ * result of an order. Invariant: the number of series is bounded by the number of events, by the number of results, which are enum
+ * constants, and by {@link ProcessMeters#MOST_ACCOUNTS}. Safe for use by several threads.
  */
 final class EntryMetrics implements DecisionLog {
 
-    /** From the time to read a short prompt to the time after which callers have left; 0.3 s is the pause and 0.8 s the objective of most. */
-    private static final Duration[] BOUNDS = {
+    /**
+     * Range from the prefill time of a short prompt to the time after which callers have disconnected; 0.3 s is the usual limit of a
+     * pause, and 0.8 s the usual objective.
+     */
+    private static final Duration[] BUCKET_BOUNDS = {
         Duration.ofMillis(25),
         Duration.ofMillis(50),
         Duration.ofMillis(100),
@@ -40,44 +43,45 @@
 
     private final DecisionLog log;
     private final ProcessMeters meters = new ProcessMeters();
-    private final Map<EventCode, Map<String, Counter>> events = new EnumMap<>(EventCode.class);
-    private final Map<String, RequestMeters> requests = new HashMap<>();
+    private final Map<EventCode, Map<String, Counter>> eventCounters = new EnumMap<>(EventCode.class);
+    private final Map<String, RequestMeters> requestMeters = new HashMap<>();
 
     /** The meters of one client account's requests. */
     private static final class RequestMeters {
         private final Timer firstPart;
-        private final Timer pause;
+        private final Timer longestPause;
         private final Timer total;
         private final Timer rateWait;
         private final Timer adapterWait;
-        private final Timer roomWait;
-        private final Timer firstAfterSend;
-        private final Map<OutcomeListener.Kind, Counter> ends = new EnumMap<>(OutcomeListener.Kind.class);
-        private final Counter repeats;
+        private final Timer prefillWait;
+        private final Timer firstPartAfterSend;
+        private final Map<OutcomeListener.Kind, Counter> endsByKind = new EnumMap<>(OutcomeListener.Kind.class);
+        private final Counter repeatedSends;
 
         private RequestMeters(MeterRegistry registry, String account) {
             firstPart = timer(registry, "geraniumreach.first.part", "Time to the first part of an answer.", account);
-            pause = timer(registry, "geraniumreach.longest.pause", "Longest pause within an answer.", account);
+            longestPause = timer(registry, "geraniumreach.longest.pause", "Longest pause within an answer.", account);
             total = timer(registry, "geraniumreach.request.time", "Time to the end of a request.", account);
             rateWait = timer(registry, "geraniumreach.rate.wait", "Wait for units of the account's rate.", account);
             adapterWait = timer(registry, "geraniumreach.adapter.wait", "Wait for the load of an adapter.", account);
-            roomWait = timer(registry, "geraniumreach.room.wait", "Wait for room to read at a target.", account);
-            firstAfterSend = timer(
+            prefillWait = timer(registry, "geraniumreach.room.wait", "Wait for room to read at a target.", account);
+            firstPartAfterSend = timer(
                     registry,
                     "geraniumreach.target.first.part",
                     "Time from the last sending to the first part.",
                     account);
-            repeats = registry.counter("geraniumreach.repeated.sends", "account", account);
+            repeatedSends = registry.counter("geraniumreach.repeated.sends", "account", account);
             for (OutcomeListener.Kind kind : OutcomeListener.Kind.values()) {
-                ends.put(kind, registry.counter("geraniumreach.requests", "account", account, "end", kind.name()));
+                endsByKind.put(
+                        kind, registry.counter("geraniumreach.requests", "account", account, "end", kind.name()));
             }
         }
 
-        private static Timer timer(MeterRegistry registry, String name, String about, String account) {
+        private static Timer timer(MeterRegistry registry, String name, String description, String account) {
             return Timer.builder(name)
-                    .description(about)
+                    .description(description)
                     .tag("account", account)
-                    .serviceLevelObjectives(BOUNDS)
+                    .serviceLevelObjectives(BUCKET_BOUNDS)
                     .register(registry);
         }
     }
@@ -88,14 +92,14 @@
 
     @Override
     public void write(EventCode event, String subject, Field... fields) {
-        count(event, result(fields));
+        count(event, resultLabel(fields));
         log.write(event, subject, fields);
     }
 
-    private static String result(Field... fields) {
+    private static String resultLabel(Field... fields) {
         for (Field field : fields) {
-            boolean names = field.name().equals("code") || field.name().equals("result");
-            if (names && field.value() instanceof Enum<?> value) {
+            boolean isResult = field.name().equals("code") || field.name().equals("result");
+            if (isResult && field.value() instanceof Enum<?> value) {
                 return value.name();
             }
         }
@@ -103,37 +107,38 @@
     }
 
     private synchronized void count(EventCode event, String result) {
-        events.computeIfAbsent(event, missing -> new HashMap<>())
+        eventCounters
+                .computeIfAbsent(event, missing -> new HashMap<>())
                 .computeIfAbsent(result, missing -> meters.registry()
                         .counter("geraniumreach.events", "event", event.name(), "result", result))
                 .increment();
     }
 
-    /** Counts the end of a request. */
-    synchronized void ended(OutcomeListener.Outcome outcome) {
+    /** Records the outcome and the times of a request. */
+    synchronized void onRequestEnded(OutcomeListener.Outcome outcome) {
         String account =
                 meters.accountLabel(outcome.account().map(Object::toString).orElse(""));
-        RequestMeters ofAccount =
-                requests.computeIfAbsent(account, missing -> new RequestMeters(meters.registry(), account));
-        ofAccount.ends.get(outcome.kind()).increment();
-        ofAccount.total.record(outcome.total());
-        ofAccount.repeats.increment(Math.max(0, outcome.sends() - 1));
-        ofAccount.rateWait.record(outcome.waits().rate());
-        ofAccount.adapterWait.record(outcome.waits().adapter());
-        ofAccount.roomWait.record(outcome.waits().prefillCapacity());
-        outcome.firstPartAfterSend().ifPresent(ofAccount.firstAfterSend::record);
-        outcome.firstPart().ifPresent(ofAccount.firstPart::record);
+        RequestMeters accountMeters =
+                requestMeters.computeIfAbsent(account, missing -> new RequestMeters(meters.registry(), account));
+        accountMeters.endsByKind.get(outcome.kind()).increment();
+        accountMeters.total.record(outcome.total());
+        accountMeters.repeatedSends.increment(Math.max(0, outcome.sends() - 1));
+        accountMeters.rateWait.record(outcome.waits().rate());
+        accountMeters.adapterWait.record(outcome.waits().adapter());
+        accountMeters.prefillWait.record(outcome.waits().prefillCapacity());
+        outcome.firstPartAfterSend().ifPresent(accountMeters.firstPartAfterSend::record);
+        outcome.firstPart().ifPresent(accountMeters.firstPart::record);
         if (outcome.firstPart().isPresent()) {
-            ofAccount.pause.record(outcome.maximumPause());
+            accountMeters.longestPause.record(outcome.maximumPause());
         }
     }
 
-    /** Adds a gauge; it is read by the thread that scrapes. */
-    void gauge(String name, String about, DoubleSupplier value) {
-        meters.gauge(name, about, value);
+    /** Adds a gauge, whose value is read on the scraping thread. */
+    void gauge(String name, String description, DoubleSupplier value) {
+        meters.gauge(name, description, value);
     }
 
-    /** Prints all meters in Prometheus' text form. */
+    /** Formats all metrics in the Prometheus text format. */
     String scrape() {
         return meters.scrape();
     }
--- a/node/src/main/java/org/geraniumreach/node/EntryRow.java
+++ b/node/src/main/java/org/geraniumreach/node/EntryRow.java
@@ -9,19 +9,19 @@
 import org.geraniumreach.model.table.RowKey;
 
 /**
- * The stored row by which an entry is found by the others.
+ * The stored row that tells the other entries how to reach an entry.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param links where it listens to other entries
- * @param incarnation the life of its process
+ * @param linkAddress the address on which the entry accepts links from other entries
+ * @param incarnation identifies one start of the entry's process
  */
-record EntryRow(InetSocketAddress links, long incarnation) {
+record EntryRow(InetSocketAddress linkAddress, long incarnation) {
 
     private static final String PREFIX = "entry/";
 
     EntryRow {
-        Objects.requireNonNull(links, "links");
+        Objects.requireNonNull(linkAddress, "linkAddress");
     }
 
     static boolean isEntryRow(String key) {
@@ -37,9 +37,10 @@
     }
 
     String toText() {
-        return links.getAddress().getHostAddress() + ' ' + links.getPort() + ' ' + incarnation;
+        return linkAddress.getAddress().getHostAddress() + ' ' + linkAddress.getPort() + ' ' + incarnation;
     }
 
+    /** Parses a row; empty if the text is malformed. */
     static Optional<EntryRow> parse(String text) {
         String[] words = text.split(" ");
         try {
