--- a/httpclient/src/main/java/org/geraniumreach/httpclient/HttpConnection.java
+++ b/httpclient/src/main/java/org/geraniumreach/httpclient/HttpConnection.java
@@ -35,23 +35,23 @@
  */
 final class HttpConnection extends SimpleChannelInboundHandler<HttpObject> {
 
-    private static final int LONGEST_LINE = 8_192;
-    private static final int LARGEST_HEADERS = 65_536;
-    private static final int LARGEST_CHUNK = 65_536;
+    private static final int MAX_LINE_BYTES = 8_192;
+    private static final int MAX_HEADER_BYTES = 65_536;
+    private static final int MAX_CHUNK_BYTES = 65_536;
     private static final String TIMEOUT_PARAMETER = "timeout=";
 
-    private final HttpConnections owner;
+    private final HttpConnections connections;
     private Channel channel;
     private InetSocketAddress address;
     private PendingCall call;
-    private boolean keepsAlive;
+    private boolean keepAlive;
     private boolean reset;
     private boolean informational;
-    private long idleSince;
-    private OptionalLong allowedIdleSeconds = OptionalLong.empty();
+    private long idleSinceNanos;
+    private OptionalLong keepAliveTimeoutSeconds = OptionalLong.empty();
 
     private HttpConnection(HttpConnections owner) {
-        this.owner = owner;
+        this.connections = owner;
     }
 
     static void install(Channel channel, HttpConnections owner) {
@@ -59,13 +59,13 @@
         connection.channel = channel;
         channel.pipeline()
                 .addLast(
-                        connection.new IdleGuard(),
-                        new HttpClientCodec(LONGEST_LINE, LARGEST_HEADERS, LARGEST_CHUNK),
+                        connection.new UnexpectedBytesHandler(),
+                        new HttpClientCodec(MAX_LINE_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES),
                         connection);
     }
 
     /** Closes the connection at a byte that no call waits for; the codec would take it for the start of the next response. */
-    private final class IdleGuard extends ChannelInboundHandlerAdapter {
+    private final class UnexpectedBytesHandler extends ChannelInboundHandlerAdapter {
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object bytes) {
@@ -90,16 +90,17 @@
         return address;
     }
 
-    void setIdleSince(long nanos) {
-        idleSince = nanos;
+    void setIdleSinceNanos(long nanos) {
+        idleSinceNanos = nanos;
     }
 
     /** Leaves a second of what the other end allows, as a request that crosses its close could not be told from one that ran. */
     boolean isUsable(long now, Duration longestIdle) {
-        long idleNanos = now - idleSince;
-        boolean allowed = allowedIdleSeconds.isEmpty()
+        long idleNanos = now - idleSinceNanos;
+        boolean allowed = keepAliveTimeoutSeconds.isEmpty()
                 || idleNanos
-                        < Duration.ofSeconds(allowedIdleSeconds.getAsLong() - 1).toNanos();
+                        < Duration.ofSeconds(keepAliveTimeoutSeconds.getAsLong() - 1)
+                                .toNanos();
         return channel.isActive() && allowed && idleNanos <= longestIdle.toNanos();
     }
 
@@ -107,9 +108,9 @@
         channel.close();
     }
 
-    void begin(PendingCall next) {
+    void send(PendingCall next) {
         call = next;
-        next.connecting(channel);
+        next.setChannel(channel);
         HttpCallRequest request = next.request();
         DefaultFullHttpRequest message = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
@@ -139,37 +140,37 @@
             return;
         }
         if (message.decoderResult().isFailure()) {
-            breakOff("not a response: " + message.decoderResult().cause().getMessage());
+            failCall("not a response: " + message.decoderResult().cause().getMessage());
             return;
         }
         if (message instanceof HttpResponse) {
-            head((HttpResponse) message);
+            onHead((HttpResponse) message);
         }
         if (message instanceof HttpContent) {
-            content((HttpContent) message);
+            onContent((HttpContent) message);
         }
     }
 
-    private void head(HttpResponse response) {
+    private void onHead(HttpResponse response) {
         if (response.status().codeClass().equals(HttpStatusClass.INFORMATIONAL)) {
             informational = true;
             return;
         }
-        keepsAlive = HttpUtil.isKeepAlive(response) && isFramed(response);
-        allowedIdleSeconds = allowedIdle(response);
+        keepAlive = HttpUtil.isKeepAlive(response) && isFramed(response);
+        keepAliveTimeoutSeconds = keepAliveTimeoutSeconds(response);
         List<Header> headers = new ArrayList<>(response.headers().size());
         for (Map.Entry<String, String> header : response.headers()) {
             headers.add(new Header(header.getKey(), header.getValue()));
         }
         HttpResponseStatus status = response.status();
-        call.head(new HttpResponseHead(status.code(), headers));
+        call.onHead(new HttpResponseHead(status.code(), headers));
     }
 
     private static boolean isFramed(HttpResponse response) {
         return HttpUtil.isContentLengthSet(response) || HttpUtil.isTransferEncodingChunked(response);
     }
 
-    private static OptionalLong allowedIdle(HttpResponse response) {
+    private static OptionalLong keepAliveTimeoutSeconds(HttpResponse response) {
         String value = response.headers().get("Keep-Alive");
         if (value == null) {
             return OptionalLong.empty();
@@ -177,13 +178,13 @@
         for (String part : value.split(",")) {
             String parameter = part.trim();
             if (parameter.startsWith(TIMEOUT_PARAMETER)) {
-                return seconds(parameter.substring(TIMEOUT_PARAMETER.length()));
+                return parseSeconds(parameter.substring(TIMEOUT_PARAMETER.length()));
             }
         }
         return OptionalLong.empty();
     }
 
-    private static OptionalLong seconds(String text) {
+    private static OptionalLong parseSeconds(String text) {
         try {
             return OptionalLong.of(Long.parseLong(text.trim()));
         } catch (NumberFormatException unreadable) {
@@ -192,13 +193,13 @@
         }
     }
 
-    private void content(HttpContent content) {
+    private void onContent(HttpContent content) {
         if (informational) {
             informational = !(content instanceof LastHttpContent);
             return;
         }
         if (content.content().isReadable()) {
-            call.part(ByteBufUtil.getBytes(content.content()));
+            call.onPart(ByteBufUtil.getBytes(content.content()));
         }
         if (content instanceof LastHttpContent && call != null) {
             complete();
@@ -207,21 +208,21 @@
 
     private void complete() {
         if (reset) {
-            breakOff("reset");
+            failCall("reset");
             return;
         }
         PendingCall ended = call;
         call = null;
-        boolean cancelled = ended.isOver();
-        if (!cancelled && keepsAlive && channel.isActive()) {
-            owner.becameIdle(this);
+        boolean cancelled = ended.isEnded();
+        if (!cancelled && keepAlive && channel.isActive()) {
+            connections.onIdle(this);
         } else {
             channel.close();
         }
-        ended.end();
+        ended.complete();
     }
 
-    private void breakOff(String reason) {
+    private void failCall(String reason) {
         PendingCall broken = call;
         call = null;
         channel.close();
@@ -234,14 +235,14 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         reset = true;
-        breakOff(String.valueOf(cause.getMessage()));
+        failCall(String.valueOf(cause.getMessage()));
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         if (address != null) {
-            owner.closed(this);
+            connections.onClosed(this);
         }
-        breakOff("closed before the response was complete");
+        failCall("closed before the response was complete");
     }
 }
--- a/httpclient/src/main/java/org/geraniumreach/httpclient/HttpConnections.java
+++ b/httpclient/src/main/java/org/geraniumreach/httpclient/HttpConnections.java
@@ -27,8 +27,8 @@
 
     private final MonotonicClock clock;
     private final Bootstrap bootstrap;
-    private final Map<InetSocketAddress, Deque<HttpConnection>> idle = new HashMap<>();
-    private long opened;
+    private final Map<InetSocketAddress, Deque<HttpConnection>> idleConnections = new HashMap<>();
+    private long openedCount;
 
     /**
      * Makes a set without connections.
@@ -66,19 +66,19 @@
         PendingCall call = new PendingCall(request, listener);
         HttpConnection kept = takeIdle(address, longestIdle);
         if (kept != null) {
-            kept.begin(call);
+            kept.send(call);
             return call;
         }
-        opened++;
+        openedCount++;
         ChannelFuture connecting = bootstrap.connect(address);
-        call.connecting(connecting.channel());
+        call.setChannel(connecting.channel());
         connecting.addListener(done -> {
-            if (call.isOver()) {
+            if (call.isEnded()) {
                 connecting.channel().close();
             } else if (done.isSuccess()) {
                 HttpConnection connection = HttpConnection.of(connecting.channel());
                 connection.setAddress(address);
-                connection.begin(call);
+                connection.send(call);
             } else {
                 call.fail(CallFailure.NOT_SENT, String.valueOf(done.cause().getMessage()));
             }
@@ -87,7 +87,7 @@
     }
 
     private HttpConnection takeIdle(InetSocketAddress address, Duration longestIdle) {
-        Deque<HttpConnection> kept = idle.get(address);
+        Deque<HttpConnection> kept = idleConnections.get(address);
         if (kept == null || longestIdle.isZero()) {
             return null;
         }
@@ -99,20 +99,21 @@
         return kept.pollLast();
     }
 
-    void becameIdle(HttpConnection connection) {
-        connection.setIdleSince(clock.nanos());
-        idle.computeIfAbsent(connection.address(), missing -> new ArrayDeque<>())
+    void onIdle(HttpConnection connection) {
+        connection.setIdleSinceNanos(clock.nanos());
+        idleConnections
+                .computeIfAbsent(connection.address(), missing -> new ArrayDeque<>())
                 .addLast(connection);
     }
 
-    void closed(HttpConnection connection) {
-        Deque<HttpConnection> kept = idle.get(connection.address());
+    void onClosed(HttpConnection connection) {
+        Deque<HttpConnection> kept = idleConnections.get(connection.address());
         if (kept == null) {
             return;
         }
         kept.remove(connection);
         if (kept.isEmpty()) {
-            idle.remove(connection.address());
+            idleConnections.remove(connection.address());
         }
     }
 
@@ -123,7 +124,7 @@
      */
     public void closeIdle(Duration longestIdle) {
         long now = clock.nanos();
-        for (Deque<HttpConnection> kept : idle.values().stream().toList()) {
+        for (Deque<HttpConnection> kept : idleConnections.values().stream().toList()) {
             for (HttpConnection connection : kept.stream().toList()) {
                 if (!connection.isUsable(now, longestIdle)) {
                     connection.close();
@@ -138,7 +139,7 @@
      * @param address the address, not null
      */
     public void forget(InetSocketAddress address) {
-        Deque<HttpConnection> kept = idle.remove(address);
+        Deque<HttpConnection> kept = idleConnections.remove(address);
         if (kept != null) {
             kept.forEach(HttpConnection::close);
         }
@@ -149,7 +150,7 @@
      *
      * @return the number
      */
-    public long opened() {
-        return opened;
+    public long openedCount() {
+        return openedCount;
     }
 }
--- a/httpclient/src/main/java/org/geraniumreach/httpclient/HttpResponseHead.java
+++ b/httpclient/src/main/java/org/geraniumreach/httpclient/HttpResponseHead.java
@@ -25,7 +25,7 @@
      * @param name the name, whatever its case, not null
      * @return its value, or empty if there is none
      */
-    public Optional<String> first(String name) {
+    public Optional<String> firstHeader(String name) {
         for (Header header : headers) {
             if (header.hasName(name)) {
                 return Optional.of(header.value());
--- a/httpclient/src/main/java/org/geraniumreach/httpclient/HttpResponseListener.java
+++ b/httpclient/src/main/java/org/geraniumreach/httpclient/HttpResponseListener.java
@@ -13,17 +13,17 @@
      *
      * @param head the head, not null
      */
-    void head(HttpResponseHead head);
+    void onHead(HttpResponseHead head);
 
     /**
      * Tells of a part of the body.
      *
      * @param part the bytes, which the listener may keep, not null
      */
-    void part(byte[] part);
+    void onPart(byte[] part);
 
     /** Tells that the body is complete by its own framing. */
-    void end();
+    void onEnd();
 
     /**
      * Tells that there will be no complete response.
@@ -31,5 +31,5 @@
      * @param failure how far the call had come, not null
      * @param reason what happened, for a log, not null
      */
-    void failed(CallFailure failure, String reason);
+    void onFailed(CallFailure failure, String reason);
 }
--- a/httpclient/src/main/java/org/geraniumreach/httpclient/PendingCall.java
+++ b/httpclient/src/main/java/org/geraniumreach/httpclient/PendingCall.java
@@ -12,7 +12,7 @@
     private final HttpCallRequest request;
     private final HttpResponseListener listener;
     private Channel channel;
-    private boolean over;
+    private boolean ended;
 
     PendingCall(HttpCallRequest request, HttpResponseListener listener) {
         this.request = request;
@@ -23,46 +23,46 @@
         return request;
     }
 
-    boolean isOver() {
-        return over;
+    boolean isEnded() {
+        return ended;
     }
 
-    void connecting(Channel opening) {
+    void setChannel(Channel opening) {
         channel = opening;
     }
 
-    void head(HttpResponseHead head) {
-        if (!over) {
-            listener.head(head);
+    void onHead(HttpResponseHead head) {
+        if (!ended) {
+            listener.onHead(head);
         }
     }
 
-    void part(byte[] part) {
-        if (!over) {
-            listener.part(part);
+    void onPart(byte[] part) {
+        if (!ended) {
+            listener.onPart(part);
         }
     }
 
-    void end() {
-        if (!over) {
-            over = true;
-            listener.end();
+    void complete() {
+        if (!ended) {
+            ended = true;
+            listener.onEnd();
         }
     }
 
     void fail(CallFailure failure, String reason) {
-        if (!over) {
-            over = true;
-            listener.failed(failure, reason);
+        if (!ended) {
+            ended = true;
+            listener.onFailed(failure, reason);
         }
     }
 
     @Override
     public void cancel() {
-        if (over) {
+        if (ended) {
             return;
         }
-        over = true;
+        ended = true;
         if (channel != null) {
             channel.close();
         }
--- a/httpclient/src/test/java/org/geraniumreach/httpclient/HttpConnectionsTest.java
+++ b/httpclient/src/test/java/org/geraniumreach/httpclient/HttpConnectionsTest.java
@@ -26,20 +26,20 @@
 /** The client against a server that writes exactly what a test says. */
 class HttpConnectionsTest {
 
-    private static final Duration KEPT = Duration.ofSeconds(10);
-    private static final long PATIENCE_SECONDS = 10;
+    private static final Duration MAX_IDLE_TIME = Duration.ofSeconds(10);
+    private static final long TIMEOUT_SECONDS = 10;
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final HttpConnections connections =
             new HttpConnections(group.next(), MonotonicClock.system(), Duration.ofSeconds(2));
-    private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
     private ServerSocket server;
     private Socket accepted;
 
     @BeforeEach
     void listen() throws IOException {
         server = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
-        server.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS));
+        server.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
     }
 
     @AfterEach
@@ -57,40 +57,40 @@
 
     private void call() {
         HttpCallRequest request = new HttpCallRequest("GET", "/x", List.of(), new byte[0]);
-        group.next().execute(() -> connections.send(address(), request, KEPT, new Told()));
+        group.next().execute(() -> connections.send(address(), request, MAX_IDLE_TIME, new OutcomeRecorder()));
     }
 
-    private final class Told implements HttpResponseListener {
+    private final class OutcomeRecorder implements HttpResponseListener {
         private final StringBuilder body = new StringBuilder();
 
         @Override
-        public void head(HttpResponseHead head) {
+        public void onHead(HttpResponseHead head) {
             body.append(head.status()).append(' ');
         }
 
         @Override
-        public void part(byte[] part) {
+        public void onPart(byte[] part) {
             body.append(new String(part, StandardCharsets.UTF_8));
         }
 
         @Override
-        public void end() {
-            told.add(body.toString());
+        public void onEnd() {
+            outcomes.add(body.toString());
         }
 
         @Override
-        public void failed(CallFailure failure, String reason) {
-            told.add(failure.name());
+        public void onFailed(CallFailure failure, String reason) {
+            outcomes.add(failure.name());
         }
     }
 
-    private String outcome() throws InterruptedException {
-        return told.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    private String nextOutcome() throws InterruptedException {
+        return outcomes.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     private void accept() throws IOException {
         accepted = server.accept();
-        accepted.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS));
+        accepted.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
     }
 
     private void readRequest() throws IOException {
@@ -113,7 +113,7 @@
         accept();
         readRequest();
         write("HTTP/1.1 200 OK\r\n" + rest);
-        assertThat(outcome()).isEqualTo("200 ok");
+        assertThat(nextOutcome()).isEqualTo("200 ok");
     }
 
     @Test
@@ -123,7 +123,7 @@
         readRequest();
         write("HTTP/1.1 200 OK\r\n\r\nok");
         accepted.close();
-        assertThat(outcome()).isEqualTo("200 ok");
+        assertThat(nextOutcome()).isEqualTo("200 ok");
     }
 
     // A caller would take half an answer for the whole: a body that ends with its connection was cut by a reset.
@@ -136,7 +136,7 @@
         TimeUnit.MILLISECONDS.sleep(200);
         accepted.setSoLinger(true, 0);
         accepted.close();
-        assertThat(outcome()).isEqualTo("BROKEN");
+        assertThat(nextOutcome()).isEqualTo("BROKEN");
     }
 
     @ParameterizedTest
@@ -152,14 +152,14 @@
         readRequest();
         write(bytes);
         accepted.close();
-        assertThat(outcome()).isEqualTo("BROKEN");
+        assertThat(nextOutcome()).isEqualTo("BROKEN");
     }
 
     @Test
     void aConnectionThatIsRefusedWasNotSent() throws Exception {
         server.close();
         call();
-        assertThat(outcome()).isEqualTo("NOT_SENT");
+        assertThat(nextOutcome()).isEqualTo("NOT_SENT");
     }
 
     @Test
@@ -169,12 +169,12 @@
         for (int number = 0; number < 2; number++) {
             readRequest();
             write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-            assertThat(outcome()).isEqualTo("200 ok");
+            assertThat(nextOutcome()).isEqualTo("200 ok");
             if (number == 0) {
                 call();
             }
         }
-        assertThat(connections.opened()).isEqualTo(1);
+        assertThat(connections.openedCount()).isEqualTo(1);
     }
 
     // The next caller would get an answer that nobody asked for: a second one came after the first on the connection.
@@ -184,14 +184,14 @@
         accept();
         readRequest();
         write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-        assertThat(outcome()).isEqualTo("200 ok");
+        assertThat(nextOutcome()).isEqualTo("200 ok");
         write("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold");
         assertThat(accepted.getInputStream().read()).isEqualTo(-1);
         call();
         accept();
         readRequest();
         write("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew");
-        assertThat(outcome()).isEqualTo("200 new");
+        assertThat(nextOutcome()).isEqualTo("200 new");
     }
 
     @Test
@@ -200,10 +200,10 @@
         accept();
         readRequest();
         write("HTTP/1.1 200 OK\r\nKeep-Alive: timeout=1\r\nContent-Length: 2\r\n\r\nok");
-        assertThat(outcome()).isEqualTo("200 ok");
+        assertThat(nextOutcome()).isEqualTo("200 ok");
         call();
         accept();
         readRequest();
-        assertThat(connections.opened()).isEqualTo(2);
+        assertThat(connections.openedCount()).isEqualTo(2);
     }
 }
--- a/httpserver/src/main/java/org/geraniumreach/httpserver/BodyReader.java
+++ b/httpserver/src/main/java/org/geraniumreach/httpserver/BodyReader.java
@@ -18,20 +18,20 @@
  */
 public final class BodyReader implements ReadHandler {
 
-    private static final int BUFFER = 8_192;
+    private static final int BUFFER_BYTES = 8_192;
 
     private final NIOInputStream input;
-    private final long largest;
-    private final Consumer<byte[]> whole;
-    private final Consumer<ServingException> refused;
+    private final long maxBytes;
+    private final Consumer<byte[]> onBody;
+    private final Consumer<ServingException> onRefused;
     private final ByteArrayOutputStream content = new ByteArrayOutputStream();
-    private boolean done;
+    private boolean ended;
 
     private BodyReader(NIOInputStream input, long largest, Consumer<byte[]> whole, Consumer<ServingException> refused) {
         this.input = input;
-        this.largest = largest;
-        this.whole = whole;
-        this.refused = refused;
+        this.maxBytes = largest;
+        this.onBody = whole;
+        this.onRefused = refused;
     }
 
     /**
@@ -53,40 +53,40 @@
 
     @Override
     public void onDataAvailable() throws IOException {
-        take();
-        if (!done) {
+        readAvailable();
+        if (!ended) {
             input.notifyAvailable(this);
         }
     }
 
     @Override
     public void onAllDataRead() throws IOException {
-        take();
-        if (!done) {
-            done = true;
-            whole.accept(content.toByteArray());
+        readAvailable();
+        if (!ended) {
+            ended = true;
+            onBody.accept(content.toByteArray());
         }
     }
 
     @Override
     public void onError(Throwable failure) {
-        if (!done) {
-            done = true;
-            refused.accept(ServingException.notRun(ResultCode.MALFORMED_REQUEST, "the body broke off")
+        if (!ended) {
+            ended = true;
+            onRefused.accept(ServingException.notRun(ResultCode.MALFORMED_REQUEST, "the body broke off")
                     .withCause(failure));
         }
     }
 
-    private void take() throws IOException {
-        byte[] buffer = new byte[BUFFER];
-        while (!done && input.isReady()) {
+    private void readAvailable() throws IOException {
+        byte[] buffer = new byte[BUFFER_BYTES];
+        while (!ended && input.isReady()) {
             int count = input.read(buffer);
             if (count < 0) {
                 return;
             }
-            if (content.size() + count > largest) {
-                done = true;
-                refused.accept(tooLarge(largest));
+            if (content.size() + count > maxBytes) {
+                ended = true;
+                onRefused.accept(tooLarge(maxBytes));
                 return;
             }
             content.write(buffer, 0, count);
--- a/httpserver/src/main/java/org/geraniumreach/httpserver/CallerWatch.java
+++ b/httpserver/src/main/java/org/geraniumreach/httpserver/CallerWatch.java
@@ -19,12 +19,12 @@
 public final class CallerWatch implements CloseListener<Closeable, CloseType> {
 
     private final Connection<?> connection;
-    private final Runnable action;
-    private final AtomicBoolean done = new AtomicBoolean();
+    private final Runnable onClose;
+    private final AtomicBoolean ended = new AtomicBoolean();
 
     private CallerWatch(Connection<?> connection, Runnable action) {
         this.connection = connection;
-        this.action = action;
+        this.onClose = action;
     }
 
     /**
@@ -37,11 +37,11 @@
     public static CallerWatch start(Connection<?> connection, Runnable action) {
         CallerWatch watch = new CallerWatch(connection, action);
         connection.addCloseListener(watch);
-        readOn(connection);
+        keepReading(connection);
         return watch;
     }
 
-    private static void readOn(Connection<?> connection) {
+    private static void keepReading(Connection<?> connection) {
         try {
             // Grizzly stops reading from a connection while its call is answered later, so a caller's close would go
             // unseen until a write fails, and the work would go on for nobody. Reading on shows the close at once.
@@ -53,14 +53,14 @@
 
     @Override
     public void onClosed(Closeable closeable, CloseType type) {
-        if (done.compareAndSet(false, true)) {
-            action.run();
+        if (ended.compareAndSet(false, true)) {
+            onClose.run();
         }
     }
 
     /** Ends the watch. */
     public void stop() {
-        done.set(true);
+        ended.set(true);
         connection.removeCloseListener(this);
     }
 }
--- a/process/src/main/java/org/geraniumreach/process/ProcessMeters.java
+++ b/process/src/main/java/org/geraniumreach/process/ProcessMeters.java
@@ -13,7 +13,7 @@
  * What the meters of every process share: the registry, gauges, the labels of client accounts, and the printing.
  *
  * <p>Invariant: labels are bounded. Only the first {@value #MOST_ACCOUNTS} client accounts have one of their own; the others share
- * {@value #OTHER}, so that a great number of accounts costs no memory. Safe for use by several threads.
+ * {@value #OTHER_ACCOUNTS}, so that a great number of accounts costs no memory. Safe for use by several threads.
  */
 public final class ProcessMeters {
 
@@ -21,10 +21,10 @@
     public static final int MOST_ACCOUNTS = 64;
 
     /** The label of the client accounts beyond. */
-    public static final String OTHER = "other";
+    public static final String OTHER_ACCOUNTS = "other";
 
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
-    private final Set<String> accounts = ConcurrentHashMap.newKeySet();
+    private final Set<String> labelledAccounts = ConcurrentHashMap.newKeySet();
 
     /**
      * Gets the registry.
@@ -42,14 +42,14 @@
      * @return the label, not null
      */
     public String accountLabel(String account) {
-        if (accounts.contains(account)) {
+        if (labelledAccounts.contains(account)) {
             return account;
         }
-        synchronized (accounts) {
-            if (accounts.size() >= MOST_ACCOUNTS) {
-                return OTHER;
+        synchronized (labelledAccounts) {
+            if (labelledAccounts.size() >= MOST_ACCOUNTS) {
+                return OTHER_ACCOUNTS;
             }
-            accounts.add(account);
+            labelledAccounts.add(account);
             return account;
         }
     }
