--- a/httpclient/src/main/java/org/geraniumreach/httpclient/CallFailure.java
+++ b/httpclient/src/main/java/org/geraniumreach/httpclient/CallFailure.java
@@ -1,9 +1,9 @@
 package org.geraniumreach.httpclient;
 
-/** How far a failed call had come. */
+/** Whether a failed call may have reached the server. */
 public enum CallFailure {
-    /** No connection was opened, so the other end cannot have seen the call. */
+    /** No connection was opened, so the server cannot have received the request. */
     NOT_SENT,
-    /** The request, or a part of it, was handed to a connection; the other end may have acted on it. */
+    /** All or part of the request was written to a connection, so the server may have processed it. */
     BROKEN
 }
--- a/httpclient/src/main/java/org/geraniumreach/httpclient/HttpCall.java
+++ b/httpclient/src/main/java/org/geraniumreach/httpclient/HttpCall.java
@@ -1,13 +1,13 @@
 package org.geraniumreach.httpclient;
 
 /**
- * A call under way.
+ * A call in progress.
  *
  * <p>Confined to the event loop.
  */
 @FunctionalInterface
 public interface HttpCall {
 
-    /** Closes the call's connection; its listener hears no more. Does nothing once the call has ended. */
+    /** Closes the call's connection, after which its listener is not called. Has no effect once the call has ended. */
     void cancel();
 }
--- a/httpclient/src/main/java/org/geraniumreach/httpclient/HttpCallRequest.java
+++ b/httpclient/src/main/java/org/geraniumreach/httpclient/HttpCallRequest.java
@@ -6,13 +6,13 @@
 import org.geraniumreach.model.Header;
 
 /**
- * A request to be sent as it is; only length, {@code Host} if missing, and framing are added.
+ * A request that is sent unchanged, except that framing headers and a missing {@code Host} are added.
  *
- * <p>Immutable and safe for use by several threads, as long as nobody changes the body.
+ * <p>Immutable and safe for use by several threads, provided that the body is not modified.
  *
  * @param method the method
- * @param uri the path and query, exactly as they go on the wire
- * @param headers the headers, none of which concerns framing
+ * @param uri the path and query, exactly as they are sent
+ * @param headers the headers, without framing headers
  * @param body the body, empty for none
  */
 public record HttpCallRequest(String method, String uri, List<Header> headers, byte[] body) {
--- a/httpclient/src/main/java/org/geraniumreach/httpclient/HttpConnection.java
+++ b/httpclient/src/main/java/org/geraniumreach/httpclient/HttpConnection.java
@@ -29,7 +29,7 @@
 import org.geraniumreach.model.Header;
 
 /**
- * One connection, which carries calls one after another.
+ * A connection that carries one call at a time.
  *
  * <p>Confined to the event loop.
  */
@@ -64,7 +64,7 @@
                         connection);
     }
 
-    /** Closes the connection at a byte that no call waits for; the codec would take it for the start of the next response. */
+    /** Closes the connection on bytes that no call is waiting for, which the codec would read as the start of the next response. */
     private final class UnexpectedBytesHandler extends ChannelInboundHandlerAdapter {
 
         @Override
@@ -94,24 +94,27 @@
         idleSinceNanos = nanos;
     }
 
-    /** Leaves a second of what the other end allows, as a request that crosses its close could not be told from one that ran. */
-    boolean isUsable(long now, Duration longestIdle) {
-        long idleNanos = now - idleSinceNanos;
-        boolean allowed = keepAliveTimeoutSeconds.isEmpty()
+    /**
+     * Stops reuse one second before the server's keep-alive timeout. If the server closed the connection while a request was being
+     * sent, it would be unknown whether the request had run.
+     */
+    boolean isUsable(long nowNanos, Duration maxIdleTime) {
+        long idleNanos = nowNanos - idleSinceNanos;
+        boolean withinTimeout = keepAliveTimeoutSeconds.isEmpty()
                 || idleNanos
                         < Duration.ofSeconds(keepAliveTimeoutSeconds.getAsLong() - 1)
                                 .toNanos();
-        return channel.isActive() && allowed && idleNanos <= longestIdle.toNanos();
+        return channel.isActive() && withinTimeout && idleNanos <= maxIdleTime.toNanos();
     }
 
     void close() {
         channel.close();
     }
 
-    void send(PendingCall next) {
-        call = next;
-        next.setChannel(channel);
-        HttpCallRequest request = next.request();
+    void send(PendingCall newCall) {
+        call = newCall;
+        newCall.setChannel(channel);
+        HttpCallRequest request = newCall.request();
         DefaultFullHttpRequest message = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 HttpMethod.valueOf(request.method()),
@@ -188,7 +191,7 @@
         try {
             return OptionalLong.of(Long.parseLong(text.trim()));
         } catch (NumberFormatException unreadable) {
-            // A limit that cannot be read is taken as the shortest, which keeps the connection from being used again.
+            // An unreadable timeout counts as zero, which prevents reuse of the connection.
             return OptionalLong.of(0);
         }
     }
@@ -223,15 +226,15 @@
     }
 
     private void failCall(String reason) {
-        PendingCall broken = call;
+        PendingCall failed = call;
         call = null;
         channel.close();
-        if (broken != null) {
-            broken.fail(CallFailure.BROKEN, reason);
+        if (failed != null) {
+            failed.fail(CallFailure.BROKEN, reason);
         }
     }
 
-    /** A body that ends with its connection is cut by a reset, which the codec cannot tell from an orderly end. */
+    /** Marks a reset: a body delimited by the close of its connection was cut off, which the codec reports as an orderly end. */
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         reset = true;
--- a/httpclient/src/main/java/org/geraniumreach/httpclient/HttpConnections.java
+++ b/httpclient/src/main/java/org/geraniumreach/httpclient/HttpConnections.java
@@ -18,10 +18,10 @@
 import org.geraniumreach.model.MonotonicClock;
 
 /**
- * Connections to any number of addresses, kept for further calls.
+ * A pool of connections to any number of addresses.
  *
- * <p>Invariants: a connection carries one call at a time; one that broke, that the other end is to close, or on which a byte
- * came that no call waited for, carries no other. Confined to its event loop.
+ * <p>Invariants: a connection carries one call at a time. A connection is not reused if it failed, if the server is about to close
+ * it, or if it received bytes while no call was waiting for a response. Confined to its event loop.
  */
 public final class HttpConnections {
 
@@ -31,19 +31,19 @@
     private long openedCount;
 
     /**
-     * Makes a set without connections.
+     * Creates an empty pool.
      *
-     * @param loop the event loop that carries all of them, not null
-     * @param clock tells for how long a connection has been idle, not null
-     * @param connectLimit how long a connection may take to open, not null
+     * @param loop the event loop on which all connections run, not null
+     * @param clock measures how long a connection has been idle, not null
+     * @param connectTimeout the limit for opening a connection, not null
      */
-    public HttpConnections(EventLoop loop, MonotonicClock clock, Duration connectLimit) {
+    public HttpConnections(EventLoop loop, MonotonicClock clock, Duration connectTimeout) {
         this.clock = Objects.requireNonNull(clock, "clock");
         this.bootstrap = new Bootstrap()
                 .group(Objects.requireNonNull(loop, "loop"))
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) connectLimit.toMillis())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) connectTimeout.toMillis())
                 .handler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
@@ -55,78 +55,79 @@
     /**
      * Sends a request.
      *
-     * @param address where to, not null
+     * @param address the server's address, not null
      * @param request the request, not null
-     * @param longestIdle a kept connection that was idle for longer is not used; zero for a new connection, not null
-     * @param listener told of the response, not null
-     * @return the call, not null
+     * @param maxIdleTime the longest time for which a reused connection may have been idle, zero to open a new one,
+     *     not null
+     * @param listener receives the response, not null
+     * @return cancels the call, not null
      */
     public HttpCall send(
-            InetSocketAddress address, HttpCallRequest request, Duration longestIdle, HttpResponseListener listener) {
+            InetSocketAddress address, HttpCallRequest request, Duration maxIdleTime, HttpResponseListener listener) {
         PendingCall call = new PendingCall(request, listener);
-        HttpConnection kept = takeIdle(address, longestIdle);
-        if (kept != null) {
-            kept.send(call);
+        HttpConnection reused = takeIdle(address, maxIdleTime);
+        if (reused != null) {
+            reused.send(call);
             return call;
         }
         openedCount++;
-        ChannelFuture connecting = bootstrap.connect(address);
-        call.setChannel(connecting.channel());
-        connecting.addListener(done -> {
+        ChannelFuture connectFuture = bootstrap.connect(address);
+        call.setChannel(connectFuture.channel());
+        connectFuture.addListener(future -> {
             if (call.isEnded()) {
-                connecting.channel().close();
-            } else if (done.isSuccess()) {
-                HttpConnection connection = HttpConnection.of(connecting.channel());
+                connectFuture.channel().close();
+            } else if (future.isSuccess()) {
+                HttpConnection connection = HttpConnection.of(connectFuture.channel());
                 connection.setAddress(address);
                 connection.send(call);
             } else {
-                call.fail(CallFailure.NOT_SENT, String.valueOf(done.cause().getMessage()));
+                call.fail(CallFailure.NOT_SENT, String.valueOf(future.cause().getMessage()));
             }
         });
         return call;
     }
 
-    private HttpConnection takeIdle(InetSocketAddress address, Duration longestIdle) {
-        Deque<HttpConnection> kept = idleConnections.get(address);
-        if (kept == null || longestIdle.isZero()) {
+    private HttpConnection takeIdle(InetSocketAddress address, Duration maxIdleTime) {
+        Deque<HttpConnection> idle = idleConnections.get(address);
+        if (idle == null || maxIdleTime.isZero()) {
             return null;
         }
         long now = clock.nanos();
-        HttpConnection newest = kept.peekLast();
-        if (newest == null || !newest.isUsable(now, longestIdle)) {
+        HttpConnection newest = idle.peekLast();
+        if (newest == null || !newest.isUsable(now, maxIdleTime)) {
             return null;
         }
-        return kept.pollLast();
+        return idle.pollLast();
     }
 
     void onIdle(HttpConnection connection) {
         connection.setIdleSinceNanos(clock.nanos());
         idleConnections
-                .computeIfAbsent(connection.address(), missing -> new ArrayDeque<>())
+                .computeIfAbsent(connection.address(), unused -> new ArrayDeque<>())
                 .addLast(connection);
     }
 
     void onClosed(HttpConnection connection) {
-        Deque<HttpConnection> kept = idleConnections.get(connection.address());
-        if (kept == null) {
+        Deque<HttpConnection> idle = idleConnections.get(connection.address());
+        if (idle == null) {
             return;
         }
-        kept.remove(connection);
-        if (kept.isEmpty()) {
+        idle.remove(connection);
+        if (idle.isEmpty()) {
             idleConnections.remove(connection.address());
         }
     }
 
     /**
-     * Closes the connections that have been idle for longer than a time.
+     * Closes the connections that have been idle for longer than the given time.
      *
-     * @param longestIdle the time, not null
+     * @param maxIdleTime the longest idle time to allow, not null
      */
-    public void closeIdle(Duration longestIdle) {
+    public void closeIdle(Duration maxIdleTime) {
         long now = clock.nanos();
-        for (Deque<HttpConnection> kept : idleConnections.values().stream().toList()) {
-            for (HttpConnection connection : kept.stream().toList()) {
-                if (!connection.isUsable(now, longestIdle)) {
+        for (Deque<HttpConnection> idle : idleConnections.values().stream().toList()) {
+            for (HttpConnection connection : idle.stream().toList()) {
+                if (!connection.isUsable(now, maxIdleTime)) {
                     connection.close();
                 }
             }
@@ -134,19 +135,19 @@
     }
 
     /**
-     * Closes all idle connections to an address, which went silent or answers for another process now.
+     * Closes all idle connections to an address whose server stopped responding or was replaced by another process.
      *
      * @param address the address, not null
      */
     public void forget(InetSocketAddress address) {
-        Deque<HttpConnection> kept = idleConnections.remove(address);
-        if (kept != null) {
-            kept.forEach(HttpConnection::close);
+        Deque<HttpConnection> idle = idleConnections.remove(address);
+        if (idle != null) {
+            idle.forEach(HttpConnection::close);
         }
     }
 
     /**
-     * Gets how many connections were opened so far.
+     * Gets the number of connections opened since the creation of the pool.
      *
      * @return the number
      */
--- a/httpclient/src/main/java/org/geraniumreach/httpclient/HttpResponseHead.java
+++ b/httpclient/src/main/java/org/geraniumreach/httpclient/HttpResponseHead.java
@@ -11,7 +11,7 @@
  * <p>Immutable and safe for use by several threads.
  *
  * @param status the status code
- * @param headers the headers in their order
+ * @param headers the headers, in the order received
  */
 public record HttpResponseHead(int status, List<Header> headers) {
 
@@ -20,9 +20,9 @@
     }
 
     /**
-     * Finds the first header of a name.
+     * Finds the first header with the given name.
      *
-     * @param name the name, whatever its case, not null
+     * @param name the name, compared without regard to case, not null
      * @return its value, or empty if there is none
      */
     public Optional<String> firstHeader(String name) {
--- a/httpclient/src/main/java/org/geraniumreach/httpclient/HttpResponseListener.java
+++ b/httpclient/src/main/java/org/geraniumreach/httpclient/HttpResponseListener.java
@@ -1,35 +1,35 @@
 package org.geraniumreach.httpclient;
 
 /**
- * Is told of a call's response.
+ * Receives the response to a call.
  *
- * <p>Contract: called on the event loop: the head, any number of parts, then the end or a failure; a failure may come at any
- * time and is the last word. Nothing comes after {@link HttpCall#cancel}.
+ * <p>Contract: called on the event loop with the head, any number of parts, then the end or a failure. A failure may come at any
+ * time and is the last call. There are no calls after {@link HttpCall#cancel}.
  */
 public interface HttpResponseListener {
 
     /**
-     * Tells of the head.
+     * Called when the status line and headers have been received.
      *
      * @param head the head, not null
      */
     void onHead(HttpResponseHead head);
 
     /**
-     * Tells of a part of the body.
+     * Called for each part of the body.
      *
      * @param part the bytes, which the listener may keep, not null
      */
     void onPart(byte[] part);
 
-    /** Tells that the body is complete by its own framing. */
+    /** Called when the body is complete according to its framing. */
     void onEnd();
 
     /**
-     * Tells that there will be no complete response.
+     * Called when no complete response will be received.
      *
-     * @param failure how far the call had come, not null
-     * @param reason what happened, for a log, not null
+     * @param failure whether the server may have received the request, not null
+     * @param reason the reason, for logging, not null
      */
     void onFailed(CallFailure failure, String reason);
 }
--- a/httpclient/src/main/java/org/geraniumreach/httpclient/PendingCall.java
+++ b/httpclient/src/main/java/org/geraniumreach/httpclient/PendingCall.java
@@ -3,9 +3,9 @@
 import io.netty.channel.Channel;
 
 /**
- * A call from its sending to its end.
+ * A call that was sent and has not ended, failed or been cancelled yet.
  *
- * <p>Invariant: its listener hears nothing after an end, a failure or a cancellation. Confined to the event loop.
+ * <p>Invariant: the listener is not called after the end, a failure or a cancellation. Confined to the event loop.
  */
 final class PendingCall implements HttpCall {
 
@@ -27,8 +27,8 @@
         return ended;
     }
 
-    void setChannel(Channel opening) {
-        channel = opening;
+    void setChannel(Channel newChannel) {
+        channel = newChannel;
     }
 
     void onHead(HttpResponseHead head) {
--- a/httpclient/src/main/java/org/geraniumreach/httpclient/package-info.java
+++ b/httpclient/src/main/java/org/geraniumreach/httpclient/package-info.java
@@ -1,7 +1,7 @@
 /**
- * An asynchronous HTTP/1.1 client whose connections all live on one event loop.
+ * An asynchronous HTTP/1.1 client whose connections all run on one event loop.
  *
- * <p>Plumbing only: it neither retries nor waits. Its caller says which kept connections are young enough to be used, and
- * cancels what takes too long.
+ * <p>The client neither retries calls nor times them out. The code that uses it sets the maximum idle time of reused connections,
+ * and cancels calls that take too long.
  */
 package org.geraniumreach.httpclient;
--- a/httpclient/src/test/java/org/geraniumreach/httpclient/HttpConnectionsTest.java
+++ b/httpclient/src/test/java/org/geraniumreach/httpclient/HttpConnectionsTest.java
@@ -23,7 +23,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** The client against a server that writes exactly what a test says. */
+/** Tests the client against a server that writes exactly the bytes given by each test. */
 class HttpConnectionsTest {
 
     private static final Duration MAX_IDLE_TIME = Duration.ofSeconds(10);
@@ -108,16 +108,16 @@
 
     @ParameterizedTest
     @CsvSource({"'Content-Length: 2\r\n\r\nok'", "'Transfer-Encoding: chunked\r\n\r\n1\r\no\r\n1\r\nk\r\n0\r\n\r\n'"})
-    void aFramedBodyIsWhole(String rest) throws Exception {
+    void aFramedBodyIsComplete(String framingAndBody) throws Exception {
         call();
         accept();
         readRequest();
-        write("HTTP/1.1 200 OK\r\n" + rest);
+        write("HTTP/1.1 200 OK\r\n" + framingAndBody);
         assertThat(nextOutcome()).isEqualTo("200 ok");
     }
 
     @Test
-    void aBodyThatEndsWithItsConnectionIsWhole() throws Exception {
+    void aBodyDelimitedByConnectionCloseIsComplete() throws Exception {
         call();
         accept();
         readRequest();
@@ -126,9 +126,9 @@
         assertThat(nextOutcome()).isEqualTo("200 ok");
     }
 
-    // A caller would take half an answer for the whole: a body that ends with its connection was cut by a reset.
+    // Guards against taking a truncated body for a complete one when a reset cuts off a body without framing.
     @Test
-    void aBodyThatIsCutByAResetIsBroken() throws Exception {
+    void aBodyCutOffByAResetIsBroken() throws Exception {
         call();
         accept();
         readRequest();
@@ -146,24 +146,24 @@
         "'HTTP/1.1 200 OK\r\nContent-Le'",
         "'not a response at all\r\n\r\n'"
     })
-    void whatIsCutOrNoResponseIsBroken(String bytes) throws Exception {
+    void aTruncatedOrMalformedResponseIsBroken(String response) throws Exception {
         call();
         accept();
         readRequest();
-        write(bytes);
+        write(response);
         accepted.close();
         assertThat(nextOutcome()).isEqualTo("BROKEN");
     }
 
     @Test
-    void aConnectionThatIsRefusedWasNotSent() throws Exception {
+    void aCallOnARefusedConnectionIsNotSent() throws Exception {
         server.close();
         call();
         assertThat(nextOutcome()).isEqualTo("NOT_SENT");
     }
 
     @Test
-    void aConnectionIsKeptForTheNextCall() throws Exception {
+    void aConnectionIsReusedForTheNextCall() throws Exception {
         call();
         accept();
         for (int number = 0; number < 2; number++) {
@@ -177,9 +177,9 @@
         assertThat(connections.openedCount()).isEqualTo(1);
     }
 
-    // The next caller would get an answer that nobody asked for: a second one came after the first on the connection.
+    // Guards against giving the next call a surplus response that the server sent on the idle connection.
     @Test
-    void aConnectionWithSurplusBytesCarriesNoOtherCall() throws Exception {
+    void aConnectionWithSurplusBytesIsNotReused() throws Exception {
         call();
         accept();
         readRequest();
@@ -195,7 +195,7 @@
     }
 
     @Test
-    void aConnectionThatTheOtherEndClosesSoonCarriesNoOtherCall() throws Exception {
+    void aConnectionNearItsKeepAliveTimeoutIsNotReused() throws Exception {
         call();
         accept();
         readRequest();
--- a/httpserver/src/main/java/org/geraniumreach/httpserver/BodyReader.java
+++ b/httpserver/src/main/java/org/geraniumreach/httpserver/BodyReader.java
@@ -11,10 +11,10 @@
 import org.glassfish.grizzly.http.server.Request;
 
 /**
- * Reads the body of a call without holding a thread while the caller sends it.
+ * Reads the body of a request without blocking a thread.
  *
- * <p>A caller that sends slowly would otherwise hold one of few worker threads for as long as it likes. Invariant: exactly
- * one of the two consumers is called, once; no more than the limit is held. Grizzly calls it by one thread at a time.
+ * <p>With blocking reads a slow caller could occupy one of the few worker threads indefinitely. Invariants: exactly one of the two
+ * consumers is called, once; no more bytes than the limit are buffered. Grizzly calls it from one thread at a time.
  */
 public final class BodyReader implements ReadHandler {
 
@@ -27,28 +27,30 @@
     private final ByteArrayOutputStream content = new ByteArrayOutputStream();
     private boolean ended;
 
-    private BodyReader(NIOInputStream input, long largest, Consumer<byte[]> whole, Consumer<ServingException> refused) {
+    private BodyReader(
+            NIOInputStream input, long maxBytes, Consumer<byte[]> onBody, Consumer<ServingException> onRefused) {
         this.input = input;
-        this.maxBytes = largest;
-        this.onBody = whole;
-        this.onRefused = refused;
+        this.maxBytes = maxBytes;
+        this.onBody = onBody;
+        this.onRefused = onRefused;
     }
 
     /**
-     * Reads a request's body.
+     * Begins to read the body of a request.
      *
      * @param request the request, whose response is suspended, not null
-     * @param largest the greatest number of bytes taken
-     * @param whole told of the body once it is whole, not null
-     * @param refused told if it is too large or breaks off, not null
+     * @param maxBytes the maximum size of the body, in bytes
+     * @param onBody receives the complete body, not null
+     * @param onRefused receives the reason if the body is too large or incomplete, not null
      */
-    public static void read(Request request, long largest, Consumer<byte[]> whole, Consumer<ServingException> refused) {
-        if (request.getContentLengthLong() > largest) {
-            refused.accept(tooLarge(largest));
+    public static void read(
+            Request request, long maxBytes, Consumer<byte[]> onBody, Consumer<ServingException> onRefused) {
+        if (request.getContentLengthLong() > maxBytes) {
+            onRefused.accept(tooLarge(maxBytes));
             return;
         }
         NIOInputStream input = request.getNIOInputStream();
-        input.notifyAvailable(new BodyReader(input, largest, whole, refused));
+        input.notifyAvailable(new BodyReader(input, maxBytes, onBody, onRefused));
     }
 
     @Override
@@ -93,7 +95,7 @@
         }
     }
 
-    private static ServingException tooLarge(long largest) {
-        return ServingException.notRun(ResultCode.BODY_TOO_LARGE, "the body is above " + largest + " bytes");
+    private static ServingException tooLarge(long maxBytes) {
+        return ServingException.notRun(ResultCode.BODY_TOO_LARGE, "the body is above " + maxBytes + " bytes");
     }
 }
--- a/httpserver/src/main/java/org/geraniumreach/httpserver/CallerWatch.java
+++ b/httpserver/src/main/java/org/geraniumreach/httpserver/CallerWatch.java
@@ -10,32 +10,32 @@
 import org.glassfish.grizzly.IOEvent;
 
 /**
- * Runs an action when the caller's connection closes, until stopped.
+ * Runs an action when the caller's connection closes, unless stopped before.
  *
- * <p>A connection carries many calls one after another, so a watch that outlived its call would both leak and cancel
- * nothing that matters; stopping removes it. Safe for use by several threads.
+ * <p>A connection carries many calls one after another, so each watch must be stopped at the end of its call; otherwise it would
+ * leak, and run its action after the call has ended. Safe for use by several threads.
  */
-@SuppressWarnings("deprecation") // Grizzly bounds the listener's type by an interface that it deprecates itself.
+@SuppressWarnings("deprecation") // Grizzly itself requires the deprecated interface as a type bound.
 public final class CallerWatch implements CloseListener<Closeable, CloseType> {
 
     private final Connection<?> connection;
     private final Runnable onClose;
     private final AtomicBoolean ended = new AtomicBoolean();
 
-    private CallerWatch(Connection<?> connection, Runnable action) {
+    private CallerWatch(Connection<?> connection, Runnable onClose) {
         this.connection = connection;
-        this.onClose = action;
+        this.onClose = onClose;
     }
 
     /**
-     * Begins a watch.
+     * Begins to watch a connection.
      *
      * @param connection the caller's connection, not null
-     * @param action what is run when it closes, not null
-     * @return the watch, to be stopped when the call is answered, not null
+     * @param onClose the action to run when it closes, not null
+     * @return the watch, which must be stopped when the call has been answered, not null
      */
-    public static CallerWatch start(Connection<?> connection, Runnable action) {
-        CallerWatch watch = new CallerWatch(connection, action);
+    public static CallerWatch start(Connection<?> connection, Runnable onClose) {
+        CallerWatch watch = new CallerWatch(connection, onClose);
         connection.addCloseListener(watch);
         keepReading(connection);
         return watch;
@@ -43,8 +43,8 @@
 
     private static void keepReading(Connection<?> connection) {
         try {
-            // Grizzly stops reading from a connection while its call is answered later, so a caller's close would go
-            // unseen until a write fails, and the work would go on for nobody. Reading on shows the close at once.
+            // Grizzly does not read from a connection while its response is suspended, so that a close by the caller
+            // would go unnoticed until a write fails. Reading detects it at once, so that the work can be cancelled.
             connection.enableIOEvent(IOEvent.READ);
         } catch (IOException closed) {
             connection.closeSilently();
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Ends the watch. */
+    /** Stops the watch. */
     public void stop() {
         ended.set(true);
         connection.removeCloseListener(this);
--- a/httpserver/src/main/java/org/geraniumreach/httpserver/OneThreadListener.java
+++ b/httpserver/src/main/java/org/geraniumreach/httpserver/OneThreadListener.java
@@ -6,9 +6,9 @@
 import org.glassfish.grizzly.strategies.SameThreadIOStrategy;
 
 /**
- * Makes listeners that one thread serves.
+ * Creates network listeners that are served by one thread each.
  *
- * <p>An instance has one core, and handing a request from thread to thread costs wake-ups and gains nothing. Stateless and safe for
+ * <p>An instance has one core, where handing requests over between threads costs wake-ups without any gain. Stateless and safe for
  * use by several threads.
  */
 public final class OneThreadListener {
@@ -16,10 +16,10 @@
     private OneThreadListener() {}
 
     /**
-     * Makes a listener that has not begun.
+     * Creates a listener that is not started yet.
      *
-     * @param name its name in logs, not null
-     * @param address where it listens, not null
+     * @param name the listener's name, not null
+     * @param address the address on which it listens, not null
      * @return the listener, not null
      */
     public static NetworkListener create(String name, InetSocketAddress address) {
--- a/httpserver/src/main/java/org/geraniumreach/httpserver/UpgradeOffers.java
+++ b/httpserver/src/main/java/org/geraniumreach/httpserver/UpgradeOffers.java
@@ -11,11 +11,12 @@
 import org.glassfish.grizzly.http.server.NetworkListener;
 
 /**
- * Passes over a caller's offer to speak another protocol.
+ * Ignores protocol upgrades offered by callers.
  *
- * <p>Some clients offer HTTP/2 with each request, the JDK's own by default. Grizzly takes the bytes after such a request's
- * head for the other protocol, so the call waits for a body that has come already, until its time limit. Without the offer
- * the request is read as the HTTP/1.1 that it is, which the offer allows. Stateless and safe for use by several threads.
+ * <p>Some clients, among them the JDK's by default, offer an upgrade to HTTP/2 with each request. Grizzly takes the bytes after the
+ * head of such a request for the other protocol, so that the call would wait until its time limit for a body that has already
+ * been received. Without the offer the request is read as HTTP/1.1, as the protocol permits. Stateless and safe for use by
+ * several threads.
  */
 public final class UpgradeOffers extends BaseFilter implements AddOn {
 
--- a/httpserver/src/main/java/org/geraniumreach/httpserver/package-info.java
+++ b/httpserver/src/main/java/org/geraniumreach/httpserver/package-info.java
@@ -1,2 +1,2 @@
-/** What the HTTP faces towards callers and operators share. */
+/** Components shared by the HTTP servers for callers and operators. */
 package org.geraniumreach.httpserver;
--- a/process/src/main/java/org/geraniumreach/process/ProcessMeters.java
+++ b/process/src/main/java/org/geraniumreach/process/ProcessMeters.java
@@ -10,17 +10,18 @@
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry;
 
 /**
- * What the meters of every process share: the registry, gauges, the labels of client accounts, and the printing.
+ * The meter registry of a process, with gauges, bounded client account labels and the Prometheus output.
  *
- * <p>Invariant: labels are bounded. Only the first {@value #MOST_ACCOUNTS} client accounts have one of their own; the others share
- * {@value #OTHER_ACCOUNTS}, so that a great number of accounts costs no memory. Safe for use by several threads.
+ * <p>Invariant: the number of labels is bounded. Only the first {@value #MOST_ACCOUNTS} client accounts have their own label;
+ * the others share {@value #OTHER_ACCOUNTS}, so that memory does not grow with the number of accounts. Safe for use by
+ * several threads.
  */
 public final class ProcessMeters {
 
-    /** The most client accounts with a label of their own. */
+    /** The maximum number of client accounts with their own label. */
     public static final int MOST_ACCOUNTS = 64;
 
-    /** The label of the client accounts beyond. */
+    /** The label shared by all other client accounts. */
     public static final String OTHER_ACCOUNTS = "other";
 
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
@@ -36,7 +37,7 @@
     }
 
     /**
-     * Chooses the label of a client account's meters.
+     * Gets the label for a client account, assigning one if the limit is not reached.
      *
      * @param account the account's name, not null
      * @return the label, not null
@@ -55,21 +56,21 @@
     }
 
     /**
-     * Adds a gauge, which is read by the thread that prints.
+     * Registers a gauge, whose value is read by the thread that calls {@link #scrape}.
      *
-     * @param name its name, not null
-     * @param about what it shows, not null
-     * @param value reads it, not null
+     * @param name the gauge's name, not null
+     * @param description the gauge's description, not null
+     * @param value supplies the value, not null
      */
-    public void gauge(String name, String about, DoubleSupplier value) {
+    public void gauge(String name, String description, DoubleSupplier value) {
         Gauge.builder(name, value, DoubleSupplier::getAsDouble)
-                .description(about)
+                .description(description)
                 .strongReference(true)
                 .register(registry);
     }
 
     /**
-     * Prints all meters in Prometheus' text form.
+     * Formats all meters in the Prometheus text format.
      *
      * @return the text, not null
      */
--- a/process/src/main/java/org/geraniumreach/process/Signals.java
+++ b/process/src/main/java/org/geraniumreach/process/Signals.java
@@ -4,11 +4,11 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Listens to the signal that asks a process to end.
+ * Runs actions on the signals that ask a process to terminate or to reload its settings.
  *
- * <p>A shutdown hook would not do: the machine runs it once, and a second signal goes unheard, so an operator who wants a
- * long drain cut short could only kill the process, and what was cut would not be logged. The JDK's signal class is outside
- * the standard, so it is reached by name; where it is missing, no signal is heard here and the machine's default holds.
+ * <p>A shutdown hook is not sufficient: the JVM runs it once and ignores a second signal, so that an operator could cut short a long
+ * drain only by killing the process, without a log of the requests that were cut off. The JDK's signal class is not part of the
+ * Java standard and is therefore called by reflection; where it is missing, the JVM's default handling applies.
  * Stateless and safe for use by several threads.
  */
 public final class Signals {
@@ -20,20 +20,20 @@
     private Signals() {}
 
     /**
-     * Runs an action at each signal that asks the process to end.
+     * Runs an action on each signal that asks the process to terminate.
      *
-     * @param action the action, run by a thread of the JDK's, not null
-     * @return true if signals are heard
+     * @param action the action, run by a thread of the JDK, not null
+     * @return whether the signals are handled
      */
     public static boolean onEnd(Runnable action) {
         return handle(TERMINATE, action) && handle(INTERRUPT, action);
     }
 
     /**
-     * Runs an action at each signal that says that the settings have changed.
+     * Runs an action on each signal that asks the process to reload its settings.
      *
-     * @param action the action, run by a thread of the JDK's, not null
-     * @return true if the signal is heard
+     * @param action the action, run by a thread of the JDK, not null
+     * @return whether the signal is handled
      */
     public static boolean onReload(Runnable action) {
         return handle(HANGUP, action);
--- a/process/src/main/java/org/geraniumreach/process/package-info.java
+++ b/process/src/main/java/org/geraniumreach/process/package-info.java
@@ -1,2 +1,2 @@
-/** What every process of the system needs of its machine. */
+/** Metrics and signal handling that all processes of the system share. */
 package org.geraniumreach.process;
