--- a/httpclient/src/test/java/org/geraniumreach/httpclient/HttpConnectionsTest.java
+++ b/httpclient/src/test/java/org/geraniumreach/httpclient/HttpConnectionsTest.java
@@ -23,23 +23,23 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** The client against a server that writes exactly what a test says. */
+/** Tests the client against a server that writes exactly the bytes given by each test. */
 class HttpConnectionsTest {
 
-    private static final Duration KEPT = Duration.ofSeconds(10);
-    private static final long PATIENCE_SECONDS = 10;
+    private static final Duration MAX_IDLE_TIME = Duration.ofSeconds(10);
+    private static final long TIMEOUT_SECONDS = 10;
 
     private final NioEventLoopGroup group = new NioEventLoopGroup(1);
     private final HttpConnections connections =
             new HttpConnections(group.next(), MonotonicClock.system(), Duration.ofSeconds(2));
-    private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> outcomes = new LinkedBlockingQueue<>();
     private ServerSocket server;
     private Socket accepted;
 
     @BeforeEach
     void listen() throws IOException {
         server = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
-        server.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS));
+        server.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
     }
 
     @AfterEach
@@ -57,40 +57,40 @@
 
     private void call() {
         HttpCallRequest request = new HttpCallRequest("GET", "/x", List.of(), new byte[0]);
-        group.next().execute(() -> connections.send(address(), request, KEPT, new Told()));
+        group.next().execute(() -> connections.send(address(), request, MAX_IDLE_TIME, new OutcomeRecorder()));
     }
 
-    private final class Told implements HttpResponseListener {
+    private final class OutcomeRecorder implements HttpResponseListener {
         private final StringBuilder body = new StringBuilder();
 
         @Override
-        public void head(HttpResponseHead head) {
+        public void onHead(HttpResponseHead head) {
             body.append(head.status()).append(' ');
         }
 
         @Override
-        public void part(byte[] part) {
+        public void onPart(byte[] part) {
             body.append(new String(part, StandardCharsets.UTF_8));
         }
 
         @Override
-        public void end() {
-            told.add(body.toString());
+        public void onEnd() {
+            outcomes.add(body.toString());
         }
 
         @Override
-        public void failed(CallFailure failure, String reason) {
-            told.add(failure.name());
+        public void onFailed(CallFailure failure, String reason) {
+            outcomes.add(failure.name());
         }
     }
 
-    private String outcome() throws InterruptedException {
-        return told.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    private String nextOutcome() throws InterruptedException {
+        return outcomes.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     private void accept() throws IOException {
         accepted = server.accept();
-        accepted.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS));
+        accepted.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
     }
 
     private void readRequest() throws IOException {
@@ -108,27 +108,27 @@
 
     @ParameterizedTest
     @CsvSource({"'Content-Length: 2\r\n\r\nok'", "'Transfer-Encoding: chunked\r\n\r\n1\r\no\r\n1\r\nk\r\n0\r\n\r\n'"})
-    void aFramedBodyIsWhole(String rest) throws Exception {
+    void aFramedBodyIsComplete(String framingAndBody) throws Exception {
         call();
         accept();
         readRequest();
-        write("HTTP/1.1 200 OK\r\n" + rest);
-        assertThat(outcome()).isEqualTo("200 ok");
+        write("HTTP/1.1 200 OK\r\n" + framingAndBody);
+        assertThat(nextOutcome()).isEqualTo("200 ok");
     }
 
     @Test
-    void aBodyThatEndsWithItsConnectionIsWhole() throws Exception {
+    void aBodyDelimitedByConnectionCloseIsComplete() throws Exception {
         call();
         accept();
         readRequest();
         write("HTTP/1.1 200 OK\r\n\r\nok");
         accepted.close();
-        assertThat(outcome()).isEqualTo("200 ok");
+        assertThat(nextOutcome()).isEqualTo("200 ok");
     }
 
-    // A caller would take half an answer for the whole: a body that ends with its connection was cut by a reset.
+    // Guards against taking a truncated body for a complete one when a reset cuts off a body without framing.
     @Test
-    void aBodyThatIsCutByAResetIsBroken() throws Exception {
+    void aBodyCutOffByAResetIsBroken() throws Exception {
         call();
         accept();
         readRequest();
@@ -136,7 +136,7 @@
         TimeUnit.MILLISECONDS.sleep(200);
         accepted.setSoLinger(true, 0);
         accepted.close();
-        assertThat(outcome()).isEqualTo("BROKEN");
+        assertThat(nextOutcome()).isEqualTo("BROKEN");
     }
 
     @ParameterizedTest
@@ -146,64 +146,64 @@
         "'HTTP/1.1 200 OK\r\nContent-Le'",
         "'not a response at all\r\n\r\n'"
     })
-    void whatIsCutOrNoResponseIsBroken(String bytes) throws Exception {
+    void aTruncatedOrMalformedResponseIsBroken(String response) throws Exception {
         call();
         accept();
         readRequest();
-        write(bytes);
+        write(response);
         accepted.close();
-        assertThat(outcome()).isEqualTo("BROKEN");
+        assertThat(nextOutcome()).isEqualTo("BROKEN");
     }
 
     @Test
-    void aConnectionThatIsRefusedWasNotSent() throws Exception {
+    void aCallOnARefusedConnectionIsNotSent() throws Exception {
         server.close();
         call();
-        assertThat(outcome()).isEqualTo("NOT_SENT");
+        assertThat(nextOutcome()).isEqualTo("NOT_SENT");
     }
 
     @Test
-    void aConnectionIsKeptForTheNextCall() throws Exception {
+    void aConnectionIsReusedForTheNextCall() throws Exception {
         call();
         accept();
         for (int number = 0; number < 2; number++) {
             readRequest();
             write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-            assertThat(outcome()).isEqualTo("200 ok");
+            assertThat(nextOutcome()).isEqualTo("200 ok");
             if (number == 0) {
                 call();
             }
         }
-        assertThat(connections.opened()).isEqualTo(1);
+        assertThat(connections.openedCount()).isEqualTo(1);
     }
 
-    // The next caller would get an answer that nobody asked for: a second one came after the first on the connection.
+    // Guards against giving the next call a surplus response that the server sent on the idle connection.
     @Test
-    void aConnectionWithSurplusBytesCarriesNoOtherCall() throws Exception {
+    void aConnectionWithSurplusBytesIsNotReused() throws Exception {
         call();
         accept();
         readRequest();
         write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-        assertThat(outcome()).isEqualTo("200 ok");
+        assertThat(nextOutcome()).isEqualTo("200 ok");
         write("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold");
         assertThat(accepted.getInputStream().read()).isEqualTo(-1);
         call();
         accept();
         readRequest();
         write("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew");
-        assertThat(outcome()).isEqualTo("200 new");
+        assertThat(nextOutcome()).isEqualTo("200 new");
     }
 
     @Test
-    void aConnectionThatTheOtherEndClosesSoonCarriesNoOtherCall() throws Exception {
+    void aConnectionNearItsKeepAliveTimeoutIsNotReused() throws Exception {
         call();
         accept();
         readRequest();
         write("HTTP/1.1 200 OK\r\nKeep-Alive: timeout=1\r\nContent-Length: 2\r\n\r\nok");
-        assertThat(outcome()).isEqualTo("200 ok");
+        assertThat(nextOutcome()).isEqualTo("200 ok");
         call();
         accept();
         readRequest();
-        assertThat(connections.opened()).isEqualTo(2);
+        assertThat(connections.openedCount()).isEqualTo(2);
     }
 }
--- a/httpserver/src/main/java/org/geraniumreach/httpserver/BodyReader.java
+++ b/httpserver/src/main/java/org/geraniumreach/httpserver/BodyReader.java
@@ -11,89 +11,91 @@
 import org.glassfish.grizzly.http.server.Request;
 
 /**
- * Reads the body of a call without holding a thread while the caller sends it.
+ * Reads the body of a request without blocking a thread.
  *
- * <p>A caller that sends slowly would otherwise hold one of few worker threads for as long as it likes. Invariant: exactly
- * one of the two consumers is called, once; no more than the limit is held. Grizzly calls it by one thread at a time.
+ * <p>With blocking reads a slow caller could occupy one of the few worker threads indefinitely. Invariants: exactly one of the two
+ * consumers is called, once; no more bytes than the limit are buffered. Grizzly calls it from one thread at a time.
  */
 public final class BodyReader implements ReadHandler {
 
-    private static final int BUFFER = 8_192;
+    private static final int BUFFER_BYTES = 8_192;
 
     private final NIOInputStream input;
-    private final long largest;
-    private final Consumer<byte[]> whole;
-    private final Consumer<ServingException> refused;
+    private final long maxBytes;
+    private final Consumer<byte[]> onBody;
+    private final Consumer<ServingException> onRefused;
     private final ByteArrayOutputStream content = new ByteArrayOutputStream();
-    private boolean done;
+    private boolean ended;
 
-    private BodyReader(NIOInputStream input, long largest, Consumer<byte[]> whole, Consumer<ServingException> refused) {
+    private BodyReader(
+            NIOInputStream input, long maxBytes, Consumer<byte[]> onBody, Consumer<ServingException> onRefused) {
         this.input = input;
-        this.largest = largest;
-        this.whole = whole;
-        this.refused = refused;
+        this.maxBytes = maxBytes;
+        this.onBody = onBody;
+        this.onRefused = onRefused;
     }
 
     /**
-     * Reads a request's body.
+     * Begins to read the body of a request.
      *
      * @param request the request, whose response is suspended, not null
-     * @param largest the greatest number of bytes taken
-     * @param whole told of the body once it is whole, not null
-     * @param refused told if it is too large or breaks off, not null
+     * @param maxBytes the maximum size of the body, in bytes
+     * @param onBody receives the complete body, not null
+     * @param onRefused receives the reason if the body is too large or incomplete, not null
      */
-    public static void read(Request request, long largest, Consumer<byte[]> whole, Consumer<ServingException> refused) {
-        if (request.getContentLengthLong() > largest) {
-            refused.accept(tooLarge(largest));
+    public static void read(
+            Request request, long maxBytes, Consumer<byte[]> onBody, Consumer<ServingException> onRefused) {
+        if (request.getContentLengthLong() > maxBytes) {
+            onRefused.accept(tooLarge(maxBytes));
             return;
         }
         NIOInputStream input = request.getNIOInputStream();
-        input.notifyAvailable(new BodyReader(input, largest, whole, refused));
+        input.notifyAvailable(new BodyReader(input, maxBytes, onBody, onRefused));
     }
 
     @Override
     public void onDataAvailable() throws IOException {
-        take();
-        if (!done) {
+        readAvailable();
+        if (!ended) {
             input.notifyAvailable(this);
         }
     }
 
     @Override
     public void onAllDataRead() throws IOException {
-        take();
-        if (!done) {
-            done = true;
-            whole.accept(content.toByteArray());
+        readAvailable();
+        if (!ended) {
+            ended = true;
+            onBody.accept(content.toByteArray());
         }
     }
 
     @Override
     public void onError(Throwable failure) {
-        if (!done) {
-            done = true;
-            refused.accept(ServingException.notRun(ResultCode.MALFORMED_REQUEST, "the body broke off")
+        if (!ended) {
+            ended = true;
+            onRefused.accept(ServingException.notRun(ResultCode.MALFORMED_REQUEST, "the body broke off")
                     .withCause(failure));
         }
     }
 
-    private void take() throws IOException {
-        byte[] buffer = new byte[BUFFER];
-        while (!done && input.isReady()) {
+    private void readAvailable() throws IOException {
+        byte[] buffer = new byte[BUFFER_BYTES];
+        while (!ended && input.isReady()) {
             int count = input.read(buffer);
             if (count < 0) {
                 return;
             }
-            if (content.size() + count > largest) {
-                done = true;
-                refused.accept(tooLarge(largest));
+            if (content.size() + count > maxBytes) {
+                ended = true;
+                onRefused.accept(tooLarge(maxBytes));
                 return;
             }
             content.write(buffer, 0, count);
         }
     }
 
-    private static ServingException tooLarge(long largest) {
-        return ServingException.notRun(ResultCode.BODY_TOO_LARGE, "the body is above " + largest + " bytes");
+    private static ServingException tooLarge(long maxBytes) {
+        return ServingException.notRun(ResultCode.BODY_TOO_LARGE, "the body is above " + maxBytes + " bytes");
     }
 }
