--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/AdapterLoads.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/AdapterLoader.java
@@ -23,31 +23,31 @@
  * <p>Invariant: of each order the residency is told once, that it was carried out or that it failed; all who wait for a load
  * that failed are told at once. Calls block. Safe for use by several threads.
  */
-final class AdapterLoads {
+final class AdapterLoader {
 
     private final ModelEngine engine;
     private final Residency residency;
     private final RequestQueue<CompanionAttempt> queue;
-    private final EngineWatch watch;
-    private final OrderPermit permit;
-    private final Outcomes outcomes;
+    private final EngineMonitor engineMonitor;
+    private final OrderAuthorization authorization;
+    private final AttemptLifecycle lifecycle;
     private final MonotonicClock clock;
     private final Map<AdapterReference, Long> loadedAt = new ConcurrentHashMap<>();
 
-    AdapterLoads(
+    AdapterLoader(
             ModelEngine engine,
             Residency residency,
             RequestQueue<CompanionAttempt> queue,
-            EngineWatch watch,
-            OrderPermit permit,
-            Outcomes outcomes,
+            EngineMonitor watch,
+            OrderAuthorization permit,
+            AttemptLifecycle outcomes,
             MonotonicClock clock) {
         this.engine = engine;
         this.residency = residency;
         this.queue = queue;
-        this.watch = watch;
-        this.permit = permit;
-        this.outcomes = outcomes;
+        this.engineMonitor = watch;
+        this.authorization = permit;
+        this.lifecycle = outcomes;
         this.clock = clock;
     }
 
@@ -56,24 +56,25 @@
      *
      * @param order the order, not null
      */
-    void carryOut(AdapterLoadCommand order) {
+    void execute(AdapterLoadCommand order) {
         try {
             if (order.evicted().isPresent()) {
-                engine.unload(order.evicted().get(), permitted());
+                engine.unload(order.evicted().get(), authorizedOrder());
                 EventLog.write(EventCode.ADAPTER_EVICTED, "{}", order.evicted().get());
             }
-            engine.load(order.adapter(), permitted());
+            engine.load(order.adapter(), authorizedOrder());
             loadedAt.keySet().retainAll(residency.resident());
             loadedAt.put(order.adapter(), clock.nanos());
             residency.onLoaded(order);
             EventLog.write(EventCode.ADAPTER_LOADED, "{}", order.adapter());
         } catch (PlatformException failure) {
-            failed(order, failure);
+            onFailed(order, failure);
         }
     }
 
-    private Order permitted() throws PlatformException {
-        return permit.order(clock.nanos())
+    private Order authorizedOrder() throws PlatformException {
+        return authorization
+                .authorize(clock.nanos())
                 .orElseThrow(() -> new PlatformException(
                         PlatformException.Effect.NONE,
                         PlatformException.Reason.FENCED,
@@ -81,15 +82,15 @@
                         null));
     }
 
-    private void failed(AdapterLoadCommand order, PlatformException failure) {
+    private void onFailed(AdapterLoadCommand order, PlatformException failure) {
         EventLog.write(EventCode.ADAPTER_LOAD_FAILED, "{}: {}", order.adapter(), failure.getMessage());
         if (failure.reason() == PlatformException.Reason.FENCED) {
-            permit.fencedOut();
+            authorization.onFencedOut();
         }
-        watch.invalidate();
+        engineMonitor.invalidate();
         for (AttemptId waiter : residency.onLoadFailed(order)) {
             queue.remove(waiter)
-                    .ifPresent(request -> outcomes.refused(
+                    .ifPresent(request -> lifecycle.refuse(
                             request.payload(),
                             ServingException.notRun(
                                     ResultCode.LOAD_FAILED,
@@ -105,7 +106,7 @@
      * @param until when it was sent
      * @return the time in nanoseconds
      */
-    long waited(AdapterReference adapter, long from, long until) {
+    long loadWaitNanos(AdapterReference adapter, long from, long until) {
         long loadEnd = loadedAt.getOrDefault(adapter, from);
         return Math.min(until - from, Math.max(0, loadEnd - from));
     }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/Outcomes.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/AttemptLifecycle.java
@@ -12,12 +12,12 @@
  * <p>Invariants: an attempt starts only if the table lets it, so at most once and never after it was sealed; the table is
  * told of an end before the entry is. Safe for use by several threads.
  */
-final class Outcomes {
+final class AttemptLifecycle {
 
     private final AttemptShards attempts;
     private final StartCheck startCheck;
 
-    Outcomes(AttemptShards attempts, StartCheck startCheck) {
+    AttemptLifecycle(AttemptShards attempts, StartCheck startCheck) {
         this.attempts = attempts;
         this.startCheck = startCheck;
     }
@@ -30,9 +30,9 @@
      */
     boolean start(CompanionAttempt attempt) {
         try {
-            startCheck.check(attempt.named());
+            startCheck.check(attempt.runWithoutBody());
         } catch (ServingException refusal) {
-            refused(attempt, refusal);
+            refuse(attempt, refusal);
             return false;
         }
         return attempts.start(attempt.id());
@@ -43,11 +43,11 @@
      *
      * @param attempt the attempt, not null
      */
-    void putBack(CompanionAttempt attempt) {
-        attempts.putBack(attempt.id());
+    void requeue(CompanionAttempt attempt) {
+        attempts.requeue(attempt.id());
     }
 
-    void ended(CompanionAttempt attempt, End end) {
+    void end(CompanionAttempt attempt, End end) {
         attempts.end(attempt.id(), true);
         attempt.open();
         attempt.finish(Frames.end(end));
@@ -59,7 +59,7 @@
      * @param attempt the attempt, not null
      * @param refusal why, and whether it ran, not null
      */
-    void refused(CompanionAttempt attempt, ServingException refusal) {
+    void refuse(CompanionAttempt attempt, ServingException refusal) {
         attempts.end(attempt.id(), refusal.executionStatus() != ExecutionStatus.NO);
         attempt.finish(Frames.refused(attempt.id(), refusal));
         EventCode event =
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/Requests.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/AttemptRequestHandler.java
@@ -24,36 +24,36 @@
  * seals it in the same step; so "not run" holds also for a Run that arrives after its answer. Safe for use by several
  * threads.
  */
-final class Requests {
+final class AttemptRequestHandler {
 
     private static final long NANOS_PER_MILLI = 1_000_000;
-    private static final Duration COME_BACK = Duration.ofMillis(500);
+    private static final Duration RETRY_AFTER = Duration.ofMillis(500);
 
     private final CompanionSettings settings;
-    private final CompanionParts parts;
+    private final CompanionDependencies dependencies;
     private final AttemptShards attempts;
-    private final Outcomes outcomes;
+    private final AttemptLifecycle lifecycle;
     private final StartCheck startCheck;
-    private final RunnerSource runners;
-    private final Queue<FormerResume> waiting = new ConcurrentLinkedQueue<>();
+    private final RunnerProvider runners;
+    private final Queue<PreviousResume> pendingResumes = new ConcurrentLinkedQueue<>();
 
-    Requests(
+    AttemptRequestHandler(
             CompanionSettings settings,
-            CompanionParts parts,
+            CompanionDependencies parts,
             AttemptShards attempts,
-            Outcomes outcomes,
+            AttemptLifecycle outcomes,
             StartCheck startCheck,
-            RunnerSource runners) {
+            RunnerProvider runners) {
         this.settings = settings;
-        this.parts = parts;
+        this.dependencies = parts;
         this.attempts = attempts;
-        this.outcomes = outcomes;
+        this.lifecycle = outcomes;
         this.startCheck = startCheck;
         this.runners = runners;
     }
 
     /** Gives what runs attempts. */
-    interface RunnerSource {
+    interface RunnerProvider {
 
         /**
          * Gets the runner for new work.
@@ -71,7 +71,7 @@
         Optional<TargetRunner> current();
     }
 
-    void received(Peer peer, Frame frame) {
+    void onFrame(Peer peer, Frame frame) {
         try {
             switch (frame.getBodyCase()) {
                 case RUN -> run(peer, frame.getRun());
@@ -88,47 +88,47 @@
 
     private void run(Peer peer, Run run) {
         CompanionAttempt attempt = CompanionAttempt.ofRun(
-                run, peer, settings.bufferedChunks(), parts.clock().nanos());
-        AttemptTable.Taken taken = attempts.add(attempt);
-        if (taken == AttemptTable.Taken.NO_ROOM) {
+                run, peer, settings.bufferedChunks(), dependencies.clock().nanos());
+        AttemptTable.AddResult taken = attempts.add(attempt);
+        if (taken == AttemptTable.AddResult.TABLE_FULL) {
             peer.send(Frames.refused(attempt.id(), overloaded("too many attempts are known")));
             return;
         }
-        if (taken == AttemptTable.Taken.SEEN) {
-            if (attempts.attempt(attempt.id()).isEmpty()) {
-                seenBefore(peer, attempt.id(), 0, 0);
+        if (taken == AttemptTable.AddResult.ALREADY_KNOWN) {
+            if (attempts.find(attempt.id()).isEmpty()) {
+                answerKnownAttempt(peer, attempt.id(), 0, 0);
             }
             return;
         }
         try {
             TargetRunner runner = admit(run);
-            peer.send(Frames.accepted(attempt.id(), parts.incarnation()));
+            peer.send(Frames.accepted(attempt.id(), dependencies.incarnation()));
             runner.submit(attempt);
         } catch (ServingException refusal) {
-            outcomes.refused(attempt, refusal);
+            lifecycle.refuse(attempt, refusal);
         }
     }
 
     private TargetRunner admit(Run run) throws ServingException {
-        if (run.getCompanionIncarnation() != 0 && run.getCompanionIncarnation() != parts.incarnation()) {
+        if (run.getCompanionIncarnation() != 0 && run.getCompanionIncarnation() != dependencies.incarnation()) {
             throw ServingException.notRun(ResultCode.NOT_RUN, "the request is for another start of the companion");
         }
-        if (run.getNotAfterMillis() != 0 && parts.timeOfDay().millis() > run.getNotAfterMillis()) {
+        if (run.getNotAfterMillis() != 0 && dependencies.timeOfDay().millis() > run.getNotAfterMillis()) {
             // A sender that was frozen sends an attempt that was sealed and forgotten, or that ran and was forgotten.
             // It must not start, and nothing shows that it has not run.
             throw ServingException.of(
                     ResultCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN, "the request has come too late");
         }
         TargetRunner runner = runners.forNewWork();
-        if (runner.unfinished() >= settings.queue().limit()) {
-            throw overloaded("the queue of " + parts.target() + " is full");
+        if (runner.unfinishedCount() >= settings.queue().limit()) {
+            throw overloaded("the queue of " + dependencies.target() + " is full");
         }
         startCheck.check(run);
         return runner;
     }
 
     private static ServingException overloaded(String message) {
-        return ServingException.notRun(ResultCode.OVERLOADED, message).withRetryAfter(COME_BACK);
+        return ServingException.notRun(ResultCode.OVERLOADED, message).withRetryAfter(RETRY_AFTER);
     }
 
     /**
@@ -139,8 +139,8 @@
      * @param next the first chunk wanted
      * @param credit how many may be sent
      */
-    private void seenBefore(Peer peer, AttemptId id, long next, int credit) {
-        Optional<CompanionAttempt> held = attempts.attempt(id);
+    private void answerKnownAttempt(Peer peer, AttemptId id, long next, int credit) {
+        Optional<CompanionAttempt> held = attempts.find(id);
         if (held.isPresent()) {
             if (!held.get().resume(peer, next, credit)) {
                 peer.send(Frames.refused(
@@ -149,14 +149,14 @@
                                 ResultCode.ANSWER_INTERRUPTED, ExecutionStatus.YES, "chunk " + next + " is gone")));
                 return;
             }
-            runners.current().ifPresent(runner -> runner.acknowledged(held.get()));
+            runners.current().ifPresent(runner -> runner.onAcknowledged(held.get()));
             return;
         }
-        AttemptTable.Seen seen = attempts.find(id).orElse(AttemptTable.Seen.FORGOTTEN);
-        peer.send(Frames.refused(id, withoutOutput(seen)));
+        AttemptTable.KnownState seen = attempts.knownState(id).orElse(AttemptTable.KnownState.FORGOTTEN);
+        peer.send(Frames.refused(id, refusalWithoutOutput(seen)));
     }
 
-    private static ServingException withoutOutput(AttemptTable.Seen seen) {
+    private static ServingException refusalWithoutOutput(AttemptTable.KnownState seen) {
         return switch (seen) {
             case NEVER_STARTED -> ServingException.notRun(
                     ResultCode.NOT_RUN, "the request never started and never will");
@@ -169,15 +169,15 @@
 
     private void resume(Peer peer, Resume resume) {
         AttemptId id = AttemptId.of(resume.getAttempt());
-        boolean isHeld = attempts.attempt(id).isPresent();
-        if (!isHeld && resume.getCompanionIncarnation() != parts.incarnation()) {
-            resumeFormer(new FormerResume(peer, resume));
+        boolean isHeld = attempts.find(id).isPresent();
+        if (!isHeld && resume.getCompanionIncarnation() != dependencies.incarnation()) {
+            resumePrevious(new PreviousResume(peer, resume));
             return;
         }
-        if (attempts.find(id).isEmpty()) {
+        if (attempts.knownState(id).isEmpty()) {
             attempts.seal(id, ageNanos(resume.getAgeMillis()));
         }
-        seenBefore(peer, id, resume.getNextSequence(), resume.getCredit());
+        answerKnownAttempt(peer, id, resume.getNextSequence(), resume.getCredit());
     }
 
     /**
@@ -186,7 +186,7 @@
      * @param peer the link that it came over
      * @param resume the question
      */
-    private record FormerResume(Peer peer, Resume resume) {}
+    private record PreviousResume(Peer peer, Resume resume) {}
 
     /**
      * Goes on with an attempt of a former start, if the target is still running it. Until the target has been looked at,
@@ -194,45 +194,45 @@
      *
      * @param former the question, not null
      */
-    private void resumeFormer(FormerResume former) {
+    private void resumePrevious(PreviousResume former) {
         AttemptId id = AttemptId.of(former.resume().getAttempt());
         if (!former.resume().getRepeatable() || former.resume().getAdapter().isEmpty()) {
-            refuseFormer(former.peer(), id);
+            refusePrevious(former.peer(), id);
             return;
         }
         Optional<TargetRunner> runner = runners.current();
         if (runner.isEmpty()) {
-            waiting.add(former);
+            pendingResumes.add(former);
         } else if (!adopt(runner.get(), former)) {
-            refuseFormer(former.peer(), id);
+            refusePrevious(former.peer(), id);
         }
     }
 
-    private boolean adopt(TargetRunner runner, FormerResume former) {
-        Run named = runOf(former.resume());
+    private boolean adopt(TargetRunner runner, PreviousResume former) {
+        Run named = toRun(former.resume());
         try {
             startCheck.check(named);
         } catch (ServingException refused) {
             return false;
         }
-        CompanionAttempt attempt = CompanionAttempt.ofLeftStream(
+        CompanionAttempt attempt = CompanionAttempt.ofInheritedStream(
                 named,
                 former.resume().getNextSequence(),
                 former.peer(),
                 settings.bufferedChunks(),
-                parts.clock().nanos());
-        if (attempts.add(attempt) != AttemptTable.Taken.WAITING) {
+                dependencies.clock().nanos());
+        if (attempts.add(attempt) != AttemptTable.AddResult.ADDED) {
             return false;
         }
         if (runner.adopt(attempt)) {
             return true;
         }
         attempts.end(attempt.id(), true);
-        attempts.dropValue(attempt.id());
+        attempts.dropOutput(attempt.id());
         return false;
     }
 
-    private static Run runOf(Resume resume) {
+    private static Run toRun(Resume resume) {
         return Run.newBuilder()
                 .setAttempt(resume.getAttempt())
                 .setAccount(resume.getAccount())
@@ -252,7 +252,7 @@
      * @param peer the link, not null
      * @param id the attempt, not null
      */
-    private static void refuseFormer(Peer peer, AttemptId id) {
+    private static void refusePrevious(Peer peer, AttemptId id) {
         peer.send(Frames.refused(
                 id,
                 ServingException.of(
@@ -265,54 +265,54 @@
 
     private void acknowledge(Acknowledge acknowledge) {
         AttemptId id = AttemptId.of(acknowledge.getAttempt());
-        Optional<CompanionAttempt> held = attempts.attempt(id);
+        Optional<CompanionAttempt> held = attempts.find(id);
         if (held.isEmpty()) {
             return;
         }
         held.get().acknowledge(acknowledge.getNextSequence(), acknowledge.getCredit());
-        runners.current().ifPresent(runner -> runner.acknowledged(held.get()));
+        runners.current().ifPresent(runner -> runner.onAcknowledged(held.get()));
         dropIfDelivered(held.get());
     }
 
     private void dropIfDelivered(CompanionAttempt attempt) {
-        if (attempt.isDelivered() && attempt.named().getRepeatable()) {
-            attempts.dropValue(attempt.id());
+        if (attempt.isDelivered() && attempt.runWithoutBody().getRepeatable()) {
+            attempts.dropOutput(attempt.id());
         }
     }
 
     private void seal(Peer peer, Seal seal) {
         AttemptId id = AttemptId.of(seal.getAttempt());
-        if (seal.getCompanionIncarnation() != parts.incarnation()) {
-            peer.send(Frames.sealedElsewhere(id, parts.incarnation()));
+        if (seal.getCompanionIncarnation() != dependencies.incarnation()) {
+            peer.send(Frames.sealedByOtherIncarnation(id, dependencies.incarnation()));
             return;
         }
-        Optional<CompanionAttempt> held = attempts.attempt(id);
-        AttemptTable.Seen seen = attempts.seal(id, ageNanos(seal.getAgeMillis()));
-        if (seen == AttemptTable.Seen.NEVER_STARTED) {
+        Optional<CompanionAttempt> held = attempts.find(id);
+        AttemptTable.KnownState seen = attempts.seal(id, ageNanos(seal.getAgeMillis()));
+        if (seen == AttemptTable.KnownState.NEVER_STARTED) {
             held.ifPresent(attempt -> {
                 runners.current().ifPresent(runner -> runner.withdraw(attempt));
-                outcomes.refused(attempt, withoutOutput(seen));
+                lifecycle.refuse(attempt, refusalWithoutOutput(seen));
             });
         }
-        peer.send(Frames.sealed(id, seen, parts.incarnation()));
+        peer.send(Frames.sealed(id, seen, dependencies.incarnation()));
     }
 
     private void cancel(Peer peer, Cancel cancel) {
         AttemptId id = AttemptId.of(cancel.getAttempt());
-        Optional<CompanionAttempt> held = attempts.attempt(id);
-        if (held.isEmpty() && cancel.getCompanionIncarnation() != parts.incarnation()) {
-            refuseFormer(peer, id);
+        Optional<CompanionAttempt> held = attempts.find(id);
+        if (held.isEmpty() && cancel.getCompanionIncarnation() != dependencies.incarnation()) {
+            refusePrevious(peer, id);
             return;
         }
         if (held.isEmpty()) {
             attempts.seal(id, ageNanos(cancel.getAgeMillis()));
-            seenBefore(peer, id, 0, 0);
+            answerKnownAttempt(peer, id, 0, 0);
             return;
         }
         cancel(held.get(), ResultCode.CANCELLED, cancel.getReason());
         // The attempt's own last frame may wait behind chunks without credit, or for the end of a call that cannot be
         // taken back, and goes over the link that was resumed last. Whoever cancels waits for none of these.
-        boolean neverStarted = attempts.find(id).equals(Optional.of(AttemptTable.Seen.NEVER_STARTED));
+        boolean neverStarted = attempts.knownState(id).equals(Optional.of(AttemptTable.KnownState.NEVER_STARTED));
         ExecutionStatus ran = neverStarted ? ExecutionStatus.NO : ExecutionStatus.YES;
         peer.send(Frames.refused(id, ServingException.of(ResultCode.CANCELLED, ran, cancel.getReason())));
     }
@@ -328,16 +328,16 @@
         if (attempt.isFinished()) {
             return;
         }
-        AttemptTable.Seen seen = attempts.seal(attempt.id(), AttemptTable.AGE_UNKNOWN);
-        if (seen == AttemptTable.Seen.NEVER_STARTED) {
+        AttemptTable.KnownState seen = attempts.seal(attempt.id(), AttemptTable.AGE_UNKNOWN);
+        if (seen == AttemptTable.KnownState.NEVER_STARTED) {
             runners.current().ifPresent(runner -> runner.withdraw(attempt));
-            outcomes.refused(attempt, ServingException.notRun(code, reason));
+            lifecycle.refuse(attempt, ServingException.notRun(code, reason));
             return;
         }
-        if (!attempt.named().getRepeatable()) {
+        if (!attempt.runWithoutBody().getRepeatable()) {
             return;
         }
-        outcomes.refused(attempt, ServingException.of(code, ExecutionStatus.YES, reason));
+        lifecycle.refuse(attempt, ServingException.of(code, ExecutionStatus.YES, reason));
         runners.current().ifPresent(runner -> runner.cancel(attempt));
     }
 
@@ -346,12 +346,13 @@
      *
      * @param attempt the attempt, not null
      */
-    void cutOff(CompanionAttempt attempt) {
+    void abort(CompanionAttempt attempt) {
         if (attempt.isFinished()) {
             return;
         }
-        boolean neverStarted = attempts.seal(attempt.id(), AttemptTable.AGE_UNKNOWN) == AttemptTable.Seen.NEVER_STARTED;
-        outcomes.refused(
+        boolean neverStarted =
+                attempts.seal(attempt.id(), AttemptTable.AGE_UNKNOWN) == AttemptTable.KnownState.NEVER_STARTED;
+        lifecycle.refuse(
                 attempt,
                 neverStarted
                         ? ServingException.notRun(ResultCode.DRAINING, "the companion stops")
@@ -361,30 +362,30 @@
 
     /** Ends what has passed its deadline or lost its entry, and forgets what nobody will ask for. */
     void tick() {
-        answerFormerResumes();
-        long now = parts.clock().nanos();
+        answerPendingResumes();
+        long now = dependencies.clock().nanos();
         long orphanNanos = settings.orphanLimit().toNanos();
         for (CompanionAttempt attempt : attempts.all()) {
             if (attempt.isFinished()) {
                 dropIfDelivered(attempt);
-                if (attempt.named().getRepeatable() && attempt.isOrphan(orphanNanos, now)) {
-                    attempts.dropValue(attempt.id());
+                if (attempt.runWithoutBody().getRepeatable() && attempt.isOrphaned(orphanNanos, now)) {
+                    attempts.dropOutput(attempt.id());
                 }
             } else if (attempt.isExpired(now)) {
                 cancel(attempt, ResultCode.DEADLINE_EXCEEDED, "the deadline has passed");
-            } else if (attempt.isOrphan(orphanNanos, now)) {
+            } else if (attempt.isOrphaned(orphanNanos, now)) {
                 cancel(attempt, ResultCode.CANCELLED, "no entry asks for it");
             }
         }
         attempts.expire();
     }
 
-    private void answerFormerResumes() {
+    private void answerPendingResumes() {
         if (runners.current().isEmpty()) {
             return;
         }
-        for (FormerResume former = waiting.poll(); former != null; former = waiting.poll()) {
-            resumeFormer(former);
+        for (PreviousResume former = pendingResumes.poll(); former != null; former = pendingResumes.poll()) {
+            resumePrevious(former);
         }
     }
 
@@ -394,12 +395,12 @@
      * @param attempt the attempt, not null
      * @return true if it is not over, or its end is not yet with an entry that is linked
      */
-    boolean holdsUpDrain(CompanionAttempt attempt) {
+    boolean blocksDrain(CompanionAttempt attempt) {
         if (!attempt.isFinished()) {
             return true;
         }
         long orphanNanos = settings.orphanLimit().toNanos();
         return !attempt.isDelivered()
-                && !attempt.isOrphan(orphanNanos, parts.clock().nanos());
+                && !attempt.isOrphaned(orphanNanos, dependencies.clock().nanos());
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/AttemptShards.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/AttemptShards.java
@@ -15,7 +15,7 @@
  */
 final class AttemptShards {
 
-    private static final int SHARDS = 16;
+    private static final int SHARD_COUNT = 16;
 
     private final List<AttemptTable<CompanionAttempt>> shards;
     private final MonotonicClock clock;
@@ -23,17 +23,17 @@
     AttemptShards(CompanionSettings settings, MonotonicClock clock) {
         this.clock = clock;
         long retention = settings.attemptRetention().toNanos();
-        int each = Math.max(1, settings.retainedAttempts() / SHARDS);
-        this.shards = IntStream.range(0, SHARDS)
+        int each = Math.max(1, settings.retainedAttempts() / SHARD_COUNT);
+        this.shards = IntStream.range(0, SHARD_COUNT)
                 .mapToObj(index -> new AttemptTable<CompanionAttempt>(retention, each))
                 .toList();
     }
 
     private AttemptTable<CompanionAttempt> shard(AttemptId id) {
-        return shards.get(Math.floorMod(id.hashCode(), SHARDS));
+        return shards.get(Math.floorMod(id.hashCode(), SHARD_COUNT));
     }
 
-    AttemptTable.Taken add(CompanionAttempt attempt) {
+    AttemptTable.AddResult add(CompanionAttempt attempt) {
         AttemptTable<CompanionAttempt> shard = shard(attempt.id());
         synchronized (shard) {
             return shard.add(attempt.id(), attempt);
@@ -47,10 +47,10 @@
         }
     }
 
-    void putBack(AttemptId id) {
+    void requeue(AttemptId id) {
         AttemptTable<CompanionAttempt> shard = shard(id);
         synchronized (shard) {
-            shard.putBack(id);
+            shard.requeue(id);
         }
     }
 
@@ -61,28 +61,28 @@
         }
     }
 
-    AttemptTable.Seen seal(AttemptId id, long ageNanos) {
+    AttemptTable.KnownState seal(AttemptId id, long ageNanos) {
         AttemptTable<CompanionAttempt> shard = shard(id);
         synchronized (shard) {
             return shard.seal(id, ageNanos, clock.nanos());
         }
     }
 
-    Optional<AttemptTable.Seen> find(AttemptId id) {
+    Optional<AttemptTable.KnownState> knownState(AttemptId id) {
         AttemptTable<CompanionAttempt> shard = shard(id);
         synchronized (shard) {
-            return shard.find(id);
+            return shard.knownState(id);
         }
     }
 
-    Optional<CompanionAttempt> attempt(AttemptId id) {
+    Optional<CompanionAttempt> find(AttemptId id) {
         AttemptTable<CompanionAttempt> shard = shard(id);
         synchronized (shard) {
             return shard.value(id);
         }
     }
 
-    void dropValue(AttemptId id) {
+    void dropOutput(AttemptId id) {
         AttemptTable<CompanionAttempt> shard = shard(id);
         synchronized (shard) {
             shard.dropValue(id);
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/EngineAnswer.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/AttemptStream.java
@@ -21,7 +21,7 @@
  * the ones asked for; the adapter stays pinned until the engine has ended the stream, was made to, or does not know it.
  * Safe for use by several threads.
  */
-final class EngineAnswer implements EngineListener {
+final class AttemptStream implements EngineListener {
 
     private static final long NANOS_PER_MICRO = 1_000;
 
@@ -30,35 +30,35 @@
     private final long engineIncarnation;
     private final long queueNanos;
     private final long loadNanos;
-    private final Owner owner;
-    private final AtomicBoolean released = new AtomicBoolean();
+    private final Listener listener;
+    private final AtomicBoolean isPinReleased = new AtomicBoolean();
     private EngineStream stream;
-    private boolean begun;
-    private boolean resumed;
-    private boolean cancelled;
-    private boolean over;
+    private boolean hasStarted;
+    private boolean isResumed;
+    private boolean isCancelled;
+    private boolean isDetached;
     private boolean isBroken;
     private long brokenSince;
 
-    EngineAnswer(
+    AttemptStream(
             QueuedRequest<CompanionAttempt> request,
             Optional<Pin> pin,
             long engineIncarnation,
             long queueNanos,
             long loadNanos,
-            Owner owner) {
+            Listener owner) {
         this.request = request;
         this.pin = pin;
         this.engineIncarnation = engineIncarnation;
         this.queueNanos = queueNanos;
         this.loadNanos = loadNanos;
-        this.owner = owner;
+        this.listener = owner;
     }
 
     /** What becomes of a stream. */
-    interface Owner {
+    interface Listener {
 
-        void ended(EngineAnswer answer, End end);
+        void onEnded(AttemptStream answer, End end);
 
         /**
          * Tells that the engine ran something else than was asked for.
@@ -66,7 +66,7 @@
          * @param answer the stream, not null
          * @param served what it ran, not null
          */
-        void servedWrong(EngineAnswer answer, AdapterReference served);
+        void onWrongAdapterServed(AttemptStream answer, AdapterReference served);
 
         /**
          * Tells that the engine has not started the stream and will not.
@@ -74,7 +74,7 @@
          * @param answer the stream, not null
          * @param failure why, not null
          */
-        void notStarted(EngineAnswer answer, PlatformException failure);
+        void onNotStarted(AttemptStream answer, PlatformException failure);
 
         /**
          * Tells that the stream broke off.
@@ -82,14 +82,14 @@
          * @param answer the stream, not null
          * @param failure why; its effect is NONE if the engine does not know the stream, not null
          */
-        void broken(EngineAnswer answer, PlatformException failure);
+        void onBroken(AttemptStream answer, PlatformException failure);
 
         /**
          * Tells that a stream that was given up can be stopped at the engine now.
          *
          * @param answer the stream, not null
          */
-        void stoppable(EngineAnswer answer);
+        void onStoppable(AttemptStream answer);
     }
 
     QueuedRequest<CompanionAttempt> request() {
@@ -113,22 +113,22 @@
         boolean isOver;
         synchronized (this) {
             stream = newStream;
-            isOver = over;
+            isOver = isDetached;
         }
         if (isOver) {
             newStream.detach();
             return;
         }
-        demand();
+        requestChunks();
     }
 
     /** Asks the engine for as many chunks as may be kept. */
-    void demand() {
+    void requestChunks() {
         EngineStream asked;
         int chunks;
         synchronized (this) {
             asked = stream;
-            chunks = asked == null || over ? 0 : attempt().takeDemand();
+            chunks = asked == null || isDetached ? 0 : attempt().takeDemand();
         }
         if (chunks > 0) {
             asked.request(chunks);
@@ -141,15 +141,15 @@
      * @param newStream the stream, not null
      */
     void attachResumed(EngineStream newStream) {
-        attempt().forgetDemand();
+        attempt().resetDemand();
         attach(newStream);
     }
 
     /** Listens no more. */
-    void stopListening() {
+    void detach() {
         EngineStream listened;
         synchronized (this) {
-            over = true;
+            isDetached = true;
             listened = stream;
         }
         if (listened != null) {
@@ -161,26 +161,26 @@
      * Gives the stream up. A cancel that overtakes the stream's start at the engine does nothing, and the stream would run
      * on without a pin; so one that the engine has not been heard of yet is listened to until it is.
      *
-     * @return true if the engine may be told to stop now, false if {@link Owner#stoppable} will tell when
+     * @return true if the engine may be told to stop now, false if {@link Listener#onStoppable} will tell when
      */
     boolean cancel() {
         synchronized (this) {
-            cancelled = true;
-            if (!begun) {
+            isCancelled = true;
+            if (!hasStarted) {
                 return false;
             }
         }
-        stopListening();
+        detach();
         return true;
     }
 
     synchronized boolean isCancelled() {
-        return cancelled;
+        return isCancelled;
     }
 
     /** Notes that the stream is being asked for again, so that a NONE from now on says it is not known. */
-    synchronized void resuming() {
-        resumed = true;
+    synchronized void markResumed() {
+        isResumed = true;
     }
 
     /**
@@ -190,7 +190,7 @@
      * @param limit how long it may be
      * @return true if nothing has come of it for longer
      */
-    synchronized boolean isOverdue(long now, Duration limit) {
+    synchronized boolean isBrokenLongerThan(long now, Duration limit) {
         if (!isBroken) {
             isBroken = true;
             brokenSince = now;
@@ -198,8 +198,8 @@
         return now - brokenSince > limit.toNanos();
     }
 
-    synchronized boolean hasBegun() {
-        return begun;
+    synchronized boolean hasStarted() {
+        return hasStarted;
     }
 
     /**
@@ -207,8 +207,8 @@
      *
      * @return false if that was done before
      */
-    boolean release() {
-        if (!released.compareAndSet(false, true)) {
+    boolean releasePin() {
+        if (!isPinReleased.compareAndSet(false, true)) {
             return false;
         }
         pin.ifPresent(Pin::release);
@@ -217,52 +217,52 @@
 
     @Override
     public void started(AdapterReference served) {
-        if (!isListening()) {
+        if (!acceptEvent()) {
             return;
         }
         if (!attempt().adapter().equals(Optional.of(served))) {
-            owner.servedWrong(this, served);
+            listener.onWrongAdapterServed(this, served);
             return;
         }
         attempt().open();
     }
 
-    private boolean isListening() {
+    private boolean acceptEvent() {
         synchronized (this) {
-            begun = true;
+            hasStarted = true;
             isBroken = false;
-            if (over || !cancelled) {
-                return !over;
+            if (isDetached || !isCancelled) {
+                return !isDetached;
             }
         }
-        stopListening();
-        owner.stoppable(this);
+        detach();
+        listener.onStoppable(this);
         return false;
     }
 
     @Override
     public void chunk(long sequence, String text, int tokens) {
-        if (!isListening()) {
+        if (!acceptEvent()) {
             return;
         }
         attempt().add(Frames.chunk(attempt().id(), sequence, ByteString.copyFromUtf8(text), tokens));
-        demand();
+        requestChunks();
     }
 
     @Override
     public void ended(GenerationEnd end) {
-        if (!isListening()) {
+        if (!acceptEvent()) {
             return;
         }
         if (!attempt().adapter().equals(Optional.of(end.served()))) {
-            owner.servedWrong(this, end.served());
+            listener.onWrongAdapterServed(this, end.served());
             return;
         }
-        finishListening();
-        owner.ended(this, endOf(end));
+        markDetached();
+        listener.onEnded(this, toEnd(end));
     }
 
-    private End endOf(GenerationEnd end) {
+    private End toEnd(GenerationEnd end) {
         return End.newBuilder()
                 .setAttempt(attempt().id().value())
                 .setCount(end.chunks())
@@ -277,28 +277,28 @@
                 .build();
     }
 
-    private synchronized void finishListening() {
-        over = true;
+    private synchronized void markDetached() {
+        isDetached = true;
     }
 
     @Override
     public void failed(PlatformException failure) {
         boolean notStarted;
-        boolean isCancelled;
+        boolean wasCancelled;
         synchronized (this) {
-            if (over) {
+            if (isDetached) {
                 return;
             }
-            notStarted = failure.effect() == PlatformException.Effect.NONE && !begun && !resumed;
-            isCancelled = cancelled;
-            over = notStarted || isCancelled;
+            notStarted = failure.effect() == PlatformException.Effect.NONE && !hasStarted && !isResumed;
+            wasCancelled = isCancelled;
+            isDetached = notStarted || wasCancelled;
         }
-        if (isCancelled && !notStarted) {
-            owner.stoppable(this);
+        if (wasCancelled && !notStarted) {
+            listener.onStoppable(this);
         } else if (notStarted) {
-            owner.notStarted(this, failure);
+            listener.onNotStarted(this, failure);
         } else {
-            owner.broken(this, failure);
+            listener.onBroken(this, failure);
         }
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/AttemptTable.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/AttemptTable.java
@@ -12,11 +12,11 @@
 /**
  * What is known of attempts: which were seen, which have started, and which never will.
  *
- * <p>Invariants: an attempt starts at most once, and never after it was sealed or refused; {@link Seen#NEVER_STARTED} is
+ * <p>Invariants: an attempt starts at most once, and never after it was sealed or refused; {@link KnownState#NEVER_STARTED} is
  * answered only for an attempt that has not started, and holds from then on. Attempts that are over are known for the
  * retention time; those that have run may be forgotten earlier if there are too many, those that were sealed never, since
  * their Run may still arrive. When too many are known all the same, no new one is taken. The table remembers since when it
- * has forgotten none: an unknown attempt that is older may have run, and is answered {@link Seen#FORGOTTEN}, so bounded
+ * has forgotten none: an unknown attempt that is older may have run, and is answered {@link KnownState#FORGOTTEN}, so bounded
  * memory never makes "not run" false. No I/O, threads or clock of its own. Not safe for use by several threads.
  *
  * @param <T> what is kept with an attempt until its output may be dropped
@@ -30,24 +30,24 @@
      * How long a question may travel: an entry believes no answer that comes later than its answer limit, which is below
      * this.
      */
-    static final long TRAVEL_NANOS = 30_000_000_000L;
+    static final long MAX_QUERY_DELAY_NANOS = 30_000_000_000L;
 
     private final long retentionNanos;
-    private final int retained;
+    private final int capacity;
     private final Map<AttemptId, State> states = new HashMap<>();
-    private final Map<AttemptId, T> kept = new LinkedHashMap<>();
+    private final Map<AttemptId, T> values = new LinkedHashMap<>();
     private final LinkedHashMap<AttemptId, Long> endedAt = new LinkedHashMap<>();
     private final LinkedHashMap<AttemptId, Long> sealedAt = new LinkedHashMap<>();
 
     /** Of attempts that were sealed without having been seen, up to when others had been forgotten by then. */
-    private final Map<AttemptId, Long> forgottenBeforeSeal = new HashMap<>();
+    private final Map<AttemptId, Long> horizonAtSeal = new HashMap<>();
 
     private boolean hasForgotten;
-    private long forgottenUntil;
+    private long forgottenHorizon;
 
     AttemptTable(long retentionNanos, int retained) {
         this.retentionNanos = retentionNanos;
-        this.retained = retained;
+        this.capacity = retained;
     }
 
     private enum State {
@@ -59,7 +59,7 @@
     }
 
     /** What the table knows of an attempt. */
-    enum Seen {
+    enum KnownState {
         /** It waits. */
         WAITING,
         /** It has started. */
@@ -73,13 +73,13 @@
     }
 
     /** What became of an attempt that was to be taken in. */
-    enum Taken {
+    enum AddResult {
         /** It waits from now on. */
-        WAITING,
+        ADDED,
         /** It was seen or sealed before. */
-        SEEN,
+        ALREADY_KNOWN,
         /** It is not known, and there is no room to know it. */
-        NO_ROOM
+        TABLE_FULL
     }
 
     /**
@@ -89,26 +89,26 @@
      * @param value what is kept with it, not null
      * @return what became of it, not null
      */
-    Taken add(AttemptId id, T value) {
+    AddResult add(AttemptId id, T value) {
         if (states.containsKey(id)) {
-            return Taken.SEEN;
+            return AddResult.ALREADY_KNOWN;
         }
-        if (!hasRoom()) {
-            return Taken.NO_ROOM;
+        if (!ensureCapacity()) {
+            return AddResult.TABLE_FULL;
         }
         states.put(id, State.WAITING);
-        kept.put(id, value);
-        return Taken.WAITING;
+        values.put(id, value);
+        return AddResult.ADDED;
     }
 
-    private boolean hasRoom() {
-        if (states.size() >= retained) {
+    private boolean ensureCapacity() {
+        if (states.size() >= capacity) {
             endedAt.keySet().stream()
-                    .filter(id -> !kept.containsKey(id))
+                    .filter(id -> !values.containsKey(id))
                     .findFirst()
                     .ifPresent(id -> forget(id, endedAt));
         }
-        return states.size() < retained;
+        return states.size() < capacity;
     }
 
     /**
@@ -126,7 +126,7 @@
      *
      * @param id the attempt, not null
      */
-    void putBack(AttemptId id) {
+    void requeue(AttemptId id) {
         states.replace(id, State.STARTED, State.WAITING);
     }
 
@@ -138,14 +138,14 @@
      * @param now the time
      */
     void end(AttemptId id, boolean hasRun, long now) {
-        if (!isUnderWay(id)) {
+        if (!isUnfinished(id)) {
             return;
         }
         states.put(id, hasRun ? State.ENDED : State.SEALED);
         (hasRun ? endedAt : sealedAt).put(id, now);
     }
 
-    private boolean isUnderWay(AttemptId id) {
+    private boolean isUnfinished(AttemptId id) {
         State state = states.get(id);
         return state == State.WAITING || state == State.STARTED;
     }
@@ -156,17 +156,17 @@
      * @param id the attempt, not null
      * @param ageNanos the time since it was sent, at least, or {@link #AGE_UNKNOWN}
      * @param now the time
-     * @return what is known of it, not null; never {@link Seen#WAITING}
+     * @return what is known of it, not null; never {@link KnownState#WAITING}
      */
-    Seen seal(AttemptId id, long ageNanos, long now) {
+    KnownState seal(AttemptId id, long ageNanos, long now) {
         if (!states.containsKey(id)) {
-            return sealUnknown(id, isWithinMemory(ageNanos, now), now);
+            return sealUnknown(id, isRemembered(ageNanos, now), now);
         }
         if (states.replace(id, State.WAITING, State.SEALED)) {
             sealedAt.put(id, now);
         }
-        doubtEarlierSeal(id, ageNanos, now);
-        return seen(states.get(id));
+        reviseEarlierSeal(id, ageNanos, now);
+        return knownState(states.get(id));
     }
 
     /**
@@ -176,44 +176,44 @@
      * then seemed young enough to be remembered, though it had run and been forgotten, and whoever asks next would be told
      * that it never ran.
      */
-    private void doubtEarlierSeal(AttemptId id, long ageNanos, long now) {
-        Long horizon = forgottenBeforeSeal.get(id);
+    private void reviseEarlierSeal(AttemptId id, long ageNanos, long now) {
+        Long horizon = horizonAtSeal.get(id);
         if (horizon != null && !isSentAfter(horizon, ageNanos, now)) {
             states.replace(id, State.SEALED, State.FORGOTTEN);
         }
     }
 
-    private Seen sealUnknown(AttemptId id, boolean isWithinMemory, long now) {
-        if (!hasRoom()) {
-            return Seen.FORGOTTEN;
+    private KnownState sealUnknown(AttemptId id, boolean isWithinMemory, long now) {
+        if (!ensureCapacity()) {
+            return KnownState.FORGOTTEN;
         }
         State state = isWithinMemory ? State.SEALED : State.FORGOTTEN;
         states.put(id, state);
         sealedAt.put(id, now);
         if (hasForgotten) {
-            forgottenBeforeSeal.put(id, forgottenUntil);
+            horizonAtSeal.put(id, forgottenHorizon);
         }
-        return seen(state);
+        return knownState(state);
     }
 
-    private boolean isWithinMemory(long ageNanos, long now) {
+    private boolean isRemembered(long ageNanos, long now) {
         if (!hasForgotten) {
             return true;
         }
-        return isSentAfter(forgottenUntil, ageNanos, now);
+        return isSentAfter(forgottenHorizon, ageNanos, now);
     }
 
     private static boolean isSentAfter(long horizon, long ageNanos, long now) {
-        return ageNanos >= 0 && now - ageNanos - TRAVEL_NANOS - horizon > 0;
+        return ageNanos >= 0 && now - ageNanos - MAX_QUERY_DELAY_NANOS - horizon > 0;
     }
 
-    private static Seen seen(State state) {
+    private static KnownState knownState(State state) {
         return switch (state) {
-            case WAITING -> Seen.WAITING;
-            case STARTED -> Seen.STARTED;
-            case ENDED -> Seen.ENDED;
-            case SEALED -> Seen.NEVER_STARTED;
-            case FORGOTTEN -> Seen.FORGOTTEN;
+            case WAITING -> KnownState.WAITING;
+            case STARTED -> KnownState.STARTED;
+            case ENDED -> KnownState.ENDED;
+            case SEALED -> KnownState.NEVER_STARTED;
+            case FORGOTTEN -> KnownState.FORGOTTEN;
         };
     }
 
@@ -223,12 +223,12 @@
      * @param id the attempt, not null
      * @return what is known, or empty if it was never seen or is forgotten
      */
-    Optional<Seen> find(AttemptId id) {
-        return Optional.ofNullable(states.get(id)).map(AttemptTable::seen);
+    Optional<KnownState> knownState(AttemptId id) {
+        return Optional.ofNullable(states.get(id)).map(AttemptTable::knownState);
     }
 
     Optional<T> value(AttemptId id) {
-        return Optional.ofNullable(kept.get(id));
+        return Optional.ofNullable(values.get(id));
     }
 
     /**
@@ -237,8 +237,8 @@
      * @param id the attempt, not null
      */
     void dropValue(AttemptId id) {
-        if (!isUnderWay(id)) {
-            kept.remove(id);
+        if (!isUnfinished(id)) {
+            values.remove(id);
         }
     }
 
@@ -264,11 +264,11 @@
 
     private void forget(AttemptId id, LinkedHashMap<AttemptId, Long> over) {
         long since = over.remove(id);
-        forgottenUntil = hasForgotten ? Math.max(forgottenUntil, since) : since;
+        forgottenHorizon = hasForgotten ? Math.max(forgottenHorizon, since) : since;
         hasForgotten = true;
         states.remove(id);
-        forgottenBeforeSeal.remove(id);
-        kept.remove(id);
+        horizonAtSeal.remove(id);
+        values.remove(id);
     }
 
     /**
@@ -277,6 +277,6 @@
      * @return the values as they are now, not null
      */
     Collection<T> values() {
-        return List.copyOf(kept.values());
+        return List.copyOf(values.values());
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionAttempt.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionAttempt.java
@@ -23,21 +23,21 @@
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final AttemptId id;
-    private final Run named;
+    private final Run runWithoutBody;
     private final AccountId account;
     private final Optional<AdapterReference> adapter;
     private final Optional<KeyDigest> key;
     private final long arrivedAt;
     private final long deadline;
-    private final OutputBuffer output;
+    private final OutputBuffer outputBuffer;
     private ByteString body;
     private Peer link;
     private long unlinkedSince;
-    private int putBacks;
+    private int requeues;
 
     private CompanionAttempt(Run run, OutputBuffer output, Peer link, long now) {
         this.id = AttemptId.of(run.getAttempt());
-        this.named = run.toBuilder().clearBody().build();
+        this.runWithoutBody = run.toBuilder().clearBody().build();
         this.body = run.getBody();
         this.account = AccountId.of(run.getAccount());
         this.adapter = run.getAdapter().isEmpty()
@@ -48,7 +48,7 @@
                 : Optional.of(KeyDigest.ofBytes(run.getKeyDigest().toByteArray()));
         this.arrivedAt = now;
         this.deadline = now + run.getDeadlineLeftMillis() * NANOS_PER_MILLI;
-        this.output = output;
+        this.outputBuffer = output;
         this.link = link;
     }
 
@@ -78,7 +78,7 @@
      * @return the attempt, not null
      * @throws IllegalArgumentException if a name or the digest is not one
      */
-    static CompanionAttempt ofLeftStream(Run named, long next, Peer link, int bufferedChunks, long now) {
+    static CompanionAttempt ofInheritedStream(Run named, long next, Peer link, int bufferedChunks, long now) {
         return new CompanionAttempt(named, new OutputBuffer(next, named.getCredit(), bufferedChunks, false), link, now);
     }
 
@@ -91,8 +91,8 @@
      *
      * @return the Run without its body, not null
      */
-    Run named() {
-        return named;
+    Run runWithoutBody() {
+        return runWithoutBody;
     }
 
     synchronized ByteString body() {
@@ -116,7 +116,7 @@
     }
 
     boolean isExpired(long now) {
-        return named.getDeadlineLeftMillis() > 0 && now - deadline >= 0;
+        return runWithoutBody.getDeadlineLeftMillis() > 0 && now - deadline >= 0;
     }
 
     long deadline() {
@@ -125,12 +125,12 @@
 
     /** Lets chunks be sent, now that the target has said what it runs. */
     synchronized void open() {
-        output.open();
+        outputBuffer.open();
         flush();
     }
 
     synchronized void add(Chunk chunk) {
-        output.add(chunk);
+        outputBuffer.add(chunk);
         flush();
     }
 
@@ -141,7 +141,7 @@
      */
     synchronized void finish(Frame last) {
         body = ByteString.EMPTY;
-        output.finish(last);
+        outputBuffer.finish(last);
         flush();
     }
 
@@ -154,7 +154,7 @@
      * @return false if that chunk is not kept any more
      */
     synchronized boolean resume(Peer newLink, long next, int credit) {
-        if (!output.resume(next, credit)) {
+        if (!outputBuffer.resume(next, credit)) {
             return false;
         }
         link = newLink;
@@ -163,7 +163,7 @@
     }
 
     synchronized void acknowledge(long next, int credit) {
-        output.acknowledge(next, credit);
+        outputBuffer.acknowledge(next, credit);
         flush();
     }
 
@@ -172,13 +172,13 @@
      *
      * @param writable the link, not null
      */
-    synchronized void writable(Peer writable) {
+    synchronized void onWritable(Peer writable) {
         if (link == writable) {
             flush();
         }
     }
 
-    synchronized void linkClosed(Peer closed, long now) {
+    synchronized void onLinkClosed(Peer closed, long now) {
         if (link == closed) {
             link = null;
             unlinkedSince = now;
@@ -187,7 +187,7 @@
 
     private void flush() {
         while (link != null && link.isWritable()) {
-            Optional<Frame> next = output.next();
+            Optional<Frame> next = outputBuffer.pollFrame();
             if (next.isEmpty() || !link.send(next.get())) {
                 return;
             }
@@ -201,28 +201,28 @@
      * @param now the time
      * @return true if none has
      */
-    synchronized boolean isOrphan(long limitNanos, long now) {
+    synchronized boolean isOrphaned(long limitNanos, long now) {
         return link == null && now - unlinkedSince > limitNanos;
     }
 
     synchronized int takeDemand() {
-        return output.takeDemand();
+        return outputBuffer.takeDemand();
     }
 
-    synchronized void forgetDemand() {
-        output.forgetDemand();
+    synchronized void resetDemand() {
+        outputBuffer.resetDemand();
     }
 
-    synchronized long nextFromTarget() {
-        return output.end();
+    synchronized long nextExpectedSequence() {
+        return outputBuffer.nextExpectedSequence();
     }
 
     synchronized boolean isFinished() {
-        return output.isFinished();
+        return outputBuffer.isFinished();
     }
 
     synchronized boolean isDelivered() {
-        return output.isDelivered();
+        return outputBuffer.isDelivered();
     }
 
     /**
@@ -230,7 +230,7 @@
      *
      * @return the count, this time included
      */
-    synchronized int countPutBack() {
-        return ++putBacks;
+    synchronized int countRequeue() {
+        return ++requeues;
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionDaemon.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionDaemon.java
@@ -48,7 +48,7 @@
                 new Foundation.RoleHello(Optional.of(settings.target().name()), () -> Optional.ofNullable(started.get())
                         .map(CompanionNode::fence)
                         .orElse(0L));
-        Foundation foundation = Foundation.start(settings.foundation(), hello);
+        Foundation foundation = Foundation.start(settings.toFoundationSettings(), hello);
         CompanionNode node = CompanionNode.create(settings.companion(), parts(settings.target(), foundation));
         started.set(node);
         node.start();
@@ -61,7 +61,7 @@
         return new CompanionDaemon(settings, foundation, node);
     }
 
-    private static CompanionParts parts(TargetSettings target, Foundation foundation) {
+    private static CompanionDependencies parts(TargetSettings target, Foundation foundation) {
         URI address = PlatformSettings.uri(target.address());
         Optional<ModelEngine> engine = Optional.empty();
         Optional<PlainService> service = Optional.empty();
@@ -75,7 +75,7 @@
         } else {
             service = Optional.of(foundation.clients().plainService(address, target.serviceLimit()));
         }
-        return new CompanionParts(
+        return new CompanionDependencies(
                 foundation.instance(),
                 foundation.incarnation(),
                 TargetId.of(target.name()),
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionParts.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionDependencies.java
@@ -29,7 +29,7 @@
  * @param clock the clock
  * @param timeOfDay the time of day, for what another process has dated
  */
-public record CompanionParts(
+public record CompanionDependencies(
         InstanceId instance,
         long incarnation,
         TargetId target,
@@ -41,7 +41,7 @@
         MonotonicClock clock,
         InstantSource timeOfDay) {
 
-    public CompanionParts {
+    public CompanionDependencies {
         Objects.requireNonNull(instance, "instance");
         Objects.requireNonNull(target, "target");
         Objects.requireNonNull(links, "links");
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionNode.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionNode.java
@@ -32,37 +32,38 @@
  */
 public final class CompanionNode implements AutoCloseable {
 
-    private static final Set<Frame.BodyCase> KINDS = EnumSet.of(
+    private static final Set<Frame.BodyCase> HANDLED_FRAMES = EnumSet.of(
             Frame.BodyCase.RUN,
             Frame.BodyCase.CANCEL,
             Frame.BodyCase.RESUME,
             Frame.BodyCase.ACKNOWLEDGE,
             Frame.BodyCase.SEAL);
     private static final String ENTRY_ROLE = "entry";
-    private static final Duration STARTING = Duration.ofMillis(500);
-    private static final Duration TICK = Duration.ofMillis(100);
-    private static final Duration REPORT_GAP = Duration.ofMillis(100);
+    private static final Duration STARTING_RETRY_AFTER = Duration.ofMillis(500);
+    private static final Duration TICK_PERIOD = Duration.ofMillis(100);
+    private static final Duration MIN_REPORT_GAP = Duration.ofMillis(100);
 
     private final CompanionSettings settings;
-    private final CompanionParts parts;
+    private final CompanionDependencies dependencies;
     private final AttemptShards attempts;
-    private final Outcomes outcomes;
-    private final Requests requests;
+    private final AttemptLifecycle lifecycle;
+    private final AttemptRequestHandler requestHandler;
     private final StatusReporter reporter = new StatusReporter();
     private final ScheduledThreadPoolExecutor timer = newTimer();
-    private final TargetStart targetStart;
-    private final AtomicBoolean reportDue = new AtomicBoolean();
-    private volatile boolean draining;
-    private volatile long lastReport;
+    private final TargetTakeover takeover;
+    private final AtomicBoolean isReportScheduled = new AtomicBoolean();
+    private volatile boolean isDraining;
+    private volatile long lastReportAt;
 
-    private CompanionNode(CompanionSettings settings, CompanionParts parts) {
+    private CompanionNode(CompanionSettings settings, CompanionDependencies parts) {
         this.settings = settings;
-        this.parts = parts;
+        this.dependencies = parts;
         this.attempts = new AttemptShards(settings, parts.clock());
         StartCheck startCheck = new StartCheck(parts);
-        this.outcomes = new Outcomes(attempts, startCheck);
-        this.targetStart = new TargetStart(settings, parts, outcomes, timer, this::changed);
-        this.requests = new Requests(settings, parts, attempts, outcomes, startCheck, new Runners());
+        this.lifecycle = new AttemptLifecycle(attempts, startCheck);
+        this.takeover = new TargetTakeover(settings, parts, lifecycle, timer, this::scheduleReport);
+        this.requestHandler =
+                new AttemptRequestHandler(settings, parts, attempts, lifecycle, startCheck, new TakenOverTarget());
     }
 
     /**
@@ -72,9 +73,9 @@
      * @param parts what it works with, not null
      * @return the companion, which takes no work before {@link #start}, not null
      */
-    public static CompanionNode create(CompanionSettings settings, CompanionParts parts) {
+    public static CompanionNode create(CompanionSettings settings, CompanionDependencies parts) {
         CompanionNode node = new CompanionNode(settings, parts);
-        parts.links().handle(KINDS, node.new Handler());
+        parts.links().handle(HANDLED_FRAMES, node.new LinkHandler());
         parts.configuration().listen(node::configurationChanged);
         return node;
     }
@@ -90,8 +91,8 @@
 
     /** Begins to take the target over; work is taken once that is done. */
     public void start() {
-        targetStart.start();
-        timer.scheduleWithFixedDelay(this::tick, TICK.toNanos(), TICK.toNanos(), TimeUnit.NANOSECONDS);
+        takeover.start();
+        timer.scheduleWithFixedDelay(this::tick, TICK_PERIOD.toNanos(), TICK_PERIOD.toNanos(), TimeUnit.NANOSECONDS);
     }
 
     /**
@@ -100,10 +101,10 @@
      * @return the reason, or empty if work is taken
      */
     public Optional<String> reasonNotReady() {
-        if (draining) {
+        if (isDraining) {
             return Optional.of("the companion is leaving");
         }
-        return targetStart.reasonNotReady();
+        return takeover.reasonNotReady();
     }
 
     /**
@@ -112,91 +113,95 @@
      * @return the number, 0 before it is taken
      */
     public long fence() {
-        return targetStart.fence();
+        return takeover.fence();
     }
 
     /** Gives the runner of the target, as long as it may be given. */
-    private final class Runners implements Requests.RunnerSource {
+    private final class TakenOverTarget implements AttemptRequestHandler.RunnerProvider {
 
         @Override
         public TargetRunner forNewWork() throws ServingException {
-            if (draining) {
-                throw ServingException.notRun(ResultCode.DRAINING, "companion " + parts.instance() + " is leaving");
+            if (isDraining) {
+                throw ServingException.notRun(
+                        ResultCode.DRAINING, "companion " + dependencies.instance() + " is leaving");
             }
-            if (targetStart.isFencedOut()) {
-                throw ServingException.notRun(ResultCode.FENCED, "a newer companion has taken over " + parts.target());
+            if (takeover.isFencedOut()) {
+                throw ServingException.notRun(
+                        ResultCode.FENCED, "a newer companion has taken over " + dependencies.target());
             }
-            return targetStart.runner().orElseThrow(() -> ServingException.notRun(
-                            ResultCode.NO_TARGET, "the companion is starting")
-                    .withRetryAfter(STARTING));
+            return takeover.runner()
+                    .orElseThrow(() -> ServingException.notRun(ResultCode.NO_TARGET, "the companion is starting")
+                            .withRetryAfter(STARTING_RETRY_AFTER));
         }
 
         @Override
         public Optional<TargetRunner> current() {
-            return targetStart.runner();
+            return takeover.runner();
         }
     }
 
     /** Takes links' news to where they belong. */
-    private final class Handler implements FrameHandler {
+    private final class LinkHandler implements FrameHandler {
 
         @Override
         public void opened(Peer peer) {
             if (peer.hello().getRole().equals(ENTRY_ROLE)) {
-                reporter.opened(peer, status());
+                reporter.onLinkOpened(peer, status());
             }
         }
 
         @Override
         public void received(Peer peer, Frame frame) {
-            requests.received(peer, frame);
+            requestHandler.onFrame(peer, frame);
         }
 
         @Override
         public void writable(Peer peer) {
-            attempts.all().forEach(attempt -> attempt.writable(peer));
+            attempts.all().forEach(attempt -> attempt.onWritable(peer));
         }
 
         @Override
         public void closed(Peer peer, String reason) {
-            reporter.closed(peer);
-            long now = parts.clock().nanos();
-            attempts.all().forEach(attempt -> attempt.linkClosed(peer, now));
+            reporter.onLinkClosed(peer);
+            long now = dependencies.clock().nanos();
+            attempts.all().forEach(attempt -> attempt.onLinkClosed(peer, now));
         }
     }
 
     private Status status() {
         Status.Builder status = Status.newBuilder()
-                .setTarget(parts.target().value())
+                .setTarget(dependencies.target().value())
                 .setDraining(reasonNotReady().isPresent())
                 .setFence(fence());
-        parts.configuration()
+        dependencies
+                .configuration()
                 .current()
-                .target(parts.target())
+                .target(dependencies.target())
                 .map(Target::slots)
                 .ifPresent(status::setSlots);
-        targetStart.runner().ifPresent(running -> running.describe(status));
+        takeover.runner().ifPresent(running -> running.describe(status));
         return status.build();
     }
 
-    private void changed() {
-        if (reportDue.compareAndSet(false, true)) {
-            timer.schedule(this::report, REPORT_GAP.toNanos(), TimeUnit.NANOSECONDS);
+    private void scheduleReport() {
+        if (isReportScheduled.compareAndSet(false, true)) {
+            timer.schedule(this::report, MIN_REPORT_GAP.toNanos(), TimeUnit.NANOSECONDS);
         }
     }
 
     private void report() {
-        reportDue.set(false);
-        lastReport = parts.clock().nanos();
+        isReportScheduled.set(false);
+        lastReportAt = dependencies.clock().nanos();
         reporter.report(status());
     }
 
     private void tick() {
         try {
-            requests.tick();
-            targetStart.tick();
-            if (parts.clock().nanos() - lastReport > settings.statusInterval().toNanos()) {
-                changed();
+            requestHandler.tick();
+            takeover.tick();
+            if (dependencies.clock().nanos() - lastReportAt
+                    > settings.statusInterval().toNanos()) {
+                scheduleReport();
             }
         } catch (RuntimeException failure) {
             // A task that throws is never run again: deadlines and orphans would then be waited for in vain.
@@ -212,7 +217,7 @@
         for (CompanionAttempt attempt : attempts.all()) {
             if (!attempt.isFinished()
                     && attempt.key().filter(withdrawn::contains).isPresent()) {
-                requests.cancel(attempt, ResultCode.KEY_REFUSED, "the key was withdrawn");
+                requestHandler.cancel(attempt, ResultCode.KEY_REFUSED, "the key was withdrawn");
                 cancelled++;
             }
         }
@@ -221,15 +226,15 @@
 
     /** Takes no new work from now on and tells all peers; what was taken runs to its end. */
     public void drain() {
-        draining = true;
+        isDraining = true;
         Frame leaving = Frame.newBuilder()
                 .setLeaving(Leaving.newBuilder()
-                        .setInstance(parts.instance().value())
-                        .setIncarnation(parts.incarnation()))
+                        .setInstance(dependencies.instance().value())
+                        .setIncarnation(dependencies.incarnation()))
                 .build();
-        parts.links().peers().forEach(peer -> peer.send(leaving));
+        dependencies.links().peers().forEach(peer -> peer.send(leaving));
         reporter.report(status());
-        EventLog.write(EventCode.DRAINING, "companion {} of {}", parts.instance(), parts.target());
+        EventLog.write(EventCode.DRAINING, "companion {} of {}", dependencies.instance(), dependencies.target());
     }
 
     /**
@@ -238,13 +243,13 @@
      * @return the number, 0 when the drain is done
      */
     public int unfinished() {
-        return (int) attempts.all().stream().filter(requests::holdsUpDrain).count();
+        return (int) attempts.all().stream().filter(requestHandler::blocksDrain).count();
     }
 
     @Override
     public void close() {
         timer.shutdownNow();
-        targetStart.close();
-        attempts.all().forEach(requests::cutOff);
+        takeover.close();
+        attempts.all().forEach(requestHandler::abort);
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionProcessSettings.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionProcessSettings.java
@@ -45,7 +45,7 @@
         }
     }
 
-    Foundation.Settings foundation() {
+    Foundation.Settings toFoundationSettings() {
         return new Foundation.Settings(role, node, platform, links, membership, configuration);
     }
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/EngineWatch.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/EngineMonitor.java
@@ -19,24 +19,24 @@
  * below what a restart takes. Callers that wait at the same time share one look. Safe for use by several threads, under its
  * own lock.
  */
-final class EngineWatch {
+final class EngineMonitor {
 
     private final ModelEngine engine;
     private final Residency residency;
     private final MonotonicClock clock;
-    private final long ageNanos;
-    private boolean known;
-    private long confirmedAt;
-    private boolean reachable = true;
+    private final long maxAgeNanos;
+    private boolean isViewValid;
+    private long refreshedAt;
+    private boolean isReachable = true;
     private long failedAt;
     private volatile long incarnation;
     private volatile Set<AttemptId> streams = Set.of();
 
-    EngineWatch(ModelEngine engine, Residency residency, MonotonicClock clock, Duration age) {
+    EngineMonitor(ModelEngine engine, Residency residency, MonotonicClock clock, Duration age) {
         this.engine = engine;
         this.residency = residency;
         this.clock = clock;
-        this.ageNanos = age.toNanos();
+        this.maxAgeNanos = age.toNanos();
     }
 
     /**
@@ -44,48 +44,48 @@
      *
      * @return false if the engine does not answer
      */
-    boolean confirm() {
+    boolean refreshIfStale() {
         long arrivedAt = clock.nanos();
         synchronized (this) {
-            if (known && clock.nanos() - confirmedAt <= ageNanos) {
+            if (isViewValid && clock.nanos() - refreshedAt <= maxAgeNanos) {
                 return true;
             }
-            if (!reachable && failedAt - arrivedAt >= 0) {
+            if (!isReachable && failedAt - arrivedAt >= 0) {
                 return false;
             }
-            return look();
+            return refresh();
         }
     }
 
-    /** Makes the next {@link #confirm} ask the engine, since it contradicted the view. */
+    /** Makes the next {@link #refreshIfStale} ask the engine, since it contradicted the view. */
     synchronized void invalidate() {
-        known = false;
+        isViewValid = false;
     }
 
-    private boolean look() {
+    private boolean refresh() {
         long askedAt = clock.nanos();
         try {
-            take(engine.state(), askedAt);
+            apply(engine.state(), askedAt);
             return true;
         } catch (PlatformException failure) {
-            if (reachable) {
+            if (isReachable) {
                 EventLog.write(EventCode.ENGINE_UNREACHABLE, "{}", failure.getMessage());
             }
-            reachable = false;
-            known = false;
+            isReachable = false;
+            isViewValid = false;
             failedAt = clock.nanos();
             return false;
         }
     }
 
-    private void take(ModelEngine.State state, long askedAt) {
+    private void apply(ModelEngine.State state, long askedAt) {
         boolean first = incarnation == 0;
         boolean restarted = residency.synchronise(state.incarnation(), state.resident(), askedAt);
         incarnation = state.incarnation();
         streams = state.streams();
-        known = true;
-        reachable = true;
-        confirmedAt = askedAt;
+        isViewValid = true;
+        isReachable = true;
+        refreshedAt = askedAt;
         if (restarted && !first) {
             EventLog.write(EventCode.ENGINE_RESTARTED, "incarnation {}", state.incarnation());
         }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/EngineRunner.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/EngineRunner.java
@@ -38,28 +38,28 @@
  * goes back into the queue if the view of its slots was wrong, and is refused as not run otherwise. Safe for use by several
  * threads; what blocks runs on the executors.
  */
-final class EngineRunner implements TargetRunner, EngineAnswer.Owner {
+final class EngineRunner implements TargetRunner, AttemptStream.Listener {
 
-    private static final int GREATEST_PUT_BACKS = 3;
-    private static final long RETRY_MILLIS = 200;
+    private static final int MAX_REQUEUES = 3;
+    private static final long RETRY_DELAY_MILLIS = 200;
 
     private final ModelEngine engine;
     private final Residency residency;
     private final RequestQueue<CompanionAttempt> queue;
-    private final EngineWatch watch;
-    private final OrderPermit permit;
-    private final Outcomes outcomes;
+    private final EngineMonitor engineMonitor;
+    private final OrderAuthorization authorization;
+    private final AttemptLifecycle lifecycle;
     private final MonotonicClock clock;
     private final Duration resumeLimit;
     private final Duration orderLimit;
-    private final ExecutorService sends;
-    private final ExecutorService loads;
+    private final ExecutorService sendExecutor;
+    private final ExecutorService loadExecutor;
     private final ScheduledExecutorService timer;
-    private final Runnable changed;
-    private final Map<AttemptId, EngineAnswer> running = new ConcurrentHashMap<>();
-    private final AdapterLoads adapterLoads;
-    private final Object dispatching = new Object();
-    private final LeftStreams left;
+    private final Runnable onChange;
+    private final Map<AttemptId, AttemptStream> running = new ConcurrentHashMap<>();
+    private final AdapterLoader adapterLoader;
+    private final Object dispatchLock = new Object();
+    private final InheritedStreams inheritedStreams;
 
     /**
      * What the runner works with.
@@ -67,48 +67,49 @@
      * @param engine the engine
      * @param residency its slots
      * @param queue the order of requests
-     * @param watch keeps the view of the engine true
-     * @param permit whether orders may be given
-     * @param outcomes starts and ends attempts
+     * @param engineMonitor keeps the view of the engine true
+     * @param authorization whether orders may be given
+     * @param lifecycle starts and ends attempts
      * @param clock the clock
      * @param resumeLimit how long a broken stream is asked for
      * @param orderLimit how long an order may be carried out
-     * @param sends runs short calls of the engine
-     * @param loads runs loads
+     * @param sendExecutor runs short calls of the engine
+     * @param loadExecutor runs loads
      * @param timer runs what is due later
-     * @param changed told when there is something new to report
+     * @param onChange told when there is something new to report
      */
     record Collaborators(
             ModelEngine engine,
             Residency residency,
             RequestQueue<CompanionAttempt> queue,
-            EngineWatch watch,
-            OrderPermit permit,
-            Outcomes outcomes,
+            EngineMonitor engineMonitor,
+            OrderAuthorization authorization,
+            AttemptLifecycle lifecycle,
             MonotonicClock clock,
             Duration resumeLimit,
             Duration orderLimit,
-            ExecutorService sends,
-            ExecutorService loads,
+            ExecutorService sendExecutor,
+            ExecutorService loadExecutor,
             ScheduledExecutorService timer,
-            Runnable changed) {}
+            Runnable onChange) {}
 
     EngineRunner(Collaborators with) {
         this.engine = with.engine();
         this.residency = with.residency();
         this.queue = with.queue();
-        this.watch = with.watch();
-        this.permit = with.permit();
-        this.outcomes = with.outcomes();
+        this.engineMonitor = with.engineMonitor();
+        this.authorization = with.authorization();
+        this.lifecycle = with.lifecycle();
         this.clock = with.clock();
         this.resumeLimit = with.resumeLimit();
         this.orderLimit = with.orderLimit();
-        this.sends = with.sends();
-        this.loads = with.loads();
+        this.sendExecutor = with.sendExecutor();
+        this.loadExecutor = with.loadExecutor();
         this.timer = with.timer();
-        this.changed = with.changed();
-        this.adapterLoads = new AdapterLoads(engine, residency, queue, watch, permit, outcomes, clock);
-        this.left = new LeftStreams(watch.streams());
+        this.onChange = with.onChange();
+        this.adapterLoader =
+                new AdapterLoader(engine, residency, queue, engineMonitor, authorization, lifecycle, clock);
+        this.inheritedStreams = new InheritedStreams(engineMonitor.streams());
     }
 
     /**
@@ -116,57 +117,59 @@
      *
      * @param limit the time, not null
      */
-    void stopLeftStreamsAfter(Duration limit) {
+    void stopInheritedStreamsAfter(Duration limit) {
         timer.schedule(
-                () -> left.takeAll().forEach(id -> sends.execute(() -> stopLeft(id))),
+                () -> inheritedStreams.claimAll().forEach(id -> sendExecutor.execute(() -> stopInherited(id))),
                 limit.toNanos(),
                 TimeUnit.NANOSECONDS);
     }
 
-    private void stopLeft(AttemptId id) {
+    private void stopInherited(AttemptId id) {
         try {
             engine.cancel(id);
-            left.stopped(id);
+            inheritedStreams.onStopped(id);
             dispatch();
         } catch (PlatformException failure) {
-            timer.schedule(() -> sends.execute(() -> stopLeft(id)), RETRY_MILLIS, TimeUnit.MILLISECONDS);
+            timer.schedule(
+                    () -> sendExecutor.execute(() -> stopInherited(id)), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     @Override
     public boolean adopt(CompanionAttempt attempt) {
-        QueuedRequest<CompanionAttempt> request = requestOf(attempt);
+        QueuedRequest<CompanionAttempt> request = toQueuedRequest(attempt);
         Optional<Pin> pin;
-        synchronized (dispatching) {
+        synchronized (dispatchLock) {
             pin = residency.pin(attempt.id(), adapterOf(request));
-            if (pin.isEmpty() || !left.take(attempt.id())) {
+            if (pin.isEmpty() || !inheritedStreams.claim(attempt.id())) {
                 pin.ifPresent(Pin::release);
                 return false;
             }
         }
-        EngineAnswer answer = new EngineAnswer(request, pin, watch.incarnation(), 0, 0, this);
+        AttemptStream answer = new AttemptStream(request, pin, engineMonitor.incarnation(), 0, 0, this);
         running.put(attempt.id(), answer);
-        outcomes.start(attempt);
-        sends.execute(() -> resume(answer));
+        lifecycle.start(attempt);
+        sendExecutor.execute(() -> resume(answer));
         return true;
     }
 
     @Override
     public void submit(CompanionAttempt attempt) {
-        QueuedRequest<CompanionAttempt> request = requestOf(attempt);
+        QueuedRequest<CompanionAttempt> request = toQueuedRequest(attempt);
         if (enqueue(request)) {
             dispatch();
         }
     }
 
-    private QueuedRequest<CompanionAttempt> requestOf(CompanionAttempt attempt) {
-        long tokens = attempt.named().getPromptTokens() + attempt.named().getMaximumTokens();
+    private QueuedRequest<CompanionAttempt> toQueuedRequest(CompanionAttempt attempt) {
+        long tokens = attempt.runWithoutBody().getPromptTokens()
+                + attempt.runWithoutBody().getMaximumTokens();
         return new QueuedRequest<>(
                 attempt.id(),
                 attempt.account(),
                 attempt.adapter(),
                 Math.max(1, tokens),
-                attempt.named().getPriority(),
+                attempt.runWithoutBody().getPriority(),
                 attempt.deadline(),
                 attempt);
     }
@@ -176,7 +179,7 @@
         AdapterRequestResult answer =
                 residency.request(request.attempt(), request.account(), adapter, request.tokens());
         if (answer.state() == AdapterRequestResult.State.REFUSED) {
-            outcomes.refused(
+            lifecycle.refuse(
                     request.payload(),
                     ServingException.notRun(ResultCode.LOAD_FAILED, "the load of " + adapter + " failed a moment ago")
                             .withRetryAfter(answer.delay()));
@@ -200,14 +203,14 @@
     /** Starts what may start now: requests whose adapters are resident, and loads. */
     private void dispatch() {
         List<Runnable> started = new ArrayList<>();
-        synchronized (dispatching) {
+        synchronized (dispatchLock) {
             takeRequests(started);
-            if (left.isEmpty()) {
-                residency.startLoads().forEach(order -> started.add(() -> loads.execute(() -> load(order))));
+            if (inheritedStreams.isEmpty()) {
+                residency.startLoads().forEach(order -> started.add(() -> loadExecutor.execute(() -> load(order))));
             }
         }
         started.forEach(Runnable::run);
-        changed.run();
+        onChange.run();
     }
 
     private void takeRequests(List<Runnable> started) {
@@ -220,65 +223,65 @@
                 queue.offer(request);
                 return;
             }
-            long incarnation = watch.incarnation();
-            started.add(() -> sends.execute(() -> send(request, pin.get(), incarnation)));
+            long incarnation = engineMonitor.incarnation();
+            started.add(() -> sendExecutor.execute(() -> send(request, pin.get(), incarnation)));
             next = queue.take(residency::isReady);
         }
     }
 
     private void send(QueuedRequest<CompanionAttempt> request, Pin pin, long incarnation) {
-        EngineAnswer answer = answerOf(request, pin, incarnation);
-        if (!watch.confirm()) {
-            end(answer, 0, 0);
+        AttemptStream answer = toStream(request, pin, incarnation);
+        if (!engineMonitor.refreshIfStale()) {
+            release(answer, 0, 0);
             refuse(answer, ResultCode.TARGET_FAILED, ExecutionStatus.NO, "the engine does not answer");
             return;
         }
-        if (watch.incarnation() != incarnation) {
-            putBack(answer);
+        if (engineMonitor.incarnation() != incarnation) {
+            requeue(answer);
             return;
         }
-        Optional<Order> order = permit.order(clock.nanos());
+        Optional<Order> order = authorization.authorize(clock.nanos());
         if (order.isEmpty()) {
-            end(answer, 0, 0);
+            release(answer, 0, 0);
             refuse(answer, ResultCode.FENCED, ExecutionStatus.NO, "this companion may not give the target orders");
             return;
         }
         running.put(request.attempt(), answer);
-        if (!outcomes.start(request.payload())) {
-            end(answer, 0, 0);
+        if (!lifecycle.start(request.payload())) {
+            release(answer, 0, 0);
             return;
         }
         generate(answer, order.get());
     }
 
-    private EngineAnswer answerOf(QueuedRequest<CompanionAttempt> request, Pin pin, long incarnation) {
+    private AttemptStream toStream(QueuedRequest<CompanionAttempt> request, Pin pin, long incarnation) {
         long arrivedAt = request.payload().arrivedAt();
         long now = clock.nanos();
-        long loading = adapterLoads.waited(adapterOf(request), arrivedAt, now);
-        return new EngineAnswer(request, Optional.of(pin), incarnation, now - arrivedAt - loading, loading, this);
+        long loading = adapterLoader.loadWaitNanos(adapterOf(request), arrivedAt, now);
+        return new AttemptStream(request, Optional.of(pin), incarnation, now - arrivedAt - loading, loading, this);
     }
 
-    private void generate(EngineAnswer answer, Order order) {
+    private void generate(AttemptStream answer, Order order) {
         CompanionAttempt attempt = answer.attempt();
         ModelEngine.Generation generation = new ModelEngine.Generation(
                 attempt.id(),
                 attempt.account(),
                 adapterOf(answer.request()),
                 attempt.body().toStringUtf8(),
-                attempt.named().getMaximumTokens(),
-                attempt.named().getPriority());
+                attempt.runWithoutBody().getMaximumTokens(),
+                attempt.runWithoutBody().getPriority());
         answer.attach(engine.generate(generation, order, answer));
     }
 
-    private void putBack(EngineAnswer answer) {
-        end(answer, 0, 0);
+    private void requeue(AttemptStream answer) {
+        release(answer, 0, 0);
         CompanionAttempt attempt = answer.attempt();
-        if (attempt.countPutBack() > GREATEST_PUT_BACKS) {
+        if (attempt.countRequeue() > MAX_REQUEUES) {
             refuse(answer, ResultCode.TARGET_FAILED, ExecutionStatus.NO, "the engine does not keep the adapter");
             return;
         }
-        attempt.forgetDemand();
-        outcomes.putBack(attempt);
+        attempt.resetDemand();
+        lifecycle.requeue(attempt);
         if (enqueue(answer.request())) {
             dispatch();
         }
@@ -291,28 +294,28 @@
      * @param tokensUsed what it cost
      * @param generated the tokens generated
      */
-    private void end(EngineAnswer answer, long tokensUsed, long generated) {
-        if (!answer.release()) {
+    private void release(AttemptStream answer, long tokensUsed, long generated) {
+        if (!answer.releasePin()) {
             return;
         }
         running.remove(answer.attempt().id(), answer);
         queue.onFinished(answer.attempt().id(), tokensUsed, generated);
     }
 
-    private void refuse(EngineAnswer answer, ResultCode code, ExecutionStatus ran, String message) {
-        outcomes.refused(answer.attempt(), ServingException.of(code, ran, message));
+    private void refuse(AttemptStream answer, ResultCode code, ExecutionStatus ran, String message) {
+        lifecycle.refuse(answer.attempt(), ServingException.of(code, ran, message));
         dispatch();
     }
 
     @Override
-    public void ended(EngineAnswer answer, End end) {
-        outcomes.ended(answer.attempt(), end);
-        end(answer, (long) end.getPromptTokens() + end.getGeneratedTokens(), end.getGeneratedTokens());
+    public void onEnded(AttemptStream answer, End end) {
+        lifecycle.end(answer.attempt(), end);
+        release(answer, (long) end.getPromptTokens() + end.getGeneratedTokens(), end.getGeneratedTokens());
         dispatch();
     }
 
     @Override
-    public void servedWrong(EngineAnswer answer, AdapterReference served) {
+    public void onWrongAdapterServed(AttemptStream answer, AdapterReference served) {
         AdapterReference named = adapterOf(answer.request());
         EventLog.write(
                 EventCode.WRONG_ADAPTER_SERVED,
@@ -320,36 +323,36 @@
                 answer.attempt().id(),
                 named,
                 served);
-        answer.stopListening();
-        outcomes.refused(
+        answer.detach();
+        lifecycle.refuse(
                 answer.attempt(),
                 ServingException.of(
                         ResultCode.WRONG_ADAPTER_SERVED,
                         ExecutionStatus.YES,
                         "the target ran " + served + " in place of " + named));
-        watch.invalidate();
+        engineMonitor.invalidate();
         stop(answer);
     }
 
     @Override
-    public void notStarted(EngineAnswer answer, PlatformException failure) {
+    public void onNotStarted(AttemptStream answer, PlatformException failure) {
         switch (failure.reason()) {
             case NOT_RESIDENT -> {
-                watch.invalidate();
-                sends.execute(() -> {
-                    end(answer, 0, 0);
-                    watch.confirm();
-                    putBack(answer);
+                engineMonitor.invalidate();
+                sendExecutor.execute(() -> {
+                    release(answer, 0, 0);
+                    engineMonitor.refreshIfStale();
+                    requeue(answer);
                 });
             }
             case FENCED -> {
-                permit.fencedOut();
-                end(answer, 0, 0);
+                authorization.onFencedOut();
+                release(answer, 0, 0);
                 refuse(answer, ResultCode.FENCED, ExecutionStatus.NO, "a newer companion has taken over the target");
             }
             default -> {
-                watch.invalidate();
-                end(answer, 0, 0);
+                engineMonitor.invalidate();
+                release(answer, 0, 0);
                 refuse(answer, ResultCode.TARGET_FAILED, ExecutionStatus.NO, failure.getMessage());
             }
         }
@@ -360,34 +363,34 @@
      * that does not know it any more, or cannot be reached for too long, ends it.
      */
     @Override
-    public void broken(EngineAnswer answer, PlatformException failure) {
-        watch.invalidate();
+    public void onBroken(AttemptStream answer, PlatformException failure) {
+        engineMonitor.invalidate();
         boolean unknown = failure.effect() == PlatformException.Effect.NONE;
-        if (unknown || answer.isOverdue(clock.nanos(), resumeLimit)) {
-            answer.stopListening();
-            refuse(answer, ResultCode.ANSWER_INTERRUPTED, ranSoFar(answer), failure.getMessage());
-            stoppable(answer);
+        if (unknown || answer.isBrokenLongerThan(clock.nanos(), resumeLimit)) {
+            answer.detach();
+            refuse(answer, ResultCode.ANSWER_INTERRUPTED, executionStatus(answer), failure.getMessage());
+            onStoppable(answer);
             return;
         }
-        timer.schedule(() -> sends.execute(() -> resume(answer)), RETRY_MILLIS, TimeUnit.MILLISECONDS);
+        timer.schedule(() -> sendExecutor.execute(() -> resume(answer)), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private static ExecutionStatus ranSoFar(EngineAnswer answer) {
-        return answer.hasBegun() ? ExecutionStatus.YES : ExecutionStatus.UNKNOWN;
+    private static ExecutionStatus executionStatus(AttemptStream answer) {
+        return answer.hasStarted() ? ExecutionStatus.YES : ExecutionStatus.UNKNOWN;
     }
 
-    private void resume(EngineAnswer answer) {
+    private void resume(AttemptStream answer) {
         if (answer.isCancelled()) {
             return;
         }
-        answer.resuming();
+        answer.markResumed();
         CompanionAttempt attempt = answer.attempt();
-        answer.attachResumed(engine.resume(attempt.id(), attempt.nextFromTarget(), answer));
+        answer.attachResumed(engine.resume(attempt.id(), attempt.nextExpectedSequence(), answer));
     }
 
     @Override
     public void cancel(CompanionAttempt attempt) {
-        EngineAnswer answer = running.get(attempt.id());
+        AttemptStream answer = running.get(attempt.id());
         if (answer != null && answer.cancel()) {
             stop(answer);
         }
@@ -398,8 +401,8 @@
      * order is valid; it is stopped after that, and holds its pin until then.
      */
     @Override
-    public void stoppable(EngineAnswer answer) {
-        if (answer.hasBegun()) {
+    public void onStoppable(AttemptStream answer) {
+        if (answer.hasStarted()) {
             stop(answer);
         } else {
             timer.schedule(() -> stop(answer), orderLimit.toNanos(), TimeUnit.NANOSECONDS);
@@ -412,41 +415,41 @@
      *
      * @param answer the stream, not null
      */
-    private void stop(EngineAnswer answer) {
-        sends.execute(() -> {
+    private void stop(AttemptStream answer) {
+        sendExecutor.execute(() -> {
             try {
                 engine.cancel(answer.attempt().id());
-                end(answer, 0, 0);
+                release(answer, 0, 0);
                 dispatch();
             } catch (PlatformException failure) {
-                stopLater(answer);
+                retryStop(answer);
             }
         });
     }
 
-    private void stopLater(EngineAnswer answer) {
-        watch.invalidate();
-        if (watch.confirm() && watch.incarnation() != answer.engineIncarnation()) {
-            end(answer, 0, 0);
+    private void retryStop(AttemptStream answer) {
+        engineMonitor.invalidate();
+        if (engineMonitor.refreshIfStale() && engineMonitor.incarnation() != answer.engineIncarnation()) {
+            release(answer, 0, 0);
             dispatch();
             return;
         }
-        timer.schedule(() -> stop(answer), RETRY_MILLIS, TimeUnit.MILLISECONDS);
+        timer.schedule(() -> stop(answer), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private void load(AdapterLoadCommand order) {
-        adapterLoads.carryOut(order);
+        adapterLoader.execute(order);
         dispatch();
     }
 
     @Override
-    public void acknowledged(CompanionAttempt attempt) {
-        Optional.ofNullable(running.get(attempt.id())).ifPresent(EngineAnswer::demand);
+    public void onAcknowledged(CompanionAttempt attempt) {
+        Optional.ofNullable(running.get(attempt.id())).ifPresent(AttemptStream::requestChunks);
     }
 
     @Override
     public void tick() {
-        sends.execute(watch::confirm);
+        sendExecutor.execute(engineMonitor::refreshIfStale);
         dispatch();
     }
 
@@ -456,13 +459,13 @@
                 .setQueued(queue.waitingCount())
                 .setQueuedTokens(queue.waitingTokens())
                 .setConcurrencyLimit(queue.concurrencyLimit())
-                .setEngineIncarnation(watch.incarnation());
+                .setEngineIncarnation(engineMonitor.incarnation());
         residency.resident().forEach(adapter -> status.addResident(adapter.toString()));
         residency.loading().forEach(adapter -> status.addLoading(adapter.toString()));
     }
 
     @Override
-    public int unfinished() {
+    public int unfinishedCount() {
         return queue.runningCount() + queue.waitingCount();
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/FenceTaker.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/FencingTokenStore.java
@@ -20,7 +20,7 @@
  * a write whose answer was lost is settled by reading the row for this companion's own name. Calls block. Safe for use by
  * several threads.
  */
-final class FenceTaker {
+final class FencingTokenStore {
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String TABLE = "fence";
@@ -29,7 +29,7 @@
     private final RowKey key;
     private final String holder;
 
-    FenceTaker(TableService table, TargetId target, InstanceId instance, long incarnation) {
+    FencingTokenStore(TableService table, TargetId target, InstanceId instance, long incarnation) {
         this.table = table;
         this.key = RowKey.of(TABLE, target.value());
         this.holder = instance + "/" + incarnation;
@@ -41,7 +41,7 @@
      * @param number the number
      * @param isOwn whether this companion has taken it
      */
-    record Fence(long number, boolean isOwn) {}
+    record FencingToken(long number, boolean isOwn) {}
 
     /**
      * Takes the next number.
@@ -49,10 +49,10 @@
      * @return the number, or empty if another companion came in between or the answer was lost; try again
      * @throws PlatformException if the table service does not answer, or the row cannot be read
      */
-    Optional<Long> take() throws PlatformException {
+    Optional<Long> acquire() throws PlatformException {
         Optional<Row> row = table.read(key);
         if (row.isPresent()) {
-            Fence present = parse(row.get());
+            FencingToken present = parse(row.get());
             if (present.isOwn()) {
                 return Optional.of(present.number());
             }
@@ -74,18 +74,18 @@
      * @return the fence, or empty if nobody has taken one
      * @throws PlatformException if the table service does not answer, or the row cannot be read
      */
-    Optional<Fence> read() throws PlatformException {
+    Optional<FencingToken> read() throws PlatformException {
         Optional<Row> row = table.read(key);
         return row.isPresent() ? Optional.of(parse(row.get())) : Optional.empty();
     }
 
-    private Fence parse(Row row) throws PlatformException {
+    private FencingToken parse(Row row) throws PlatformException {
         try {
             JsonNode json = JSON.readTree(row.value());
             if (!json.path("number").canConvertToLong()) {
                 throw unreadable(null);
             }
-            return new Fence(
+            return new FencingToken(
                     json.path("number").asLong(), json.path("holder").asText().equals(holder));
         } catch (IOException failure) {
             throw unreadable(failure);
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/Frames.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/Frames.java
@@ -42,7 +42,7 @@
         return Frame.newBuilder().setEnd(end).build();
     }
 
-    static Frame sealed(AttemptId attempt, AttemptTable.Seen seen, long incarnation) {
+    static Frame sealed(AttemptId attempt, AttemptTable.KnownState seen, long incarnation) {
         return Frame.newBuilder()
                 .setSealed(Sealed.newBuilder()
                         .setAttempt(attempt.value())
@@ -51,7 +51,7 @@
                 .build();
     }
 
-    static Frame sealedElsewhere(AttemptId attempt, long incarnation) {
+    static Frame sealedByOtherIncarnation(AttemptId attempt, long incarnation) {
         return Frame.newBuilder()
                 .setSealed(Sealed.newBuilder()
                         .setAttempt(attempt.value())
@@ -66,7 +66,7 @@
     private static final int OTHER_INCARNATION = 3;
     private static final int TOO_OLD = 4;
 
-    private static int stateNumber(AttemptTable.Seen seen) {
+    private static int stateNumber(AttemptTable.KnownState seen) {
         return switch (seen) {
             case NEVER_STARTED -> NEVER_STARTED;
             case WAITING, STARTED -> STARTED;
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/LeftStreams.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/InheritedStreams.java
@@ -9,16 +9,16 @@
  * The streams that a former companion has left running at the engine.
  *
  * <p>On which adapters they run is not known, so nothing may be evicted until each has been asked for by its entry, or
- * stopped. Invariant: a stream is given to one caller of {@link #take} or {@link #takeAll}. Safe for use by several threads,
+ * stopped. Invariant: a stream is given to one caller of {@link #claim} or {@link #claimAll}. Safe for use by several threads,
  * under its own lock.
  */
-final class LeftStreams {
+final class InheritedStreams {
 
-    private final Set<AttemptId> left;
+    private final Set<AttemptId> unclaimed;
     private final Set<AttemptId> stopping = new HashSet<>();
 
-    LeftStreams(Set<AttemptId> found) {
-        this.left = new HashSet<>(found);
+    InheritedStreams(Set<AttemptId> found) {
+        this.unclaimed = new HashSet<>(found);
     }
 
     /**
@@ -27,27 +27,27 @@
      * @param id the stream, not null
      * @return false if it was not left, or is taken
      */
-    synchronized boolean take(AttemptId id) {
-        return left.remove(id);
+    synchronized boolean claim(AttemptId id) {
+        return unclaimed.remove(id);
     }
 
     /**
      * Takes all that nobody has asked for, to stop them.
      *
-     * @return the streams, each to be told of by {@link #stopped}, not null
+     * @return the streams, each to be told of by {@link #onStopped}, not null
      */
-    synchronized Set<AttemptId> takeAll() {
-        Set<AttemptId> taken = new HashSet<>(left);
+    synchronized Set<AttemptId> claimAll() {
+        Set<AttemptId> taken = new HashSet<>(unclaimed);
         stopping.addAll(taken);
-        left.clear();
+        unclaimed.clear();
         return taken;
     }
 
-    synchronized void stopped(AttemptId id) {
+    synchronized void onStopped(AttemptId id) {
         stopping.remove(id);
     }
 
     synchronized boolean isEmpty() {
-        return left.isEmpty() && stopping.isEmpty();
+        return unclaimed.isEmpty() && stopping.isEmpty();
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/LoadSettings.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/LoadSettings.java
@@ -80,7 +80,7 @@
                 standard.longestBackoff());
     }
 
-    ResidencySettings residency(int slots) {
+    ResidencySettings toResidencySettings(int slots) {
         return new ResidencySettings(
                 slots, eviction, order, atOnce, fleetWide, expected, halfLife, patience, firstBackoff, longestBackoff);
     }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/GuardedPool.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/LoggingThreadPool.java
@@ -15,12 +15,12 @@
  *
  * <p>Safe for use by several threads.
  */
-final class GuardedPool extends ThreadPoolExecutor {
+final class LoggingThreadPool extends ThreadPoolExecutor {
 
-    private static final long IDLE_SECONDS = 30;
+    private static final long KEEP_ALIVE_SECONDS = 30;
 
-    GuardedPool(String name, int threads) {
-        super(threads, threads, IDLE_SECONDS, TimeUnit.SECONDS, new LinkedBlockingQueue<>());
+    LoggingThreadPool(String name, int threads) {
+        super(threads, threads, KEEP_ALIVE_SECONDS, TimeUnit.SECONDS, new LinkedBlockingQueue<>());
         AtomicInteger number = new AtomicInteger();
         setThreadFactory(task -> {
             Thread thread = new Thread(task, name + "-" + number.incrementAndGet());
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/OrderPermit.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/OrderAuthorization.java
@@ -13,21 +13,21 @@
  * order is given until the fence was read again. As a successor waits for the order limit before its first order, an order
  * decided before the freeze and one of the successor are never both carried out.
  *
- * <p>Invariant: after {@link #fencedOut} no order is given any more. Safe for use by several threads, under its own lock;
+ * <p>Invariant: after {@link #onFencedOut} no order is given any more. Safe for use by several threads, under its own lock;
  * times are nanoseconds of one monotonic clock.
  */
-final class OrderPermit {
+final class OrderAuthorization {
 
-    private final boolean targetChecks;
-    private final Duration limit;
+    private final boolean targetChecksFence;
+    private final Duration orderLimit;
     private long fence;
-    private boolean out;
-    private boolean mustConfirm = true;
-    private long lastTick;
+    private boolean isFencedOut;
+    private boolean mustConfirmFence = true;
+    private long lastTickAt;
 
-    OrderPermit(boolean targetChecks, Duration limit) {
-        this.targetChecks = targetChecks;
-        this.limit = limit;
+    OrderAuthorization(boolean targetChecks, Duration limit) {
+        this.targetChecksFence = targetChecks;
+        this.orderLimit = limit;
     }
 
     /**
@@ -36,10 +36,10 @@
      * @param taken the fence
      * @param now the time
      */
-    synchronized void taken(long taken, long now) {
+    synchronized void onFenceAcquired(long taken, long now) {
         fence = taken;
-        lastTick = now;
-        mustConfirm = false;
+        lastTickAt = now;
+        mustConfirmFence = false;
     }
 
     /**
@@ -48,13 +48,13 @@
      * @param now the time
      */
     synchronized void tick(long now) {
-        noticeGap(now);
-        lastTick = now;
+        detectGap(now);
+        lastTickAt = now;
     }
 
-    private void noticeGap(long now) {
-        if (now - lastTick > limit.toNanos()) {
-            mustConfirm = true;
+    private void detectGap(long now) {
+        if (now - lastTickAt > orderLimit.toNanos()) {
+            mustConfirmFence = true;
         }
     }
 
@@ -64,21 +64,21 @@
      * @param askedAt when the reading began
      * @param now the time
      */
-    synchronized void confirmed(long askedAt, long now) {
-        noticeGap(now);
-        lastTick = now;
-        if (now - askedAt <= limit.toNanos()) {
-            mustConfirm = false;
+    synchronized void onFenceConfirmed(long askedAt, long now) {
+        detectGap(now);
+        lastTickAt = now;
+        if (now - askedAt <= orderLimit.toNanos()) {
+            mustConfirmFence = false;
         }
     }
 
     /** Notes that a newer companion has taken the target over. */
-    synchronized void fencedOut() {
-        out = true;
+    synchronized void onFencedOut() {
+        isFencedOut = true;
     }
 
-    synchronized boolean isOut() {
-        return out;
+    synchronized boolean isFencedOut() {
+        return isFencedOut;
     }
 
     synchronized long fence() {
@@ -91,11 +91,11 @@
      * @param now the time
      * @return its standing, or empty if no order may be given
      */
-    synchronized Optional<Order> order(long now) {
-        noticeGap(now);
-        if (fence == 0 || out || mustConfirm && !targetChecks) {
+    synchronized Optional<Order> authorize(long now) {
+        detectGap(now);
+        if (fence == 0 || isFencedOut || mustConfirmFence && !targetChecksFence) {
             return Optional.empty();
         }
-        return Optional.of(new Order(fence, limit));
+        return Optional.of(new Order(fence, orderLimit));
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/OutputBuffer.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/OutputBuffer.java
@@ -17,18 +17,18 @@
  */
 final class OutputBuffer {
 
-    private final Deque<Chunk> kept = new ArrayDeque<>();
-    private final int limit;
-    private final boolean keepsAll;
-    private long firstKept;
+    private final Deque<Chunk> retained = new ArrayDeque<>();
+    private final int retainedLimit;
+    private final boolean retainsAcknowledged;
+    private long firstRetained;
     private long acknowledged;
     private long nextToSend;
-    private long allowed;
-    private long asked;
+    private long sendLimit;
+    private long requestedEnd;
     private boolean isOpen;
-    private Frame last;
-    private boolean lastSent;
-    private boolean lastAcknowledged;
+    private Frame lastFrame;
+    private boolean isLastSent;
+    private boolean isLastAcknowledged;
 
     /**
      * Makes an empty buffer.
@@ -39,13 +39,13 @@
      * @param keepsAll whether acknowledged chunks are kept too, for another entry that asks for the whole answer
      */
     OutputBuffer(long first, int credit, int limit, boolean keepsAll) {
-        this.firstKept = first;
+        this.firstRetained = first;
         this.acknowledged = first;
         this.nextToSend = first;
-        this.asked = first;
-        this.allowed = first + credit;
-        this.limit = limit;
-        this.keepsAll = keepsAll;
+        this.requestedEnd = first;
+        this.sendLimit = first + credit;
+        this.retainedLimit = limit;
+        this.retainsAcknowledged = keepsAll;
     }
 
     /** Lets chunks be sent. */
@@ -54,10 +54,11 @@
     }
 
     void add(Chunk chunk) {
-        if (chunk.getSequence() != end()) {
-            throw new IllegalArgumentException("chunk " + chunk.getSequence() + " where " + end() + " is expected");
+        if (chunk.getSequence() != nextExpectedSequence()) {
+            throw new IllegalArgumentException(
+                    "chunk " + chunk.getSequence() + " where " + nextExpectedSequence() + " is expected");
         }
-        kept.addLast(chunk);
+        retained.addLast(chunk);
     }
 
     /**
@@ -65,8 +66,8 @@
      *
      * @return the number
      */
-    long end() {
-        return firstKept + kept.size();
+    long nextExpectedSequence() {
+        return firstRetained + retained.size();
     }
 
     /**
@@ -75,13 +76,13 @@
      * @param frame an End or a Refused, not null
      */
     void finish(Frame frame) {
-        if (last == null) {
-            last = frame;
+        if (lastFrame == null) {
+            lastFrame = frame;
         }
     }
 
     boolean isFinished() {
-        return last != null;
+        return lastFrame != null;
     }
 
     /**
@@ -90,7 +91,7 @@
      * @return true if the entry has acknowledged the last frame
      */
     boolean isDelivered() {
-        return lastAcknowledged;
+        return isLastAcknowledged;
     }
 
     /**
@@ -101,13 +102,13 @@
      * @return false if that chunk was acknowledged before and is gone, or was never there
      */
     boolean resume(long next, int credit) {
-        if (next < firstKept || next > end()) {
+        if (next < firstRetained || next > nextExpectedSequence()) {
             return false;
         }
         acknowledge(next, credit);
         nextToSend = next;
-        allowed = next + credit;
-        lastSent = false;
+        sendLimit = next + credit;
+        isLastSent = false;
         return true;
     }
 
@@ -118,15 +119,15 @@
      * @param credit how many chunks from there on may be sent
      */
     void acknowledge(long next, int credit) {
-        if (next > end() && last == null) {
+        if (next > nextExpectedSequence() && lastFrame == null) {
             return;
         }
-        allowed = Math.max(allowed, next + credit);
-        lastAcknowledged |= last != null && next > end();
+        sendLimit = Math.max(sendLimit, next + credit);
+        isLastAcknowledged |= lastFrame != null && next > nextExpectedSequence();
         acknowledged = Math.max(acknowledged, Math.min(next, nextToSend));
-        while (!keepsAll && firstKept < next && !kept.isEmpty() && firstKept < nextToSend) {
-            kept.removeFirst();
-            firstKept++;
+        while (!retainsAcknowledged && firstRetained < next && !retained.isEmpty() && firstRetained < nextToSend) {
+            retained.removeFirst();
+            firstRetained++;
         }
     }
 
@@ -135,32 +136,32 @@
      *
      * @return the frame, or empty if there is none or the credit is used up
      */
-    Optional<Frame> next() {
-        if (last != null && last.hasRefused()) {
-            return takeLast();
+    Optional<Frame> pollFrame() {
+        if (lastFrame != null && lastFrame.hasRefused()) {
+            return pollLastFrame();
         }
-        if (isOpen && nextToSend < end() && nextToSend < allowed) {
+        if (isOpen && nextToSend < nextExpectedSequence() && nextToSend < sendLimit) {
             Frame frame = Frame.newBuilder().setChunk(chunk(nextToSend)).build();
             nextToSend++;
             return Optional.of(frame);
         }
-        return nextToSend == end() ? takeLast() : Optional.empty();
+        return nextToSend == nextExpectedSequence() ? pollLastFrame() : Optional.empty();
     }
 
-    private Optional<Frame> takeLast() {
-        if (last == null || lastSent) {
+    private Optional<Frame> pollLastFrame() {
+        if (lastFrame == null || isLastSent) {
             return Optional.empty();
         }
-        lastSent = true;
-        return Optional.of(last);
+        isLastSent = true;
+        return Optional.of(lastFrame);
     }
 
     private Chunk chunk(long sequence) {
-        if (sequence == end() - 1) {
-            return kept.getLast();
+        if (sequence == nextExpectedSequence() - 1) {
+            return retained.getLast();
         }
-        Iterator<Chunk> chunks = kept.iterator();
-        for (long skipped = firstKept; skipped < sequence; skipped++) {
+        Iterator<Chunk> chunks = retained.iterator();
+        for (long skipped = firstRetained; skipped < sequence; skipped++) {
             chunks.next();
         }
         return chunks.next();
@@ -174,16 +175,16 @@
      * @return how many, 0 for none; they count as asked for
      */
     int takeDemand() {
-        long room = (isOpen ? acknowledged : end()) + limit - asked;
-        if (room < Math.max(1, limit / 4)) {
+        long room = (isOpen ? acknowledged : nextExpectedSequence()) + retainedLimit - requestedEnd;
+        if (room < Math.max(1, retainedLimit / 4)) {
             return 0;
         }
-        asked += room;
+        requestedEnd += room;
         return (int) room;
     }
 
     /** Notes that what was asked for and has not come will not come. */
-    void forgetDemand() {
-        asked = end();
+    void resetDemand() {
+        requestedEnd = nextExpectedSequence();
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/QueueSettings.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/QueueSettings.java
@@ -60,7 +60,7 @@
                 DEFAULT_LIMIT);
     }
 
-    QueueWeights weights() {
+    QueueWeights toQueueWeights() {
         return new QueueWeights(passedOverAtMost, accountSlackTokens, priorityStep);
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/ServiceRunner.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/ServiceRunner.java
@@ -23,32 +23,32 @@
  */
 final class ServiceRunner implements TargetRunner {
 
-    private static final int PAYLOAD_BYTES = 64 * 1024;
+    private static final int MAX_CHUNK_BYTES = 64 * 1024;
     private static final long NANOS_PER_MICRO = 1_000;
 
     private final PlainService service;
     private final RequestQueue<CompanionAttempt> queue;
-    private final OrderPermit permit;
-    private final Outcomes outcomes;
+    private final OrderAuthorization authorization;
+    private final AttemptLifecycle lifecycle;
     private final MonotonicClock clock;
-    private final ExecutorService calls;
-    private final Runnable changed;
+    private final ExecutorService callExecutor;
+    private final Runnable onChange;
 
     ServiceRunner(
             PlainService service,
             RequestQueue<CompanionAttempt> queue,
-            OrderPermit permit,
-            Outcomes outcomes,
+            OrderAuthorization permit,
+            AttemptLifecycle outcomes,
             MonotonicClock clock,
             ExecutorService calls,
             Runnable changed) {
         this.service = service;
         this.queue = queue;
-        this.permit = permit;
-        this.outcomes = outcomes;
+        this.authorization = permit;
+        this.lifecycle = outcomes;
         this.clock = clock;
-        this.calls = calls;
-        this.changed = changed;
+        this.callExecutor = calls;
+        this.onChange = changed;
     }
 
     @Override
@@ -58,7 +58,7 @@
                 attempt.account(),
                 Optional.empty(),
                 1,
-                attempt.named().getPriority(),
+                attempt.runWithoutBody().getPriority(),
                 attempt.deadline(),
                 attempt));
         dispatch();
@@ -67,7 +67,7 @@
     @Override
     public void withdraw(CompanionAttempt attempt) {
         queue.remove(attempt.id());
-        changed.run();
+        onChange.run();
     }
 
     @Override
@@ -79,13 +79,13 @@
         Optional<QueuedRequest<CompanionAttempt>> next = queue.take(adapter -> true);
         while (next.isPresent()) {
             CompanionAttempt attempt = next.get().payload();
-            calls.execute(() -> runToEnd(attempt));
+            callExecutor.execute(() -> runAndRelease(attempt));
             next = queue.take(adapter -> true);
         }
-        changed.run();
+        onChange.run();
     }
 
-    private void runToEnd(CompanionAttempt attempt) {
+    private void runAndRelease(CompanionAttempt attempt) {
         try {
             run(attempt);
         } finally {
@@ -95,34 +95,34 @@
     }
 
     private void run(CompanionAttempt attempt) {
-        if (permit.order(clock.nanos()).isEmpty()) {
-            outcomes.refused(
+        if (authorization.authorize(clock.nanos()).isEmpty()) {
+            lifecycle.refuse(
                     attempt,
                     ServingException.notRun(ResultCode.FENCED, "this companion may not give the target orders"));
             return;
         }
-        if (!outcomes.start(attempt)) {
+        if (!lifecycle.start(attempt)) {
             return;
         }
         long waited = clock.nanos() - attempt.arrivedAt();
         byte[] body = attempt.body().toByteArray();
         try {
             byte[] answer = service.call(
-                    attempt.id(), attempt.account(), attempt.named().getOperation(), body);
-            answered(attempt, answer, waited);
+                    attempt.id(), attempt.account(), attempt.runWithoutBody().getOperation(), body);
+            deliver(attempt, answer, waited);
         } catch (PlatformException failure) {
-            failed(attempt, failure);
+            onFailed(attempt, failure);
         }
     }
 
-    private void answered(CompanionAttempt attempt, byte[] answer, long waited) {
+    private void deliver(CompanionAttempt attempt, byte[] answer, long waited) {
         int sequence = 0;
-        for (int from = 0; from < answer.length; from += PAYLOAD_BYTES) {
-            int length = Math.min(PAYLOAD_BYTES, answer.length - from);
+        for (int from = 0; from < answer.length; from += MAX_CHUNK_BYTES) {
+            int length = Math.min(MAX_CHUNK_BYTES, answer.length - from);
             attempt.add(Frames.chunk(attempt.id(), sequence, ByteString.copyFrom(answer, from, length), 0));
             sequence++;
         }
-        outcomes.ended(
+        lifecycle.end(
                 attempt,
                 End.newBuilder()
                         .setAttempt(attempt.id().value())
@@ -131,11 +131,11 @@
                         .build());
     }
 
-    private void failed(CompanionAttempt attempt, PlatformException failure) {
+    private void onFailed(CompanionAttempt attempt, PlatformException failure) {
         boolean notRun = failure.effect() == PlatformException.Effect.NONE;
         ResultCode code = notRun ? ResultCode.TARGET_FAILED : ResultCode.OUTCOME_UNKNOWN;
         ExecutionStatus ran = notRun ? ExecutionStatus.NO : ExecutionStatus.UNKNOWN;
-        outcomes.refused(attempt, ServingException.of(code, ran, failure.getMessage()));
+        lifecycle.refuse(attempt, ServingException.of(code, ran, failure.getMessage()));
     }
 
     @Override
@@ -152,7 +152,7 @@
     }
 
     @Override
-    public int unfinished() {
+    public int unfinishedCount() {
         return queue.runningCount() + queue.waitingCount();
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/StartCheck.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/StartCheck.java
@@ -16,12 +16,12 @@
  */
 final class StartCheck {
 
-    private static final Duration COME_BACK = Duration.ofMillis(500);
+    private static final Duration RETRY_AFTER = Duration.ofMillis(500);
 
-    private final CompanionParts parts;
+    private final CompanionDependencies dependencies;
 
-    StartCheck(CompanionParts parts) {
-        this.parts = parts;
+    StartCheck(CompanionDependencies parts) {
+        this.dependencies = parts;
     }
 
     /**
@@ -31,12 +31,12 @@
      * @throws ServingException if it may not start; it has not run
      */
     void check(Run run) throws ServingException {
-        parts.configuration().requireFresh();
-        Optional<Target> target = parts.configuration().current().target(parts.target());
+        dependencies.configuration().requireFresh();
+        Optional<Target> target = dependencies.configuration().current().target(dependencies.target());
         if (target.isEmpty()) {
-            throw ServingException.notRun(ResultCode.NO_TARGET, "no record of target " + parts.target())
-                    .withRetryAfter(COME_BACK);
+            throw ServingException.notRun(ResultCode.NO_TARGET, "no record of target " + dependencies.target())
+                    .withRetryAfter(RETRY_AFTER);
         }
-        RunCheck.check(run, parts.configuration().current(), target.get());
+        RunCheck.check(run, dependencies.configuration().current(), target.get());
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/StatusReporter.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/StatusReporter.java
@@ -17,24 +17,24 @@
  */
 final class StatusReporter {
 
-    private final Map<Peer, Set<String>> told = new HashMap<>();
+    private final Map<Peer, Set<String>> reportedResidents = new HashMap<>();
     private long sequence;
 
-    synchronized void opened(Peer peer, Status current) {
-        told.put(peer, new HashSet<>());
-        tell(peer, current, true);
+    synchronized void onLinkOpened(Peer peer, Status current) {
+        reportedResidents.put(peer, new HashSet<>());
+        send(peer, current, true);
     }
 
-    synchronized void closed(Peer peer) {
-        told.remove(peer);
+    synchronized void onLinkClosed(Peer peer) {
+        reportedResidents.remove(peer);
     }
 
     synchronized void report(Status current) {
-        told.keySet().forEach(peer -> tell(peer, current, false));
+        reportedResidents.keySet().forEach(peer -> send(peer, current, false));
     }
 
-    private void tell(Peer peer, Status current, boolean complete) {
-        Set<String> before = told.get(peer);
+    private void send(Peer peer, Status current, boolean complete) {
+        Set<String> before = reportedResidents.get(peer);
         Set<String> now = new HashSet<>(current.getResidentList());
         Set<String> removed = new HashSet<>(before);
         removed.removeAll(now);
@@ -48,6 +48,6 @@
                 .setSequence(++sequence)
                 .build();
         peer.send(Frame.newBuilder().setStatus(report).build());
-        told.put(peer, now);
+        reportedResidents.put(peer, now);
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/TargetRunner.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/TargetRunner.java
@@ -6,7 +6,7 @@
  * Gives attempts to the target, in its own order and no more at once than it takes.
  *
  * <p>Contract: safe for use by several threads; no method blocks. An attempt submitted is ended once, through {@link
- * Outcomes}, unless it is withdrawn.
+ * AttemptLifecycle}, unless it is withdrawn.
  */
 interface TargetRunner {
 
@@ -36,7 +36,7 @@
      *
      * @param attempt the attempt, not null
      */
-    default void acknowledged(CompanionAttempt attempt) {}
+    default void onAcknowledged(CompanionAttempt attempt) {}
 
     /**
      * Goes on with a stream that a former companion has left running at the target.
@@ -63,5 +63,5 @@
      *
      * @return the number
      */
-    int unfinished();
+    int unfinishedCount();
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/TargetStart.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/TargetTakeover.java
@@ -22,50 +22,50 @@
  * <p>Invariant: there is a runner only once all of these are done. Safe for use by several threads; what blocks runs on
  * threads of its own.
  */
-final class TargetStart implements AutoCloseable {
+final class TargetTakeover implements AutoCloseable {
 
     private static final int SEND_THREADS = 8;
-    private static final long RETRY_MILLIS = 200;
+    private static final long RETRY_DELAY_MILLIS = 200;
     private static final Duration NEWS_LIMIT = Duration.ofSeconds(5);
 
     private final CompanionSettings settings;
-    private final CompanionParts parts;
+    private final CompanionDependencies dependencies;
     private final MonotonicClock clock;
-    private final Outcomes outcomes;
+    private final AttemptLifecycle lifecycle;
     private final ScheduledExecutorService timer;
-    private final Runnable changed;
-    private final FenceTaker fences;
-    private final GuardedPool sends = new GuardedPool("companion-send", SEND_THREADS);
-    private final GuardedPool work;
-    private final GuardedPool starts = new GuardedPool("companion-start", 1);
-    private volatile OrderPermit permit;
+    private final Runnable onChange;
+    private final FencingTokenStore tokenStore;
+    private final LoggingThreadPool sendPool = new LoggingThreadPool("companion-send", SEND_THREADS);
+    private final LoggingThreadPool workPool;
+    private final LoggingThreadPool startPool = new LoggingThreadPool("companion-start", 1);
+    private volatile OrderAuthorization authorization;
     private volatile TargetRunner runner;
-    private volatile String reason = "the companion has not been started";
-    private volatile boolean closed;
-    private long lastFenceCheck;
-    private long lastLook;
+    private volatile String notReadyReason = "the companion has not been started";
+    private volatile boolean isClosed;
+    private long lastFenceCheckAt;
+    private long lastRunnerTickAt;
 
-    TargetStart(
+    TargetTakeover(
             CompanionSettings settings,
-            CompanionParts parts,
-            Outcomes outcomes,
+            CompanionDependencies parts,
+            AttemptLifecycle outcomes,
             ScheduledExecutorService timer,
             Runnable changed) {
         this.settings = settings;
-        this.parts = parts;
+        this.dependencies = parts;
         this.clock = parts.clock();
-        this.outcomes = outcomes;
+        this.lifecycle = outcomes;
         this.timer = timer;
-        this.changed = changed;
-        this.fences = new FenceTaker(parts.table(), parts.target(), parts.instance(), parts.incarnation());
+        this.onChange = changed;
+        this.tokenStore = new FencingTokenStore(parts.table(), parts.target(), parts.instance(), parts.incarnation());
         int threads = parts.engine().isPresent()
                 ? settings.loads().atOnce()
                 : settings.queue().concurrency();
-        this.work = new GuardedPool("companion-work", threads);
+        this.workPool = new LoggingThreadPool("companion-work", threads);
     }
 
     void start() {
-        starts.execute(() -> {
+        startPool.execute(() -> {
             try {
                 takeOver();
             } catch (InterruptedException stopped) {
@@ -76,38 +76,38 @@
 
     private void takeOver() throws InterruptedException {
         Target target = awaitRecord();
-        OrderPermit taken = new OrderPermit(target.checksFence(), settings.orderLimit());
-        taken.taken(awaitFence(), clock.nanos());
-        permit = taken;
+        OrderAuthorization taken = new OrderAuthorization(target.checksFence(), settings.orderLimit());
+        taken.onFenceAcquired(awaitFence(), clock.nanos());
+        authorization = taken;
         if (!target.checksFence()) {
-            awaitFormerOrders();
+            awaitPredecessorOrders();
         }
-        runner = parts.engine().isPresent()
-                ? awaitEngine(parts.engine().get(), target)
-                : serviceRunner(parts.service().orElseThrow());
-        reason = "";
-        EventLog.write(EventCode.READY, "companion {} of {}, fence {}", parts.instance(), target.id(), fence());
-        changed.run();
+        runner = dependencies.engine().isPresent()
+                ? awaitEngine(dependencies.engine().get(), target)
+                : newServiceRunner(dependencies.service().orElseThrow());
+        notReadyReason = "";
+        EventLog.write(EventCode.READY, "companion {} of {}, fence {}", dependencies.instance(), target.id(), fence());
+        onChange.run();
     }
 
     private Target awaitRecord() throws InterruptedException {
-        reason = "no record of target " + parts.target();
-        Optional<Target> target = parts.configuration().current().target(parts.target());
+        notReadyReason = "no record of target " + dependencies.target();
+        Optional<Target> target = dependencies.configuration().current().target(dependencies.target());
         while (target.isEmpty()) {
-            Thread.sleep(RETRY_MILLIS);
-            target = parts.configuration().current().target(parts.target());
+            Thread.sleep(RETRY_DELAY_MILLIS);
+            target = dependencies.configuration().current().target(dependencies.target());
         }
         return target.get();
     }
 
     private long awaitFence() throws InterruptedException {
-        reason = "the fence is not taken";
+        notReadyReason = "the fence is not taken";
         boolean reported = false;
         while (true) {
             try {
-                Optional<Long> number = fences.take();
+                Optional<Long> number = tokenStore.acquire();
                 if (number.isPresent()) {
-                    EventLog.write(EventCode.FENCE_TAKEN, "{} of {}", number.get(), parts.target());
+                    EventLog.write(EventCode.FENCE_TAKEN, "{} of {}", number.get(), dependencies.target());
                     return number.get();
                 }
             } catch (PlatformException failure) {
@@ -116,7 +116,7 @@
                 }
                 reported = true;
             }
-            Thread.sleep(RETRY_MILLIS);
+            Thread.sleep(RETRY_DELAY_MILLIS);
         }
     }
 
@@ -126,46 +126,47 @@
      *
      * @throws InterruptedException if this companion stops
      */
-    private void awaitFormerOrders() throws InterruptedException {
-        reason = "orders of a former companion may still be valid";
+    private void awaitPredecessorOrders() throws InterruptedException {
+        notReadyReason = "orders of a former companion may still be valid";
         Thread.sleep(settings.orderLimit().plus(settings.fenceCheckInterval()).toMillis());
-        permit.tick(clock.nanos());
+        authorization.tick(clock.nanos());
         confirmFence();
     }
 
     private EngineRunner awaitEngine(ModelEngine engine, Target target) throws InterruptedException {
-        reason = "the engine does not answer";
+        notReadyReason = "the engine does not answer";
         Residency residency = Residency.create(
-                settings.loads().residency(target.slots()), FleetLoads.create(clock, NEWS_LIMIT), clock);
-        EngineWatch watch = new EngineWatch(engine, residency, clock, settings.engineCheckAge());
-        while (!watch.confirm()) {
-            Thread.sleep(RETRY_MILLIS);
+                settings.loads().toResidencySettings(target.slots()), FleetLoads.create(clock, NEWS_LIMIT), clock);
+        EngineMonitor watch = new EngineMonitor(engine, residency, clock, settings.engineCheckAge());
+        while (!watch.refreshIfStale()) {
+            Thread.sleep(RETRY_DELAY_MILLIS);
         }
         EngineRunner started = new EngineRunner(new EngineRunner.Collaborators(
                 engine,
                 residency,
-                queue(),
+                newQueue(),
                 watch,
-                permit,
-                outcomes,
+                authorization,
+                lifecycle,
                 clock,
                 settings.orphanLimit(),
                 settings.orderLimit(),
-                sends,
-                work,
+                sendPool,
+                workPool,
                 timer,
-                changed));
-        started.stopLeftStreamsAfter(settings.adoptionLimit());
+                onChange));
+        started.stopInheritedStreamsAfter(settings.adoptionLimit());
         return started;
     }
 
-    private ServiceRunner serviceRunner(PlainService service) {
-        return new ServiceRunner(service, queue(), permit, outcomes, clock, work, changed);
+    private ServiceRunner newServiceRunner(PlainService service) {
+        return new ServiceRunner(service, newQueue(), authorization, lifecycle, clock, workPool, onChange);
     }
 
-    private RequestQueue<CompanionAttempt> queue() {
+    private RequestQueue<CompanionAttempt> newQueue() {
         QueueSettings queue = settings.queue();
-        return RequestQueue.create(queue.policy(), queue.weights(), ConcurrencyLimit.fixed(queue.concurrency()), clock);
+        return RequestQueue.create(
+                queue.policy(), queue.toQueueWeights(), ConcurrencyLimit.fixed(queue.concurrency()), clock);
     }
 
     Optional<TargetRunner> runner() {
@@ -176,57 +177,57 @@
         if (isFencedOut()) {
             return Optional.of("a newer companion has taken over the target");
         }
-        return reason.isEmpty() ? Optional.empty() : Optional.of(reason);
+        return notReadyReason.isEmpty() ? Optional.empty() : Optional.of(notReadyReason);
     }
 
     boolean isFencedOut() {
-        OrderPermit held = permit;
-        return held != null && held.isOut();
+        OrderAuthorization held = authorization;
+        return held != null && held.isFencedOut();
     }
 
     long fence() {
-        OrderPermit held = permit;
+        OrderAuthorization held = authorization;
         return held == null ? 0 : held.fence();
     }
 
     /** Does what is due. */
     void tick() {
-        OrderPermit held = permit;
+        OrderAuthorization held = authorization;
         if (held == null || runner == null) {
             return;
         }
         long now = clock.nanos();
         held.tick(now);
-        if (now - lastFenceCheck > settings.fenceCheckInterval().toNanos()) {
-            lastFenceCheck = now;
-            starts.execute(this::confirmFence);
+        if (now - lastFenceCheckAt > settings.fenceCheckInterval().toNanos()) {
+            lastFenceCheckAt = now;
+            startPool.execute(this::confirmFence);
         }
-        if (now - lastLook > settings.statusInterval().toNanos()) {
-            lastLook = now;
+        if (now - lastRunnerTickAt > settings.statusInterval().toNanos()) {
+            lastRunnerTickAt = now;
             runner.tick();
         }
     }
 
     /** Reads the fence again, so that a companion that was replaced stops even if its target does not check. */
     private void confirmFence() {
-        if (closed || permit.isOut()) {
+        if (isClosed || authorization.isFencedOut()) {
             return;
         }
         long askedAt = clock.nanos();
         try {
-            Optional<FenceTaker.Fence> fence = fences.read();
+            Optional<FencingTokenStore.FencingToken> fence = tokenStore.read();
             if (fence.isEmpty() || fence.get().isOwn()) {
-                permit.confirmed(askedAt, clock.nanos());
+                authorization.onFenceConfirmed(askedAt, clock.nanos());
                 return;
             }
-            permit.fencedOut();
+            authorization.onFencedOut();
             EventLog.write(
                     EventCode.FENCED_OUT,
                     "{}: fence {} is followed by {}",
-                    parts.target(),
+                    dependencies.target(),
                     fence(),
                     fence.get().number());
-            changed.run();
+            onChange.run();
         } catch (PlatformException failure) {
             // An outage of the store takes no target away from its companion; a frozen companion stays barred until it
             // ends.
@@ -236,9 +237,9 @@
 
     @Override
     public void close() {
-        closed = true;
-        starts.shutdownNow();
-        sends.shutdownNow();
-        work.shutdownNow();
+        isClosed = true;
+        startPool.shutdownNow();
+        sendPool.shutdownNow();
+        workPool.shutdownNow();
     }
 }
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/AttemptTableFuzzTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/AttemptTableFuzzTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
-import org.geraniumreach.daemon.companion.AttemptTable.Seen;
+import org.geraniumreach.daemon.companion.AttemptTable.KnownState;
 import org.geraniumreach.model.AttemptId;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -26,9 +26,9 @@
         private final AttemptTable<String> table = new AttemptTable<>(RETENTION, RETAINED);
         private final Map<AttemptId, Long> sentAt = new HashMap<>();
         private final Map<AttemptId, Long> sealedAt = new HashMap<>();
-        private final Set<AttemptId> underWay = new HashSet<>();
+        private final Set<AttemptId> inTransit = new HashSet<>();
         private final Set<AttemptId> started = new HashSet<>();
-        private final Set<AttemptId> saidNever = new HashSet<>();
+        private final Set<AttemptId> reportedNeverStarted = new HashSet<>();
         private long now = SECOND;
 
         private AttemptId id(int number) {
@@ -37,14 +37,14 @@
 
         private void send(AttemptId id) {
             if (sentAt.putIfAbsent(id, now) == null) {
-                underWay.add(id);
+                inTransit.add(id);
             }
         }
 
         /** The Run arrives, unless its link was given up for silence, or its time has passed. */
         private void arrive(AttemptId id) {
             boolean tooLate = now - sealedAt.getOrDefault(id, now) > RETENTION / 2;
-            if (underWay.remove(id) && !tooLate) {
+            if (inTransit.remove(id) && !tooLate) {
                 table.add(id, "value");
             }
         }
@@ -52,7 +52,7 @@
         private void start(AttemptId id) {
             if (table.start(id)) {
                 assertThat(started.add(id)).as("first start").isTrue();
-                assertThat(saidNever).doesNotContain(id);
+                assertThat(reportedNeverStarted).doesNotContain(id);
             }
         }
 
@@ -68,20 +68,20 @@
             }
             long age = ageKnown ? now - sentAt.get(id) : AttemptTable.AGE_UNKNOWN;
             sealedAt.putIfAbsent(id, now);
-            if (table.seal(id, age, now) == Seen.NEVER_STARTED) {
+            if (table.seal(id, age, now) == KnownState.NEVER_STARTED) {
                 assertThat(started).as("said never started").doesNotContain(id);
-                saidNever.add(id);
+                reportedNeverStarted.add(id);
             }
         }
 
-        private void pass(int seconds) {
+        private void advance(int seconds) {
             now += seconds * SECOND;
             table.expire(now);
         }
     }
 
     @Property(seed = "4", tries = 5000)
-    void nothingStartsTwiceOrAfterItWasSaidNotTo(
+    void attemptStartsAtMostOnceAndNeverAfterNeverStartedWasReported(
             @ForAll @Size(max = 120) List<@IntRange(min = 0, max = 9_999) Integer> steps) {
         // Attempts arrive, start, end and are sealed in any order while the table, which holds few, forgets the
         // oldest. If it said "never started" of what it has merely forgotten, a booking that was made would be made
@@ -96,7 +96,7 @@
                 case 6 -> oracle.end(id);
                 case 7 -> oracle.seal(id, true);
                 case 8 -> oracle.seal(id, false);
-                default -> oracle.pass(step / 10 % 40);
+                default -> oracle.advance(step / 10 % 40);
             }
         }
     }
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/AttemptTableTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/AttemptTableTest.java
@@ -14,7 +14,7 @@
     private static final AttemptId BOOKING = AttemptId.of("booking");
 
     @Test
-    void aSealWithAnAgeOfBeforeAFreezeDoesNotMakeALaterOneSayNeverStarted() {
+    void sealWithAnAgeTakenBeforeAFreezeDoesNotMakeALaterSealReportNeverStarted() {
         // A caller would be told that its booking never ran, and would book again. The booking ran and was forgotten.
         // An entry that was frozen meanwhile seals it with the age of before its freeze, which makes it seem
         // remembered; then another entry seals it with its true age.
@@ -24,15 +24,15 @@
         table.end(BOOKING, true, 0);
         table.expire(LATER);
         table.seal(BOOKING, Duration.ofSeconds(1).toNanos(), LATER);
-        assertThat(table.seal(BOOKING, LATER, LATER)).isEqualTo(AttemptTable.Seen.FORGOTTEN);
+        assertThat(table.seal(BOOKING, LATER, LATER)).isEqualTo(AttemptTable.KnownState.FORGOTTEN);
     }
 
     @Test
-    void anAttemptThatWasSealedWhileItWaitedNeverStartedWhateverItsAge() {
+    void attemptSealedWhileWaitingIsNeverStartedAtAnyAge() {
         AttemptTable<String> table = new AttemptTable<>(RETENTION, 100);
         table.add(BOOKING, "kept");
         table.seal(BOOKING, 0, 1);
-        assertThat(table.seal(BOOKING, LATER, 2)).isEqualTo(AttemptTable.Seen.NEVER_STARTED);
+        assertThat(table.seal(BOOKING, LATER, 2)).isEqualTo(AttemptTable.KnownState.NEVER_STARTED);
         assertThat(table.start(BOOKING)).isFalse();
     }
 }
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/CapturedTimer.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/CapturedTimer.java
@@ -26,13 +26,13 @@
     @Override
     public ScheduledFuture<?> scheduleWithFixedDelay(Runnable task, long first, long delay, TimeUnit unit) {
         captor.accept(task);
-        return new NeverDue();
+        return new ManualTask();
     }
 
     /** The handle of a task that only the test runs. */
-    private static final class NeverDue extends FutureTask<Void> implements ScheduledFuture<Void> {
+    private static final class ManualTask extends FutureTask<Void> implements ScheduledFuture<Void> {
 
-        private NeverDue() {
+        private ManualTask() {
             super(() -> null);
         }
 
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/CompanionFixture.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/CompanionFixture.java
@@ -29,7 +29,7 @@
     static final InstanceId COMPANION = InstanceId.of("companion-1");
     static final String SECRET = "secret-1";
     static final long FIRST_INCARNATION = 7;
-    private static final Duration GENEROUS = Duration.ofSeconds(30);
+    private static final Duration AWAIT_LIMIT = Duration.ofSeconds(30);
 
     final FakeEngine engine;
     final FakeTable table = new FakeTable();
@@ -49,7 +49,7 @@
         this.engine = engine;
         this.service = service;
         this.settings = settings;
-        records(engine != null, checksFence);
+        putRecords(engine != null, checksFence);
         entryLinks = LinkNode.create(LinkSettings.defaults(), () -> hello("entry-1", "entry"), (e, d) -> {});
         linkAttempts = LinkAttempts.start(entryLinks, LinkSettings.defaults(), clock, entryLinks.timer(), (e, d) -> {});
         attempts = linkAttempts;
@@ -71,8 +71,8 @@
     }
 
     /** Makes the parts of a companion beside the same target. */
-    CompanionParts parts(LinkNode links, long start) {
-        return new CompanionParts(
+    CompanionDependencies parts(LinkNode links, long start) {
+        return new CompanionDependencies(
                 COMPANION,
                 start,
                 TargetId.of("target-1"),
@@ -133,7 +133,7 @@
         return fixture;
     }
 
-    private void records(boolean isEngine, boolean checksFence) {
+    private void putRecords(boolean isEngine, boolean checksFence) {
         configuration.put(RecordKind.ACCOUNT, "winders", "{\"schemaVersion\":1,\"rate\":1000,\"burst\":1000}");
         configuration.put(
                 RecordKind.KEY,
@@ -173,7 +173,7 @@
     Run.Builder generation(String adapter, int tokens) {
         return Run.newBuilder()
                 .setAttempt(UUID.randomUUID().toString())
-                .setDeadlineLeftMillis(GENEROUS.toMillis())
+                .setDeadlineLeftMillis(AWAIT_LIMIT.toMillis())
                 .setAccount("winders")
                 .setKeyDigest(ByteString.copyFrom(KeyDigest.ofSecret(SECRET).toBytes()))
                 .setAdapter(adapter)
@@ -188,7 +188,7 @@
     Run.Builder booking() {
         return Run.newBuilder()
                 .setAttempt(UUID.randomUUID().toString())
-                .setDeadlineLeftMillis(GENEROUS.toMillis())
+                .setDeadlineLeftMillis(AWAIT_LIMIT.toMillis())
                 .setAccount("winders")
                 .setKeyDigest(ByteString.copyFrom(KeyDigest.ofSecret(SECRET).toBytes()))
                 .setService("job-cards")
@@ -203,7 +203,7 @@
 
     RecordedAnswer send(Run run, boolean slow) {
         RecordedAnswer answer = new RecordedAnswer(slow);
-        answer.use(attempts.run(COMPANION, run, answer));
+        answer.attachHandle(attempts.run(COMPANION, run, answer));
         return answer;
     }
 
@@ -225,10 +225,10 @@
     }
 
     static void await(BooleanSupplier condition) {
-        long end = System.nanoTime() + GENEROUS.toNanos();
+        long end = System.nanoTime() + AWAIT_LIMIT.toNanos();
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() - end > 0) {
-                throw new AssertionError("waited in vain for " + GENEROUS);
+                throw new AssertionError("waited in vain for " + AWAIT_LIMIT);
             }
             try {
                 Thread.sleep(5);
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/CompanionNodeTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/CompanionNodeTest.java
@@ -25,7 +25,7 @@
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
             Run run = fixture.generation("a", tokens).build();
             RecordedAnswer answer = fixture.send(run);
-            CompanionFixture.await(answer::isOver);
+            CompanionFixture.await(answer::isEnded);
             assertThat(answer.refusal()).isEmpty();
             assertThat(answer.text()).isEqualTo(CompanionFixture.expected(run));
             assertThat(answer.end().orElseThrow().getGeneratedTokens()).isEqualTo(tokens);
@@ -45,7 +45,7 @@
                 answers.add(fixture.send(runs.get(index)));
             }
             for (int index = 0; index < 30; index++) {
-                CompanionFixture.await(answers.get(index)::isOver);
+                CompanionFixture.await(answers.get(index)::isEnded);
                 assertThat(answers.get(index).text()).isEqualTo(CompanionFixture.expected(runs.get(index)));
             }
             assertThat(fixture.engine.unloadedInUse()).isEmpty();
@@ -62,16 +62,17 @@
             CompanionFixture.await(() -> slowAnswer.chunks() == 8);
             Run quick = fixture.generation("a", 300).build();
             RecordedAnswer quickAnswer = fixture.send(quick);
-            CompanionFixture.await(quickAnswer::isOver);
+            CompanionFixture.await(quickAnswer::isEnded);
             assertThat(quickAnswer.text()).isEqualTo(CompanionFixture.expected(quick));
-            assertThat(fixture.engine.givenOf(AttemptId.of(slow.getAttempt()))).isLessThanOrEqualTo(8 + 64);
+            assertThat(fixture.engine.chunksSent(AttemptId.of(slow.getAttempt())))
+                    .isLessThanOrEqualTo(8 + 64);
             slowAnswer.handle().cancel("test");
-            CompanionFixture.await(slowAnswer::isOver);
+            CompanionFixture.await(slowAnswer::isEnded);
         }
     }
 
     @Test
-    void answerGoesOnOverNewLinkAfterLoss() throws IOException {
+    void answerContinuesOverANewLink() throws IOException {
         // The link breaks again and again in the middle of an answer. The companion keeps what was not acknowledged,
         // the entry asks for the next chunk over a new link, and the caller gets every chunk once, in order.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
@@ -79,10 +80,10 @@
             RecordedAnswer answer = fixture.send(run);
             for (long seen = 100; seen <= 1_500; seen += 200) {
                 long least = seen;
-                CompanionFixture.await(() -> answer.chunks() >= least || answer.isOver());
+                CompanionFixture.await(() -> answer.chunks() >= least || answer.isEnded());
                 fixture.closeLink();
             }
-            CompanionFixture.await(answer::isOver);
+            CompanionFixture.await(answer::isEnded);
             assertThat(answer.text()).isEqualTo(CompanionFixture.expected(run));
             assertThat(answer.ends()).isEqualTo(1);
             assertThat(fixture.engine.started()).hasSize(1);
@@ -90,7 +91,7 @@
     }
 
     @Test
-    void answerGoesOnAfterEngineConnectionBreaks() throws IOException {
+    void answerContinuesAfterEngineConnectionBreaks() throws IOException {
         // The companion's connection to the engine breaks in the middle of an answer; the engine goes on. The companion
         // asks for the rest instead of starting the request anew, so the caller gets every chunk once.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
@@ -99,7 +100,7 @@
             CompanionFixture.await(() -> answer.chunks() == 8);
             fixture.engine.breakConnections();
             answer.handle().request(1_000);
-            CompanionFixture.await(answer::isOver);
+            CompanionFixture.await(answer::isEnded);
             assertThat(answer.text()).isEqualTo(CompanionFixture.expected(run));
             assertThat(fixture.engine.started()).hasSize(1);
         }
@@ -117,11 +118,11 @@
             if (runsBareModel) {
                 fixture.engine.runBareModel();
             }
-            CompanionFixture.await(fixture.send(fixture.generation("a", 3).build())::isOver);
+            CompanionFixture.await(fixture.send(fixture.generation("a", 3).build())::isEnded);
             fixture.engine.restart();
             Run run = fixture.generation("a", 3).build();
             RecordedAnswer answer = fixture.send(run);
-            CompanionFixture.await(answer::isOver);
+            CompanionFixture.await(answer::isEnded);
             assertThat(answer.text()).isEqualTo(CompanionFixture.expected(run));
             AdapterReference adapter = AdapterReference.of("a", "1");
             assertThat(fixture.engine.loaded()).containsExactly(adapter, adapter);
@@ -129,16 +130,16 @@
     }
 
     @Test
-    void engineRestartInTheMiddleOfAnAnswerIsTold() throws IOException {
+    void engineRestartInterruptsAnAnswerInProgress() throws IOException {
         // The engine restarts while it is answering, and knows the stream no more. The caller is told that the answer
         // broke off; it does not wait until its deadline, and is not told that nothing ran.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
             RecordedAnswer answer = fixture.send(fixture.generation("a", 5_000).build(), true);
             CompanionFixture.await(() -> answer.chunks() == 8);
             fixture.engine.restart();
-            CompanionFixture.await(answer::isOver);
+            CompanionFixture.await(answer::isEnded);
             assertThat(answer.refusal()).contains(ResultCode.ANSWER_INTERRUPTED);
-            assertThat(answer.ran()).contains(ExecutionStatus.YES);
+            assertThat(answer.executionStatus()).contains(ExecutionStatus.YES);
         }
     }
 
@@ -148,12 +149,12 @@
         // The engine runs another adapter than the one named, and says so at the start or only at the end. Not one
         // chunk of it reaches the caller.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
-            fixture.engine.serveWrong();
+            fixture.engine.serveWrongAdapter();
             if (namesAtTheEnd) {
-                fixture.engine.nameOnlyAtTheEnd();
+                fixture.engine.nameAdapterOnlyAtEnd();
             }
             RecordedAnswer answer = fixture.send(fixture.generation("a", 300).build());
-            CompanionFixture.await(answer::isOver);
+            CompanionFixture.await(answer::isEnded);
             assertThat(answer.refusal()).contains(ResultCode.WRONG_ADAPTER_SERVED);
             assertThat(answer.chunks()).isZero();
         }
@@ -162,16 +163,16 @@
     @Test
     void engineThatNamesItsAdapterOnlyAtTheEndIsServedWhole() throws IOException {
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
-            fixture.engine.nameOnlyAtTheEnd();
+            fixture.engine.nameAdapterOnlyAtEnd();
             Run run = fixture.generation("a", 300).build();
             RecordedAnswer answer = fixture.send(run);
-            CompanionFixture.await(answer::isOver);
+            CompanionFixture.await(answer::isEnded);
             assertThat(answer.text()).isEqualTo(CompanionFixture.expected(run));
         }
     }
 
     @Test
-    void failedLoadTellsAllItsWaitersAtOnce() throws IOException {
+    void failedLoadRefusesAllItsWaitersAtOnce() throws IOException {
         // Five callers wait for one load, and it fails. All are told at once that nothing has run, and there was one
         // load.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
@@ -184,9 +185,9 @@
             fixture.engine.failLoads(true);
             fixture.engine.holdLoads(false);
             for (RecordedAnswer answer : answers) {
-                CompanionFixture.await(answer::isOver);
+                CompanionFixture.await(answer::isEnded);
                 assertThat(answer.refusal()).contains(ResultCode.LOAD_FAILED);
-                assertThat(answer.ran()).contains(ExecutionStatus.NO);
+                assertThat(answer.executionStatus()).contains(ExecutionStatus.NO);
             }
             assertThat(fixture.engine.started()).isEmpty();
         }
@@ -211,10 +212,10 @@
                 }
             });
             RecordedAnswer answer = fixture.send(run);
-            CompanionFixture.await(answer::isOver);
+            CompanionFixture.await(answer::isEnded);
             assertThat(outcomes).containsExactly(SealOutcome.NEVER_STARTED);
             assertThat(answer.refusal()).contains(ResultCode.NOT_RUN);
-            assertThat(answer.ran()).contains(ExecutionStatus.NO);
+            assertThat(answer.executionStatus()).contains(ExecutionStatus.NO);
             assertThat(fixture.engine.started()).isEmpty();
         }
     }
@@ -229,18 +230,18 @@
             CompanionFixture.await(() -> open.chunks() == 8);
             fixture.configuration.withdrawKey("key-1", CompanionFixture.SECRET);
             RecordedAnswer late = fixture.send(fixture.generation("a", 10).build());
-            CompanionFixture.await(open::isOver);
-            CompanionFixture.await(late::isOver);
+            CompanionFixture.await(open::isEnded);
+            CompanionFixture.await(late::isEnded);
             assertThat(open.refusal()).contains(ResultCode.KEY_REFUSED);
             assertThat(late.refusal()).contains(ResultCode.KEY_REFUSED);
-            assertThat(late.ran()).contains(ExecutionStatus.NO);
+            assertThat(late.executionStatus()).contains(ExecutionStatus.NO);
             CompanionFixture.await(() -> fixture.engine.cancelled().contains(AttemptId.of(run.getAttempt())));
             assertThat(fixture.engine.started()).hasSize(1);
         }
     }
 
     @Test
-    void requestThatWaitsWhileTheCompanionIsCutOffDoesNotStart() throws IOException {
+    void waitingRequestDoesNotStartWithoutFreshConfiguration() throws IOException {
         // A request waits for its adapter while the companion loses sight of the configuration. Its key may have been
         // withdrawn since; when the adapter is there, the request is refused as not run.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
@@ -249,15 +250,15 @@
             CompanionFixture.await(answer::isAccepted);
             fixture.configuration.makeStale();
             fixture.engine.holdLoads(false);
-            CompanionFixture.await(answer::isOver);
+            CompanionFixture.await(answer::isEnded);
             assertThat(answer.refusal()).contains(ResultCode.NOT_FRESH);
-            assertThat(answer.ran()).contains(ExecutionStatus.NO);
+            assertThat(answer.executionStatus()).contains(ExecutionStatus.NO);
             assertThat(fixture.engine.started()).isEmpty();
         }
     }
 
     @Test
-    void drainEndsRunningWorkAndRefusesNew() throws IOException {
+    void drainCompletesRunningWorkAndRefusesNewWork() throws IOException {
         // The companion leaves while an answer is coming. New work is refused as not run; the answer comes whole, and
         // only then is nothing unfinished.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
@@ -266,15 +267,15 @@
             CompanionFixture.await(() -> running.chunks() == 8);
             fixture.companion.drain();
             RecordedAnswer late = fixture.send(fixture.generation("a", 10).build());
-            CompanionFixture.await(late::isOver);
+            CompanionFixture.await(late::isEnded);
             assertThat(late.refusal()).contains(ResultCode.DRAINING);
-            assertThat(late.ran()).contains(ExecutionStatus.NO);
+            assertThat(late.executionStatus()).contains(ExecutionStatus.NO);
             // The refusal counts, too, until the entry's acknowledgement of it has come, which the entry sends after
             // its own end.
             CompanionFixture.await(() -> fixture.companion.unfinished() == 1);
-            assertThat(running.isOver()).isFalse();
+            assertThat(running.isEnded()).isFalse();
             running.handle().request(2_000);
-            CompanionFixture.await(running::isOver);
+            CompanionFixture.await(running::isEnded);
             assertThat(running.text()).isEqualTo(CompanionFixture.expected(run));
             CompanionFixture.await(() -> fixture.companion.unfinished() == 0);
         }
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/ExchangeFuzzTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/ExchangeFuzzTest.java
@@ -12,7 +12,7 @@
 class ExchangeFuzzTest {
 
     /** One step of the world: what happens, and to which of the things that it can happen to. */
-    private static void step(ExchangeWorld world, int number) {
+    private static void step(ExchangeSimulation world, int number) {
         int kind = number % 32;
         int choice = number / 32;
         switch (kind) {
@@ -25,8 +25,8 @@
             case 18 -> world.deliverToEntry(1);
             case 19 -> world.duplicateToEntry();
             case 20, 21 -> world.startNext();
-            case 22, 23, 24, 25 -> world.goOn(choice);
-            case 26 -> world.pass(Duration.ofMillis(choice % 3_000));
+            case 22, 23, 24, 25 -> world.continueAttempt(choice);
+            case 26 -> world.advance(Duration.ofMillis(choice % 3_000));
             case 27 -> world.reconnect();
             case 28 -> world.companionSeesNewLink();
             case 29 -> world.cancel(choice);
@@ -35,7 +35,7 @@
                 if (choice % 5 == 0) {
                     world.restartCompanion();
                 } else {
-                    world.pass(Duration.ofSeconds(choice % 20));
+                    world.advance(Duration.ofSeconds(choice % 20));
                 }
             }
         }
@@ -62,13 +62,13 @@
         // attempts are cancelled and sealed, and the companion restarts, in any order. Without sequence numbers a
         // caller would get a chunk twice or another's; without the attempt table a late Run would start what was said
         // not to run.
-        ExchangeWorld world = new ExchangeWorld();
+        ExchangeSimulation world = new ExchangeSimulation();
         for (int number : steps) {
             step(world, number);
             world.check();
         }
         world.settle();
         world.checkSettled();
-        Statistics.collect(world.wholeAnswers() > 0 ? "some whole answers" : "no whole answer");
+        Statistics.collect(world.completeAnswers() > 0 ? "some whole answers" : "no whole answer");
     }
 }
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/ExchangeWorld.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/ExchangeSimulation.java
@@ -36,37 +36,37 @@
  * caller gets its own chunks, each once and in order, and one end; an attempt starts at most once; none starts that was
  * said not to run.
  */
-final class ExchangeWorld {
+final class ExchangeSimulation {
 
     private static final InstanceId COMPANION = InstanceId.of("companion-1");
-    private static final Duration SILENCE = Duration.ofSeconds(2);
+    private static final Duration SILENCE_LIMIT = Duration.ofSeconds(2);
 
     /** How long frames of an old link may still be read after some of a newer one; the link itself closes it at once. */
-    private static final Duration OVERLAP = Duration.ofSeconds(10);
+    private static final Duration OLD_LINK_READ_LIMIT = Duration.ofSeconds(10);
 
     private static final String SECRET = "secret-1";
 
     private final FakeConfiguration configuration = new FakeConfiguration();
     private final Map<String, Integer> starts = new HashMap<>();
-    private final Set<String> saidNotRun = new HashSet<>();
+    private final Set<String> reportedNotRun = new HashSet<>();
     private final Map<String, Caller> callers = new HashMap<>();
-    private final List<Caller> order = new ArrayList<>();
+    private final List<Caller> callersInOrder = new ArrayList<>();
     private final LinkSettings linkSettings = LinkSettings.defaults();
-    private final List<FakeWire.Link> companionLinks = new ArrayList<>();
-    private final FakeWire wire;
+    private final List<FakeLinks.Link> companionLinks = new ArrayList<>();
+    private final FakeLinks wire;
     private final LinkAttempts attempts;
     private Runnable entryTick = () -> {};
-    private FakeWire.Link link;
+    private FakeLinks.Link link;
     private long now = 1;
-    private long busySince = 1;
+    private long lastProgressAt = 1;
     private long newLinkReadAt;
     private long incarnation;
     private AttemptShards shards;
-    private Outcomes outcomes;
-    private Requests requests;
+    private AttemptLifecycle lifecycle;
+    private AttemptRequestHandler requestHandler;
     private FakeRunner runner;
 
-    ExchangeWorld() {
+    ExchangeSimulation() {
         configuration.put(RecordKind.ACCOUNT, "winders", "{\"schemaVersion\":1,\"rate\":1000,\"burst\":1000}");
         configuration.put(
                 RecordKind.KEY,
@@ -82,7 +82,7 @@
                 "target-1",
                 "{\"schemaVersion\":1,\"failureDomain\":\"d1\",\"service\":\"job-cards\",\"checksFence\":true}");
         startCompanion();
-        wire = new FakeWire(hello("entry-1", 1), hello("companion-1", incarnation));
+        wire = new FakeLinks(hello("entry-1", 1), hello("companion-1", incarnation));
         attempts = LinkAttempts.start(
                 wire, linkSettings, () -> now, new CapturedTimer(task -> entryTick = task), (event, detail) -> {
                     throw new AssertionError(event + " " + detail);
@@ -113,11 +113,11 @@
                 defaults.orderLimit(),
                 defaults.fenceCheckInterval(),
                 defaults.adoptionLimit());
-        CompanionParts parts = new CompanionParts(
+        CompanionDependencies parts = new CompanionDependencies(
                 COMPANION,
                 incarnation,
                 TargetId.of("target-1"),
-                new FakeWire(hello("entry-1", 1), hello("companion-1", incarnation)),
+                new FakeLinks(hello("entry-1", 1), hello("companion-1", incarnation)),
                 configuration,
                 new FakeTable(),
                 Optional.empty(),
@@ -126,30 +126,30 @@
                 InstantSource.system());
         shards = new AttemptShards(settings, () -> now);
         StartCheck startCheck = new StartCheck(parts);
-        outcomes = new Outcomes(shards, startCheck);
+        lifecycle = new AttemptLifecycle(shards, startCheck);
         runner = new FakeRunner();
-        requests = new Requests(settings, parts, shards, outcomes, startCheck, runner);
+        requestHandler = new AttemptRequestHandler(settings, parts, shards, lifecycle, startCheck, runner);
     }
 
     /** One caller at the entry, and what it has been told. */
     private final class Caller implements AttemptListener {
         private final String id;
-        private final int wanted;
-        private final long sentTo;
+        private final int expectedChunks;
+        private final long companionIncarnation;
         private AttemptHandle handle;
         private long chunks;
         private int ends;
-        private boolean whole;
+        private boolean isComplete;
 
         private Caller(String id, int wanted, long sentTo) {
             this.id = id;
-            this.sentTo = sentTo;
-            this.wanted = wanted;
+            this.companionIncarnation = sentTo;
+            this.expectedChunks = wanted;
         }
 
-        private void notRun(int ran) {
+        private void recordExecution(int ran) {
             if (ran == ExecutionStatus.NO.ordinal()) {
-                saidNotRun.add(id);
+                reportedNotRun.add(id);
             }
         }
 
@@ -168,26 +168,26 @@
 
         @Override
         public void ended(End end) {
-            assertThat(chunks).isEqualTo(wanted);
-            whole = true;
+            assertThat(chunks).isEqualTo(expectedChunks);
+            isComplete = true;
             ends++;
         }
 
         @Override
         public void refused(Refused refused) {
-            notRun(refused.getRan());
+            recordExecution(refused.getRan());
             ends++;
         }
 
         @Override
         public void lost(ExecutionStatus ran, String reason) {
-            notRun(ran.ordinal());
+            recordExecution(ran.ordinal());
             ends++;
         }
     }
 
     /** A target that starts and goes on with attempts as the fuzzer says. */
-    private final class FakeRunner implements TargetRunner, Requests.RunnerSource {
+    private final class FakeRunner implements TargetRunner, AttemptRequestHandler.RunnerProvider {
         private final List<CompanionAttempt> waiting = new ArrayList<>();
         private final List<CompanionAttempt> running = new ArrayList<>();
         private final Map<AttemptId, Integer> demand = new HashMap<>();
@@ -224,7 +224,7 @@
         public void describe(Status.Builder status) {}
 
         @Override
-        public int unfinished() {
+        public int unfinishedCount() {
             return waiting.size() + running.size();
         }
 
@@ -233,28 +233,28 @@
                 return;
             }
             CompanionAttempt attempt = waiting.remove(0);
-            if (outcomes.start(attempt)) {
+            if (lifecycle.start(attempt)) {
                 starts.merge(attempt.id().value(), 1, Integer::sum);
                 attempt.open();
                 running.add(attempt);
             }
         }
 
-        private void goOn(int index) {
+        private void continueAttempt(int index) {
             if (running.isEmpty()) {
                 return;
             }
             CompanionAttempt attempt = running.get(index % running.size());
             int owed = demand.merge(attempt.id(), attempt.takeDemand(), Integer::sum);
-            long sequence = attempt.nextFromTarget();
-            int wanted = callers.get(attempt.id().value()).wanted;
+            long sequence = attempt.nextExpectedSequence();
+            int wanted = callers.get(attempt.id().value()).expectedChunks;
             if (sequence < wanted && owed > 0) {
                 demand.merge(attempt.id(), -1, Integer::sum);
                 ByteString payload = ByteString.copyFromUtf8(attempt.id() + "/" + sequence);
                 attempt.add(Frames.chunk(attempt.id(), sequence, payload, 1));
             } else if (sequence == wanted) {
                 running.remove(attempt);
-                outcomes.ended(
+                lifecycle.end(
                         attempt,
                         End.newBuilder()
                                 .setAttempt(attempt.id().value())
@@ -265,10 +265,10 @@
     }
 
     void send(int chunks, boolean repeatable, int credit) {
-        String id = "attempt-" + (order.size() + 1);
+        String id = "attempt-" + (callersInOrder.size() + 1);
         Caller caller = new Caller(id, chunks, incarnation);
         callers.put(id, caller);
-        order.add(caller);
+        callersInOrder.add(caller);
         Run run = Run.newBuilder()
                 .setAttempt(id)
                 .setDeadlineLeftMillis(120_000)
@@ -283,7 +283,9 @@
     }
 
     private Optional<Caller> caller(int index) {
-        return order.isEmpty() ? Optional.empty() : Optional.of(order.get(index % order.size()));
+        return callersInOrder.isEmpty()
+                ? Optional.empty()
+                : Optional.of(callersInOrder.get(index % callersInOrder.size()));
     }
 
     void request(int index, int chunks) {
@@ -297,9 +299,9 @@
     void seal(int index) {
         caller(index).ifPresent(caller -> {
             try {
-                attempts.seal(COMPANION, caller.id, caller.sentTo, Duration.ofNanos(now), outcome -> {
+                attempts.seal(COMPANION, caller.id, caller.companionIncarnation, Duration.ofNanos(now), outcome -> {
                     if (outcome == SealOutcome.NEVER_STARTED) {
-                        saidNotRun.add(caller.id);
+                        reportedNotRun.add(caller.id);
                     }
                 });
             } catch (IllegalArgumentException alreadyBeingSealed) {
@@ -312,7 +314,7 @@
         if (companionLinks.isEmpty()) {
             return;
         }
-        FakeWire.Link from = companionLinks.get(linkIndex % companionLinks.size());
+        FakeLinks.Link from = companionLinks.get(linkIndex % companionLinks.size());
         if (companionLinks.indexOf(from) > 0 && newLinkReadAt == 0) {
             newLinkReadAt = now;
         }
@@ -322,43 +324,43 @@
                 receive(from, frame);
             }
         });
-        noteProgress();
+        recordProgress();
     }
 
-    private void receive(FakeWire.Link from, Frame frame) {
+    private void receive(FakeLinks.Link from, Frame frame) {
         if (from.companionEnd.isOpen()) {
-            requests.received(from.companionEnd, frame);
+            requestHandler.onFrame(from.companionEnd, frame);
         }
     }
 
     void deliverToEntry(int position) {
         link.deliverToEntry(position);
-        noteProgress();
+        recordProgress();
     }
 
     void duplicateToEntry() {
         link.duplicateToEntry();
     }
 
-    private void noteProgress() {
-        busySince = now;
+    private void recordProgress() {
+        lastProgressAt = now;
     }
 
     void startNext() {
         runner.startNext();
     }
 
-    void goOn(int index) {
-        runner.goOn(index);
+    void continueAttempt(int index) {
+        runner.continueAttempt(index);
     }
 
     /** Lets time pass; a link that stays silent for too long is given up by the entry, as heartbeats would see to. */
-    void pass(Duration time) {
+    void advance(Duration time) {
         now += time.toNanos();
-        if (!link.isIdle() && now - busySince > SILENCE.toNanos()) {
+        if (!link.isIdle() && now - lastProgressAt > SILENCE_LIMIT.toNanos()) {
             reconnect();
         }
-        if (newLinkReadAt != 0 && now - newLinkReadAt > OVERLAP.toNanos()) {
+        if (newLinkReadAt != 0 && now - newLinkReadAt > OLD_LINK_READ_LIMIT.toNanos()) {
             companionSeesNewLink();
         }
         tick();
@@ -366,7 +368,7 @@
 
     private void tick() {
         entryTick.run();
-        requests.tick();
+        requestHandler.tick();
     }
 
     /** The entry gives its link up and opens a new one; the companion still has the old one until it sees the new one. */
@@ -376,16 +378,16 @@
         }
         link = wire.open();
         companionLinks.add(link);
-        noteProgress();
+        recordProgress();
     }
 
     /** The companion sees the end of its older links. */
     void companionSeesNewLink() {
         newLinkReadAt = 0;
         while (companionLinks.size() > 1) {
-            FakeWire.Link old = companionLinks.remove(0);
+            FakeLinks.Link old = companionLinks.remove(0);
             old.companionEnd.close("superseded");
-            shards.all().forEach(attempt -> attempt.linkClosed(old.companionEnd, now));
+            shards.all().forEach(attempt -> attempt.onLinkClosed(old.companionEnd, now));
         }
     }
 
@@ -396,7 +398,7 @@
         wire.setCompanionHello(hello("companion-1", incarnation));
         link = wire.open();
         companionLinks.add(link);
-        noteProgress();
+        recordProgress();
     }
 
     /** Lets all faults end and everything run to its end. */
@@ -404,14 +406,14 @@
         reconnect();
         companionSeesNewLink();
         for (int round = 0; round < 400; round++) {
-            order.forEach(caller -> caller.handle.request(4));
+            callersInOrder.forEach(caller -> caller.handle.request(4));
             while (!link.isIdle()) {
                 deliverToCompanion(0, 0, false);
                 deliverToEntry(0);
             }
             startNext();
             for (int index = 0; index < 4 * runner.running.size(); index++) {
-                goOn(index);
+                continueAttempt(index);
             }
             now += 10_000_000;
             tick();
@@ -420,19 +422,19 @@
 
     void check() {
         starts.forEach((id, count) -> assertThat(count).as("starts of " + id).isEqualTo(1));
-        saidNotRun.forEach(id -> assertThat(starts).as("said not run").doesNotContainKey(id));
-        order.forEach(caller -> assertThat(caller.ends).isLessThanOrEqualTo(1));
+        reportedNotRun.forEach(id -> assertThat(starts).as("said not run").doesNotContainKey(id));
+        callersInOrder.forEach(caller -> assertThat(caller.ends).isLessThanOrEqualTo(1));
     }
 
     void checkSettled() {
         check();
-        order.forEach(
+        callersInOrder.forEach(
                 caller -> assertThat(caller.ends).as("ends of " + caller.id).isEqualTo(1));
-        order.stream().filter(caller -> caller.whole).forEach(caller -> assertThat(caller.chunks)
-                .isEqualTo(caller.wanted));
+        callersInOrder.stream().filter(caller -> caller.isComplete).forEach(caller -> assertThat(caller.chunks)
+                .isEqualTo(caller.expectedChunks));
     }
 
-    long wholeAnswers() {
-        return order.stream().filter(caller -> caller.whole).count();
+    long completeAnswers() {
+        return callersInOrder.stream().filter(caller -> caller.isComplete).count();
     }
 }
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/FakeEngine.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/FakeEngine.java
@@ -32,12 +32,12 @@
     private final Set<AttemptId> cancelled = new HashSet<>();
     private final Set<AdapterReference> unloadedInUse = new HashSet<>();
     private long incarnation = 1;
-    private boolean servesWrong;
-    private boolean namesAtTheEnd;
+    private boolean servesWrongAdapter;
+    private boolean namesAdapterAtEnd;
     private boolean runsBareModel;
     private boolean failsLoads;
     private boolean holdsLoads;
-    private long newestFence;
+    private long highestFence;
 
     FakeEngine(int slots) {
         this.slots = slots;
@@ -66,10 +66,10 @@
             synchronized (FakeEngine.this) {
                 demand += chunks;
             }
-            thread.execute(() -> give(listener));
+            thread.execute(() -> sendChunks(listener));
         }
 
-        private void give(EngineListener to) {
+        private void sendChunks(EngineListener to) {
             while (true) {
                 long sequence;
                 synchronized (FakeEngine.this) {
@@ -105,23 +105,24 @@
 
     @Override
     public synchronized EngineStream generate(Generation generation, Order order, EngineListener listener) {
-        if (order.fence() < newestFence) {
+        if (order.fence() < highestFence) {
             return refused(listener, Reason.FENCED);
         }
         boolean isResident = resident.contains(generation.adapter());
         if (!isResident && !runsBareModel) {
             return refused(listener, Reason.NOT_RESIDENT);
         }
-        AdapterReference served = servesWrong || !isResident ? AdapterReference.of("other", "1") : generation.adapter();
+        AdapterReference served =
+                servesWrongAdapter || !isResident ? AdapterReference.of("other", "1") : generation.adapter();
         Stream stream = new Stream(generation, served, listener);
         streams.put(generation.attempt(), stream);
         started.add(generation);
-        boolean namesAtOnce = !namesAtTheEnd;
+        boolean namesAtOnce = !namesAdapterAtEnd;
         thread.execute(() -> {
             if (namesAtOnce) {
                 listener.started(served);
             }
-            stream.give(listener);
+            stream.sendChunks(listener);
         });
         return stream;
     }
@@ -147,7 +148,7 @@
         stream.next = nextSequence;
         stream.demand = 0;
         stream.ended = false;
-        thread.execute(() -> stream.give(listener));
+        thread.execute(() -> stream.sendChunks(listener));
         return stream;
     }
 
@@ -219,8 +220,8 @@
         }
     }
 
-    synchronized void serveWrong() {
-        servesWrong = true;
+    synchronized void serveWrongAdapter() {
+        servesWrongAdapter = true;
     }
 
     /** Runs what names an adapter that is not resident without it, instead of refusing it. */
@@ -228,8 +229,8 @@
         runsBareModel = true;
     }
 
-    synchronized void nameOnlyAtTheEnd() {
-        namesAtTheEnd = true;
+    synchronized void nameAdapterOnlyAtEnd() {
+        namesAdapterAtEnd = true;
     }
 
     synchronized void failLoads(boolean fails) {
@@ -241,12 +242,12 @@
         notifyAll();
     }
 
-    synchronized void seeFence(long fence) {
-        newestFence = fence;
+    synchronized void acceptFence(long fence) {
+        highestFence = fence;
     }
 
     /** Leaves a stream as a companion that died has left it. */
-    synchronized void leaveStream(Generation generation) {
+    synchronized void addInheritedStream(Generation generation) {
         resident.add(generation.adapter());
         streams.put(generation.attempt(), new Stream(generation, generation.adapter(), null));
     }
@@ -267,7 +268,7 @@
         return Set.copyOf(unloadedInUse);
     }
 
-    synchronized long givenOf(AttemptId attempt) {
+    synchronized long chunksSent(AttemptId attempt) {
         Stream stream = streams.get(attempt);
         return stream == null ? -1 : stream.next;
     }
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/FakeWire.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/FakeLinks.java
@@ -17,14 +17,14 @@
  * The links between one entry and one companion, in memory; a test decides when each frame arrives, and when each end hears
  * that a link is closed.
  */
-final class FakeWire implements Links {
+final class FakeLinks implements Links {
 
     private Hello companionHello;
     private final Hello entryHello;
     private final List<FrameHandler> handlers = new ArrayList<>();
     private Optional<Link> atEntry = Optional.empty();
 
-    FakeWire(Hello entryHello, Hello companionHello) {
+    FakeLinks(Hello entryHello, Hello companionHello) {
         this.entryHello = entryHello;
         this.companionHello = companionHello;
     }
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/FakeTable.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/FakeTable.java
@@ -16,10 +16,10 @@
 final class FakeTable implements TableService {
 
     private final Map<RowKey, Row> rows = new HashMap<>();
-    private boolean losesAnswers;
+    private boolean losesNextAnswer;
 
     synchronized void loseNextAnswer() {
-        losesAnswers = true;
+        losesNextAnswer = true;
     }
 
     @Override
@@ -45,8 +45,8 @@
             rows.put(
                     write.key(), new Row(write.key(), version + 1, write.value().orElseThrow()));
         }
-        if (losesAnswers) {
-            losesAnswers = false;
+        if (losesNextAnswer) {
+            losesNextAnswer = false;
             throw new PlatformException(Effect.UNKNOWN, "the answer was lost", null);
         }
         return true;
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/RecordedAnswer.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/RecordedAnswer.java
@@ -14,25 +14,25 @@
 final class RecordedAnswer implements AttemptListener {
 
     private final StringBuilder text = new StringBuilder();
-    private final boolean slow;
+    private final boolean requestsNoMore;
     private AttemptHandle handle;
-    private int owed;
+    private int pendingDemand;
     private long chunks;
     private int ends;
     private boolean accepted;
     private End end;
     private ResultCode refusal;
-    private ExecutionStatus ran;
+    private ExecutionStatus executionStatus;
 
     RecordedAnswer(boolean slow) {
-        this.slow = slow;
+        this.requestsNoMore = slow;
     }
 
-    void use(AttemptHandle started) {
+    void attachHandle(AttemptHandle started) {
         int more;
         synchronized (this) {
             handle = started;
-            more = owed;
+            more = pendingDemand;
         }
         if (more > 0) {
             started.request(more);
@@ -57,8 +57,8 @@
             }
             chunks++;
             text.append(payload.toStringUtf8());
-            asked = slow ? null : handle;
-            owed += asked == null ? 1 : 0;
+            asked = requestsNoMore ? null : handle;
+            pendingDemand += asked == null ? 1 : 0;
         }
         if (asked != null) {
             asked.request(1);
@@ -75,13 +75,13 @@
     public synchronized void refused(Refused refused) {
         ends++;
         refusal = ResultCode.ofNumber(refused.getCode()).orElseThrow();
-        ran = ExecutionStatus.values()[refused.getRan()];
+        executionStatus = ExecutionStatus.values()[refused.getRan()];
     }
 
     @Override
     public synchronized void lost(ExecutionStatus lostRan, String reason) {
         ends++;
-        ran = lostRan;
+        executionStatus = lostRan;
     }
 
     synchronized String text() {
@@ -96,7 +96,7 @@
         return accepted;
     }
 
-    synchronized boolean isOver() {
+    synchronized boolean isEnded() {
         return ends > 0;
     }
 
@@ -112,7 +112,7 @@
         return Optional.ofNullable(refusal);
     }
 
-    synchronized Optional<ExecutionStatus> ran() {
-        return Optional.ofNullable(ran);
+    synchronized Optional<ExecutionStatus> executionStatus() {
+        return Optional.ofNullable(executionStatus);
     }
 }
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/ServiceCompanionTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/ServiceCompanionTest.java
@@ -37,7 +37,7 @@
         String text = "x".repeat(size);
         try (CompanionFixture fixture = CompanionFixture.ofService(answering(text))) {
             RecordedAnswer answer = fixture.send(fixture.booking().build());
-            CompanionFixture.await(answer::isOver);
+            CompanionFixture.await(answer::isEnded);
             assertThat(answer.end()).isPresent();
             assertThat(answer.text()).isEqualTo(text);
         }
@@ -45,7 +45,7 @@
 
     @ParameterizedTest
     @CsvSource({"NONE, TARGET_FAILED, NO", "UNKNOWN, OUTCOME_UNKNOWN, UNKNOWN"})
-    void failedCallIsNotMadeAgain(Effect effect, ResultCode code, ExecutionStatus ran) throws IOException {
+    void failedCallIsNotRetried(Effect effect, ResultCode code, ExecutionStatus ran) throws IOException {
         // The service's answer is lost. The booking may have been made; another call could make it twice. So there is
         // no other call, and the caller is told what is known.
         PlainService failing = (attempt, account, operation, body) -> {
@@ -54,15 +54,15 @@
         };
         try (CompanionFixture fixture = CompanionFixture.ofService(failing)) {
             RecordedAnswer answer = fixture.send(fixture.booking().build());
-            CompanionFixture.await(answer::isOver);
+            CompanionFixture.await(answer::isEnded);
             assertThat(answer.refusal()).contains(code);
-            assertThat(answer.ran()).contains(ran);
+            assertThat(answer.executionStatus()).contains(ran);
             assertThat(calls).hasSize(1);
         }
     }
 
     @Test
-    void bookingWhoseLinkBreaksRunsOnceAndItsAnswerArrives() throws IOException {
+    void bookingRunsOnceAndIsAnsweredWhenItsLinkBreaks() throws IOException {
         // The link breaks while the service is working on a booking. The entry asks for the answer over a new link; the
         // booking is not made again, and its answer reaches the caller.
         CountDownLatch go = new CountDownLatch(1);
@@ -76,40 +76,40 @@
             CompanionFixture.await(() -> !calls.isEmpty());
             fixture.closeLink();
             go.countDown();
-            CompanionFixture.await(answer::isOver);
+            CompanionFixture.await(answer::isEnded);
             assertThat(answer.text()).isEqualTo("booked");
             assertThat(calls).hasSize(1);
         }
     }
 
     @Test
-    void answerIsKeptForAnotherEntryThatAsksForIt() throws IOException {
+    void answerIsRetainedForAnotherEntry() throws IOException {
         // The entry that sent a booking has had its answer and died. Another one asks for the attempt, from the first
         // chunk; it gets the answer that was given, and no second booking.
         try (CompanionFixture fixture = CompanionFixture.ofService(answering("booked"))) {
             Run run = fixture.booking().build();
             RecordedAnswer first = fixture.send(run);
-            CompanionFixture.await(first::isOver);
+            CompanionFixture.await(first::isEnded);
             RecordedAnswer second = new RecordedAnswer(false);
-            second.use(fixture.attempts.resume(
+            second.attachHandle(fixture.attempts.resume(
                     CompanionFixture.COMPANION, run.getAttempt(), CompanionFixture.FIRST_INCARNATION, 0, second));
             second.handle().request(8);
-            CompanionFixture.await(second::isOver);
+            CompanionFixture.await(second::isEnded);
             assertThat(second.text()).isEqualTo("booked");
             assertThat(calls).hasSize(1);
         }
     }
 
     @Test
-    void bookingThatComesTooLateIsNotMade() throws IOException {
+    void bookingAfterItsSendLimitIsNotMade() throws IOException {
         // An entry is frozen after it has decided to send. Meanwhile another one has the attempt sealed and the
         // booking made by another attempt, and the companion forgets the seal. The late frame must not make the
         // booking a second time.
         try (CompanionFixture fixture = CompanionFixture.ofService(answering("booked"))) {
             RecordedAnswer answer =
                     fixture.send(fixture.booking().setNotAfterMillis(1).build());
-            CompanionFixture.await(answer::isOver);
-            assertThat(answer.ran()).contains(ExecutionStatus.UNKNOWN);
+            CompanionFixture.await(answer::isEnded);
+            assertThat(answer.executionStatus()).contains(ExecutionStatus.UNKNOWN);
             assertThat(calls).isEmpty();
         }
     }
@@ -128,8 +128,8 @@
             RecordedAnswer answer = fixture.send(fixture.booking().build());
             CompanionFixture.await(() -> !calls.isEmpty());
             fixture.replaceCompanion();
-            CompanionFixture.await(answer::isOver);
-            assertThat(answer.ran()).contains(ExecutionStatus.UNKNOWN);
+            CompanionFixture.await(answer::isEnded);
+            assertThat(answer.executionStatus()).contains(ExecutionStatus.UNKNOWN);
             assertThat(calls).hasSize(1);
         }
     }
