--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/AdapterLoader.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/AdapterLoader.java
@@ -18,10 +18,10 @@
 import org.geraniumreach.serving.residency.Residency;
 
 /**
- * Carries out the orders to load and evict adapters.
+ * Executes the commands to load and evict adapters.
  *
- * <p>Invariant: of each order the residency is told once, that it was carried out or that it failed; all who wait for a load
- * that failed are told at once. Calls block. Safe for use by several threads.
+ * <p>Invariant: the residency is told once of each command, either that it succeeded or that it failed; all requests
+ * that wait for a failed load are refused at once. Methods block. Safe for use by several threads.
  */
 final class AdapterLoader {
 
@@ -38,37 +38,38 @@
             ModelEngine engine,
             Residency residency,
             RequestQueue<CompanionAttempt> queue,
-            EngineMonitor watch,
-            OrderAuthorization permit,
-            AttemptLifecycle outcomes,
+            EngineMonitor engineMonitor,
+            OrderAuthorization authorization,
+            AttemptLifecycle lifecycle,
             MonotonicClock clock) {
         this.engine = engine;
         this.residency = residency;
         this.queue = queue;
-        this.engineMonitor = watch;
-        this.authorization = permit;
-        this.lifecycle = outcomes;
+        this.engineMonitor = engineMonitor;
+        this.authorization = authorization;
+        this.lifecycle = lifecycle;
         this.clock = clock;
     }
 
     /**
-     * Carries an order out.
+     * Executes a command.
      *
-     * @param order the order, not null
+     * @param command the command, not null
      */
-    void execute(AdapterLoadCommand order) {
+    void execute(AdapterLoadCommand command) {
         try {
-            if (order.evicted().isPresent()) {
-                engine.unload(order.evicted().get(), authorizedOrder());
-                EventLog.write(EventCode.ADAPTER_EVICTED, "{}", order.evicted().get());
+            if (command.evicted().isPresent()) {
+                engine.unload(command.evicted().get(), authorizedOrder());
+                EventLog.write(
+                        EventCode.ADAPTER_EVICTED, "{}", command.evicted().get());
             }
-            engine.load(order.adapter(), authorizedOrder());
+            engine.load(command.adapter(), authorizedOrder());
             loadedAt.keySet().retainAll(residency.resident());
-            loadedAt.put(order.adapter(), clock.nanos());
-            residency.onLoaded(order);
-            EventLog.write(EventCode.ADAPTER_LOADED, "{}", order.adapter());
+            loadedAt.put(command.adapter(), clock.nanos());
+            residency.onLoaded(command);
+            EventLog.write(EventCode.ADAPTER_LOADED, "{}", command.adapter());
         } catch (PlatformException failure) {
-            onFailed(order, failure);
+            onFailed(command, failure);
         }
     }
 
@@ -82,28 +83,28 @@
                         null));
     }
 
-    private void onFailed(AdapterLoadCommand order, PlatformException failure) {
-        EventLog.write(EventCode.ADAPTER_LOAD_FAILED, "{}: {}", order.adapter(), failure.getMessage());
+    private void onFailed(AdapterLoadCommand command, PlatformException failure) {
+        EventLog.write(EventCode.ADAPTER_LOAD_FAILED, "{}: {}", command.adapter(), failure.getMessage());
         if (failure.reason() == PlatformException.Reason.FENCED) {
             authorization.onFencedOut();
         }
         engineMonitor.invalidate();
-        for (AttemptId waiter : residency.onLoadFailed(order)) {
+        for (AttemptId waiter : residency.onLoadFailed(command)) {
             queue.remove(waiter)
                     .ifPresent(request -> lifecycle.refuse(
                             request.payload(),
                             ServingException.notRun(
                                     ResultCode.LOAD_FAILED,
-                                    "the load of " + order.adapter() + " failed: " + failure.getMessage())));
+                                    "the load of " + command.adapter() + " failed: " + failure.getMessage())));
         }
     }
 
     /**
-     * Works out how long a request has waited for its adapter's load.
+     * Computes how long a request has waited for the load of its adapter.
      *
      * @param adapter the adapter, not null
-     * @param from when the request came
-     * @param until when it was sent
+     * @param from when the request arrived
+     * @param until when the request was sent to the engine
      * @return the time in nanoseconds
      */
     long loadWaitNanos(AdapterReference adapter, long from, long until) {
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/AttemptLifecycle.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/AttemptLifecycle.java
@@ -7,10 +7,10 @@
 import org.geraniumreach.model.ServingException;
 
 /**
- * Lets attempts start, and ends them, in the attempt table and towards the entry.
+ * Starts and ends attempts, in the attempt table and towards the entry.
  *
- * <p>Invariants: an attempt starts only if the table lets it, so at most once and never after it was sealed; the table is
- * told of an end before the entry is. Safe for use by several threads.
+ * <p>Invariants: an attempt starts only if the table permits it, so at most once and never after it was sealed; an end
+ * is recorded in the table before it is sent to the entry. Safe for use by several threads.
  */
 final class AttemptLifecycle {
 
@@ -23,10 +23,11 @@
     }
 
     /**
-     * Starts an attempt, if it may still run.
+     * Starts an attempt if the configuration and the attempt table permit it. If the configuration does not, the
+     * attempt is refused.
      *
      * @param attempt the attempt, not null
-     * @return true if it is to be sent to the target now, false if it must not be, and is over
+     * @return true if it is to be sent to the target; false if it must not be sent and is over
      */
     boolean start(CompanionAttempt attempt) {
         try {
@@ -39,7 +40,7 @@
     }
 
     /**
-     * Puts an attempt back that was started, and that the target says it has not run.
+     * Returns a started attempt to the waiting state, after the target has reported that it did not run it.
      *
      * @param attempt the attempt, not null
      */
@@ -57,7 +58,7 @@
      * Ends an attempt with a refusal.
      *
      * @param attempt the attempt, not null
-     * @param refusal why, and whether it ran, not null
+     * @param refusal the reason and the execution status, not null
      */
     void refuse(CompanionAttempt attempt, ServingException refusal) {
         attempts.end(attempt.id(), refusal.executionStatus() != ExecutionStatus.NO);
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/AttemptRequestHandler.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/AttemptRequestHandler.java
@@ -18,10 +18,10 @@
 import org.geraniumreach.model.ServingException;
 
 /**
- * Answers the frames that entries send about attempts.
+ * Handles the frames that entries send about attempts.
  *
- * <p>Invariant: what is answered about an attempt that this companion does not hold comes from the attempt table, which
- * seals it in the same step; so "not run" holds also for a Run that arrives after its answer. Safe for use by several
+ * <p>Invariant: an answer about an attempt that this companion does not hold comes from the attempt table, which seals
+ * the attempt in the same step; so "not run" stays true if the Run arrives after the answer. Safe for use by several
  * threads.
  */
 final class AttemptRequestHandler {
@@ -39,32 +39,32 @@
 
     AttemptRequestHandler(
             CompanionSettings settings,
-            CompanionDependencies parts,
+            CompanionDependencies dependencies,
             AttemptShards attempts,
-            AttemptLifecycle outcomes,
+            AttemptLifecycle lifecycle,
             StartCheck startCheck,
             RunnerProvider runners) {
         this.settings = settings;
-        this.dependencies = parts;
+        this.dependencies = dependencies;
         this.attempts = attempts;
-        this.lifecycle = outcomes;
+        this.lifecycle = lifecycle;
         this.startCheck = startCheck;
         this.runners = runners;
     }
 
-    /** Gives what runs attempts. */
+    /** Provides the runner of the target. */
     interface RunnerProvider {
 
         /**
          * Gets the runner for new work.
          *
          * @return the runner, not null
-         * @throws ServingException if no new work is taken
+         * @throws ServingException if no new work is accepted
          */
         TargetRunner forNewWork() throws ServingException;
 
         /**
-         * Gets the runner for work that was taken, also while no new work is.
+         * Gets the runner for accepted work, which remains available while no new work is accepted.
          *
          * @return the runner, or empty if the target is not taken over yet
          */
@@ -81,20 +81,20 @@
                 case SEAL -> seal(peer, frame.getSeal());
                 default -> throw new IllegalArgumentException("not a request: " + frame.getBodyCase());
             }
-        } catch (IllegalArgumentException invalid) {
-            peer.close("refused a request: " + invalid.getMessage());
+        } catch (IllegalArgumentException malformed) {
+            peer.close("malformed request: " + malformed.getMessage());
         }
     }
 
     private void run(Peer peer, Run run) {
         CompanionAttempt attempt = CompanionAttempt.ofRun(
                 run, peer, settings.bufferedChunks(), dependencies.clock().nanos());
-        AttemptTable.AddResult taken = attempts.add(attempt);
-        if (taken == AttemptTable.AddResult.TABLE_FULL) {
+        AttemptTable.AddResult result = attempts.add(attempt);
+        if (result == AttemptTable.AddResult.TABLE_FULL) {
             peer.send(Frames.refused(attempt.id(), overloaded("too many attempts are known")));
             return;
         }
-        if (taken == AttemptTable.AddResult.ALREADY_KNOWN) {
+        if (result == AttemptTable.AddResult.ALREADY_KNOWN) {
             if (attempts.find(attempt.id()).isEmpty()) {
                 answerKnownAttempt(peer, attempt.id(), 0, 0);
             }
@@ -114,8 +114,8 @@
             throw ServingException.notRun(ResultCode.NOT_RUN, "the request is for another start of the companion");
         }
         if (run.getNotAfterMillis() != 0 && dependencies.timeOfDay().millis() > run.getNotAfterMillis()) {
-            // A sender that was frozen sends an attempt that was sealed and forgotten, or that ran and was forgotten.
-            // It must not start, and nothing shows that it has not run.
+            // The sender was frozen before it sent this attempt, which may have been sealed and forgotten, or run and
+            // forgotten, since. It must not start, and nothing proves that it has not run.
             throw ServingException.of(
                     ResultCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN, "the request has come too late");
         }
@@ -132,12 +132,12 @@
     }
 
     /**
-     * Answers about an attempt that was seen before: its output goes on over the new link, or its end is told.
+     * Answers a request for an attempt that is known: its output continues over the new link, or the refusal is sent.
      *
      * @param peer the link, not null
      * @param id the attempt, not null
      * @param next the first chunk wanted
-     * @param credit how many may be sent
+     * @param credit how many chunks may be sent
      */
     private void answerKnownAttempt(Peer peer, AttemptId id, long next, int credit) {
         Optional<CompanionAttempt> held = attempts.find(id);
@@ -152,12 +152,12 @@
             runners.current().ifPresent(runner -> runner.onAcknowledged(held.get()));
             return;
         }
-        AttemptTable.KnownState seen = attempts.knownState(id).orElse(AttemptTable.KnownState.FORGOTTEN);
-        peer.send(Frames.refused(id, refusalWithoutOutput(seen)));
+        AttemptTable.KnownState state = attempts.knownState(id).orElse(AttemptTable.KnownState.FORGOTTEN);
+        peer.send(Frames.refused(id, refusalWithoutOutput(state)));
     }
 
-    private static ServingException refusalWithoutOutput(AttemptTable.KnownState seen) {
-        return switch (seen) {
+    private static ServingException refusalWithoutOutput(AttemptTable.KnownState state) {
+        return switch (state) {
             case NEVER_STARTED -> ServingException.notRun(
                     ResultCode.NOT_RUN, "the request never started and never will");
             case ENDED -> ServingException.of(
@@ -181,44 +181,44 @@
     }
 
     /**
-     * A question for an attempt of a former start of this companion.
+     * A Resume for an attempt of a previous incarnation of this companion.
      *
-     * @param peer the link that it came over
-     * @param resume the question
+     * @param peer the link over which it arrived
+     * @param resume the frame
      */
     private record PreviousResume(Peer peer, Resume resume) {}
 
     /**
-     * Goes on with an attempt of a former start, if the target is still running it. Until the target has been looked at,
-     * the question waits.
+     * Continues an attempt of a previous incarnation if the target still runs it. Until the target is taken over, the
+     * Resume is kept pending.
      *
-     * @param former the question, not null
+     * @param previous the Resume, not null
      */
-    private void resumePrevious(PreviousResume former) {
-        AttemptId id = AttemptId.of(former.resume().getAttempt());
-        if (!former.resume().getRepeatable() || former.resume().getAdapter().isEmpty()) {
-            refusePrevious(former.peer(), id);
+    private void resumePrevious(PreviousResume previous) {
+        AttemptId id = AttemptId.of(previous.resume().getAttempt());
+        if (!previous.resume().getRepeatable() || previous.resume().getAdapter().isEmpty()) {
+            refusePrevious(previous.peer(), id);
             return;
         }
         Optional<TargetRunner> runner = runners.current();
         if (runner.isEmpty()) {
-            pendingResumes.add(former);
-        } else if (!adopt(runner.get(), former)) {
-            refusePrevious(former.peer(), id);
+            pendingResumes.add(previous);
+        } else if (!adopt(runner.get(), previous)) {
+            refusePrevious(previous.peer(), id);
         }
     }
 
-    private boolean adopt(TargetRunner runner, PreviousResume former) {
-        Run named = toRun(former.resume());
+    private boolean adopt(TargetRunner runner, PreviousResume previous) {
+        Run run = toRun(previous.resume());
         try {
-            startCheck.check(named);
-        } catch (ServingException refused) {
+            startCheck.check(run);
+        } catch (ServingException refusal) {
             return false;
         }
         CompanionAttempt attempt = CompanionAttempt.ofInheritedStream(
-                named,
-                former.resume().getNextSequence(),
-                former.peer(),
+                run,
+                previous.resume().getNextSequence(),
+                previous.peer(),
                 settings.bufferedChunks(),
                 dependencies.clock().nanos());
         if (attempts.add(attempt) != AttemptTable.AddResult.ADDED) {
@@ -246,8 +246,9 @@
     }
 
     /**
-     * Answers about an attempt of a former start of this companion. Not having seen it says nothing of what that one did:
-     * "not run" would be false for an attempt that ran before the restart.
+     * Refuses a request for an attempt of a previous incarnation with an unknown outcome. That this incarnation has not
+     * seen the attempt does not show what the previous one did: "not run" would be false for an attempt that ran before
+     * the restart.
      *
      * @param peer the link, not null
      * @param id the attempt, not null
@@ -287,14 +288,14 @@
             return;
         }
         Optional<CompanionAttempt> held = attempts.find(id);
-        AttemptTable.KnownState seen = attempts.seal(id, ageNanos(seal.getAgeMillis()));
-        if (seen == AttemptTable.KnownState.NEVER_STARTED) {
+        AttemptTable.KnownState state = attempts.seal(id, ageNanos(seal.getAgeMillis()));
+        if (state == AttemptTable.KnownState.NEVER_STARTED) {
             held.ifPresent(attempt -> {
                 runners.current().ifPresent(runner -> runner.withdraw(attempt));
-                lifecycle.refuse(attempt, refusalWithoutOutput(seen));
+                lifecycle.refuse(attempt, refusalWithoutOutput(state));
             });
         }
-        peer.send(Frames.sealed(id, seen, dependencies.incarnation()));
+        peer.send(Frames.sealed(id, state, dependencies.incarnation()));
     }
 
     private void cancel(Peer peer, Cancel cancel) {
@@ -310,26 +311,28 @@
             return;
         }
         cancel(held.get(), ResultCode.CANCELLED, cancel.getReason());
-        // The attempt's own last frame may wait behind chunks without credit, or for the end of a call that cannot be
-        // taken back, and goes over the link that was resumed last. Whoever cancels waits for none of these.
+        // The attempt's last frame may be delayed behind chunks without credit or until a call that cannot be cancelled
+        // has ended, and it is sent over the link that was resumed last. The sender of the Cancel gets its answer
+        // without these delays.
         boolean neverStarted = attempts.knownState(id).equals(Optional.of(AttemptTable.KnownState.NEVER_STARTED));
-        ExecutionStatus ran = neverStarted ? ExecutionStatus.NO : ExecutionStatus.YES;
-        peer.send(Frames.refused(id, ServingException.of(ResultCode.CANCELLED, ran, cancel.getReason())));
+        ExecutionStatus executionStatus = neverStarted ? ExecutionStatus.NO : ExecutionStatus.YES;
+        peer.send(Frames.refused(id, ServingException.of(ResultCode.CANCELLED, executionStatus, cancel.getReason())));
     }
 
     /**
-     * Ends an attempt before its time: one that waits never starts, one that runs is stopped at the target.
+     * Cancels an attempt: one that waits never starts, one that runs is stopped at the target. A running attempt that
+     * is not repeatable continues.
      *
      * @param attempt the attempt, not null
-     * @param code what its entry is told, not null
-     * @param reason why, not null
+     * @param code the result code sent to its entry, not null
+     * @param reason the reason, not null
      */
     void cancel(CompanionAttempt attempt, ResultCode code, String reason) {
         if (attempt.isFinished()) {
             return;
         }
-        AttemptTable.KnownState seen = attempts.seal(attempt.id(), AttemptTable.AGE_UNKNOWN);
-        if (seen == AttemptTable.KnownState.NEVER_STARTED) {
+        AttemptTable.KnownState state = attempts.seal(attempt.id(), AttemptTable.AGE_UNKNOWN);
+        if (state == AttemptTable.KnownState.NEVER_STARTED) {
             runners.current().ifPresent(runner -> runner.withdraw(attempt));
             lifecycle.refuse(attempt, ServingException.notRun(code, reason));
             return;
@@ -342,7 +345,7 @@
     }
 
     /**
-     * Ends an attempt since the process ends; what runs at an engine goes on there, for the next companion.
+     * Ends an attempt because the process stops. A stream at an engine continues there, for the next companion.
      *
      * @param attempt the attempt, not null
      */
@@ -360,7 +363,9 @@
                                 ResultCode.ANSWER_INTERRUPTED, ExecutionStatus.UNKNOWN, "the companion stops"));
     }
 
-    /** Ends what has passed its deadline or lost its entry, and forgets what nobody will ask for. */
+    /**
+     * Ends attempts that have passed their deadline or lost their entry, and drops output that will not be requested.
+     */
     void tick() {
         answerPendingResumes();
         long now = dependencies.clock().nanos();
@@ -384,16 +389,16 @@
         if (runners.current().isEmpty()) {
             return;
         }
-        for (PreviousResume former = pendingResumes.poll(); former != null; former = pendingResumes.poll()) {
-            resumePrevious(former);
+        for (PreviousResume previous = pendingResumes.poll(); previous != null; previous = pendingResumes.poll()) {
+            resumePrevious(previous);
         }
     }
 
     /**
-     * Queries whether a drain has to wait for an attempt.
+     * Queries whether a drain must wait for an attempt.
      *
      * @param attempt the attempt, not null
-     * @return true if it is not over, or its end is not yet with an entry that is linked
+     * @return true if it is not over, or its end has not yet been delivered to an entry with a link
      */
     boolean blocksDrain(CompanionAttempt attempt) {
         if (!attempt.isFinished()) {
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/AttemptShards.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/AttemptShards.java
@@ -9,9 +9,10 @@
 import org.geraniumreach.model.MonotonicClock;
 
 /**
- * The attempts of a companion, in shards each under its own lock.
+ * The attempt tables of a companion: one for each shard of the attempt identifiers, with a lock of its own.
  *
- * <p>Invariant: those of {@link AttemptTable}. Safe for use by several threads; nothing else is called under a shard's lock.
+ * <p>Invariants: those of {@link AttemptTable}. Safe for use by several threads; no foreign code is called while a
+ * shard's lock is held.
  */
 final class AttemptShards {
 
@@ -23,9 +24,9 @@
     AttemptShards(CompanionSettings settings, MonotonicClock clock) {
         this.clock = clock;
         long retention = settings.attemptRetention().toNanos();
-        int each = Math.max(1, settings.retainedAttempts() / SHARD_COUNT);
+        int capacity = Math.max(1, settings.retainedAttempts() / SHARD_COUNT);
         this.shards = IntStream.range(0, SHARD_COUNT)
-                .mapToObj(index -> new AttemptTable<CompanionAttempt>(retention, each))
+                .mapToObj(index -> new AttemptTable<CompanionAttempt>(retention, capacity))
                 .toList();
     }
 
@@ -98,9 +99,9 @@
     }
 
     /**
-     * Gets the attempts that are not over, or whose output is kept.
+     * Gets the attempts that are not over or whose output is retained.
      *
-     * @return the attempts as they are now, not null
+     * @return a snapshot of the attempts, not null
      */
     List<CompanionAttempt> all() {
         List<CompanionAttempt> all = new ArrayList<>();
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/AttemptStream.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/AttemptStream.java
@@ -15,11 +15,11 @@
 import org.geraniumreach.serving.residency.Pin;
 
 /**
- * One attempt's stream at the engine.
+ * The stream of one attempt at the engine.
  *
- * <p>Invariants: nothing goes to the entry before the engine has named the adapter and version that it runs, and they are
- * the ones asked for; the adapter stays pinned until the engine has ended the stream, was made to, or does not know it.
- * Safe for use by several threads.
+ * <p>Invariants: nothing is sent to the entry before the engine has named the adapter and version that it runs, and
+ * they are the requested ones; the adapter stays pinned until the engine has ended the stream, has stopped it, or does
+ * not know it. Safe for use by several threads.
  */
 final class AttemptStream implements EngineListener {
 
@@ -46,50 +46,50 @@
             long engineIncarnation,
             long queueNanos,
             long loadNanos,
-            Listener owner) {
+            Listener listener) {
         this.request = request;
         this.pin = pin;
         this.engineIncarnation = engineIncarnation;
         this.queueNanos = queueNanos;
         this.loadNanos = loadNanos;
-        this.listener = owner;
+        this.listener = listener;
     }
 
-    /** What becomes of a stream. */
+    /** Receives the events that end or interrupt a stream. */
     interface Listener {
 
-        void onEnded(AttemptStream answer, End end);
+        void onEnded(AttemptStream stream, End end);
 
         /**
-         * Tells that the engine ran something else than was asked for.
+         * Called when the engine ran another adapter than the requested one.
          *
-         * @param answer the stream, not null
-         * @param served what it ran, not null
+         * @param stream the stream, not null
+         * @param served the adapter that it ran, not null
          */
-        void onWrongAdapterServed(AttemptStream answer, AdapterReference served);
+        void onWrongAdapterServed(AttemptStream stream, AdapterReference served);
 
         /**
-         * Tells that the engine has not started the stream and will not.
+         * Called when the engine has not started the stream and will not start it.
          *
-         * @param answer the stream, not null
-         * @param failure why, not null
+         * @param stream the stream, not null
+         * @param failure the cause, not null
          */
-        void onNotStarted(AttemptStream answer, PlatformException failure);
+        void onNotStarted(AttemptStream stream, PlatformException failure);
 
         /**
-         * Tells that the stream broke off.
+         * Called when the connection of the stream broke.
          *
-         * @param answer the stream, not null
-         * @param failure why; its effect is NONE if the engine does not know the stream, not null
+         * @param stream the stream, not null
+         * @param failure the cause, not null; its effect is NONE if the engine does not know the stream
          */
-        void onBroken(AttemptStream answer, PlatformException failure);
+        void onBroken(AttemptStream stream, PlatformException failure);
 
         /**
-         * Tells that a stream that was given up can be stopped at the engine now.
+         * Called when a cancelled stream can be stopped at the engine.
          *
-         * @param answer the stream, not null
+         * @param stream the stream, not null
          */
-        void onStoppable(AttemptStream answer);
+        void onStoppable(AttemptStream stream);
     }
 
     QueuedRequest<CompanionAttempt> request() {
@@ -105,63 +105,64 @@
     }
 
     /**
-     * Takes the stream over which chunks are asked for.
+     * Sets the engine stream from which chunks are requested, and requests the first ones.
      *
-     * @param newStream the stream, not null
+     * @param newStream the engine stream, not null
      */
     void attach(EngineStream newStream) {
-        boolean isOver;
+        boolean wasDetached;
         synchronized (this) {
             stream = newStream;
-            isOver = isDetached;
+            wasDetached = isDetached;
         }
-        if (isOver) {
+        if (wasDetached) {
             newStream.detach();
             return;
         }
         requestChunks();
     }
 
-    /** Asks the engine for as many chunks as may be kept. */
+    /** Requests as many chunks from the engine as may be buffered. */
     void requestChunks() {
-        EngineStream asked;
+        EngineStream currentStream;
         int chunks;
         synchronized (this) {
-            asked = stream;
-            chunks = asked == null || isDetached ? 0 : attempt().takeDemand();
+            currentStream = stream;
+            chunks = currentStream == null || isDetached ? 0 : attempt().takeDemand();
         }
         if (chunks > 0) {
-            asked.request(chunks);
+            currentStream.request(chunks);
         }
     }
 
     /**
-     * Takes the stream that goes on where another one broke off, and asks it for what that one still owed.
+     * Replaces the engine stream whose connection broke and requests the chunks that have not arrived again.
      *
-     * @param newStream the stream, not null
+     * @param newStream the engine stream, not null
      */
     void attachResumed(EngineStream newStream) {
         attempt().resetDemand();
         attach(newStream);
     }
 
-    /** Listens no more. */
+    /** Ignores all further events of the engine. */
     void detach() {
-        EngineStream listened;
+        EngineStream detachedStream;
         synchronized (this) {
             isDetached = true;
-            listened = stream;
+            detachedStream = stream;
         }
-        if (listened != null) {
-            listened.detach();
+        if (detachedStream != null) {
+            detachedStream.detach();
         }
     }
 
     /**
-     * Gives the stream up. A cancel that overtakes the stream's start at the engine does nothing, and the stream would run
-     * on without a pin; so one that the engine has not been heard of yet is listened to until it is.
+     * Cancels the stream. A cancel that arrives at the engine before the stream's start has no effect, and the stream
+     * would then run without a pin. A stream of which the engine has reported nothing yet is therefore listened to
+     * until it does.
      *
-     * @return true if the engine may be told to stop now, false if {@link Listener#onStoppable} will tell when
+     * @return true if the engine may be told to stop the stream; false if {@link Listener#onStoppable} is called later
      */
     boolean cancel() {
         synchronized (this) {
@@ -178,17 +179,21 @@
         return isCancelled;
     }
 
-    /** Notes that the stream is being asked for again, so that a NONE from now on says it is not known. */
+    /**
+     * Records that the stream is being resumed. A failure with effect NONE after that means that the engine does not
+     * know the stream, and no longer that it has not started it.
+     */
     synchronized void markResumed() {
         isResumed = true;
     }
 
     /**
-     * Queries whether a stream has been broken for too long.
+     * Queries whether the connection of the stream has been broken for longer than a limit; the first call after an
+     * event of the engine starts the measurement.
      *
-     * @param now the time
-     * @param limit how long it may be
-     * @return true if nothing has come of it for longer
+     * @param now the current time
+     * @param limit the limit
+     * @return true if the engine has reported nothing for longer than the limit
      */
     synchronized boolean isBrokenLongerThan(long now, Duration limit) {
         if (!isBroken) {
@@ -203,9 +208,9 @@
     }
 
     /**
-     * Lets the adapter go, once.
+     * Releases the adapter's pin.
      *
-     * @return false if that was done before
+     * @return false if it was released before
      */
     boolean releasePin() {
         if (!isPinReleased.compareAndSet(false, true)) {
@@ -283,19 +288,19 @@
 
     @Override
     public void failed(PlatformException failure) {
-        boolean notStarted;
+        boolean hasNotStarted;
         boolean wasCancelled;
         synchronized (this) {
             if (isDetached) {
                 return;
             }
-            notStarted = failure.effect() == PlatformException.Effect.NONE && !hasStarted && !isResumed;
+            hasNotStarted = failure.effect() == PlatformException.Effect.NONE && !hasStarted && !isResumed;
             wasCancelled = isCancelled;
-            isDetached = notStarted || wasCancelled;
+            isDetached = hasNotStarted || wasCancelled;
         }
-        if (wasCancelled && !notStarted) {
+        if (wasCancelled && !hasNotStarted) {
             listener.onStoppable(this);
-        } else if (notStarted) {
+        } else if (hasNotStarted) {
             listener.onNotStarted(this, failure);
         } else {
             listener.onBroken(this, failure);
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/AttemptTable.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/AttemptTable.java
@@ -10,25 +10,27 @@
 import org.geraniumreach.model.AttemptId;
 
 /**
- * What is known of attempts: which were seen, which have started, and which never will.
+ * Records which attempts were seen, which have started, and which never will.
  *
- * <p>Invariants: an attempt starts at most once, and never after it was sealed or refused; {@link KnownState#NEVER_STARTED} is
- * answered only for an attempt that has not started, and holds from then on. Attempts that are over are known for the
- * retention time; those that have run may be forgotten earlier if there are too many, those that were sealed never, since
- * their Run may still arrive. When too many are known all the same, no new one is taken. The table remembers since when it
- * has forgotten none: an unknown attempt that is older may have run, and is answered {@link KnownState#FORGOTTEN}, so bounded
- * memory never makes "not run" false. No I/O, threads or clock of its own. Not safe for use by several threads.
+ * <p>Invariants: an attempt starts at most once, and never after it was sealed or refused;
+ * {@link KnownState#NEVER_STARTED} is reported only for an attempt that has not started, and it will not start after
+ * that. Attempts that are over are remembered for the retention time. If the table is full, those that have run may be
+ * forgotten earlier; sealed ones are not, since their Run may still arrive. If that frees no place, new attempts are
+ * rejected. The table keeps the time up to which it has forgotten attempts: an unknown attempt that was sent before may
+ * have run and is reported as {@link KnownState#FORGOTTEN}, so that bounded memory never leads to a false "not run".
+ * Performs no I/O and has no threads or clock of its own. Not safe for use by several threads. Times are nanoseconds of
+ * one monotonic clock.
  *
- * @param <T> what is kept with an attempt until its output may be dropped
+ * @param <T> the value that is kept with an attempt until its output may be dropped
  */
 final class AttemptTable<T> {
 
-    /** The age of an attempt that nobody can tell. */
+    /** Passed instead of an age that is not known. */
     static final long AGE_UNKNOWN = -1;
 
     /**
-     * How long a question may travel: an entry believes no answer that comes later than its answer limit, which is below
-     * this.
+     * An upper bound of the time that a Resume, Seal or Cancel frame takes to arrive. Entries ignore answers that
+     * arrive after their answer limit, which is below this bound.
      */
     static final long MAX_QUERY_DELAY_NANOS = 30_000_000_000L;
 
@@ -39,15 +41,15 @@
     private final LinkedHashMap<AttemptId, Long> endedAt = new LinkedHashMap<>();
     private final LinkedHashMap<AttemptId, Long> sealedAt = new LinkedHashMap<>();
 
-    /** Of attempts that were sealed without having been seen, up to when others had been forgotten by then. */
+    /** For attempts that were sealed while unknown: the forgotten horizon at the time of the seal. */
     private final Map<AttemptId, Long> horizonAtSeal = new HashMap<>();
 
     private boolean hasForgotten;
     private long forgottenHorizon;
 
-    AttemptTable(long retentionNanos, int retained) {
+    AttemptTable(long retentionNanos, int capacity) {
         this.retentionNanos = retentionNanos;
-        this.capacity = retained;
+        this.capacity = capacity;
     }
 
     private enum State {
@@ -58,9 +60,9 @@
         FORGOTTEN
     }
 
-    /** What the table knows of an attempt. */
+    /** The state of an attempt as far as the table knows it. */
     enum KnownState {
-        /** It waits. */
+        /** It waits in the queue. */
         WAITING,
         /** It has started. */
         STARTED,
@@ -68,26 +70,26 @@
         ENDED,
         /** It has not started and never will. */
         NEVER_STARTED,
-        /** It may have run so long ago that it is forgotten; it will not start. */
+        /** It may have run and been forgotten since; it will not start. */
         FORGOTTEN
     }
 
-    /** What became of an attempt that was to be taken in. */
+    /** The result of adding an attempt. */
     enum AddResult {
-        /** It waits from now on. */
+        /** It was added and waits. */
         ADDED,
-        /** It was seen or sealed before. */
+        /** It was added or sealed before. */
         ALREADY_KNOWN,
-        /** It is not known, and there is no room to know it. */
+        /** It is not known, and the table is full. */
         TABLE_FULL
     }
 
     /**
-     * Takes an attempt in.
+     * Adds an attempt, which then waits.
      *
      * @param id the attempt, not null
-     * @param value what is kept with it, not null
-     * @return what became of it, not null
+     * @param value the value to keep with it, not null
+     * @return the result, not null
      */
     AddResult add(AttemptId id, T value) {
         if (states.containsKey(id)) {
@@ -112,17 +114,17 @@
     }
 
     /**
-     * Starts an attempt.
+     * Starts an attempt if it waits.
      *
      * @param id the attempt, not null
-     * @return true if it waited, and is to be run; false if it must not be
+     * @return true if it waited and is to be run; false if it must not be run
      */
     boolean start(AttemptId id) {
         return states.replace(id, State.WAITING, State.STARTED);
     }
 
     /**
-     * Puts an attempt back that was started and, as is shown, did not run.
+     * Returns a started attempt to the waiting state. It must be certain that it did not run.
      *
      * @param id the attempt, not null
      */
@@ -131,11 +133,11 @@
     }
 
     /**
-     * Notes that an attempt is over.
+     * Records that an attempt is over.
      *
      * @param id the attempt, not null
-     * @param hasRun false if it has not run, which must be shown
-     * @param now the time
+     * @param hasRun false if it is certain that it has not run
+     * @param now the current time
      */
     void end(AttemptId id, boolean hasRun, long now) {
         if (!isUnfinished(id)) {
@@ -151,12 +153,12 @@
     }
 
     /**
-     * Sees to it that an attempt does not start if it has not started.
+     * Seals an attempt: one that has not started never will.
      *
      * @param id the attempt, not null
-     * @param ageNanos the time since it was sent, at least, or {@link #AGE_UNKNOWN}
-     * @param now the time
-     * @return what is known of it, not null; never {@link KnownState#WAITING}
+     * @param ageNanos a lower bound of the time since it was sent, or {@link #AGE_UNKNOWN}
+     * @param now the current time
+     * @return its state, not null; never {@link KnownState#WAITING}
      */
     KnownState seal(AttemptId id, long ageNanos, long now) {
         if (!states.containsKey(id)) {
@@ -170,11 +172,11 @@
     }
 
     /**
-     * Takes back that an attempt never started, if it was sent before what was remembered at its first seal.
+     * Changes a sealed attempt to forgotten if it was sent before the forgotten horizon of its first seal.
      *
-     * <p>The first seal may have come from an entry that was frozen after it had worked out the attempt's age. The attempt
-     * then seemed young enough to be remembered, though it had run and been forgotten, and whoever asks next would be told
-     * that it never ran.
+     * <p>The first seal may have come from an entry that was frozen after it had computed the attempt's age. That age
+     * was then too small, and the attempt was taken for one that would still be remembered although it had run and been
+     * forgotten. Without this correction the next seal would report that it never ran.
      */
     private void reviseEarlierSeal(AttemptId id, long ageNanos, long now) {
         Long horizon = horizonAtSeal.get(id);
@@ -183,11 +185,11 @@
         }
     }
 
-    private KnownState sealUnknown(AttemptId id, boolean isWithinMemory, long now) {
+    private KnownState sealUnknown(AttemptId id, boolean isRemembered, long now) {
         if (!ensureCapacity()) {
             return KnownState.FORGOTTEN;
         }
-        State state = isWithinMemory ? State.SEALED : State.FORGOTTEN;
+        State state = isRemembered ? State.SEALED : State.FORGOTTEN;
         states.put(id, state);
         sealedAt.put(id, now);
         if (hasForgotten) {
@@ -218,10 +220,10 @@
     }
 
     /**
-     * Finds out what is known of an attempt.
+     * Gets the state of an attempt.
      *
      * @param id the attempt, not null
-     * @return what is known, or empty if it was never seen or is forgotten
+     * @return the state, or empty if the attempt was never seen or is forgotten
      */
     Optional<KnownState> knownState(AttemptId id) {
         return Optional.ofNullable(states.get(id)).map(AttemptTable::knownState);
@@ -232,7 +234,7 @@
     }
 
     /**
-     * Drops what is kept with an attempt that is over; that it was seen stays known.
+     * Drops the value of an attempt that is over; its state remains known.
      *
      * @param id the attempt, not null
      */
@@ -243,28 +245,28 @@
     }
 
     /**
-     * Forgets what is over for longer than the retention time.
+     * Forgets the attempts that have been over for longer than the retention time.
      *
-     * @param now the time
+     * @param now the current time
      */
     void expire(long now) {
         expire(endedAt, now);
         expire(sealedAt, now);
     }
 
-    private void expire(LinkedHashMap<AttemptId, Long> over, long now) {
-        while (!over.isEmpty()) {
-            Map.Entry<AttemptId, Long> oldest = over.entrySet().iterator().next();
+    private void expire(LinkedHashMap<AttemptId, Long> endTimes, long now) {
+        while (!endTimes.isEmpty()) {
+            Map.Entry<AttemptId, Long> oldest = endTimes.entrySet().iterator().next();
             if (now - oldest.getValue() <= retentionNanos) {
                 return;
             }
-            forget(oldest.getKey(), over);
+            forget(oldest.getKey(), endTimes);
         }
     }
 
-    private void forget(AttemptId id, LinkedHashMap<AttemptId, Long> over) {
-        long since = over.remove(id);
-        forgottenHorizon = hasForgotten ? Math.max(forgottenHorizon, since) : since;
+    private void forget(AttemptId id, LinkedHashMap<AttemptId, Long> endTimes) {
+        long endTime = endTimes.remove(id);
+        forgottenHorizon = hasForgotten ? Math.max(forgottenHorizon, endTime) : endTime;
         hasForgotten = true;
         states.remove(id);
         horizonAtSeal.remove(id);
@@ -272,9 +274,9 @@
     }
 
     /**
-     * Gets what is kept with attempts.
+     * Gets the values that are kept.
      *
-     * @return the values as they are now, not null
+     * @return a snapshot of the values, not null
      */
     Collection<T> values() {
         return List.copyOf(values.values());
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionAttempt.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionAttempt.java
@@ -13,10 +13,11 @@
 import org.geraniumreach.model.KeyDigest;
 
 /**
- * One attempt at this companion: what was asked, and the way of its output to the entry.
+ * An attempt that this companion handles: the request, and the delivery of its output to the entry.
  *
- * <p>Invariants: output goes over the link that the entry last asked on, and no other; without a link it is kept. What
- * changes is guarded by this object's lock, and a slow link holds up nobody else. Safe for use by several threads.
+ * <p>Invariants: output is sent only over the link from which the entry last asked for it; without a link it is
+ * retained. State is guarded by this object's lock, so a slow link delays no other attempt. Safe for use by several
+ * threads.
  */
 final class CompanionAttempt {
 
@@ -53,14 +54,14 @@
     }
 
     /**
-     * Makes an attempt from a Run.
+     * Creates an attempt from a Run.
      *
      * @param run the Run, not null
-     * @param link the link that it came over, not null
-     * @param bufferedChunks how many chunks are kept
-     * @param now the time
+     * @param link the link over which it arrived, not null
+     * @param bufferedChunks how many chunks are retained at most
+     * @param now the current time in nanoseconds of the monotonic clock
      * @return the attempt, not null
-     * @throws IllegalArgumentException if a name or the digest is not one
+     * @throws IllegalArgumentException if a name or the digest is malformed
      */
     static CompanionAttempt ofRun(Run run, Peer link, int bufferedChunks, long now) {
         OutputBuffer output = new OutputBuffer(0, run.getCredit(), bufferedChunks, !run.getRepeatable());
@@ -68,18 +69,18 @@
     }
 
     /**
-     * Makes an attempt that a former companion has begun.
+     * Creates an attempt for a stream that a previous companion started.
      *
-     * @param named what its entry says was asked, not null
-     * @param next the first chunk wanted
-     * @param link the link that it was asked for over, not null
-     * @param bufferedChunks how many chunks are kept
-     * @param now the time
+     * @param run the request as described by its entry, without a body, not null
+     * @param next the sequence number of the first chunk wanted
+     * @param link the link over which it was requested, not null
+     * @param bufferedChunks how many chunks are retained at most
+     * @param now the current time in nanoseconds of the monotonic clock
      * @return the attempt, not null
-     * @throws IllegalArgumentException if a name or the digest is not one
+     * @throws IllegalArgumentException if a name or the digest is malformed
      */
-    static CompanionAttempt ofInheritedStream(Run named, long next, Peer link, int bufferedChunks, long now) {
-        return new CompanionAttempt(named, new OutputBuffer(next, named.getCredit(), bufferedChunks, false), link, now);
+    static CompanionAttempt ofInheritedStream(Run run, long next, Peer link, int bufferedChunks, long now) {
+        return new CompanionAttempt(run, new OutputBuffer(next, run.getCredit(), bufferedChunks, false), link, now);
     }
 
     AttemptId id() {
@@ -87,7 +88,7 @@
     }
 
     /**
-     * Gets what was asked, but for the body.
+     * Gets the request without its body.
      *
      * @return the Run without its body, not null
      */
@@ -123,7 +124,7 @@
         return deadline;
     }
 
-    /** Lets chunks be sent, now that the target has said what it runs. */
+    /** Permits chunks to be sent, after the target has named the adapter that it runs. */
     synchronized void open() {
         outputBuffer.open();
         flush();
@@ -146,12 +147,12 @@
     }
 
     /**
-     * Sends the output over a link from now on.
+     * Redirects the output to another link.
      *
      * @param newLink the link, not null
-     * @param next the first chunk wanted
-     * @param credit how many may be sent
-     * @return false if that chunk is not kept any more
+     * @param next the sequence number of the first chunk wanted
+     * @param credit how many chunks may be sent
+     * @return false if that chunk is no longer retained
      */
     synchronized boolean resume(Peer newLink, long next, int credit) {
         if (!outputBuffer.resume(next, credit)) {
@@ -168,18 +169,18 @@
     }
 
     /**
-     * Goes on sending over a link that has room again.
+     * Continues to send over a link that is writable again.
      *
-     * @param writable the link, not null
+     * @param writableLink the link, not null
      */
-    synchronized void onWritable(Peer writable) {
-        if (link == writable) {
+    synchronized void onWritable(Peer writableLink) {
+        if (link == writableLink) {
             flush();
         }
     }
 
-    synchronized void onLinkClosed(Peer closed, long now) {
-        if (link == closed) {
+    synchronized void onLinkClosed(Peer closedLink, long now) {
+        if (link == closedLink) {
             link = null;
             unlinkedSince = now;
         }
@@ -195,11 +196,11 @@
     }
 
     /**
-     * Queries whether no entry has had a link for the attempt for a time.
+     * Queries whether the attempt has been without a link for longer than a limit.
      *
-     * @param limitNanos the time
-     * @param now the time
-     * @return true if none has
+     * @param limitNanos the limit in nanoseconds
+     * @param now the current time in nanoseconds of the monotonic clock
+     * @return true if it has no link and lost it longer ago than the limit
      */
     synchronized boolean isOrphaned(long limitNanos, long now) {
         return link == null && now - unlinkedSince > limitNanos;
@@ -226,9 +227,9 @@
     }
 
     /**
-     * Counts how often the target was asked in vain to start the attempt.
+     * Counts a return of the attempt to the queue after the target did not start it.
      *
-     * @return the count, this time included
+     * @return the number of returns, including this one
      */
     synchronized int countRequeue() {
         return ++requeues;
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionDaemon.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionDaemon.java
@@ -19,7 +19,7 @@
 import org.geraniumreach.standalone.PlatformClients;
 
 /**
- * A companion's process: the companion and what it stands on.
+ * The process of a companion: the companion node and the services that it uses.
  *
  * <p>Safe for use by several threads.
  */
@@ -40,7 +40,7 @@
      *
      * @param settings the settings, not null
      * @return the running companion, not null
-     * @throws IOException if an address cannot be had
+     * @throws IOException if a socket cannot be bound
      */
     public static CompanionDaemon start(CompanionProcessSettings settings) throws IOException {
         AtomicReference<CompanionNode> started = new AtomicReference<>();
@@ -49,7 +49,7 @@
                         .map(CompanionNode::fence)
                         .orElse(0L));
         Foundation foundation = Foundation.start(settings.toFoundationSettings(), hello);
-        CompanionNode node = CompanionNode.create(settings.companion(), parts(settings.target(), foundation));
+        CompanionNode node = CompanionNode.create(settings.companion(), dependencies(settings.target(), foundation));
         started.set(node);
         node.start();
         foundation.startManagement(node::reasonNotReady);
@@ -61,7 +61,7 @@
         return new CompanionDaemon(settings, foundation, node);
     }
 
-    private static CompanionDependencies parts(TargetSettings target, Foundation foundation) {
+    private static CompanionDependencies dependencies(TargetSettings target, Foundation foundation) {
         URI address = PlatformSettings.uri(target.address());
         Optional<ModelEngine> engine = Optional.empty();
         Optional<PlainService> service = Optional.empty();
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionDependencies.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionDependencies.java
@@ -14,20 +14,20 @@
 import org.geraniumreach.ports.TableService;
 
 /**
- * What a companion works with.
+ * The services and identifiers that a companion works with.
  *
  * <p>Invariant: exactly one of engine and service is present. Immutable and safe for use by several threads.
  *
  * @param instance the companion's instance
  * @param incarnation the number of this start of the process
- * @param target the target that it stands beside
+ * @param target the target that this companion serves
  * @param links the links of this process
- * @param configuration the configuration in force
- * @param table where the fence is taken
+ * @param configuration provides the configuration in force
+ * @param table the table service in which the fencing token is stored
  * @param engine the target, if it is a model engine
  * @param service the target, if it is a plain service
- * @param clock the clock
- * @param timeOfDay the time of day, for what another process has dated
+ * @param clock the monotonic clock
+ * @param timeOfDay the wall clock, for comparison with time stamps of other processes
  */
 public record CompanionDependencies(
         InstanceId instance,
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionNode.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionNode.java
@@ -24,11 +24,11 @@
 import org.geraniumreach.model.record.Target;
 
 /**
- * A companion: it answers entries over links and is the only one to speak to its target.
+ * A companion, which answers entries over links and is the only process that calls its target.
  *
- * <p>Invariants: no work is taken before the fence is held and the target's state is known, nor after {@link #drain}; an
- * attempt starts at most once; its output is kept until its entry has acknowledged it, or has been gone for too long. Safe
- * for use by several threads.
+ * <p>Invariants: no work is accepted before the fencing token is held and the target's state is known, nor after
+ * {@link #drain}; an attempt starts at most once; its output is retained until its entry has acknowledged it or has
+ * been without a link for too long. Safe for use by several threads.
  */
 public final class CompanionNode implements AutoCloseable {
 
@@ -55,28 +55,28 @@
     private volatile boolean isDraining;
     private volatile long lastReportAt;
 
-    private CompanionNode(CompanionSettings settings, CompanionDependencies parts) {
+    private CompanionNode(CompanionSettings settings, CompanionDependencies dependencies) {
         this.settings = settings;
-        this.dependencies = parts;
-        this.attempts = new AttemptShards(settings, parts.clock());
-        StartCheck startCheck = new StartCheck(parts);
+        this.dependencies = dependencies;
+        this.attempts = new AttemptShards(settings, dependencies.clock());
+        StartCheck startCheck = new StartCheck(dependencies);
         this.lifecycle = new AttemptLifecycle(attempts, startCheck);
-        this.takeover = new TargetTakeover(settings, parts, lifecycle, timer, this::scheduleReport);
-        this.requestHandler =
-                new AttemptRequestHandler(settings, parts, attempts, lifecycle, startCheck, new TakenOverTarget());
+        this.takeover = new TargetTakeover(settings, dependencies, lifecycle, timer, this::scheduleReport);
+        this.requestHandler = new AttemptRequestHandler(
+                settings, dependencies, attempts, lifecycle, startCheck, new TakenOverTarget());
     }
 
     /**
-     * Makes a companion and registers it for frames, so that it answers as soon as links open.
+     * Creates a companion and registers it for frames, so that it answers as soon as links open.
      *
      * @param settings the settings, not null
-     * @param parts what it works with, not null
-     * @return the companion, which takes no work before {@link #start}, not null
+     * @param dependencies the services that it uses, not null
+     * @return the companion, which accepts no work before {@link #start}, not null
      */
-    public static CompanionNode create(CompanionSettings settings, CompanionDependencies parts) {
-        CompanionNode node = new CompanionNode(settings, parts);
-        parts.links().handle(HANDLED_FRAMES, node.new LinkHandler());
-        parts.configuration().listen(node::configurationChanged);
+    public static CompanionNode create(CompanionSettings settings, CompanionDependencies dependencies) {
+        CompanionNode node = new CompanionNode(settings, dependencies);
+        dependencies.links().handle(HANDLED_FRAMES, node.new LinkHandler());
+        dependencies.configuration().listen(node::configurationChanged);
         return node;
     }
 
@@ -89,16 +89,16 @@
         return new ScheduledThreadPoolExecutor(1, threads, new ThreadPoolExecutor.DiscardPolicy());
     }
 
-    /** Begins to take the target over; work is taken once that is done. */
+    /** Starts the takeover of the target; work is accepted once that is done. */
     public void start() {
         takeover.start();
         timer.scheduleWithFixedDelay(this::tick, TICK_PERIOD.toNanos(), TICK_PERIOD.toNanos(), TimeUnit.NANOSECONDS);
     }
 
     /**
-     * Gets why no work is taken.
+     * Gets the reason why no work is accepted.
      *
-     * @return the reason, or empty if work is taken
+     * @return the reason, or empty if work is accepted
      */
     public Optional<String> reasonNotReady() {
         if (isDraining) {
@@ -108,15 +108,15 @@
     }
 
     /**
-     * Gets the fence, for the Hello.
+     * Gets the fencing token, which is sent in the Hello.
      *
-     * @return the number, 0 before it is taken
+     * @return the token, 0 before it is acquired
      */
     public long fence() {
         return takeover.fence();
     }
 
-    /** Gives the runner of the target, as long as it may be given. */
+    /** Provides the target's runner once the target is taken over. */
     private final class TakenOverTarget implements AttemptRequestHandler.RunnerProvider {
 
         @Override
@@ -140,7 +140,7 @@
         }
     }
 
-    /** Takes links' news to where they belong. */
+    /** Passes events of links to the request handler, the status reporter and the attempts. */
     private final class LinkHandler implements FrameHandler {
 
         @Override
@@ -204,8 +204,8 @@
                 scheduleReport();
             }
         } catch (RuntimeException failure) {
-            // A task that throws is never run again: deadlines and orphans would then be waited for in vain.
-            EventLog.write(EventCode.UNEXPECTED_FAILURE, failure, "the companion's timer");
+            // An exception would cancel the periodic task, and expired and orphaned attempts would never be ended.
+            EventLog.write(EventCode.UNEXPECTED_FAILURE, failure, "periodic task of the companion failed");
         }
     }
 
@@ -221,10 +221,14 @@
                 cancelled++;
             }
         }
-        EventLog.write(EventCode.STREAMS_CANCELLED, "{} at revision {}", cancelled, after.revision());
+        EventLog.write(
+                EventCode.STREAMS_CANCELLED,
+                "{} streams with withdrawn keys at revision {}",
+                cancelled,
+                after.revision());
     }
 
-    /** Takes no new work from now on and tells all peers; what was taken runs to its end. */
+    /** Stops accepting work and tells all peers; attempts already accepted run to their end. */
     public void drain() {
         isDraining = true;
         Frame leaving = Frame.newBuilder()
@@ -238,9 +242,9 @@
     }
 
     /**
-     * Gets the number of attempts that wait, run, or whose output is not yet with its entry.
+     * Gets the number of attempts that wait, run, or whose output is not yet delivered to its entry.
      *
-     * @return the number, 0 when the drain is done
+     * @return the number, 0 when the drain is complete
      */
     public int unfinished() {
         return (int) attempts.all().stream().filter(requestHandler::blocksDrain).count();
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionProcessSettings.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionProcessSettings.java
@@ -19,14 +19,14 @@
  * <p>Immutable and safe for use by several threads.
  *
  * @param role always {@link NodeRole#COMPANION}
- * @param node who and where it is
- * @param log how it logs
- * @param platform where the platform's services are
- * @param target the target that it stands beside
- * @param companion its work
- * @param links its links
- * @param membership its membership
- * @param configuration its configuration
+ * @param node the identity and the location of the instance
+ * @param log the logging
+ * @param platform the addresses of the platform's services
+ * @param target the target that the companion serves
+ * @param companion the handling of requests
+ * @param links the links
+ * @param membership the membership
+ * @param configuration the configuration
  */
 public record CompanionProcessSettings(
         @Setting(about = "What runs with these settings; here companion.") NodeRole role,
@@ -50,15 +50,15 @@
     }
 
     /**
-     * The target that a companion stands beside.
+     * The target that a companion serves.
      *
-     * @param name its record's name
-     * @param kind what it is
-     * @param address where it is
-     * @param callLimit how long an order may take to be answered
-     * @param loadLimit how long a load may take
-     * @param silence how long a running stream may bring nothing
-     * @param serviceLimit how long a plain service's call may take
+     * @param name the name of the target's record
+     * @param kind the kind of target
+     * @param address the address of the target
+     * @param callLimit the time limit of an order, except a load
+     * @param loadLimit the time limit of a load
+     * @param silence how long a running stream may stay silent before it counts as broken
+     * @param serviceLimit the time limit of a call to a plain service
      */
     public record TargetSettings(
             @Setting(about = "The name of the target's record.") String name,
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionSettings.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionSettings.java
@@ -9,17 +9,17 @@
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param queue the order of requests
+ * @param queue the queue of requests
  * @param loads the loading of adapters
- * @param bufferedChunks the chunks of one answer that are kept
- * @param attemptRetention how long it is known that an attempt was seen
- * @param retainedAttempts how many attempts are known at most
- * @param orphanLimit how long work goes on without a link to its entry
- * @param statusInterval the longest time between two reports to an entry
- * @param engineCheckAge how old a look at the engine may be when a request is sent
- * @param orderLimit how long an order stays valid
- * @param fenceCheckInterval how often the fence is read again
- * @param adoptionLimit how long streams left by a former companion may be asked for
+ * @param bufferedChunks how many chunks of one answer are retained
+ * @param attemptRetention how long an attempt that is over is remembered
+ * @param retainedAttempts how many attempts are remembered at most
+ * @param orphanLimit how long an attempt continues without a link to its entry
+ * @param statusInterval the longest time between two status reports to an entry
+ * @param engineCheckAge how old the known state of the engine may be when a request is sent
+ * @param orderLimit how long an order to the target stays valid
+ * @param fenceCheckInterval the interval between two reads of the fencing token
+ * @param adoptionLimit how long entries may claim streams that a previous companion started
  */
 public record CompanionSettings(
         QueueSettings queue,
@@ -80,13 +80,14 @@
                                 "How long streams that a former companion left may be asked for before they are cancelled.")
                 Duration adoptionLimit) {
 
-    private static final int LEAST_BUFFERED_CHUNKS = 64;
+    private static final int MIN_BUFFERED_CHUNKS = 64;
     private static final int DEFAULT_RETAINED_ATTEMPTS = 50_000;
 
     public CompanionSettings {
-        // With fewer, the companion would wait for an acknowledgement that its entry sends only after more chunks.
-        if (bufferedChunks < LEAST_BUFFERED_CHUNKS) {
-            throw new IllegalArgumentException("bufferedChunks below " + LEAST_BUFFERED_CHUNKS + ": " + bufferedChunks);
+        // Entries acknowledge every 32 chunks. With a smaller buffer the companion would wait for an acknowledgement
+        // that the entry sends only after further chunks.
+        if (bufferedChunks < MIN_BUFFERED_CHUNKS) {
+            throw new IllegalArgumentException("bufferedChunks below " + MIN_BUFFERED_CHUNKS + ": " + bufferedChunks);
         }
     }
 
@@ -99,7 +100,7 @@
         return new CompanionSettings(
                 QueueSettings.defaults(),
                 LoadSettings.defaults(),
-                LEAST_BUFFERED_CHUNKS,
+                MIN_BUFFERED_CHUNKS,
                 Duration.ofMinutes(2),
                 DEFAULT_RETAINED_ATTEMPTS,
                 Duration.ofSeconds(15),
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/EngineMonitor.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/EngineMonitor.java
@@ -12,12 +12,12 @@
 import org.geraniumreach.serving.residency.Residency;
 
 /**
- * Keeps the view of the engine's residency true.
+ * Keeps the known state of the engine up to date.
  *
- * <p>An engine that restarts holds nothing. If requests were sent on the old view, it would run them on the bare model, or
- * on what another slot now holds. So the engine is looked at before each send, unless it was a moment ago; the moment is
- * below what a restart takes. Callers that wait at the same time share one look. Safe for use by several threads, under its
- * own lock.
+ * <p>An engine that restarts has no adapters loaded. A request sent on stale state would run on the bare model, or on
+ * the adapter that was loaded into its slot since. The state is therefore read before each send, unless it was read
+ * within the maximum age, which is below the time that a restart takes. Concurrent callers share one read. Safe for use
+ * by several threads, under its own lock.
  */
 final class EngineMonitor {
 
@@ -32,15 +32,15 @@
     private volatile long incarnation;
     private volatile Set<AttemptId> streams = Set.of();
 
-    EngineMonitor(ModelEngine engine, Residency residency, MonotonicClock clock, Duration age) {
+    EngineMonitor(ModelEngine engine, Residency residency, MonotonicClock clock, Duration maxAge) {
         this.engine = engine;
         this.residency = residency;
         this.clock = clock;
-        this.maxAgeNanos = age.toNanos();
+        this.maxAgeNanos = maxAge.toNanos();
     }
 
     /**
-     * Sees to it that the view is no older than the limit; blocks while the engine is asked.
+     * Reads the engine's state if the known state is older than the maximum age; blocks during the read.
      *
      * @return false if the engine does not answer
      */
@@ -57,7 +57,10 @@
         }
     }
 
-    /** Makes the next {@link #refreshIfStale} ask the engine, since it contradicted the view. */
+    /**
+     * Makes the next {@link #refreshIfStale} read the engine's state, since an answer of the engine contradicted the
+     * known state.
+     */
     synchronized void invalidate() {
         isViewValid = false;
     }
@@ -79,20 +82,20 @@
     }
 
     private void apply(ModelEngine.State state, long askedAt) {
-        boolean first = incarnation == 0;
-        boolean restarted = residency.synchronise(state.incarnation(), state.resident(), askedAt);
+        boolean isFirst = incarnation == 0;
+        boolean isRestarted = residency.synchronise(state.incarnation(), state.resident(), askedAt);
         incarnation = state.incarnation();
         streams = state.streams();
         isViewValid = true;
         isReachable = true;
         refreshedAt = askedAt;
-        if (restarted && !first) {
+        if (isRestarted && !isFirst) {
             EventLog.write(EventCode.ENGINE_RESTARTED, "incarnation {}", state.incarnation());
         }
     }
 
     /**
-     * Gets the streams that the engine had when it was looked at last.
+     * Gets the streams that the engine had at the last read.
      *
      * @return the streams, not null
      */
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/EngineRunner.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/EngineRunner.java
@@ -33,10 +33,10 @@
 /**
  * Runs attempts on a model engine.
  *
- * <p>Invariants: a request is sent only while its adapter is pinned, after a look at the engine that is recent, and with the
- * fence; the pin is held until the engine no longer runs the stream. A request that the engine shows not to have started
- * goes back into the queue if the view of its slots was wrong, and is refused as not run otherwise. Safe for use by several
- * threads; what blocks runs on the executors.
+ * <p>Invariants: a request is sent only while its adapter is pinned, with a recent state of the engine, and with the
+ * fencing token; the pin is held until the engine no longer runs the stream. A request that the engine reports not to
+ * have started returns to the queue if the known state of the adapter slots was wrong, and is otherwise refused as not
+ * run. Safe for use by several threads; blocking calls run on the executors.
  */
 final class EngineRunner implements TargetRunner, AttemptStream.Listener {
 
@@ -62,21 +62,21 @@
     private final InheritedStreams inheritedStreams;
 
     /**
-     * What the runner works with.
+     * The services that the runner works with.
      *
      * @param engine the engine
-     * @param residency its slots
-     * @param queue the order of requests
-     * @param engineMonitor keeps the view of the engine true
-     * @param authorization whether orders may be given
+     * @param residency the adapter slots of the engine
+     * @param queue the queue of requests
+     * @param engineMonitor keeps the known state of the engine up to date
+     * @param authorization decides whether orders may be sent
      * @param lifecycle starts and ends attempts
      * @param clock the clock
-     * @param resumeLimit how long a broken stream is asked for
-     * @param orderLimit how long an order may be carried out
-     * @param sendExecutor runs short calls of the engine
-     * @param loadExecutor runs loads
-     * @param timer runs what is due later
-     * @param onChange told when there is something new to report
+     * @param resumeLimit how long the runner tries to resume a broken stream
+     * @param orderLimit how long an order stays valid
+     * @param sendExecutor runs short calls to the engine
+     * @param loadExecutor runs loads of adapters
+     * @param timer schedules retries
+     * @param onChange called when the status has changed
      */
     record Collaborators(
             ModelEngine engine,
@@ -93,29 +93,30 @@
             ScheduledExecutorService timer,
             Runnable onChange) {}
 
-    EngineRunner(Collaborators with) {
-        this.engine = with.engine();
-        this.residency = with.residency();
-        this.queue = with.queue();
-        this.engineMonitor = with.engineMonitor();
-        this.authorization = with.authorization();
-        this.lifecycle = with.lifecycle();
-        this.clock = with.clock();
-        this.resumeLimit = with.resumeLimit();
-        this.orderLimit = with.orderLimit();
-        this.sendExecutor = with.sendExecutor();
-        this.loadExecutor = with.loadExecutor();
-        this.timer = with.timer();
-        this.onChange = with.onChange();
+    EngineRunner(Collaborators collaborators) {
+        this.engine = collaborators.engine();
+        this.residency = collaborators.residency();
+        this.queue = collaborators.queue();
+        this.engineMonitor = collaborators.engineMonitor();
+        this.authorization = collaborators.authorization();
+        this.lifecycle = collaborators.lifecycle();
+        this.clock = collaborators.clock();
+        this.resumeLimit = collaborators.resumeLimit();
+        this.orderLimit = collaborators.orderLimit();
+        this.sendExecutor = collaborators.sendExecutor();
+        this.loadExecutor = collaborators.loadExecutor();
+        this.timer = collaborators.timer();
+        this.onChange = collaborators.onChange();
         this.adapterLoader =
                 new AdapterLoader(engine, residency, queue, engineMonitor, authorization, lifecycle, clock);
         this.inheritedStreams = new InheritedStreams(engineMonitor.streams());
     }
 
     /**
-     * Gives entries a time to ask for the streams that a former companion left, and then stops the others.
+     * Gives entries a time limit to claim the streams that a previous companion started, and stops the remaining ones
+     * after it.
      *
-     * @param limit the time, not null
+     * @param limit the time limit, not null
      */
     void stopInheritedStreamsAfter(Duration limit) {
         timer.schedule(
@@ -146,10 +147,10 @@
                 return false;
             }
         }
-        AttemptStream answer = new AttemptStream(request, pin, engineMonitor.incarnation(), 0, 0, this);
-        running.put(attempt.id(), answer);
+        AttemptStream stream = new AttemptStream(request, pin, engineMonitor.incarnation(), 0, 0, this);
+        running.put(attempt.id(), stream);
         lifecycle.start(attempt);
-        sendExecutor.execute(() -> resume(answer));
+        sendExecutor.execute(() -> resume(stream));
         return true;
     }
 
@@ -176,13 +177,13 @@
 
     private boolean enqueue(QueuedRequest<CompanionAttempt> request) {
         AdapterReference adapter = adapterOf(request);
-        AdapterRequestResult answer =
+        AdapterRequestResult result =
                 residency.request(request.attempt(), request.account(), adapter, request.tokens());
-        if (answer.state() == AdapterRequestResult.State.REFUSED) {
+        if (result.state() == AdapterRequestResult.State.REFUSED) {
             lifecycle.refuse(
                     request.payload(),
                     ServingException.notRun(ResultCode.LOAD_FAILED, "the load of " + adapter + " failed a moment ago")
-                            .withRetryAfter(answer.delay()));
+                            .withRetryAfter(result.delay()));
             return false;
         }
         queue.offer(request);
@@ -200,20 +201,20 @@
         dispatch();
     }
 
-    /** Starts what may start now: requests whose adapters are resident, and loads. */
+    /** Sends the requests whose adapters are resident, and starts loads. */
     private void dispatch() {
-        List<Runnable> started = new ArrayList<>();
+        List<Runnable> actions = new ArrayList<>();
         synchronized (dispatchLock) {
-            takeRequests(started);
+            takeRequests(actions);
             if (inheritedStreams.isEmpty()) {
-                residency.startLoads().forEach(order -> started.add(() -> loadExecutor.execute(() -> load(order))));
+                residency.startLoads().forEach(command -> actions.add(() -> loadExecutor.execute(() -> load(command))));
             }
         }
-        started.forEach(Runnable::run);
+        actions.forEach(Runnable::run);
         onChange.run();
     }
 
-    private void takeRequests(List<Runnable> started) {
+    private void takeRequests(List<Runnable> actions) {
         Optional<QueuedRequest<CompanionAttempt>> next = queue.take(residency::isReady);
         while (next.isPresent()) {
             QueuedRequest<CompanionAttempt> request = next.get();
@@ -224,221 +225,221 @@
                 return;
             }
             long incarnation = engineMonitor.incarnation();
-            started.add(() -> sendExecutor.execute(() -> send(request, pin.get(), incarnation)));
+            actions.add(() -> sendExecutor.execute(() -> send(request, pin.get(), incarnation)));
             next = queue.take(residency::isReady);
         }
     }
 
     private void send(QueuedRequest<CompanionAttempt> request, Pin pin, long incarnation) {
-        AttemptStream answer = toStream(request, pin, incarnation);
+        AttemptStream stream = newStream(request, pin, incarnation);
         if (!engineMonitor.refreshIfStale()) {
-            release(answer, 0, 0);
-            refuse(answer, ResultCode.TARGET_FAILED, ExecutionStatus.NO, "the engine does not answer");
+            release(stream, 0, 0);
+            refuse(stream, ResultCode.TARGET_FAILED, ExecutionStatus.NO, "the engine does not answer");
             return;
         }
         if (engineMonitor.incarnation() != incarnation) {
-            requeue(answer);
+            requeue(stream);
             return;
         }
         Optional<Order> order = authorization.authorize(clock.nanos());
         if (order.isEmpty()) {
-            release(answer, 0, 0);
-            refuse(answer, ResultCode.FENCED, ExecutionStatus.NO, "this companion may not give the target orders");
+            release(stream, 0, 0);
+            refuse(stream, ResultCode.FENCED, ExecutionStatus.NO, "this companion may not give the target orders");
             return;
         }
-        running.put(request.attempt(), answer);
+        running.put(request.attempt(), stream);
         if (!lifecycle.start(request.payload())) {
-            release(answer, 0, 0);
+            release(stream, 0, 0);
             return;
         }
-        generate(answer, order.get());
+        generate(stream, order.get());
     }
 
-    private AttemptStream toStream(QueuedRequest<CompanionAttempt> request, Pin pin, long incarnation) {
+    private AttemptStream newStream(QueuedRequest<CompanionAttempt> request, Pin pin, long incarnation) {
         long arrivedAt = request.payload().arrivedAt();
         long now = clock.nanos();
         long loading = adapterLoader.loadWaitNanos(adapterOf(request), arrivedAt, now);
         return new AttemptStream(request, Optional.of(pin), incarnation, now - arrivedAt - loading, loading, this);
     }
 
-    private void generate(AttemptStream answer, Order order) {
-        CompanionAttempt attempt = answer.attempt();
+    private void generate(AttemptStream stream, Order order) {
+        CompanionAttempt attempt = stream.attempt();
         ModelEngine.Generation generation = new ModelEngine.Generation(
                 attempt.id(),
                 attempt.account(),
-                adapterOf(answer.request()),
+                adapterOf(stream.request()),
                 attempt.body().toStringUtf8(),
                 attempt.runWithoutBody().getMaximumTokens(),
                 attempt.runWithoutBody().getPriority());
-        answer.attach(engine.generate(generation, order, answer));
+        stream.attach(engine.generate(generation, order, stream));
     }
 
-    private void requeue(AttemptStream answer) {
-        release(answer, 0, 0);
-        CompanionAttempt attempt = answer.attempt();
+    private void requeue(AttemptStream stream) {
+        release(stream, 0, 0);
+        CompanionAttempt attempt = stream.attempt();
         if (attempt.countRequeue() > MAX_REQUEUES) {
-            refuse(answer, ResultCode.TARGET_FAILED, ExecutionStatus.NO, "the engine does not keep the adapter");
+            refuse(stream, ResultCode.TARGET_FAILED, ExecutionStatus.NO, "the engine does not keep the adapter");
             return;
         }
         attempt.resetDemand();
         lifecycle.requeue(attempt);
-        if (enqueue(answer.request())) {
+        if (enqueue(stream.request())) {
             dispatch();
         }
     }
 
     /**
-     * Ends a stream's hold on the engine: its pin and its place in the batch.
+     * Releases what a stream holds: its pin and its place in the batch.
      *
-     * @param answer the stream, not null
-     * @param tokensUsed what it cost
-     * @param generated the tokens generated
+     * @param stream the stream, not null
+     * @param tokensUsed the prompt tokens and generated tokens
+     * @param generated the generated tokens
      */
-    private void release(AttemptStream answer, long tokensUsed, long generated) {
-        if (!answer.releasePin()) {
+    private void release(AttemptStream stream, long tokensUsed, long generated) {
+        if (!stream.releasePin()) {
             return;
         }
-        running.remove(answer.attempt().id(), answer);
-        queue.onFinished(answer.attempt().id(), tokensUsed, generated);
+        running.remove(stream.attempt().id(), stream);
+        queue.onFinished(stream.attempt().id(), tokensUsed, generated);
     }
 
-    private void refuse(AttemptStream answer, ResultCode code, ExecutionStatus ran, String message) {
-        lifecycle.refuse(answer.attempt(), ServingException.of(code, ran, message));
+    private void refuse(AttemptStream stream, ResultCode code, ExecutionStatus executionStatus, String message) {
+        lifecycle.refuse(stream.attempt(), ServingException.of(code, executionStatus, message));
         dispatch();
     }
 
     @Override
-    public void onEnded(AttemptStream answer, End end) {
-        lifecycle.end(answer.attempt(), end);
-        release(answer, (long) end.getPromptTokens() + end.getGeneratedTokens(), end.getGeneratedTokens());
+    public void onEnded(AttemptStream stream, End end) {
+        lifecycle.end(stream.attempt(), end);
+        release(stream, (long) end.getPromptTokens() + end.getGeneratedTokens(), end.getGeneratedTokens());
         dispatch();
     }
 
     @Override
-    public void onWrongAdapterServed(AttemptStream answer, AdapterReference served) {
-        AdapterReference named = adapterOf(answer.request());
+    public void onWrongAdapterServed(AttemptStream stream, AdapterReference served) {
+        AdapterReference requested = adapterOf(stream.request());
         EventLog.write(
                 EventCode.WRONG_ADAPTER_SERVED,
-                "{}: {} named, {} served",
-                answer.attempt().id(),
-                named,
+                "{}: requested {}, served {}",
+                stream.attempt().id(),
+                requested,
                 served);
-        answer.detach();
+        stream.detach();
         lifecycle.refuse(
-                answer.attempt(),
+                stream.attempt(),
                 ServingException.of(
                         ResultCode.WRONG_ADAPTER_SERVED,
                         ExecutionStatus.YES,
-                        "the target ran " + served + " in place of " + named));
+                        "the target ran " + served + " in place of " + requested));
         engineMonitor.invalidate();
-        stop(answer);
+        stop(stream);
     }
 
     @Override
-    public void onNotStarted(AttemptStream answer, PlatformException failure) {
+    public void onNotStarted(AttemptStream stream, PlatformException failure) {
         switch (failure.reason()) {
             case NOT_RESIDENT -> {
                 engineMonitor.invalidate();
                 sendExecutor.execute(() -> {
-                    release(answer, 0, 0);
+                    release(stream, 0, 0);
                     engineMonitor.refreshIfStale();
-                    requeue(answer);
+                    requeue(stream);
                 });
             }
             case FENCED -> {
                 authorization.onFencedOut();
-                release(answer, 0, 0);
-                refuse(answer, ResultCode.FENCED, ExecutionStatus.NO, "a newer companion has taken over the target");
+                release(stream, 0, 0);
+                refuse(stream, ResultCode.FENCED, ExecutionStatus.NO, "a newer companion has taken over the target");
             }
             default -> {
                 engineMonitor.invalidate();
-                release(answer, 0, 0);
-                refuse(answer, ResultCode.TARGET_FAILED, ExecutionStatus.NO, failure.getMessage());
+                release(stream, 0, 0);
+                refuse(stream, ResultCode.TARGET_FAILED, ExecutionStatus.NO, failure.getMessage());
             }
         }
     }
 
     /**
-     * Goes on with a stream whose connection broke: the engine goes on with it, and holds what was not read. Only an engine
-     * that does not know it any more, or cannot be reached for too long, ends it.
+     * Resumes a stream whose connection broke: the engine continues it and keeps the chunks that were not read. The
+     * stream ends only if the engine does not know it or has been unreachable for longer than the resume limit.
      */
     @Override
-    public void onBroken(AttemptStream answer, PlatformException failure) {
+    public void onBroken(AttemptStream stream, PlatformException failure) {
         engineMonitor.invalidate();
-        boolean unknown = failure.effect() == PlatformException.Effect.NONE;
-        if (unknown || answer.isBrokenLongerThan(clock.nanos(), resumeLimit)) {
-            answer.detach();
-            refuse(answer, ResultCode.ANSWER_INTERRUPTED, executionStatus(answer), failure.getMessage());
-            onStoppable(answer);
+        boolean isUnknown = failure.effect() == PlatformException.Effect.NONE;
+        if (isUnknown || stream.isBrokenLongerThan(clock.nanos(), resumeLimit)) {
+            stream.detach();
+            refuse(stream, ResultCode.ANSWER_INTERRUPTED, executionStatus(stream), failure.getMessage());
+            onStoppable(stream);
             return;
         }
-        timer.schedule(() -> sendExecutor.execute(() -> resume(answer)), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+        timer.schedule(() -> sendExecutor.execute(() -> resume(stream)), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private static ExecutionStatus executionStatus(AttemptStream answer) {
-        return answer.hasStarted() ? ExecutionStatus.YES : ExecutionStatus.UNKNOWN;
+    private static ExecutionStatus executionStatus(AttemptStream stream) {
+        return stream.hasStarted() ? ExecutionStatus.YES : ExecutionStatus.UNKNOWN;
     }
 
-    private void resume(AttemptStream answer) {
-        if (answer.isCancelled()) {
+    private void resume(AttemptStream stream) {
+        if (stream.isCancelled()) {
             return;
         }
-        answer.markResumed();
-        CompanionAttempt attempt = answer.attempt();
-        answer.attachResumed(engine.resume(attempt.id(), attempt.nextExpectedSequence(), answer));
+        stream.markResumed();
+        CompanionAttempt attempt = stream.attempt();
+        stream.attachResumed(engine.resume(attempt.id(), attempt.nextExpectedSequence(), stream));
     }
 
     @Override
     public void cancel(CompanionAttempt attempt) {
-        AttemptStream answer = running.get(attempt.id());
-        if (answer != null && answer.cancel()) {
-            stop(answer);
+        AttemptStream stream = running.get(attempt.id());
+        if (stream != null && stream.cancel()) {
+            stop(stream);
         }
     }
 
     /**
-     * Stops a stream. One that was never heard of may still be on its way to the engine, and starts there as long as its
-     * order is valid; it is stopped after that, and holds its pin until then.
+     * Stops a cancelled stream. One that the engine has reported nothing of may still be on its way and can start as
+     * long as its order is valid; it is stopped after the order limit and keeps its pin until then.
      */
     @Override
-    public void onStoppable(AttemptStream answer) {
-        if (answer.hasStarted()) {
-            stop(answer);
+    public void onStoppable(AttemptStream stream) {
+        if (stream.hasStarted()) {
+            stop(stream);
         } else {
-            timer.schedule(() -> stop(answer), orderLimit.toNanos(), TimeUnit.NANOSECONDS);
+            timer.schedule(() -> stop(stream), orderLimit.toNanos(), TimeUnit.NANOSECONDS);
         }
     }
 
     /**
-     * Stops a stream at the engine, trying again until it is known to be gone; its adapter stays pinned for as long, since
-     * the engine may still be running on it.
+     * Stops a stream at the engine and retries until it is known to be gone. Its adapter stays pinned until then, since
+     * the engine may still use it.
      *
-     * @param answer the stream, not null
+     * @param stream the stream, not null
      */
-    private void stop(AttemptStream answer) {
+    private void stop(AttemptStream stream) {
         sendExecutor.execute(() -> {
             try {
-                engine.cancel(answer.attempt().id());
-                release(answer, 0, 0);
+                engine.cancel(stream.attempt().id());
+                release(stream, 0, 0);
                 dispatch();
             } catch (PlatformException failure) {
-                retryStop(answer);
+                retryStop(stream);
             }
         });
     }
 
-    private void retryStop(AttemptStream answer) {
+    private void retryStop(AttemptStream stream) {
         engineMonitor.invalidate();
-        if (engineMonitor.refreshIfStale() && engineMonitor.incarnation() != answer.engineIncarnation()) {
-            release(answer, 0, 0);
+        if (engineMonitor.refreshIfStale() && engineMonitor.incarnation() != stream.engineIncarnation()) {
+            release(stream, 0, 0);
             dispatch();
             return;
         }
-        timer.schedule(() -> stop(answer), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+        timer.schedule(() -> stop(stream), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void load(AdapterLoadCommand order) {
-        adapterLoader.execute(order);
+    private void load(AdapterLoadCommand command) {
+        adapterLoader.execute(command);
         dispatch();
     }
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/FencingTokenStore.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/FencingTokenStore.java
@@ -14,11 +14,11 @@
 import org.geraniumreach.ports.TableService;
 
 /**
- * Takes and reads the fence of a target, a number that rises with each companion that takes the target over.
+ * Acquires and reads the fencing token of a target, which increases with each companion that takes the target over.
  *
- * <p>Invariant: two companions never get the same number, since it is written on the condition that the row has not changed;
- * a write whose answer was lost is settled by reading the row for this companion's own name. Calls block. Safe for use by
- * several threads.
+ * <p>Invariant: two companions never get the same token, since it is written on the condition that the row has not
+ * changed. If the answer to a write is lost, the next call reads the row and finds this companion as the holder.
+ * Methods block. Safe for use by several threads.
  */
 final class FencingTokenStore {
 
@@ -36,25 +36,26 @@
     }
 
     /**
-     * A fence as the table has it.
+     * A fencing token as stored in the table.
      *
-     * @param number the number
-     * @param isOwn whether this companion has taken it
+     * @param number the token
+     * @param isOwn whether this companion holds it
      */
     record FencingToken(long number, boolean isOwn) {}
 
     /**
-     * Takes the next number.
+     * Acquires the next token.
      *
-     * @return the number, or empty if another companion came in between or the answer was lost; try again
-     * @throws PlatformException if the table service does not answer, or the row cannot be read
+     * @return the token, or empty if another companion acquired one concurrently; the caller tries again
+     * @throws PlatformException if the table service does not answer, the answer to the write is lost, or the row is
+     * malformed
      */
     Optional<Long> acquire() throws PlatformException {
         Optional<Row> row = table.read(key);
         if (row.isPresent()) {
-            FencingToken present = parse(row.get());
-            if (present.isOwn()) {
-                return Optional.of(present.number());
+            FencingToken current = parse(row.get());
+            if (current.isOwn()) {
+                return Optional.of(current.number());
             }
         }
         long number = row.isPresent() ? parse(row.get()).number() + 1 : 1;
@@ -63,16 +64,16 @@
                 .put("number", number)
                 .put("holder", holder)
                 .toString();
-        boolean written =
+        boolean isWritten =
                 table.commit(Transaction.empty().withCondition(key, version).withWrite(key, value));
-        return written ? Optional.of(number) : Optional.empty();
+        return isWritten ? Optional.of(number) : Optional.empty();
     }
 
     /**
-     * Reads the fence.
+     * Reads the current token.
      *
-     * @return the fence, or empty if nobody has taken one
-     * @throws PlatformException if the table service does not answer, or the row cannot be read
+     * @return the token, or empty if none was ever acquired
+     * @throws PlatformException if the table service does not answer or the row is malformed
      */
     Optional<FencingToken> read() throws PlatformException {
         Optional<Row> row = table.read(key);
@@ -83,20 +84,20 @@
         try {
             JsonNode json = JSON.readTree(row.value());
             if (!json.path("number").canConvertToLong()) {
-                throw unreadable(null);
+                throw malformed(null);
             }
             return new FencingToken(
                     json.path("number").asLong(), json.path("holder").asText().equals(holder));
         } catch (IOException failure) {
-            throw unreadable(failure);
+            throw malformed(failure);
         }
     }
 
-    private PlatformException unreadable(IOException cause) {
+    private PlatformException malformed(IOException cause) {
         return new PlatformException(
                 PlatformException.Effect.NONE,
                 PlatformException.Reason.BAD_ANSWER,
-                "row " + key.table() + "/" + key.key() + " holds no fence",
+                "row " + key.table() + "/" + key.key() + " holds no fencing token",
                 cause);
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/Frames.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/Frames.java
@@ -11,7 +11,7 @@
 import org.geraniumreach.model.ServingException;
 
 /**
- * Makes the frames that a companion answers with.
+ * Creates the frames that a companion replies with.
  *
  * <p>Stateless and safe for use by several threads.
  */
@@ -42,11 +42,11 @@
         return Frame.newBuilder().setEnd(end).build();
     }
 
-    static Frame sealed(AttemptId attempt, AttemptTable.KnownState seen, long incarnation) {
+    static Frame sealed(AttemptId attempt, AttemptTable.KnownState state, long incarnation) {
         return Frame.newBuilder()
                 .setSealed(Sealed.newBuilder()
                         .setAttempt(attempt.value())
-                        .setState(stateNumber(seen))
+                        .setState(stateNumber(state))
                         .setCompanionIncarnation(incarnation))
                 .build();
     }
@@ -66,8 +66,8 @@
     private static final int OTHER_INCARNATION = 3;
     private static final int TOO_OLD = 4;
 
-    private static int stateNumber(AttemptTable.KnownState seen) {
-        return switch (seen) {
+    private static int stateNumber(AttemptTable.KnownState state) {
+        return switch (state) {
             case NEVER_STARTED -> NEVER_STARTED;
             case WAITING, STARTED -> STARTED;
             case ENDED -> ENDED;
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/InheritedStreams.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/InheritedStreams.java
@@ -6,41 +6,41 @@
 import org.geraniumreach.model.AttemptId;
 
 /**
- * The streams that a former companion has left running at the engine.
+ * The streams that a previous companion started and that still run at the engine.
  *
- * <p>On which adapters they run is not known, so nothing may be evicted until each has been asked for by its entry, or
- * stopped. Invariant: a stream is given to one caller of {@link #claim} or {@link #claimAll}. Safe for use by several threads,
- * under its own lock.
+ * <p>Their adapters are not known, so no adapter may be evicted until each stream was claimed by its entry or stopped.
+ * Invariant: a stream is returned to one caller of {@link #claim} or {@link #claimAll} only. Safe for use by several
+ * threads, under its own lock.
  */
 final class InheritedStreams {
 
     private final Set<AttemptId> unclaimed;
     private final Set<AttemptId> stopping = new HashSet<>();
 
-    InheritedStreams(Set<AttemptId> found) {
-        this.unclaimed = new HashSet<>(found);
+    InheritedStreams(Set<AttemptId> running) {
+        this.unclaimed = new HashSet<>(running);
     }
 
     /**
-     * Takes a stream that its entry asks for.
+     * Claims a stream for its entry.
      *
      * @param id the stream, not null
-     * @return false if it was not left, or is taken
+     * @return false if there is no such stream or it was claimed before
      */
     synchronized boolean claim(AttemptId id) {
         return unclaimed.remove(id);
     }
 
     /**
-     * Takes all that nobody has asked for, to stop them.
+     * Claims all remaining streams in order to stop them.
      *
-     * @return the streams, each to be told of by {@link #onStopped}, not null
+     * @return the streams, each to be reported to {@link #onStopped}, not null
      */
     synchronized Set<AttemptId> claimAll() {
-        Set<AttemptId> taken = new HashSet<>(unclaimed);
-        stopping.addAll(taken);
+        Set<AttemptId> claimed = new HashSet<>(unclaimed);
+        stopping.addAll(claimed);
         unclaimed.clear();
-        return taken;
+        return claimed;
     }
 
     synchronized void onStopped(AttemptId id) {
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/LoadSettings.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/LoadSettings.java
@@ -8,19 +8,19 @@
 import org.geraniumreach.serving.residency.ResidencySettings;
 
 /**
- * Settings of the loading and evicting of adapters.
+ * Settings for loading and evicting adapters.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param eviction what to evict
- * @param order what to load next
- * @param atOnce the loads of this companion at once
- * @param fleetWide the loads of all companions at once above which this one waits
- * @param expected how long a load takes before one was measured
- * @param halfLife when a past use counts half
- * @param patience how long a request waits for a slot before an adapter in use is let run out
- * @param firstBackoff how long requests on an adapter are refused after its load failed
- * @param longestBackoff the greatest such time
+ * @param eviction the eviction policy
+ * @param order the policy that selects the next load
+ * @param atOnce the concurrent loads of this companion
+ * @param fleetWide the concurrent loads of all companions above which this one postpones its loads
+ * @param expected the assumed duration of a load before one was measured
+ * @param halfLife the half-life of the weight of past uses
+ * @param patience how long a request waits for a slot before an adapter in use is drained for it
+ * @param firstBackoff how long requests for an adapter are refused after its load failed once
+ * @param longestBackoff the greatest such time, after repeated failures
  */
 public record LoadSettings(
         @Setting(value = "least-worth", about = "What to evict: least-worth or least-recently-used.")
@@ -67,17 +67,17 @@
      * @return the settings, not null
      */
     public static LoadSettings defaults() {
-        ResidencySettings standard = ResidencySettings.standard(1);
+        ResidencySettings defaults = ResidencySettings.standard(1);
         return new LoadSettings(
-                standard.eviction(),
-                standard.loading(),
-                standard.loadsAtOnce(),
-                standard.loadsFleetWide(),
-                standard.expectedLoad(),
-                standard.usesHalfLife(),
-                standard.patience(),
-                standard.firstBackoff(),
-                standard.longestBackoff());
+                defaults.eviction(),
+                defaults.loading(),
+                defaults.loadsAtOnce(),
+                defaults.loadsFleetWide(),
+                defaults.expectedLoad(),
+                defaults.usesHalfLife(),
+                defaults.patience(),
+                defaults.firstBackoff(),
+                defaults.longestBackoff());
     }
 
     ResidencySettings toResidencySettings(int slots) {
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/LoggingThreadPool.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/LoggingThreadPool.java
@@ -9,9 +9,9 @@
 import org.geraniumreach.model.EventCode;
 
 /**
- * A fixed number of daemon threads whose tasks' faults are logged, so that none is lost in silence.
+ * A pool of a fixed number of daemon threads that logs exceptions thrown by tasks.
  *
- * <p>Invariant: every task is run, but for those that come after the shutdown.
+ * <p>Tasks submitted after the shutdown are discarded; all others are run.
  *
  * <p>Safe for use by several threads.
  */
@@ -21,9 +21,9 @@
 
     LoggingThreadPool(String name, int threads) {
         super(threads, threads, KEEP_ALIVE_SECONDS, TimeUnit.SECONDS, new LinkedBlockingQueue<>());
-        AtomicInteger number = new AtomicInteger();
+        AtomicInteger count = new AtomicInteger();
         setThreadFactory(task -> {
-            Thread thread = new Thread(task, name + "-" + number.incrementAndGet());
+            Thread thread = new Thread(task, name + "-" + count.incrementAndGet());
             thread.setDaemon(true);
             return thread;
         });
@@ -34,7 +34,7 @@
     @Override
     protected void afterExecute(Runnable task, Throwable failure) {
         if (failure != null) {
-            EventLog.write(EventCode.UNEXPECTED_FAILURE, failure, "a task of the companion failed");
+            EventLog.write(EventCode.UNEXPECTED_FAILURE, failure, "task of the companion failed");
         }
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/OrderAuthorization.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/OrderAuthorization.java
@@ -6,14 +6,15 @@
 import org.geraniumreach.ports.ModelEngine.Order;
 
 /**
- * Whether this companion may give its target orders.
+ * Decides whether this companion may send orders to its target.
  *
- * <p>Targets that check fences refuse orders of a former companion by themselves. For others, a companion that was frozen
- * may go on after its successor has begun. It is seen by the gap between two ticks: after one longer than the order limit no
- * order is given until the fence was read again. As a successor waits for the order limit before its first order, an order
- * decided before the freeze and one of the successor are never both carried out.
+ * <p>Targets that check fencing tokens refuse orders of a previous companion themselves. Other targets do not: a
+ * companion that was frozen could continue after its successor has started. The freeze is detected by the gap between
+ * two ticks. After a gap longer than the order limit no order is authorized until the fencing token was read again. As
+ * a successor waits for the order limit before its first order, an order authorized before the freeze and one of the
+ * successor are never both carried out.
  *
- * <p>Invariant: after {@link #onFencedOut} no order is given any more. Safe for use by several threads, under its own lock;
+ * <p>Invariant: after {@link #onFencedOut} no order is authorized. Safe for use by several threads, under its own lock;
  * times are nanoseconds of one monotonic clock.
  */
 final class OrderAuthorization {
@@ -25,27 +26,27 @@
     private boolean mustConfirmFence = true;
     private long lastTickAt;
 
-    OrderAuthorization(boolean targetChecks, Duration limit) {
-        this.targetChecksFence = targetChecks;
-        this.orderLimit = limit;
+    OrderAuthorization(boolean targetChecksFence, Duration orderLimit) {
+        this.targetChecksFence = targetChecksFence;
+        this.orderLimit = orderLimit;
     }
 
     /**
-     * Notes that this companion has taken its fence.
+     * Records that this companion has acquired its fencing token.
      *
-     * @param taken the fence
-     * @param now the time
+     * @param acquired the token
+     * @param now the current time
      */
-    synchronized void onFenceAcquired(long taken, long now) {
-        fence = taken;
+    synchronized void onFenceAcquired(long acquired, long now) {
+        fence = acquired;
         lastTickAt = now;
         mustConfirmFence = false;
     }
 
     /**
-     * Notes that time has passed.
+     * Records that this companion is running; called periodically.
      *
-     * @param now the time
+     * @param now the current time
      */
     synchronized void tick(long now) {
         detectGap(now);
@@ -59,10 +60,10 @@
     }
 
     /**
-     * Notes that the fence was read and is still this companion's.
+     * Records that the fencing token was read and is still this companion's.
      *
-     * @param askedAt when the reading began
-     * @param now the time
+     * @param askedAt when the read was started
+     * @param now the current time
      */
     synchronized void onFenceConfirmed(long askedAt, long now) {
         detectGap(now);
@@ -72,7 +73,7 @@
         }
     }
 
-    /** Notes that a newer companion has taken the target over. */
+    /** Records that a newer companion has taken the target over. */
     synchronized void onFencedOut() {
         isFencedOut = true;
     }
@@ -86,10 +87,10 @@
     }
 
     /**
-     * Permits an order that is given at once.
+     * Authorizes an order that is sent immediately.
      *
-     * @param now the time
-     * @return its standing, or empty if no order may be given
+     * @param now the current time
+     * @return the token and validity to send with the order, or empty if no order may be sent
      */
     synchronized Optional<Order> authorize(long now) {
         detectGap(now);
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/OutputBuffer.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/OutputBuffer.java
@@ -9,11 +9,12 @@
 import org.geraniumreach.messages.Frame;
 
 /**
- * The output of one attempt: what its entry has not acknowledged, and what may be sent of it.
+ * The output of one attempt: the chunks that its entry has not acknowledged, and the credit to send them.
  *
- * <p>Invariants: chunks are numbered from the first one on and one apart; none is sent beyond the credit; one that is not
- * acknowledged can be sent again; the last frame is sent after all chunks. Nothing is sent before {@link #open}, which
- * waits for the target to say what it runs. No I/O, threads or clock of its own. Not safe for use by several threads.
+ * <p>Invariants: sequence numbers of chunks are consecutive; no chunk is sent beyond the credit; a chunk that is not
+ * acknowledged can be sent again; the last frame is sent after all chunks, unless it is a Refused, which is sent at
+ * once. No chunk is sent before {@link #open}, which is called once the target has named the adapter that it runs.
+ * Performs no I/O and has no threads or clock of its own. Not safe for use by several threads.
  */
 final class OutputBuffer {
 
@@ -31,24 +32,25 @@
     private boolean isLastAcknowledged;
 
     /**
-     * Makes an empty buffer.
+     * Creates an empty buffer.
      *
-     * @param first the number of the first chunk that will come
+     * @param first the sequence number of the first chunk
      * @param credit how many chunks may be sent at first
-     * @param limit how many chunks are kept before the target is asked for no more
-     * @param keepsAll whether acknowledged chunks are kept too, for another entry that asks for the whole answer
+     * @param retainedLimit how many chunks are retained before no more are requested from the target
+     * @param retainsAcknowledged whether acknowledged chunks are retained too, for another entry that requests the
+     * whole answer
      */
-    OutputBuffer(long first, int credit, int limit, boolean keepsAll) {
+    OutputBuffer(long first, int credit, int retainedLimit, boolean retainsAcknowledged) {
         this.firstRetained = first;
         this.acknowledged = first;
         this.nextToSend = first;
         this.requestedEnd = first;
         this.sendLimit = first + credit;
-        this.retainedLimit = limit;
-        this.retainsAcknowledged = keepsAll;
+        this.retainedLimit = retainedLimit;
+        this.retainsAcknowledged = retainsAcknowledged;
     }
 
-    /** Lets chunks be sent. */
+    /** Permits chunks to be sent. */
     void open() {
         isOpen = true;
     }
@@ -62,16 +64,16 @@
     }
 
     /**
-     * Gets the number of the chunk that comes next from the target.
+     * Gets the sequence number of the next chunk from the target.
      *
-     * @return the number
+     * @return the sequence number
      */
     long nextExpectedSequence() {
         return firstRetained + retained.size();
     }
 
     /**
-     * Sets the last frame, which tells how the attempt ended.
+     * Sets the last frame, which ends the attempt. Only the first call has an effect.
      *
      * @param frame an End or a Refused, not null
      */
@@ -86,7 +88,7 @@
     }
 
     /**
-     * Queries whether nothing will be asked for again.
+     * Queries whether the entry has received the whole output.
      *
      * @return true if the entry has acknowledged the last frame
      */
@@ -95,11 +97,11 @@
     }
 
     /**
-     * Begins again at a chunk.
+     * Resumes sending at a chunk.
      *
      * @param next the first chunk wanted
-     * @param credit how many may be sent
-     * @return false if that chunk was acknowledged before and is gone, or was never there
+     * @param credit how many chunks may be sent
+     * @return false if that chunk was discarded after its acknowledgement, or does not exist
      */
     boolean resume(long next, int credit) {
         if (next < firstRetained || next > nextExpectedSequence()) {
@@ -113,10 +115,11 @@
     }
 
     /**
-     * Takes an acknowledgement; one that is older than another is harmless.
+     * Processes an acknowledgement; one that arrives after a later one has no effect.
      *
-     * @param next the first chunk that is not acknowledged; above the count of chunks if the last frame is, too
-     * @param credit how many chunks from there on may be sent
+     * @param next the first chunk that is not acknowledged; greater than the number of chunks if the last frame is
+     * acknowledged too
+     * @param credit how many chunks may be sent from there on
      */
     void acknowledge(long next, int credit) {
         if (next > nextExpectedSequence() && lastFrame == null) {
@@ -132,9 +135,9 @@
     }
 
     /**
-     * Takes the next frame to send.
+     * Removes the next frame to send.
      *
-     * @return the frame, or empty if there is none or the credit is used up
+     * @return the frame, or empty if there is none or the credit is exhausted
      */
     Optional<Frame> pollFrame() {
         if (lastFrame != null && lastFrame.hasRefused()) {
@@ -168,22 +171,22 @@
     }
 
     /**
-     * Decides how many chunks to ask of the target, so that what is kept stays within the limit and a slow caller slows
-     * its own stream only. Before {@link #open} nothing can be acknowledged, so the limit does not hold: an engine that
-     * names what it ran only at the end would otherwise never reach it.
+     * Computes how many chunks to request from the target, so that the retained chunks stay within the limit and a slow
+     * caller slows only its own stream. Before {@link #open} nothing can be acknowledged, so the limit does not apply;
+     * otherwise an engine that names its adapter only at the end would never get there.
      *
-     * @return how many, 0 for none; they count as asked for
+     * @return the number of chunks, 0 for none; they count as requested
      */
     int takeDemand() {
-        long room = (isOpen ? acknowledged : nextExpectedSequence()) + retainedLimit - requestedEnd;
-        if (room < Math.max(1, retainedLimit / 4)) {
+        long demand = (isOpen ? acknowledged : nextExpectedSequence()) + retainedLimit - requestedEnd;
+        if (demand < Math.max(1, retainedLimit / 4)) {
             return 0;
         }
-        requestedEnd += room;
-        return (int) room;
+        requestedEnd += demand;
+        return (int) demand;
     }
 
-    /** Notes that what was asked for and has not come will not come. */
+    /** Records that chunks that were requested and have not arrived will not arrive. */
     void resetDemand() {
         requestedEnd = nextExpectedSequence();
     }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/QueueSettings.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/QueueSettings.java
@@ -5,16 +5,16 @@
 import org.geraniumreach.serving.queue.QueueWeights;
 
 /**
- * Settings of the order in which a target is given requests.
+ * Settings of the queue of requests to a target.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param policy the order
- * @param passedOverAtMost how many later requests of an account may go before a ready one
- * @param accountSlackTokens how far an account may run ahead of its turn
- * @param priorityStep how much more a priority weighs than the one below it
- * @param concurrency the requests that a target is given at once
- * @param limit the requests that may wait
+ * @param policy the queue policy
+ * @param passedOverAtMost how many later requests of an account may overtake a ready one
+ * @param accountSlackTokens by how many tokens an account may be served ahead of its fair turn
+ * @param priorityStep the ratio of the weights of adjacent priorities
+ * @param concurrency the concurrent requests to the target
+ * @param limit the greatest number of waiting requests
  */
 public record QueueSettings(
         @Setting(value = "fair", about = "The order: fair over client accounts, or first-come.") QueuePolicy policy,
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/RunCheck.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/RunCheck.java
@@ -14,10 +14,10 @@
 import org.geraniumreach.model.record.Target;
 
 /**
- * The companion's own check that a request may run, against the configuration in force here.
+ * Checks whether a request may run under the configuration in force at this companion.
  *
- * <p>The entry has checked the same; it may have been frozen between its check and its send, and a key withdrawn in
- * between would still be honoured. Stateless and safe for use by several threads.
+ * <p>The entry makes the same check, but it may be frozen between its check and its send, and a key withdrawn meanwhile
+ * would still be accepted. Stateless and safe for use by several threads.
  */
 final class RunCheck {
 
@@ -28,9 +28,9 @@
      *
      * @param run the request, not null
      * @param configuration the configuration in force, not null
-     * @param target the target beside this companion, not null
+     * @param target the target of this companion, not null
      * @throws ServingException if it may not run; it has not run
-     * @throws IllegalArgumentException if a name or the digest is not one
+     * @throws IllegalArgumentException if a name or the digest is malformed
      */
     static void check(Run run, Configuration configuration, Target target) throws ServingException {
         Optional<ServingException> refusal = refusal(run, configuration, target);
@@ -68,7 +68,7 @@
         if (!configuration.isAssigned(account, adapter.adapter())) {
             return refuse(ResultCode.ADAPTER_NOT_ASSIGNED, "adapter " + adapter + " is not assigned to " + account);
         }
-        Optional<String> model = configuration.adapter(adapter.adapter()).map(found -> found.baseModel());
+        Optional<String> model = configuration.adapter(adapter.adapter()).map(record -> record.baseModel());
         if (!target.baseModel().equals(model)) {
             return refuse(ResultCode.NO_TARGET, "target " + target.id() + " does not run the model of " + adapter);
         }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/ServiceRunner.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/ServiceRunner.java
@@ -18,8 +18,8 @@
 /**
  * Runs attempts on a plain service.
  *
- * <p>Invariant: each attempt is one call, whatever becomes of it; the call is not made again, since the service may have
- * carried it out although its answer was lost. Safe for use by several threads; calls run on the executor.
+ * <p>Invariant: each attempt is at most one call. A failed call is not retried, since the service may have carried it
+ * out although its answer was lost. Safe for use by several threads; calls run on the executor.
  */
 final class ServiceRunner implements TargetRunner {
 
@@ -37,18 +37,18 @@
     ServiceRunner(
             PlainService service,
             RequestQueue<CompanionAttempt> queue,
-            OrderAuthorization permit,
-            AttemptLifecycle outcomes,
+            OrderAuthorization authorization,
+            AttemptLifecycle lifecycle,
             MonotonicClock clock,
-            ExecutorService calls,
-            Runnable changed) {
+            ExecutorService callExecutor,
+            Runnable onChange) {
         this.service = service;
         this.queue = queue;
-        this.authorization = permit;
-        this.lifecycle = outcomes;
+        this.authorization = authorization;
+        this.lifecycle = lifecycle;
         this.clock = clock;
-        this.callExecutor = calls;
-        this.onChange = changed;
+        this.callExecutor = callExecutor;
+        this.onChange = onChange;
     }
 
     @Override
@@ -72,7 +72,7 @@
 
     @Override
     public void cancel(CompanionAttempt attempt) {
-        // A call that was made cannot be taken back; its outcome is what the entry has to learn.
+        // A call that was sent cannot be cancelled; the entry needs its outcome.
     }
 
     private void dispatch() {
@@ -104,22 +104,22 @@
         if (!lifecycle.start(attempt)) {
             return;
         }
-        long waited = clock.nanos() - attempt.arrivedAt();
+        long waitNanos = clock.nanos() - attempt.arrivedAt();
         byte[] body = attempt.body().toByteArray();
         try {
             byte[] answer = service.call(
                     attempt.id(), attempt.account(), attempt.runWithoutBody().getOperation(), body);
-            deliver(attempt, answer, waited);
+            deliver(attempt, answer, waitNanos);
         } catch (PlatformException failure) {
             onFailed(attempt, failure);
         }
     }
 
-    private void deliver(CompanionAttempt attempt, byte[] answer, long waited) {
+    private void deliver(CompanionAttempt attempt, byte[] answer, long waitNanos) {
         int sequence = 0;
-        for (int from = 0; from < answer.length; from += MAX_CHUNK_BYTES) {
-            int length = Math.min(MAX_CHUNK_BYTES, answer.length - from);
-            attempt.add(Frames.chunk(attempt.id(), sequence, ByteString.copyFrom(answer, from, length), 0));
+        for (int offset = 0; offset < answer.length; offset += MAX_CHUNK_BYTES) {
+            int length = Math.min(MAX_CHUNK_BYTES, answer.length - offset);
+            attempt.add(Frames.chunk(attempt.id(), sequence, ByteString.copyFrom(answer, offset, length), 0));
             sequence++;
         }
         lifecycle.end(
@@ -127,15 +127,15 @@
                 End.newBuilder()
                         .setAttempt(attempt.id().value())
                         .setCount(sequence)
-                        .setQueueMicros(waited / NANOS_PER_MICRO)
+                        .setQueueMicros(waitNanos / NANOS_PER_MICRO)
                         .build());
     }
 
     private void onFailed(CompanionAttempt attempt, PlatformException failure) {
-        boolean notRun = failure.effect() == PlatformException.Effect.NONE;
-        ResultCode code = notRun ? ResultCode.TARGET_FAILED : ResultCode.OUTCOME_UNKNOWN;
-        ExecutionStatus ran = notRun ? ExecutionStatus.NO : ExecutionStatus.UNKNOWN;
-        lifecycle.refuse(attempt, ServingException.of(code, ran, failure.getMessage()));
+        boolean isNotRun = failure.effect() == PlatformException.Effect.NONE;
+        ResultCode code = isNotRun ? ResultCode.TARGET_FAILED : ResultCode.OUTCOME_UNKNOWN;
+        ExecutionStatus executionStatus = isNotRun ? ExecutionStatus.NO : ExecutionStatus.UNKNOWN;
+        lifecycle.refuse(attempt, ServingException.of(code, executionStatus, failure.getMessage()));
     }
 
     @Override
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/StartCheck.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/StartCheck.java
@@ -9,10 +9,11 @@
 import org.geraniumreach.model.record.Target;
 
 /**
- * Checks a request against the configuration in force, when it arrives and again when it starts.
+ * Checks a request against the configuration in force, on its arrival and again before its start.
  *
- * <p>A request may wait in the queue for long. Without the second check one whose key was withdrawn meanwhile, or whose
- * withdrawal could not be heard of since this companion is cut off, would still start. Safe for use by several threads.
+ * <p>A request may wait in the queue for a long time. Without the second check it would still start after its key was
+ * withdrawn, also if this companion was disconnected and could not learn of the withdrawal. Safe for use by several
+ * threads.
  */
 final class StartCheck {
 
@@ -20,15 +21,15 @@
 
     private final CompanionDependencies dependencies;
 
-    StartCheck(CompanionDependencies parts) {
-        this.dependencies = parts;
+    StartCheck(CompanionDependencies dependencies) {
+        this.dependencies = dependencies;
     }
 
     /**
      * Checks a request.
      *
      * @param run the request, not null
-     * @throws ServingException if it may not start; it has not run
+     * @throws ServingException if the request may not start; it has not run
      */
     void check(Run run) throws ServingException {
         dependencies.configuration().requireFresh();
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/StatusReporter.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/StatusReporter.java
@@ -10,10 +10,11 @@
 import org.geraniumreach.messages.Status;
 
 /**
- * Tells entries of this companion: all of it when a link opens, then what has changed.
+ * Sends the status of this companion to entries: the complete status when a link opens, then the changes.
  *
- * <p>Invariant: the first report over each link is complete, and the others are changes against the one before it over the
- * same link, which carries them in order or not at all. Safe for use by several threads, under its own lock.
+ * <p>Invariant: the first report over a link is complete, and each later one holds the changes since the report before
+ * it over the same link, which delivers them in order or not at all. Safe for use by several threads, under its own
+ * lock.
  */
 final class StatusReporter {
 
@@ -33,18 +34,18 @@
         reportedResidents.keySet().forEach(peer -> send(peer, current, false));
     }
 
-    private void send(Peer peer, Status current, boolean complete) {
-        Set<String> before = reportedResidents.get(peer);
+    private void send(Peer peer, Status current, boolean isComplete) {
+        Set<String> previous = reportedResidents.get(peer);
         Set<String> now = new HashSet<>(current.getResidentList());
-        Set<String> removed = new HashSet<>(before);
+        Set<String> removed = new HashSet<>(previous);
         removed.removeAll(now);
         Set<String> added = new HashSet<>(now);
-        added.removeAll(before);
+        added.removeAll(previous);
         Status report = current.toBuilder()
                 .clearResident()
                 .addAllResident(added)
                 .addAllRemoved(removed)
-                .setComplete(complete)
+                .setComplete(isComplete)
                 .setSequence(++sequence)
                 .build();
         peer.send(Frame.newBuilder().setStatus(report).build());
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/TargetRunner.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/TargetRunner.java
@@ -3,58 +3,59 @@
 import org.geraniumreach.messages.Status;
 
 /**
- * Gives attempts to the target, in its own order and no more at once than it takes.
+ * Queues attempts and runs them at the target, up to its concurrency limit.
  *
- * <p>Contract: safe for use by several threads; no method blocks. An attempt submitted is ended once, through {@link
- * AttemptLifecycle}, unless it is withdrawn.
+ * <p>Contract: safe for use by several threads; no method blocks. Each submitted attempt is ended once, through
+ * {@link AttemptLifecycle}, unless it is withdrawn.
  */
 interface TargetRunner {
 
     /**
-     * Puts an attempt into the queue.
+     * Adds an attempt to the queue.
      *
      * @param attempt the attempt, not null
      */
     void submit(CompanionAttempt attempt);
 
     /**
-     * Takes an attempt that was sealed out of the queue.
+     * Removes a sealed attempt from the queue.
      *
      * @param attempt the attempt, not null
      */
     void withdraw(CompanionAttempt attempt);
 
     /**
-     * Ends a running attempt at the target, if the target can; whoever calls has ended it towards the entry.
+     * Stops a running attempt at the target if the target supports that. The caller has already ended it towards the
+     * entry.
      *
      * @param attempt the attempt, not null
      */
     void cancel(CompanionAttempt attempt);
 
     /**
-     * Asks the target for more of an attempt's output, now that some has been acknowledged.
+     * Requests further output of an attempt from the target, after some of it was acknowledged.
      *
      * @param attempt the attempt, not null
      */
     default void onAcknowledged(CompanionAttempt attempt) {}
 
     /**
-     * Goes on with a stream that a former companion has left running at the target.
+     * Continues a stream that a previous companion started and that still runs at the target.
      *
-     * @param attempt the attempt, which is new in the attempt table, not null
-     * @return false if the target has no such stream, and nothing was done
+     * @param attempt the attempt, just added to the attempt table, not null
+     * @return false if the target has no such stream; nothing was changed
      */
     default boolean adopt(CompanionAttempt attempt) {
         return false;
     }
 
-    /** Does what is due. */
+    /** Performs periodic work. */
     void tick();
 
     /**
-     * Adds the target's state to a report.
+     * Adds the state of the target and of the queue to a report.
      *
-     * @param status the report, not null
+     * @param status the report to complete, not null
      */
     void describe(Status.Builder status);
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/TargetTakeover.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/TargetTakeover.java
@@ -17,16 +17,17 @@
 import org.geraniumreach.serving.residency.Residency;
 
 /**
- * Takes the target over: its record, the fence, the wait for a former companion's orders, and a look at the target's state.
+ * Takes the target over: waits for its record, acquires the fencing token, waits until orders of the previous companion
+ * have expired, and reads the target's state.
  *
- * <p>Invariant: there is a runner only once all of these are done. Safe for use by several threads; what blocks runs on
+ * <p>Invariant: there is a runner only after all of these steps. Safe for use by several threads; blocking calls run on
  * threads of its own.
  */
 final class TargetTakeover implements AutoCloseable {
 
     private static final int SEND_THREADS = 8;
     private static final long RETRY_DELAY_MILLIS = 200;
-    private static final Duration NEWS_LIMIT = Duration.ofSeconds(5);
+    private static final Duration FLEET_REPORT_VALIDITY = Duration.ofSeconds(5);
 
     private final CompanionSettings settings;
     private final CompanionDependencies dependencies;
@@ -47,18 +48,19 @@
 
     TargetTakeover(
             CompanionSettings settings,
-            CompanionDependencies parts,
-            AttemptLifecycle outcomes,
+            CompanionDependencies dependencies,
+            AttemptLifecycle lifecycle,
             ScheduledExecutorService timer,
-            Runnable changed) {
+            Runnable onChange) {
         this.settings = settings;
-        this.dependencies = parts;
-        this.clock = parts.clock();
-        this.lifecycle = outcomes;
+        this.dependencies = dependencies;
+        this.clock = dependencies.clock();
+        this.lifecycle = lifecycle;
         this.timer = timer;
-        this.onChange = changed;
-        this.tokenStore = new FencingTokenStore(parts.table(), parts.target(), parts.instance(), parts.incarnation());
-        int threads = parts.engine().isPresent()
+        this.onChange = onChange;
+        this.tokenStore = new FencingTokenStore(
+                dependencies.table(), dependencies.target(), dependencies.instance(), dependencies.incarnation());
+        int threads = dependencies.engine().isPresent()
                 ? settings.loads().atOnce()
                 : settings.queue().concurrency();
         this.workPool = new LoggingThreadPool("companion-work", threads);
@@ -76,9 +78,9 @@
 
     private void takeOver() throws InterruptedException {
         Target target = awaitRecord();
-        OrderAuthorization taken = new OrderAuthorization(target.checksFence(), settings.orderLimit());
-        taken.onFenceAcquired(awaitFence(), clock.nanos());
-        authorization = taken;
+        OrderAuthorization acquired = new OrderAuthorization(target.checksFence(), settings.orderLimit());
+        acquired.onFenceAcquired(awaitFence(), clock.nanos());
+        authorization = acquired;
         if (!target.checksFence()) {
             awaitPredecessorOrders();
         }
@@ -102,7 +104,7 @@
 
     private long awaitFence() throws InterruptedException {
         notReadyReason = "the fence is not taken";
-        boolean reported = false;
+        boolean isFailureReported = false;
         while (true) {
             try {
                 Optional<Long> number = tokenStore.acquire();
@@ -111,20 +113,20 @@
                     return number.get();
                 }
             } catch (PlatformException failure) {
-                if (!reported) {
-                    EventLog.write(EventCode.PLATFORM_UNREACHABLE, "fence: {}", failure.getMessage());
+                if (!isFailureReported) {
+                    EventLog.write(EventCode.PLATFORM_UNREACHABLE, "fencing token: {}", failure.getMessage());
                 }
-                reported = true;
+                isFailureReported = true;
             }
             Thread.sleep(RETRY_DELAY_MILLIS);
         }
     }
 
     /**
-     * Waits until no order of a former companion can be carried out any more: it reads its fence at an interval, and what it
-     * ordered before it read the new one stays valid for the order limit.
+     * Waits until no order of the previous companion can be carried out. That companion reads the token at an interval,
+     * and an order that it sent before it read the new one stays valid for the order limit.
      *
-     * @throws InterruptedException if this companion stops
+     * @throws InterruptedException if this companion is closed
      */
     private void awaitPredecessorOrders() throws InterruptedException {
         notReadyReason = "orders of a former companion may still be valid";
@@ -136,16 +138,18 @@
     private EngineRunner awaitEngine(ModelEngine engine, Target target) throws InterruptedException {
         notReadyReason = "the engine does not answer";
         Residency residency = Residency.create(
-                settings.loads().toResidencySettings(target.slots()), FleetLoads.create(clock, NEWS_LIMIT), clock);
-        EngineMonitor watch = new EngineMonitor(engine, residency, clock, settings.engineCheckAge());
-        while (!watch.refreshIfStale()) {
+                settings.loads().toResidencySettings(target.slots()),
+                FleetLoads.create(clock, FLEET_REPORT_VALIDITY),
+                clock);
+        EngineMonitor engineMonitor = new EngineMonitor(engine, residency, clock, settings.engineCheckAge());
+        while (!engineMonitor.refreshIfStale()) {
             Thread.sleep(RETRY_DELAY_MILLIS);
         }
-        EngineRunner started = new EngineRunner(new EngineRunner.Collaborators(
+        EngineRunner engineRunner = new EngineRunner(new EngineRunner.Collaborators(
                 engine,
                 residency,
                 newQueue(),
-                watch,
+                engineMonitor,
                 authorization,
                 lifecycle,
                 clock,
@@ -155,8 +159,8 @@
                 workPool,
                 timer,
                 onChange));
-        started.stopInheritedStreamsAfter(settings.adoptionLimit());
-        return started;
+        engineRunner.stopInheritedStreamsAfter(settings.adoptionLimit());
+        return engineRunner;
     }
 
     private ServiceRunner newServiceRunner(PlainService service) {
@@ -164,9 +168,12 @@
     }
 
     private RequestQueue<CompanionAttempt> newQueue() {
-        QueueSettings queue = settings.queue();
+        QueueSettings queueSettings = settings.queue();
         return RequestQueue.create(
-                queue.policy(), queue.toQueueWeights(), ConcurrencyLimit.fixed(queue.concurrency()), clock);
+                queueSettings.policy(),
+                queueSettings.toQueueWeights(),
+                ConcurrencyLimit.fixed(queueSettings.concurrency()),
+                clock);
     }
 
     Optional<TargetRunner> runner() {
@@ -181,23 +188,23 @@
     }
 
     boolean isFencedOut() {
-        OrderAuthorization held = authorization;
-        return held != null && held.isFencedOut();
+        OrderAuthorization current = authorization;
+        return current != null && current.isFencedOut();
     }
 
     long fence() {
-        OrderAuthorization held = authorization;
-        return held == null ? 0 : held.fence();
+        OrderAuthorization current = authorization;
+        return current == null ? 0 : current.fence();
     }
 
-    /** Does what is due. */
+    /** Checks the fencing token and the target at their intervals. */
     void tick() {
-        OrderAuthorization held = authorization;
-        if (held == null || runner == null) {
+        OrderAuthorization current = authorization;
+        if (current == null || runner == null) {
             return;
         }
         long now = clock.nanos();
-        held.tick(now);
+        current.tick(now);
         if (now - lastFenceCheckAt > settings.fenceCheckInterval().toNanos()) {
             lastFenceCheckAt = now;
             startPool.execute(this::confirmFence);
@@ -208,7 +215,9 @@
         }
     }
 
-    /** Reads the fence again, so that a companion that was replaced stops even if its target does not check. */
+    /**
+     * Reads the fencing token, so that a companion that was replaced stops even if its target does not check tokens.
+     */
     private void confirmFence() {
         if (isClosed || authorization.isFencedOut()) {
             return;
@@ -223,14 +232,14 @@
             authorization.onFencedOut();
             EventLog.write(
                     EventCode.FENCED_OUT,
-                    "{}: fence {} is followed by {}",
+                    "{}: fence {} was superseded by fence {}",
                     dependencies.target(),
                     fence(),
                     fence.get().number());
             onChange.run();
         } catch (PlatformException failure) {
-            // An outage of the store takes no target away from its companion; a frozen companion stays barred until it
-            // ends.
+            // The companion keeps its target while the table service is unavailable; a companion that was frozen sends
+            // no orders until the token can be read again.
             return;
         }
     }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/package-info.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The companion: the only process that speaks to its target.
+ * The companion, which is the only process that calls its target.
  *
- * <p>It answers entries over links, decides with {@link org.geraniumreach.daemon.companion.AttemptTable} what may start,
- * queues requests, owns the adapter slots of a model engine, and keeps what a target has given until the entry has
- * acknowledged it.
+ * <p>It answers entries over links, decides with {@link org.geraniumreach.daemon.companion.AttemptTable} which attempts
+ * may start, queues requests, manages the adapter slots of a model engine, and retains the output of a target until the
+ * entry has acknowledged it.
  */
 package org.geraniumreach.daemon.companion;
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/AttemptTableFuzzTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/AttemptTableFuzzTest.java
@@ -21,7 +21,7 @@
     private static final long RETENTION = 60 * SECOND;
     private static final int RETAINED = 4;
 
-    /** What has really happened, beside what the table says. */
+    /** Records what really happened, for comparison with what the table reports. */
     private static final class Oracle {
         private final AttemptTable<String> table = new AttemptTable<>(RETENTION, RETAINED);
         private final Map<AttemptId, Long> sentAt = new HashMap<>();
@@ -41,10 +41,10 @@
             }
         }
 
-        /** The Run arrives, unless its link was given up for silence, or its time has passed. */
+        /** Delivers the Run, unless its link was closed for silence or its send limit has passed. */
         private void arrive(AttemptId id) {
-            boolean tooLate = now - sealedAt.getOrDefault(id, now) > RETENTION / 2;
-            if (inTransit.remove(id) && !tooLate) {
+            boolean isTooLate = now - sealedAt.getOrDefault(id, now) > RETENTION / 2;
+            if (inTransit.remove(id) && !isTooLate) {
                 table.add(id, "value");
             }
         }
@@ -83,9 +83,8 @@
     @Property(seed = "4", tries = 5000)
     void attemptStartsAtMostOnceAndNeverAfterNeverStartedWasReported(
             @ForAll @Size(max = 120) List<@IntRange(min = 0, max = 9_999) Integer> steps) {
-        // Attempts arrive, start, end and are sealed in any order while the table, which holds few, forgets the
-        // oldest. If it said "never started" of what it has merely forgotten, a booking that was made would be made
-        // again.
+        // Attempts arrive, start, end and are sealed in any order while the small table forgets the oldest ones. If it
+        // reported a forgotten attempt as never started, a booking that was made would be made again.
         Oracle oracle = new Oracle();
         for (int step : steps) {
             AttemptId id = oracle.id(step / 10 % 12);
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/AttemptTableTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/AttemptTableTest.java
@@ -15,9 +15,9 @@
 
     @Test
     void sealWithAnAgeTakenBeforeAFreezeDoesNotMakeALaterSealReportNeverStarted() {
-        // A caller would be told that its booking never ran, and would book again. The booking ran and was forgotten.
-        // An entry that was frozen meanwhile seals it with the age of before its freeze, which makes it seem
-        // remembered; then another entry seals it with its true age.
+        // A booking ran and was forgotten. An entry that was frozen meanwhile seals it with the age from before its
+        // freeze, so it seems to be young enough to be remembered. Another entry then seals it with its true age. If
+        // that reported "never started", the caller would book again.
         AttemptTable<String> table = new AttemptTable<>(RETENTION, 100);
         table.add(BOOKING, "kept");
         table.start(BOOKING);
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/CapturedTimer.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/CapturedTimer.java
@@ -8,11 +8,11 @@
 import java.util.function.Consumer;
 
 /**
- * A timer that runs nothing, and gives its tasks to the test.
+ * A timer that runs no task and passes each to the test instead.
  *
- * <p>It starts no thread. A task that was really scheduled, however far ahead, kept one that woke each 10 ms for as long as
- * the tests ran; the worlds of a fuzzer made thousands of them, which took up the machine and kept the tests' process from
- * ending.
+ * <p>It starts no thread. A real timer would keep one thread per simulation that wakes every 10 ms even if its task is
+ * due far in the future; a fuzz test creates thousands of simulations, which loaded the machine and kept the test
+ * process from exiting.
  */
 final class CapturedTimer extends ScheduledThreadPoolExecutor {
 
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/CompanionFixture.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/CompanionFixture.java
@@ -23,7 +23,7 @@
 import org.geraniumreach.model.record.RecordKind;
 import org.geraniumreach.ports.PlainService;
 
-/** An entry's side and a companion on loopback, with the target, the table and the configuration under the test's hand. */
+/** An entry and a companion connected over loopback, with a fake target, table and configuration. */
 final class CompanionFixture implements AutoCloseable {
 
     static final InstanceId COMPANION = InstanceId.of("companion-1");
@@ -59,7 +59,7 @@
     private void startCompanion() throws IOException {
         companionLinks =
                 LinkNode.create(LinkSettings.defaults(), () -> hello("companion-1", "companion"), (e, d) -> {});
-        companion = CompanionNode.create(settings, parts(companionLinks, incarnation));
+        companion = CompanionNode.create(settings, dependencies(companionLinks, incarnation));
         InetSocketAddress address = companionLinks.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         entryLinks.keep(COMPANION, address);
         companion.start();
@@ -70,11 +70,11 @@
                 .isPresent());
     }
 
-    /** Makes the parts of a companion beside the same target. */
-    CompanionDependencies parts(LinkNode links, long start) {
+    /** Creates the dependencies of a companion of the same target. */
+    CompanionDependencies dependencies(LinkNode links, long incarnationNumber) {
         return new CompanionDependencies(
                 COMPANION,
-                start,
+                incarnationNumber,
                 TargetId.of("target-1"),
                 links,
                 configuration,
@@ -85,7 +85,7 @@
                 InstantSource.system());
     }
 
-    /** Ends the companion as a crash does, and starts another one in its place. */
+    /** Closes the companion as a crash would, and starts its successor. */
     void replaceCompanion() throws IOException {
         companionLinks.close();
         companion.close();
@@ -154,11 +154,12 @@
                 RecordKind.SERVICE,
                 "job-cards",
                 "{\"schemaVersion\":1,\"operations\":{\"book\":{\"repeatable\":false,\"tokens\":1}}}");
-        String what = isEngine ? "\"baseModel\":\"m\",\"slots\":2," : "\"service\":\"job-cards\",";
+        String targetFields = isEngine ? "\"baseModel\":\"m\",\"slots\":2," : "\"service\":\"job-cards\",";
         configuration.put(
                 RecordKind.TARGET,
                 "target-1",
-                "{\"schemaVersion\":1,\"failureDomain\":\"d1\"," + what + "\"checksFence\":" + checksFence + "}");
+                "{\"schemaVersion\":1,\"failureDomain\":\"d1\"," + targetFields + "\"checksFence\":" + checksFence
+                        + "}");
     }
 
     private Hello hello(String instance, String role) {
@@ -201,8 +202,8 @@
         return send(run, false);
     }
 
-    RecordedAnswer send(Run run, boolean slow) {
-        RecordedAnswer answer = new RecordedAnswer(slow);
+    RecordedAnswer send(Run run, boolean requestsNoMore) {
+        RecordedAnswer answer = new RecordedAnswer(requestsNoMore);
         answer.attachHandle(attempts.run(COMPANION, run, answer));
         return answer;
     }
@@ -228,7 +229,7 @@
         long end = System.nanoTime() + AWAIT_LIMIT.toNanos();
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() - end > 0) {
-                throw new AssertionError("waited in vain for " + AWAIT_LIMIT);
+                throw new AssertionError("condition not met within " + AWAIT_LIMIT);
             }
             try {
                 Thread.sleep(5);
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/CompanionNodeTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/CompanionNodeTest.java
@@ -34,8 +34,8 @@
 
     @Test
     void streamsOfManyAdaptersShareFewSlots() throws IOException {
-        // Callers of three adapters send at once to an engine with two slots. The third adapter's load has to evict
-        // one. If that one were in use, its caller's answer would come from nothing or from the wrong adapter.
+        // Callers of three adapters send at once to an engine with two slots, so a load has to evict an adapter. If
+        // that one were in use, its caller would get no answer or one from the wrong adapter.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
             List<Run> runs = new ArrayList<>();
             List<RecordedAnswer> answers = new ArrayList<>();
@@ -54,8 +54,8 @@
 
     @Test
     void slowCallerSlowsOnlyItsOwnStream() throws IOException {
-        // One caller reads nothing beyond its first chunks; another one reads on. The engine is asked for no more of
-        // the slow one's chunks than the companion keeps, and the other's answer is whole.
+        // One caller reads nothing beyond its first chunks while another one reads on. No more of the slow one's chunks
+        // may be requested from the engine than the companion retains, and the other answer must be complete.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
             Run slow = fixture.generation("a", 5_000).build();
             RecordedAnswer slowAnswer = fixture.send(slow, true);
@@ -73,14 +73,14 @@
 
     @Test
     void answerContinuesOverANewLink() throws IOException {
-        // The link breaks again and again in the middle of an answer. The companion keeps what was not acknowledged,
-        // the entry asks for the next chunk over a new link, and the caller gets every chunk once, in order.
+        // The link breaks repeatedly during an answer. The companion retains what was not acknowledged, the entry
+        // requests the next chunk over a new link, and the caller gets every chunk once and in order.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
             Run run = fixture.generation("a", 2_000).build();
             RecordedAnswer answer = fixture.send(run);
-            for (long seen = 100; seen <= 1_500; seen += 200) {
-                long least = seen;
-                CompanionFixture.await(() -> answer.chunks() >= least || answer.isEnded());
+            for (long threshold = 100; threshold <= 1_500; threshold += 200) {
+                long minimum = threshold;
+                CompanionFixture.await(() -> answer.chunks() >= minimum || answer.isEnded());
                 fixture.closeLink();
             }
             CompanionFixture.await(answer::isEnded);
@@ -92,8 +92,8 @@
 
     @Test
     void answerContinuesAfterEngineConnectionBreaks() throws IOException {
-        // The companion's connection to the engine breaks in the middle of an answer; the engine goes on. The companion
-        // asks for the rest instead of starting the request anew, so the caller gets every chunk once.
+        // The companion's connection to the engine breaks during an answer; the engine continues. The companion
+        // requests the rest and does not start the request again, so the caller gets every chunk once.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
             Run run = fixture.generation("a", 400).build();
             RecordedAnswer answer = fixture.send(run, true);
@@ -109,9 +109,9 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void engineRestartLosesResidencyBeforeNextRequest(boolean runsBareModel) throws IOException {
-        // The engine restarts cold between two requests on one adapter. An engine that then runs on its bare model
-        // has to be looked at before the second is sent; one that refuses it may be asked on an old view. In both
-        // cases the adapter is loaded again first, and the caller gets its answer.
+        // The engine restarts without adapters between two requests for one adapter. The state of an engine that runs
+        // such a request on its bare model must be read before the second send; an engine that refuses it may be called
+        // on stale state. In both cases the adapter is loaded again first and the caller gets its answer.
         Duration checkAge = runsBareModel ? Duration.ZERO : Duration.ofHours(1);
         CompanionSettings settings = CompanionFixture.settings(checkAge, Duration.ZERO);
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2), settings)) {
@@ -131,8 +131,8 @@
 
     @Test
     void engineRestartInterruptsAnAnswerInProgress() throws IOException {
-        // The engine restarts while it is answering, and knows the stream no more. The caller is told that the answer
-        // broke off; it does not wait until its deadline, and is not told that nothing ran.
+        // The engine restarts during an answer and no longer knows the stream. The caller must be told that the answer
+        // was interrupted, not that nothing ran, and must not wait until its deadline.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
             RecordedAnswer answer = fixture.send(fixture.generation("a", 5_000).build(), true);
             CompanionFixture.await(() -> answer.chunks() == 8);
@@ -145,12 +145,12 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void answerFromAnotherAdapterIsWithheld(boolean namesAtTheEnd) throws IOException {
-        // The engine runs another adapter than the one named, and says so at the start or only at the end. Not one
-        // chunk of it reaches the caller.
+    void answerFromAnotherAdapterIsWithheld(boolean namesAdapterAtEnd) throws IOException {
+        // The engine runs another adapter than the requested one and reports it at the start or only at the end. No
+        // chunk may reach the caller.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
             fixture.engine.serveWrongAdapter();
-            if (namesAtTheEnd) {
+            if (namesAdapterAtEnd) {
                 fixture.engine.nameAdapterOnlyAtEnd();
             }
             RecordedAnswer answer = fixture.send(fixture.generation("a", 300).build());
@@ -173,8 +173,8 @@
 
     @Test
     void failedLoadRefusesAllItsWaitersAtOnce() throws IOException {
-        // Five callers wait for one load, and it fails. All are told at once that nothing has run, and there was one
-        // load.
+        // Five callers wait for one load, which fails. All are refused at once as not run, and nothing is sent to the
+        // engine.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
             fixture.engine.holdLoads(true);
             List<RecordedAnswer> answers = new ArrayList<>();
@@ -195,25 +195,25 @@
 
     @Test
     void sealedAttemptNeverStarts() throws IOException {
-        // An entry that lost its companion seals its attempt before the Run arrives; the Run arrives late. It must
-        // not run, since the caller was told so and may have been served elsewhere.
+        // An entry that lost its companion seals its attempt before the Run arrives. The late Run must not start, since
+        // the caller was told "not run" and may have been served elsewhere.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
             Run run = fixture.generation("a", 10).build();
-            List<SealOutcome> outcomes = new ArrayList<>();
+            List<SealOutcome> sealOutcomes = new ArrayList<>();
             fixture.attempts.seal(
-                    CompanionFixture.COMPANION, run.getAttempt(), CompanionFixture.FIRST_INCARNATION, outcome -> {
-                        synchronized (outcomes) {
-                            outcomes.add(outcome);
+                    CompanionFixture.COMPANION, run.getAttempt(), CompanionFixture.FIRST_INCARNATION, sealOutcome -> {
+                        synchronized (sealOutcomes) {
+                            sealOutcomes.add(sealOutcome);
                         }
                     });
             CompanionFixture.await(() -> {
-                synchronized (outcomes) {
-                    return !outcomes.isEmpty();
+                synchronized (sealOutcomes) {
+                    return !sealOutcomes.isEmpty();
                 }
             });
             RecordedAnswer answer = fixture.send(run);
             CompanionFixture.await(answer::isEnded);
-            assertThat(outcomes).containsExactly(SealOutcome.NEVER_STARTED);
+            assertThat(sealOutcomes).containsExactly(SealOutcome.NEVER_STARTED);
             assertThat(answer.refusal()).contains(ResultCode.NOT_RUN);
             assertThat(answer.executionStatus()).contains(ExecutionStatus.NO);
             assertThat(fixture.engine.started()).isEmpty();
@@ -222,19 +222,19 @@
 
     @Test
     void withdrawnKeyEndsItsStreamsAndStartsNone() throws IOException {
-        // A key is withdrawn while its caller's answer is coming. The stream is stopped at the engine, the caller is
+        // A key is withdrawn while an answer for it is in progress. The stream is stopped at the engine, the caller is
         // told, and a request that an entry checked before the withdrawal is refused as not run.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
             Run run = fixture.generation("a", 5_000).build();
-            RecordedAnswer open = fixture.send(run, true);
-            CompanionFixture.await(() -> open.chunks() == 8);
+            RecordedAnswer openStream = fixture.send(run, true);
+            CompanionFixture.await(() -> openStream.chunks() == 8);
             fixture.configuration.withdrawKey("key-1", CompanionFixture.SECRET);
-            RecordedAnswer late = fixture.send(fixture.generation("a", 10).build());
-            CompanionFixture.await(open::isEnded);
-            CompanionFixture.await(late::isEnded);
-            assertThat(open.refusal()).contains(ResultCode.KEY_REFUSED);
-            assertThat(late.refusal()).contains(ResultCode.KEY_REFUSED);
-            assertThat(late.executionStatus()).contains(ExecutionStatus.NO);
+            RecordedAnswer lateAnswer = fixture.send(fixture.generation("a", 10).build());
+            CompanionFixture.await(openStream::isEnded);
+            CompanionFixture.await(lateAnswer::isEnded);
+            assertThat(openStream.refusal()).contains(ResultCode.KEY_REFUSED);
+            assertThat(lateAnswer.refusal()).contains(ResultCode.KEY_REFUSED);
+            assertThat(lateAnswer.executionStatus()).contains(ExecutionStatus.NO);
             CompanionFixture.await(() -> fixture.engine.cancelled().contains(AttemptId.of(run.getAttempt())));
             assertThat(fixture.engine.started()).hasSize(1);
         }
@@ -242,8 +242,8 @@
 
     @Test
     void waitingRequestDoesNotStartWithoutFreshConfiguration() throws IOException {
-        // A request waits for its adapter while the companion loses sight of the configuration. Its key may have been
-        // withdrawn since; when the adapter is there, the request is refused as not run.
+        // A request waits for its adapter while the companion loses its connection to the configuration. The key may
+        // have been withdrawn since, so the request is refused as not run once the adapter is loaded.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
             fixture.engine.holdLoads(true);
             RecordedAnswer answer = fixture.send(fixture.generation("a", 10).build());
@@ -259,24 +259,24 @@
 
     @Test
     void drainCompletesRunningWorkAndRefusesNewWork() throws IOException {
-        // The companion leaves while an answer is coming. New work is refused as not run; the answer comes whole, and
-        // only then is nothing unfinished.
+        // The companion drains during an answer. New work is refused as not run, the answer is completed, and only then
+        // does the drain end.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
             Run run = fixture.generation("a", 1_000).build();
-            RecordedAnswer running = fixture.send(run, true);
-            CompanionFixture.await(() -> running.chunks() == 8);
+            RecordedAnswer runningAnswer = fixture.send(run, true);
+            CompanionFixture.await(() -> runningAnswer.chunks() == 8);
             fixture.companion.drain();
-            RecordedAnswer late = fixture.send(fixture.generation("a", 10).build());
-            CompanionFixture.await(late::isEnded);
-            assertThat(late.refusal()).contains(ResultCode.DRAINING);
-            assertThat(late.executionStatus()).contains(ExecutionStatus.NO);
-            // The refusal counts, too, until the entry's acknowledgement of it has come, which the entry sends after
-            // its own end.
+            RecordedAnswer lateAnswer = fixture.send(fixture.generation("a", 10).build());
+            CompanionFixture.await(lateAnswer::isEnded);
+            assertThat(lateAnswer.refusal()).contains(ResultCode.DRAINING);
+            assertThat(lateAnswer.executionStatus()).contains(ExecutionStatus.NO);
+            // The refused attempt counts as unfinished until the entry acknowledges the refusal, which it does after it
+            // has ended the attempt itself.
             CompanionFixture.await(() -> fixture.companion.unfinished() == 1);
-            assertThat(running.isEnded()).isFalse();
-            running.handle().request(2_000);
-            CompanionFixture.await(running::isEnded);
-            assertThat(running.text()).isEqualTo(CompanionFixture.expected(run));
+            assertThat(runningAnswer.isEnded()).isFalse();
+            runningAnswer.handle().request(2_000);
+            CompanionFixture.await(runningAnswer::isEnded);
+            assertThat(runningAnswer.text()).isEqualTo(CompanionFixture.expected(run));
             CompanionFixture.await(() -> fixture.companion.unfinished() == 0);
         }
     }
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/CompanionTakeoverTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/CompanionTakeoverTest.java
@@ -21,8 +21,8 @@
 
     @Test
     void answerContinuesAfterACompanionRestart() throws IOException {
-        // The companion dies in the middle of an answer; the engine goes on. Its successor finds the stream at the
-        // engine, the entry asks it for the next chunk, and the caller gets every chunk once. The request is not run
+        // The companion crashes during an answer; the engine continues. The successor finds the stream at the engine,
+        // the entry requests the next chunk from it, and the caller gets every chunk once. The request is not run
         // again.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
             Run run = fixture.generation("a", 300).build();
@@ -38,8 +38,8 @@
 
     @Test
     void unclaimedStreamIsStoppedBeforeAnyEviction() throws IOException {
-        // A companion died, and the entry of one of its streams too. The successor does not know on which adapter that
-        // stream runs. It evicts nothing until the stream is stopped, so no answer loses its adapter.
+        // A companion crashed, and so did the entries of its streams. The successor does not know the adapters of these
+        // streams. It must evict nothing until they are stopped, so that no answer loses its adapter.
         FakeEngine engine = new FakeEngine(2);
         for (String adapter : List.of("a", "c")) {
             engine.addInheritedStream(new Generation(
@@ -63,8 +63,9 @@
 
     @Test
     void replacedCompanionRefusesNewWork() throws IOException {
-        // A second companion takes the target over while the first one is still running and linked. The first one
-        // sees the newer fence and refuses new work as not run, although the target does not check fences.
+        // A second companion takes the target over while the first one still runs and is linked. The first one reads
+        // the newer fencing token and refuses new work as not run, although the target has not received the newer
+        // token.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
             new FencingTokenStore(
                             fixture.table,
@@ -78,15 +79,15 @@
             assertThat(answer.refusal()).contains(ResultCode.FENCED);
             assertThat(answer.executionStatus()).contains(ExecutionStatus.NO);
             assertThat(fixture.engine.started()).isEmpty();
-        } catch (PlatformException impossible) {
-            throw new AssertionError(impossible);
+        } catch (PlatformException unexpected) {
+            throw new AssertionError(unexpected);
         }
     }
 
     @Test
     void newerFenceAtTheTargetStopsTheOldCompanion() throws IOException {
-        // The target checks fences and has had an order of a newer companion. It refuses the old one's order; the
-        // caller is told that nothing ran, and the old companion stops.
+        // The target checks fencing tokens and has received an order of a newer companion. It refuses the old
+        // companion's order; the caller is told that nothing ran, and the old companion accepts no more work.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
             CompanionFixture.await(fixture.send(fixture.generation("a", 3).build())::isEnded);
             fixture.engine.acceptFence(2);
@@ -111,13 +112,14 @@
 
     @Test
     void companionWaitsForPredecessorOrdersIfItsTargetChecksNoFence() throws IOException {
-        // The target carries out whatever it is told. A companion that starts beside it takes no work while an order
-        // of its predecessor may still be valid, says so as not run, and takes work afterwards.
+        // The target carries out every order. A companion that takes it over accepts no work while an order of its
+        // predecessor may still be valid, refuses requests as not run until then, and accepts work afterwards.
         try (CompanionFixture fixture = CompanionFixture.ofEngineThatChecksNoFence(new FakeEngine(2))) {
-            RecordedAnswer early = fixture.send(fixture.generation("a", 10).build());
-            CompanionFixture.await(early::isEnded);
-            assertThat(early.refusal()).contains(ResultCode.NO_TARGET);
-            assertThat(early.executionStatus()).contains(ExecutionStatus.NO);
+            RecordedAnswer earlyAnswer =
+                    fixture.send(fixture.generation("a", 10).build());
+            CompanionFixture.await(earlyAnswer::isEnded);
+            assertThat(earlyAnswer.refusal()).contains(ResultCode.NO_TARGET);
+            assertThat(earlyAnswer.executionStatus()).contains(ExecutionStatus.NO);
             CompanionFixture.await(() -> fixture.companion.reasonNotReady().isEmpty());
             RecordedAnswer answer = fixture.send(fixture.generation("a", 10).build());
             CompanionFixture.await(answer::isEnded);
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/ExchangeSimulation.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/ExchangeSimulation.java
@@ -32,16 +32,19 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * The real code of both ends of attempts, with link, clock, target and restarts under a fuzzer's hand, and the oracle: each
- * caller gets its own chunks, each once and in order, and one end; an attempt starts at most once; none starts that was
- * said not to run.
+ * Runs the real code of both ends of the attempt protocol with simulated links, clock, target and restarts, and checks
+ * that each caller gets its own chunks, each once and in order, and one end; that an attempt starts at most once; and
+ * that none starts that was reported as not run.
  */
 final class ExchangeSimulation {
 
     private static final InstanceId COMPANION = InstanceId.of("companion-1");
     private static final Duration SILENCE_LIMIT = Duration.ofSeconds(2);
 
-    /** How long frames of an old link may still be read after some of a newer one; the link itself closes it at once. */
+    /**
+     * How long frames of an old link may be read after the first frame of a newer link; a real companion closes the old
+     * link at once.
+     */
     private static final Duration OLD_LINK_READ_LIMIT = Duration.ofSeconds(10);
 
     private static final String SECRET = "secret-1";
@@ -53,7 +56,7 @@
     private final List<Caller> callersInOrder = new ArrayList<>();
     private final LinkSettings linkSettings = LinkSettings.defaults();
     private final List<FakeLinks.Link> companionLinks = new ArrayList<>();
-    private final FakeLinks wire;
+    private final FakeLinks links;
     private final LinkAttempts attempts;
     private Runnable entryTick = () -> {};
     private FakeLinks.Link link;
@@ -82,19 +85,19 @@
                 "target-1",
                 "{\"schemaVersion\":1,\"failureDomain\":\"d1\",\"service\":\"job-cards\",\"checksFence\":true}");
         startCompanion();
-        wire = new FakeLinks(hello("entry-1", 1), hello("companion-1", incarnation));
+        links = new FakeLinks(hello("entry-1", 1), hello("companion-1", incarnation));
         attempts = LinkAttempts.start(
-                wire, linkSettings, () -> now, new CapturedTimer(task -> entryTick = task), (event, detail) -> {
+                links, linkSettings, () -> now, new CapturedTimer(task -> entryTick = task), (event, detail) -> {
                     throw new AssertionError(event + " " + detail);
                 });
         reconnect();
     }
 
-    private static Hello hello(String instance, long number) {
+    private static Hello hello(String instance, long incarnationNumber) {
         return Hello.newBuilder()
                 .setProtocolVersion(1)
                 .setInstance(instance)
-                .setIncarnation(number)
+                .setIncarnation(incarnationNumber)
                 .build();
     }
 
@@ -113,7 +116,7 @@
                 defaults.orderLimit(),
                 defaults.fenceCheckInterval(),
                 defaults.adoptionLimit());
-        CompanionDependencies parts = new CompanionDependencies(
+        CompanionDependencies dependencies = new CompanionDependencies(
                 COMPANION,
                 incarnation,
                 TargetId.of("target-1"),
@@ -125,13 +128,13 @@
                 () -> now,
                 InstantSource.system());
         shards = new AttemptShards(settings, () -> now);
-        StartCheck startCheck = new StartCheck(parts);
+        StartCheck startCheck = new StartCheck(dependencies);
         lifecycle = new AttemptLifecycle(shards, startCheck);
         runner = new FakeRunner();
-        requestHandler = new AttemptRequestHandler(settings, parts, shards, lifecycle, startCheck, runner);
+        requestHandler = new AttemptRequestHandler(settings, dependencies, shards, lifecycle, startCheck, runner);
     }
 
-    /** One caller at the entry, and what it has been told. */
+    /** A caller at the entry, and what it has received. */
     private final class Caller implements AttemptListener {
         private final String id;
         private final int expectedChunks;
@@ -141,14 +144,14 @@
         private int ends;
         private boolean isComplete;
 
-        private Caller(String id, int wanted, long sentTo) {
+        private Caller(String id, int expectedChunks, long companionIncarnation) {
             this.id = id;
-            this.companionIncarnation = sentTo;
-            this.expectedChunks = wanted;
+            this.companionIncarnation = companionIncarnation;
+            this.expectedChunks = expectedChunks;
         }
 
-        private void recordExecution(int ran) {
-            if (ran == ExecutionStatus.NO.ordinal()) {
+        private void recordExecution(int executionStatus) {
+            if (executionStatus == ExecutionStatus.NO.ordinal()) {
                 reportedNotRun.add(id);
             }
         }
@@ -180,13 +183,13 @@
         }
 
         @Override
-        public void lost(ExecutionStatus ran, String reason) {
-            recordExecution(ran.ordinal());
+        public void lost(ExecutionStatus executionStatus, String reason) {
+            recordExecution(executionStatus.ordinal());
             ends++;
         }
     }
 
-    /** A target that starts and goes on with attempts as the fuzzer says. */
+    /** A target that starts and continues attempts as the test directs. */
     private final class FakeRunner implements TargetRunner, AttemptRequestHandler.RunnerProvider {
         private final List<CompanionAttempt> waiting = new ArrayList<>();
         private final List<CompanionAttempt> running = new ArrayList<>();
@@ -245,20 +248,20 @@
                 return;
             }
             CompanionAttempt attempt = running.get(index % running.size());
-            int owed = demand.merge(attempt.id(), attempt.takeDemand(), Integer::sum);
+            int outstandingDemand = demand.merge(attempt.id(), attempt.takeDemand(), Integer::sum);
             long sequence = attempt.nextExpectedSequence();
-            int wanted = callers.get(attempt.id().value()).expectedChunks;
-            if (sequence < wanted && owed > 0) {
+            int expectedChunks = callers.get(attempt.id().value()).expectedChunks;
+            if (sequence < expectedChunks && outstandingDemand > 0) {
                 demand.merge(attempt.id(), -1, Integer::sum);
                 ByteString payload = ByteString.copyFromUtf8(attempt.id() + "/" + sequence);
                 attempt.add(Frames.chunk(attempt.id(), sequence, payload, 1));
-            } else if (sequence == wanted) {
+            } else if (sequence == expectedChunks) {
                 running.remove(attempt);
                 lifecycle.end(
                         attempt,
                         End.newBuilder()
                                 .setAttempt(attempt.id().value())
-                                .setCount(wanted)
+                                .setCount(expectedChunks)
                                 .build());
             }
         }
@@ -310,26 +313,26 @@
         });
     }
 
-    void deliverToCompanion(int linkIndex, int position, boolean twice) {
+    void deliverToCompanion(int linkIndex, int position, boolean isDuplicated) {
         if (companionLinks.isEmpty()) {
             return;
         }
-        FakeLinks.Link from = companionLinks.get(linkIndex % companionLinks.size());
-        if (companionLinks.indexOf(from) > 0 && newLinkReadAt == 0) {
+        FakeLinks.Link source = companionLinks.get(linkIndex % companionLinks.size());
+        if (companionLinks.indexOf(source) > 0 && newLinkReadAt == 0) {
             newLinkReadAt = now;
         }
-        from.takeForCompanion(position).ifPresent(frame -> {
-            receive(from, frame);
-            if (twice) {
-                receive(from, frame);
+        source.takeForCompanion(position).ifPresent(frame -> {
+            receive(source, frame);
+            if (isDuplicated) {
+                receive(source, frame);
             }
         });
         recordProgress();
     }
 
-    private void receive(FakeLinks.Link from, Frame frame) {
-        if (from.companionEnd.isOpen()) {
-            requestHandler.onFrame(from.companionEnd, frame);
+    private void receive(FakeLinks.Link source, Frame frame) {
+        if (source.companionEnd.isOpen()) {
+            requestHandler.onFrame(source.companionEnd, frame);
         }
     }
 
@@ -354,9 +357,12 @@
         runner.continueAttempt(index);
     }
 
-    /** Lets time pass; a link that stays silent for too long is given up by the entry, as heartbeats would see to. */
-    void advance(Duration time) {
-        now += time.toNanos();
+    /**
+     * Advances the clock. The entry gives up a link that has been silent for too long, as it would after missed
+     * heartbeats.
+     */
+    void advance(Duration elapsed) {
+        now += elapsed.toNanos();
         if (!link.isIdle() && now - lastProgressAt > SILENCE_LIMIT.toNanos()) {
             reconnect();
         }
@@ -371,37 +377,37 @@
         requestHandler.tick();
     }
 
-    /** The entry gives its link up and opens a new one; the companion still has the old one until it sees the new one. */
+    /** Closes the link at the entry and opens a new one; the companion keeps the old one until it sees the new one. */
     void reconnect() {
         if (link != null) {
-            wire.closeAtEntry(link);
+            links.closeAtEntry(link);
         }
-        link = wire.open();
+        link = links.open();
         companionLinks.add(link);
         recordProgress();
     }
 
-    /** The companion sees the end of its older links. */
+    /** Closes the older links at the companion. */
     void companionSeesNewLink() {
         newLinkReadAt = 0;
         while (companionLinks.size() > 1) {
-            FakeLinks.Link old = companionLinks.remove(0);
-            old.companionEnd.close("superseded");
-            shards.all().forEach(attempt -> attempt.onLinkClosed(old.companionEnd, now));
+            FakeLinks.Link oldLink = companionLinks.remove(0);
+            oldLink.companionEnd.close("superseded");
+            shards.all().forEach(attempt -> attempt.onLinkClosed(oldLink.companionEnd, now));
         }
     }
 
     void restartCompanion() {
-        wire.closeAtEntry(link);
+        links.closeAtEntry(link);
         companionLinks.clear();
         startCompanion();
-        wire.setCompanionHello(hello("companion-1", incarnation));
-        link = wire.open();
+        links.setCompanionHello(hello("companion-1", incarnation));
+        link = links.open();
         companionLinks.add(link);
         recordProgress();
     }
 
-    /** Lets all faults end and everything run to its end. */
+    /** Ends all faults and runs everything to its end. */
     void settle() {
         reconnect();
         companionSeesNewLink();
@@ -422,7 +428,8 @@
 
     void check() {
         starts.forEach((id, count) -> assertThat(count).as("starts of " + id).isEqualTo(1));
-        reportedNotRun.forEach(id -> assertThat(starts).as("said not run").doesNotContainKey(id));
+        reportedNotRun.forEach(
+                id -> assertThat(starts).as("reported as not run").doesNotContainKey(id));
         callersInOrder.forEach(caller -> assertThat(caller.ends).isLessThanOrEqualTo(1));
     }
 
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/FakeConfiguration.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/FakeConfiguration.java
@@ -16,7 +16,7 @@
 import org.geraniumreach.model.record.RecordKey;
 import org.geraniumreach.model.record.RecordKind;
 
-/** A configuration that the test changes. */
+/** A configuration service that the test changes directly. */
 final class FakeConfiguration implements ConfigurationService {
 
     private final List<ConfigurationListener> listeners = new CopyOnWriteArrayList<>();
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/FakeEngine.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/FakeEngine.java
@@ -16,10 +16,10 @@
 import org.geraniumreach.ports.PlatformException.Effect;
 import org.geraniumreach.ports.PlatformException.Reason;
 
-/** An engine in memory, with its faults under the test's hand; it gives chunks only as they are asked for. */
+/** An in-memory engine whose faults are set by the test; it sends chunks only on request. */
 final class FakeEngine implements ModelEngine {
 
-    private final ExecutorService thread = Executors.newSingleThreadExecutor(task -> {
+    private final ExecutorService executor = Executors.newSingleThreadExecutor(task -> {
         Thread worker = new Thread(task, "fake-engine");
         worker.setDaemon(true);
         return worker;
@@ -66,28 +66,28 @@
             synchronized (FakeEngine.this) {
                 demand += chunks;
             }
-            thread.execute(() -> sendChunks(listener));
+            executor.execute(() -> sendChunks(listener));
         }
 
-        private void sendChunks(EngineListener to) {
+        private void sendChunks(EngineListener recipient) {
             while (true) {
                 long sequence;
                 synchronized (FakeEngine.this) {
-                    if (listener != to || next >= generation.maximumTokens() || demand == 0 || !isRunning()) {
+                    if (listener != recipient || next >= generation.maximumTokens() || demand == 0 || !isRunning()) {
                         break;
                     }
                     demand--;
                     sequence = next++;
                 }
-                to.chunk(sequence, text(generation, sequence), 1);
+                recipient.chunk(sequence, text(generation, sequence), 1);
             }
-            boolean ends;
+            boolean isEnding;
             synchronized (FakeEngine.this) {
-                ends = listener == to && next >= generation.maximumTokens() && !ended && isRunning();
-                ended |= ends;
+                isEnding = listener == recipient && next >= generation.maximumTokens() && !ended && isRunning();
+                ended |= isEnding;
             }
-            if (ends) {
-                to.ended(new GenerationEnd(next, served, 1, (int) next, "length", false));
+            if (isEnding) {
+                recipient.ended(new GenerationEnd(next, served, 1, (int) next, "length", false));
             }
         }
 
@@ -117,9 +117,9 @@
         Stream stream = new Stream(generation, served, listener);
         streams.put(generation.attempt(), stream);
         started.add(generation);
-        boolean namesAtOnce = !namesAdapterAtEnd;
-        thread.execute(() -> {
-            if (namesAtOnce) {
+        boolean namesAdapterAtStart = !namesAdapterAtEnd;
+        executor.execute(() -> {
+            if (namesAdapterAtStart) {
                 listener.started(served);
             }
             stream.sendChunks(listener);
@@ -128,7 +128,7 @@
     }
 
     private EngineStream refused(EngineListener listener, Reason reason) {
-        thread.execute(() -> listener.failed(new PlatformException(Effect.NONE, reason, "refused: " + reason, null)));
+        executor.execute(() -> listener.failed(new PlatformException(Effect.NONE, reason, "refused: " + reason, null)));
         return new EngineStream() {
             @Override
             public void request(int chunks) {}
@@ -148,7 +148,7 @@
         stream.next = nextSequence;
         stream.demand = 0;
         stream.ended = false;
-        thread.execute(() -> stream.sendChunks(listener));
+        executor.execute(() -> stream.sendChunks(listener));
         return stream;
     }
 
@@ -202,9 +202,9 @@
     synchronized void restart() {
         incarnation++;
         resident.clear();
-        List<Stream> broken = new ArrayList<>(streams.values());
+        List<Stream> interrupted = new ArrayList<>(streams.values());
         streams.clear();
-        broken.forEach(stream -> breakOff(stream));
+        interrupted.forEach(stream -> breakOff(stream));
     }
 
     synchronized void breakConnections() {
@@ -215,7 +215,7 @@
         EngineListener listener = stream.listener;
         stream.listener = null;
         if (listener != null && !stream.ended) {
-            thread.execute(() -> listener.failed(
+            executor.execute(() -> listener.failed(
                     new PlatformException(Effect.UNKNOWN, Reason.NO_ANSWER, "the connection broke", null)));
         }
     }
@@ -224,7 +224,7 @@
         servesWrongAdapter = true;
     }
 
-    /** Runs what names an adapter that is not resident without it, instead of refusing it. */
+    /** Makes the engine run generations for a non-resident adapter on the bare model instead of refusing them. */
     synchronized void runBareModel() {
         runsBareModel = true;
     }
@@ -246,7 +246,7 @@
         highestFence = fence;
     }
 
-    /** Leaves a stream as a companion that died has left it. */
+    /** Adds a stream as left by a companion that crashed. */
     synchronized void addInheritedStream(Generation generation) {
         resident.add(generation.adapter());
         streams.put(generation.attempt(), new Stream(generation, generation.adapter(), null));
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/FakeLinks.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/FakeLinks.java
@@ -14,15 +14,15 @@
 import org.geraniumreach.model.InstanceId;
 
 /**
- * The links between one entry and one companion, in memory; a test decides when each frame arrives, and when each end hears
- * that a link is closed.
+ * In-memory links between one entry and one companion. The test decides when each frame arrives and when each end
+ * learns that a link is closed.
  */
 final class FakeLinks implements Links {
 
     private Hello companionHello;
     private final Hello entryHello;
     private final List<FrameHandler> handlers = new ArrayList<>();
-    private Optional<Link> atEntry = Optional.empty();
+    private Optional<Link> entryLink = Optional.empty();
 
     FakeLinks(Hello entryHello, Hello companionHello) {
         this.entryHello = entryHello;
@@ -34,20 +34,23 @@
         final End entryEnd = new End(companionHello);
         final End companionEnd = new End(entryHello);
 
-        /** Gives the oldest frame under way to the companion, or the one after it, which it then overtakes. */
+        /**
+         * Removes a frame that is in transit to the companion: the oldest one at position 0, or a later one that
+         * overtakes it.
+         */
         Optional<Frame> takeForCompanion(int position) {
             return take(entryEnd.sent, position);
         }
 
         void deliverToEntry(int position) {
-            take(companionEnd.sent, position).ifPresent(this::giveToEntry);
+            take(companionEnd.sent, position).ifPresent(this::deliver);
         }
 
         void duplicateToEntry() {
-            companionEnd.sent.stream().findFirst().ifPresent(this::giveToEntry);
+            companionEnd.sent.stream().findFirst().ifPresent(this::deliver);
         }
 
-        private void giveToEntry(Frame frame) {
+        private void deliver(Frame frame) {
             if (entryEnd.open) {
                 handlers.forEach(handler -> handler.received(entryEnd, frame));
             }
@@ -62,7 +65,7 @@
         }
     }
 
-    /** One end of a connection, as its own process sees it. */
+    /** One end of a connection, in the state that its own process sees. */
     static final class End implements Peer {
         private final Hello hello;
         private final List<Frame> sent = new ArrayList<>();
@@ -103,18 +106,18 @@
 
     Link open() {
         Link link = new Link();
-        atEntry = Optional.of(link);
+        entryLink = Optional.of(link);
         handlers.forEach(handler -> handler.opened(link.entryEnd));
         return link;
     }
 
-    /** Closes the entry's end only; what it had sent may still arrive. */
+    /** Closes the entry's end only; frames that it has sent may still arrive. */
     void closeAtEntry(Link link) {
         if (!link.entryEnd.open) {
             return;
         }
         link.entryEnd.open = false;
-        atEntry = Optional.empty();
+        entryLink = Optional.empty();
         handlers.forEach(handler -> handler.closed(link.entryEnd, "closed by the test"));
     }
 
@@ -126,7 +129,7 @@
 
     @Override
     public Optional<Peer> find(InstanceId instance) {
-        return atEntry.map(link -> link.entryEnd);
+        return entryLink.map(link -> link.entryEnd);
     }
 
     @Override
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/FakeTable.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/FakeTable.java
@@ -12,7 +12,7 @@
 import org.geraniumreach.ports.PlatformException.Effect;
 import org.geraniumreach.ports.TableService;
 
-/** A table service in memory, which can lose the answer to a write that took effect. */
+/** An in-memory table service that can lose the answer to a write that took effect. */
 final class FakeTable implements TableService {
 
     private final Map<RowKey, Row> rows = new HashMap<>();
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/OrderAuthorizationTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/OrderAuthorizationTest.java
@@ -11,12 +11,12 @@
 class OrderAuthorizationTest {
 
     private static final Duration LIMIT = Duration.ofSeconds(2);
-    private static final long LATER = Duration.ofSeconds(3).toNanos();
+    private static final long AFTER_LIMIT_NANOS = Duration.ofSeconds(3).toNanos();
 
-    private static OrderAuthorization withFence(boolean targetChecks) {
-        OrderAuthorization permit = new OrderAuthorization(targetChecks, LIMIT);
-        permit.onFenceAcquired(5, 0);
-        return permit;
+    private static OrderAuthorization withFence(boolean targetChecksFence) {
+        OrderAuthorization authorization = new OrderAuthorization(targetChecksFence, LIMIT);
+        authorization.onFenceAcquired(5, 0);
+        return authorization;
     }
 
     @Test
@@ -31,29 +31,30 @@
 
     @ParameterizedTest
     @CsvSource({"true, true", "false, false"})
-    void frozenCompanionConfirmsItsFenceBeforeTheNextOrder(boolean targetChecks, boolean permitted) {
-        // The companion is frozen for longer than an order is valid; its successor may have begun. A target that checks
-        // fences refuses the old one's order by itself. For one that does not, no order may be given at all.
-        OrderAuthorization permit = withFence(targetChecks);
-        assertThat(permit.authorize(LATER).isPresent()).isEqualTo(permitted);
-        permit.tick(LATER + 1);
-        assertThat(permit.authorize(LATER + 2).isPresent()).isEqualTo(permitted);
-        permit.onFenceConfirmed(LATER + 2, LATER + 3);
-        assertThat(permit.authorize(LATER + 4)).isPresent();
+    void frozenCompanionConfirmsItsFenceBeforeTheNextOrder(boolean targetChecksFence, boolean isAuthorized) {
+        // The companion is frozen for longer than an order is valid, so its successor may have started. A target that
+        // checks fencing tokens refuses the old companion's order itself; for one that does not, no order may be
+        // authorized until the token was read again.
+        OrderAuthorization authorization = withFence(targetChecksFence);
+        assertThat(authorization.authorize(AFTER_LIMIT_NANOS).isPresent()).isEqualTo(isAuthorized);
+        authorization.tick(AFTER_LIMIT_NANOS + 1);
+        assertThat(authorization.authorize(AFTER_LIMIT_NANOS + 2).isPresent()).isEqualTo(isAuthorized);
+        authorization.onFenceConfirmed(AFTER_LIMIT_NANOS + 2, AFTER_LIMIT_NANOS + 3);
+        assertThat(authorization.authorize(AFTER_LIMIT_NANOS + 4)).isPresent();
     }
 
     @Test
     void fenceReadBegunBeforeTheFreezeConfirmsNothing() {
-        OrderAuthorization permit = withFence(false);
-        permit.onFenceConfirmed(1, LATER);
-        assertThat(permit.authorize(LATER + 1)).isEmpty();
+        OrderAuthorization authorization = withFence(false);
+        authorization.onFenceConfirmed(1, AFTER_LIMIT_NANOS);
+        assertThat(authorization.authorize(AFTER_LIMIT_NANOS + 1)).isEmpty();
     }
 
     @Test
     void noOrderIsGivenAfterANewerFence() {
-        OrderAuthorization permit = withFence(true);
-        permit.onFencedOut();
-        permit.onFenceConfirmed(1, 2);
-        assertThat(permit.authorize(3)).isEmpty();
+        OrderAuthorization authorization = withFence(true);
+        authorization.onFencedOut();
+        authorization.onFenceConfirmed(1, 2);
+        assertThat(authorization.authorize(3)).isEmpty();
     }
 }
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/RecordedAnswer.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/RecordedAnswer.java
@@ -10,7 +10,7 @@
 import org.geraniumreach.model.ExecutionStatus;
 import org.geraniumreach.model.ResultCode;
 
-/** What a caller at an entry receives; it asks for a chunk more with each that came, unless it is slow. */
+/** Records what a caller at an entry receives; requests another chunk for each one received, unless told not to. */
 final class RecordedAnswer implements AttemptListener {
 
     private final StringBuilder text = new StringBuilder();
@@ -24,18 +24,18 @@
     private ResultCode refusal;
     private ExecutionStatus executionStatus;
 
-    RecordedAnswer(boolean slow) {
-        this.requestsNoMore = slow;
+    RecordedAnswer(boolean requestsNoMore) {
+        this.requestsNoMore = requestsNoMore;
     }
 
     void attachHandle(AttemptHandle started) {
-        int more;
+        int demand;
         synchronized (this) {
             handle = started;
-            more = pendingDemand;
+            demand = pendingDemand;
         }
-        if (more > 0) {
-            started.request(more);
+        if (demand > 0) {
+            started.request(demand);
         }
     }
 
@@ -50,25 +50,25 @@
 
     @Override
     public void chunk(long sequence, ByteString payload, int tokens) {
-        AttemptHandle asked;
+        AttemptHandle currentHandle;
         synchronized (this) {
             if (sequence != chunks) {
                 throw new IllegalStateException("chunk " + sequence + " after " + chunks);
             }
             chunks++;
             text.append(payload.toStringUtf8());
-            asked = requestsNoMore ? null : handle;
-            pendingDemand += asked == null ? 1 : 0;
+            currentHandle = requestsNoMore ? null : handle;
+            pendingDemand += currentHandle == null ? 1 : 0;
         }
-        if (asked != null) {
-            asked.request(1);
+        if (currentHandle != null) {
+            currentHandle.request(1);
         }
     }
 
     @Override
-    public synchronized void ended(End whole) {
+    public synchronized void ended(End received) {
         ends++;
-        end = whole;
+        end = received;
     }
 
     @Override
@@ -79,9 +79,9 @@
     }
 
     @Override
-    public synchronized void lost(ExecutionStatus lostRan, String reason) {
+    public synchronized void lost(ExecutionStatus lostStatus, String reason) {
         ends++;
-        executionStatus = lostRan;
+        executionStatus = lostStatus;
     }
 
     synchronized String text() {
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/ServiceCompanionTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/ServiceCompanionTest.java
@@ -45,9 +45,9 @@
 
     @ParameterizedTest
     @CsvSource({"NONE, TARGET_FAILED, NO", "UNKNOWN, OUTCOME_UNKNOWN, UNKNOWN"})
-    void failedCallIsNotRetried(Effect effect, ResultCode code, ExecutionStatus ran) throws IOException {
-        // The service's answer is lost. The booking may have been made; another call could make it twice. So there is
-        // no other call, and the caller is told what is known.
+    void failedCallIsNotRetried(Effect effect, ResultCode code, ExecutionStatus executionStatus) throws IOException {
+        // The service's answer is lost. The booking may have been made, and a second call could make it twice. So there
+        // is no second call, and the caller gets the known execution status.
         PlainService failing = (attempt, account, operation, body) -> {
             calls.add(attempt);
             throw new PlatformException(effect, "the answer was lost", null);
@@ -56,26 +56,26 @@
             RecordedAnswer answer = fixture.send(fixture.booking().build());
             CompanionFixture.await(answer::isEnded);
             assertThat(answer.refusal()).contains(code);
-            assertThat(answer.executionStatus()).contains(ran);
+            assertThat(answer.executionStatus()).contains(executionStatus);
             assertThat(calls).hasSize(1);
         }
     }
 
     @Test
     void bookingRunsOnceAndIsAnsweredWhenItsLinkBreaks() throws IOException {
-        // The link breaks while the service is working on a booking. The entry asks for the answer over a new link; the
+        // The link breaks while the service processes a booking. The entry requests the answer over a new link; the
         // booking is not made again, and its answer reaches the caller.
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         PlainService slow = (attempt, account, operation, body) -> {
             calls.add(attempt);
-            awaitQuietly(go);
+            awaitQuietly(release);
             return "booked".getBytes(StandardCharsets.UTF_8);
         };
         try (CompanionFixture fixture = CompanionFixture.ofService(slow)) {
             RecordedAnswer answer = fixture.send(fixture.booking().build());
             CompanionFixture.await(() -> !calls.isEmpty());
             fixture.closeLink();
-            go.countDown();
+            release.countDown();
             CompanionFixture.await(answer::isEnded);
             assertThat(answer.text()).isEqualTo("booked");
             assertThat(calls).hasSize(1);
@@ -84,8 +84,8 @@
 
     @Test
     void answerIsRetainedForAnotherEntry() throws IOException {
-        // The entry that sent a booking has had its answer and died. Another one asks for the attempt, from the first
-        // chunk; it gets the answer that was given, and no second booking.
+        // The entry that sent a booking received its answer and crashed. Another entry requests the attempt from the
+        // first chunk; it gets the same answer, and no second booking is made.
         try (CompanionFixture fixture = CompanionFixture.ofService(answering("booked"))) {
             Run run = fixture.booking().build();
             RecordedAnswer first = fixture.send(run);
@@ -102,9 +102,9 @@
 
     @Test
     void bookingAfterItsSendLimitIsNotMade() throws IOException {
-        // An entry is frozen after it has decided to send. Meanwhile another one has the attempt sealed and the
-        // booking made by another attempt, and the companion forgets the seal. The late frame must not make the
-        // booking a second time.
+        // An entry is frozen after it has decided to send. Meanwhile another entry seals the attempt and makes the
+        // booking by a new one, and the companion forgets the seal. The late Run must not make the booking a second
+        // time.
         try (CompanionFixture fixture = CompanionFixture.ofService(answering("booked"))) {
             RecordedAnswer answer =
                     fixture.send(fixture.booking().setNotAfterMillis(1).build());
@@ -116,8 +116,8 @@
 
     @Test
     void bookingOfARestartedCompanionHasAnUnknownOutcome() throws IOException {
-        // The companion dies while the service is working on a booking. Nobody can tell whether it was made, so the
-        // caller is told that, and it is not sent again.
+        // The companion crashes while the service processes a booking. It is not known whether the booking was made, so
+        // the caller is told that the outcome is unknown, and the booking is not sent again.
         CountDownLatch never = new CountDownLatch(1);
         PlainService stuck = (attempt, account, operation, body) -> {
             calls.add(attempt);
