--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/AdapterLoads.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/AdapterLoader.java
@@ -18,62 +18,64 @@
 import org.geraniumreach.serving.residency.Residency;
 
 /**
- * Carries out the orders to load and evict adapters.
+ * Executes the commands to load and evict adapters.
  *
- * <p>Invariant: of each order the residency is told once, that it was carried out or that it failed; all who wait for a load
- * that failed are told at once. Calls block. Safe for use by several threads.
+ * <p>Invariant: the residency is told once of each command, either that it succeeded or that it failed; all requests
+ * that wait for a failed load are refused at once. Methods block. Safe for use by several threads.
  */
-final class AdapterLoads {
+final class AdapterLoader {
 
     private final ModelEngine engine;
     private final Residency residency;
     private final RequestQueue<CompanionAttempt> queue;
-    private final EngineWatch watch;
-    private final OrderPermit permit;
-    private final Outcomes outcomes;
+    private final EngineMonitor engineMonitor;
+    private final OrderAuthorization authorization;
+    private final AttemptLifecycle lifecycle;
     private final MonotonicClock clock;
     private final Map<AdapterReference, Long> loadedAt = new ConcurrentHashMap<>();
 
-    AdapterLoads(
+    AdapterLoader(
             ModelEngine engine,
             Residency residency,
             RequestQueue<CompanionAttempt> queue,
-            EngineWatch watch,
-            OrderPermit permit,
-            Outcomes outcomes,
+            EngineMonitor engineMonitor,
+            OrderAuthorization authorization,
+            AttemptLifecycle lifecycle,
             MonotonicClock clock) {
         this.engine = engine;
         this.residency = residency;
         this.queue = queue;
-        this.watch = watch;
-        this.permit = permit;
-        this.outcomes = outcomes;
+        this.engineMonitor = engineMonitor;
+        this.authorization = authorization;
+        this.lifecycle = lifecycle;
         this.clock = clock;
     }
 
     /**
-     * Carries an order out.
+     * Executes a command.
      *
-     * @param order the order, not null
+     * @param command the command, not null
      */
-    void carryOut(AdapterLoadCommand order) {
+    void execute(AdapterLoadCommand command) {
         try {
-            if (order.evicted().isPresent()) {
-                engine.unload(order.evicted().get(), permitted());
-                EventLog.write(EventCode.ADAPTER_EVICTED, "{}", order.evicted().get());
+            if (command.evicted().isPresent()) {
+                engine.unload(command.evicted().get(), authorizedOrder());
+                EventLog.write(
+                        EventCode.ADAPTER_EVICTED, "{}", command.evicted().get());
             }
-            engine.load(order.adapter(), permitted());
+            engine.load(command.adapter(), authorizedOrder());
             loadedAt.keySet().retainAll(residency.resident());
-            loadedAt.put(order.adapter(), clock.nanos());
-            residency.onLoaded(order);
-            EventLog.write(EventCode.ADAPTER_LOADED, "{}", order.adapter());
+            loadedAt.put(command.adapter(), clock.nanos());
+            residency.onLoaded(command);
+            EventLog.write(EventCode.ADAPTER_LOADED, "{}", command.adapter());
         } catch (PlatformException failure) {
-            failed(order, failure);
+            onFailed(command, failure);
         }
     }
 
-    private Order permitted() throws PlatformException {
-        return permit.order(clock.nanos())
+    private Order authorizedOrder() throws PlatformException {
+        return authorization
+                .authorize(clock.nanos())
                 .orElseThrow(() -> new PlatformException(
                         PlatformException.Effect.NONE,
                         PlatformException.Reason.FENCED,
@@ -81,31 +83,31 @@
                         null));
     }
 
-    private void failed(AdapterLoadCommand order, PlatformException failure) {
-        EventLog.write(EventCode.ADAPTER_LOAD_FAILED, "{}: {}", order.adapter(), failure.getMessage());
+    private void onFailed(AdapterLoadCommand command, PlatformException failure) {
+        EventLog.write(EventCode.ADAPTER_LOAD_FAILED, "{}: {}", command.adapter(), failure.getMessage());
         if (failure.reason() == PlatformException.Reason.FENCED) {
-            permit.fencedOut();
+            authorization.onFencedOut();
         }
-        watch.invalidate();
-        for (AttemptId waiter : residency.onLoadFailed(order)) {
+        engineMonitor.invalidate();
+        for (AttemptId waiter : residency.onLoadFailed(command)) {
             queue.remove(waiter)
-                    .ifPresent(request -> outcomes.refused(
+                    .ifPresent(request -> lifecycle.refuse(
                             request.payload(),
                             ServingException.notRun(
                                     ResultCode.LOAD_FAILED,
-                                    "the load of " + order.adapter() + " failed: " + failure.getMessage())));
+                                    "the load of " + command.adapter() + " failed: " + failure.getMessage())));
         }
     }
 
     /**
-     * Works out how long a request has waited for its adapter's load.
+     * Computes how long a request has waited for the load of its adapter.
      *
      * @param adapter the adapter, not null
-     * @param from when the request came
-     * @param until when it was sent
+     * @param from when the request arrived
+     * @param until when the request was sent to the engine
      * @return the time in nanoseconds
      */
-    long waited(AdapterReference adapter, long from, long until) {
+    long loadWaitNanos(AdapterReference adapter, long from, long until) {
         long loadEnd = loadedAt.getOrDefault(adapter, from);
         return Math.min(until - from, Math.max(0, loadEnd - from));
     }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/Outcomes.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/AttemptLifecycle.java
@@ -7,47 +7,48 @@
 import org.geraniumreach.model.ServingException;
 
 /**
- * Lets attempts start, and ends them, in the attempt table and towards the entry.
+ * Starts and ends attempts, in the attempt table and towards the entry.
  *
- * <p>Invariants: an attempt starts only if the table lets it, so at most once and never after it was sealed; the table is
- * told of an end before the entry is. Safe for use by several threads.
+ * <p>Invariants: an attempt starts only if the table permits it, so at most once and never after it was sealed; an end
+ * is recorded in the table before it is sent to the entry. Safe for use by several threads.
  */
-final class Outcomes {
+final class AttemptLifecycle {
 
     private final AttemptShards attempts;
     private final StartCheck startCheck;
 
-    Outcomes(AttemptShards attempts, StartCheck startCheck) {
+    AttemptLifecycle(AttemptShards attempts, StartCheck startCheck) {
         this.attempts = attempts;
         this.startCheck = startCheck;
     }
 
     /**
-     * Starts an attempt, if it may still run.
+     * Starts an attempt if the configuration and the attempt table permit it. If the configuration does not, the
+     * attempt is refused.
      *
      * @param attempt the attempt, not null
-     * @return true if it is to be sent to the target now, false if it must not be, and is over
+     * @return true if it is to be sent to the target; false if it must not be sent and is over
      */
     boolean start(CompanionAttempt attempt) {
         try {
-            startCheck.check(attempt.named());
+            startCheck.check(attempt.runWithoutBody());
         } catch (ServingException refusal) {
-            refused(attempt, refusal);
+            refuse(attempt, refusal);
             return false;
         }
         return attempts.start(attempt.id());
     }
 
     /**
-     * Puts an attempt back that was started, and that the target says it has not run.
+     * Returns a started attempt to the waiting state, after the target has reported that it did not run it.
      *
      * @param attempt the attempt, not null
      */
-    void putBack(CompanionAttempt attempt) {
-        attempts.putBack(attempt.id());
+    void requeue(CompanionAttempt attempt) {
+        attempts.requeue(attempt.id());
     }
 
-    void ended(CompanionAttempt attempt, End end) {
+    void end(CompanionAttempt attempt, End end) {
         attempts.end(attempt.id(), true);
         attempt.open();
         attempt.finish(Frames.end(end));
@@ -57,9 +58,9 @@
      * Ends an attempt with a refusal.
      *
      * @param attempt the attempt, not null
-     * @param refusal why, and whether it ran, not null
+     * @param refusal the reason and the execution status, not null
      */
-    void refused(CompanionAttempt attempt, ServingException refusal) {
+    void refuse(CompanionAttempt attempt, ServingException refusal) {
         attempts.end(attempt.id(), refusal.executionStatus() != ExecutionStatus.NO);
         attempt.finish(Frames.refused(attempt.id(), refusal));
         EventCode event =
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/AttemptShards.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/AttemptShards.java
@@ -9,13 +9,14 @@
 import org.geraniumreach.model.MonotonicClock;
 
 /**
- * The attempts of a companion, in shards each under its own lock.
+ * The attempt tables of a companion: one for each shard of the attempt identifiers, with a lock of its own.
  *
- * <p>Invariant: those of {@link AttemptTable}. Safe for use by several threads; nothing else is called under a shard's lock.
+ * <p>Invariants: those of {@link AttemptTable}. Safe for use by several threads; no foreign code is called while a
+ * shard's lock is held.
  */
 final class AttemptShards {
 
-    private static final int SHARDS = 16;
+    private static final int SHARD_COUNT = 16;
 
     private final List<AttemptTable<CompanionAttempt>> shards;
     private final MonotonicClock clock;
@@ -23,17 +24,17 @@
     AttemptShards(CompanionSettings settings, MonotonicClock clock) {
         this.clock = clock;
         long retention = settings.attemptRetention().toNanos();
-        int each = Math.max(1, settings.retainedAttempts() / SHARDS);
-        this.shards = IntStream.range(0, SHARDS)
-                .mapToObj(index -> new AttemptTable<CompanionAttempt>(retention, each))
+        int capacity = Math.max(1, settings.retainedAttempts() / SHARD_COUNT);
+        this.shards = IntStream.range(0, SHARD_COUNT)
+                .mapToObj(index -> new AttemptTable<CompanionAttempt>(retention, capacity))
                 .toList();
     }
 
     private AttemptTable<CompanionAttempt> shard(AttemptId id) {
-        return shards.get(Math.floorMod(id.hashCode(), SHARDS));
+        return shards.get(Math.floorMod(id.hashCode(), SHARD_COUNT));
     }
 
-    AttemptTable.Taken add(CompanionAttempt attempt) {
+    AttemptTable.AddResult add(CompanionAttempt attempt) {
         AttemptTable<CompanionAttempt> shard = shard(attempt.id());
         synchronized (shard) {
             return shard.add(attempt.id(), attempt);
@@ -47,10 +48,10 @@
         }
     }
 
-    void putBack(AttemptId id) {
+    void requeue(AttemptId id) {
         AttemptTable<CompanionAttempt> shard = shard(id);
         synchronized (shard) {
-            shard.putBack(id);
+            shard.requeue(id);
         }
     }
 
@@ -61,28 +62,28 @@
         }
     }
 
-    AttemptTable.Seen seal(AttemptId id, long ageNanos) {
+    AttemptTable.KnownState seal(AttemptId id, long ageNanos) {
         AttemptTable<CompanionAttempt> shard = shard(id);
         synchronized (shard) {
             return shard.seal(id, ageNanos, clock.nanos());
         }
     }
 
-    Optional<AttemptTable.Seen> find(AttemptId id) {
+    Optional<AttemptTable.KnownState> knownState(AttemptId id) {
         AttemptTable<CompanionAttempt> shard = shard(id);
         synchronized (shard) {
-            return shard.find(id);
+            return shard.knownState(id);
         }
     }
 
-    Optional<CompanionAttempt> attempt(AttemptId id) {
+    Optional<CompanionAttempt> find(AttemptId id) {
         AttemptTable<CompanionAttempt> shard = shard(id);
         synchronized (shard) {
             return shard.value(id);
         }
     }
 
-    void dropValue(AttemptId id) {
+    void dropOutput(AttemptId id) {
         AttemptTable<CompanionAttempt> shard = shard(id);
         synchronized (shard) {
             shard.dropValue(id);
@@ -98,9 +99,9 @@
     }
 
     /**
-     * Gets the attempts that are not over, or whose output is kept.
+     * Gets the attempts that are not over or whose output is retained.
      *
-     * @return the attempts as they are now, not null
+     * @return a snapshot of the attempts, not null
      */
     List<CompanionAttempt> all() {
         List<CompanionAttempt> all = new ArrayList<>();
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionAttempt.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionAttempt.java
@@ -13,31 +13,32 @@
 import org.geraniumreach.model.KeyDigest;
 
 /**
- * One attempt at this companion: what was asked, and the way of its output to the entry.
+ * An attempt that this companion handles: the request, and the delivery of its output to the entry.
  *
- * <p>Invariants: output goes over the link that the entry last asked on, and no other; without a link it is kept. What
- * changes is guarded by this object's lock, and a slow link holds up nobody else. Safe for use by several threads.
+ * <p>Invariants: output is sent only over the link from which the entry last asked for it; without a link it is
+ * retained. State is guarded by this object's lock, so a slow link delays no other attempt. Safe for use by several
+ * threads.
  */
 final class CompanionAttempt {
 
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final AttemptId id;
-    private final Run named;
+    private final Run runWithoutBody;
     private final AccountId account;
     private final Optional<AdapterReference> adapter;
     private final Optional<KeyDigest> key;
     private final long arrivedAt;
     private final long deadline;
-    private final OutputBuffer output;
+    private final OutputBuffer outputBuffer;
     private ByteString body;
     private Peer link;
     private long unlinkedSince;
-    private int putBacks;
+    private int requeues;
 
     private CompanionAttempt(Run run, OutputBuffer output, Peer link, long now) {
         this.id = AttemptId.of(run.getAttempt());
-        this.named = run.toBuilder().clearBody().build();
+        this.runWithoutBody = run.toBuilder().clearBody().build();
         this.body = run.getBody();
         this.account = AccountId.of(run.getAccount());
         this.adapter = run.getAdapter().isEmpty()
@@ -48,19 +49,19 @@
                 : Optional.of(KeyDigest.ofBytes(run.getKeyDigest().toByteArray()));
         this.arrivedAt = now;
         this.deadline = now + run.getDeadlineLeftMillis() * NANOS_PER_MILLI;
-        this.output = output;
+        this.outputBuffer = output;
         this.link = link;
     }
 
     /**
-     * Makes an attempt from a Run.
+     * Creates an attempt from a Run.
      *
      * @param run the Run, not null
-     * @param link the link that it came over, not null
-     * @param bufferedChunks how many chunks are kept
-     * @param now the time
+     * @param link the link over which it arrived, not null
+     * @param bufferedChunks how many chunks are retained at most
+     * @param now the current time in nanoseconds of the monotonic clock
      * @return the attempt, not null
-     * @throws IllegalArgumentException if a name or the digest is not one
+     * @throws IllegalArgumentException if a name or the digest is malformed
      */
     static CompanionAttempt ofRun(Run run, Peer link, int bufferedChunks, long now) {
         OutputBuffer output = new OutputBuffer(0, run.getCredit(), bufferedChunks, !run.getRepeatable());
@@ -68,18 +69,18 @@
     }
 
     /**
-     * Makes an attempt that a former companion has begun.
+     * Creates an attempt for a stream that a previous companion started.
      *
-     * @param named what its entry says was asked, not null
-     * @param next the first chunk wanted
-     * @param link the link that it was asked for over, not null
-     * @param bufferedChunks how many chunks are kept
-     * @param now the time
+     * @param run the request as described by its entry, without a body, not null
+     * @param next the sequence number of the first chunk wanted
+     * @param link the link over which it was requested, not null
+     * @param bufferedChunks how many chunks are retained at most
+     * @param now the current time in nanoseconds of the monotonic clock
      * @return the attempt, not null
-     * @throws IllegalArgumentException if a name or the digest is not one
+     * @throws IllegalArgumentException if a name or the digest is malformed
      */
-    static CompanionAttempt ofLeftStream(Run named, long next, Peer link, int bufferedChunks, long now) {
-        return new CompanionAttempt(named, new OutputBuffer(next, named.getCredit(), bufferedChunks, false), link, now);
+    static CompanionAttempt ofInheritedStream(Run run, long next, Peer link, int bufferedChunks, long now) {
+        return new CompanionAttempt(run, new OutputBuffer(next, run.getCredit(), bufferedChunks, false), link, now);
     }
 
     AttemptId id() {
@@ -87,12 +88,12 @@
     }
 
     /**
-     * Gets what was asked, but for the body.
+     * Gets the request without its body.
      *
      * @return the Run without its body, not null
      */
-    Run named() {
-        return named;
+    Run runWithoutBody() {
+        return runWithoutBody;
     }
 
     synchronized ByteString body() {
@@ -116,21 +117,21 @@
     }
 
     boolean isExpired(long now) {
-        return named.getDeadlineLeftMillis() > 0 && now - deadline >= 0;
+        return runWithoutBody.getDeadlineLeftMillis() > 0 && now - deadline >= 0;
     }
 
     long deadline() {
         return deadline;
     }
 
-    /** Lets chunks be sent, now that the target has said what it runs. */
+    /** Permits chunks to be sent, after the target has named the adapter that it runs. */
     synchronized void open() {
-        output.open();
+        outputBuffer.open();
         flush();
     }
 
     synchronized void add(Chunk chunk) {
-        output.add(chunk);
+        outputBuffer.add(chunk);
         flush();
     }
 
@@ -141,20 +142,20 @@
      */
     synchronized void finish(Frame last) {
         body = ByteString.EMPTY;
-        output.finish(last);
+        outputBuffer.finish(last);
         flush();
     }
 
     /**
-     * Sends the output over a link from now on.
+     * Redirects the output to another link.
      *
      * @param newLink the link, not null
-     * @param next the first chunk wanted
-     * @param credit how many may be sent
-     * @return false if that chunk is not kept any more
+     * @param next the sequence number of the first chunk wanted
+     * @param credit how many chunks may be sent
+     * @return false if that chunk is no longer retained
      */
     synchronized boolean resume(Peer newLink, long next, int credit) {
-        if (!output.resume(next, credit)) {
+        if (!outputBuffer.resume(next, credit)) {
             return false;
         }
         link = newLink;
@@ -163,23 +164,23 @@
     }
 
     synchronized void acknowledge(long next, int credit) {
-        output.acknowledge(next, credit);
+        outputBuffer.acknowledge(next, credit);
         flush();
     }
 
     /**
-     * Goes on sending over a link that has room again.
+     * Continues to send over a link that is writable again.
      *
-     * @param writable the link, not null
+     * @param writableLink the link, not null
      */
-    synchronized void writable(Peer writable) {
-        if (link == writable) {
+    synchronized void onWritable(Peer writableLink) {
+        if (link == writableLink) {
             flush();
         }
     }
 
-    synchronized void linkClosed(Peer closed, long now) {
-        if (link == closed) {
+    synchronized void onLinkClosed(Peer closedLink, long now) {
+        if (link == closedLink) {
             link = null;
             unlinkedSince = now;
         }
@@ -187,7 +188,7 @@
 
     private void flush() {
         while (link != null && link.isWritable()) {
-            Optional<Frame> next = output.next();
+            Optional<Frame> next = outputBuffer.pollFrame();
             if (next.isEmpty() || !link.send(next.get())) {
                 return;
             }
@@ -195,42 +196,42 @@
     }
 
     /**
-     * Queries whether no entry has had a link for the attempt for a time.
+     * Queries whether the attempt has been without a link for longer than a limit.
      *
-     * @param limitNanos the time
-     * @param now the time
-     * @return true if none has
+     * @param limitNanos the limit in nanoseconds
+     * @param now the current time in nanoseconds of the monotonic clock
+     * @return true if it has no link and lost it longer ago than the limit
      */
-    synchronized boolean isOrphan(long limitNanos, long now) {
+    synchronized boolean isOrphaned(long limitNanos, long now) {
         return link == null && now - unlinkedSince > limitNanos;
     }
 
     synchronized int takeDemand() {
-        return output.takeDemand();
+        return outputBuffer.takeDemand();
     }
 
-    synchronized void forgetDemand() {
-        output.forgetDemand();
+    synchronized void resetDemand() {
+        outputBuffer.resetDemand();
     }
 
-    synchronized long nextFromTarget() {
-        return output.end();
+    synchronized long nextExpectedSequence() {
+        return outputBuffer.nextExpectedSequence();
     }
 
     synchronized boolean isFinished() {
-        return output.isFinished();
+        return outputBuffer.isFinished();
     }
 
     synchronized boolean isDelivered() {
-        return output.isDelivered();
+        return outputBuffer.isDelivered();
     }
 
     /**
-     * Counts how often the target was asked in vain to start the attempt.
+     * Counts a return of the attempt to the queue after the target did not start it.
      *
-     * @return the count, this time included
+     * @return the number of returns, including this one
      */
-    synchronized int countPutBack() {
-        return ++putBacks;
+    synchronized int countRequeue() {
+        return ++requeues;
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionNode.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionNode.java
@@ -24,58 +24,59 @@
 import org.geraniumreach.model.record.Target;
 
 /**
- * A companion: it answers entries over links and is the only one to speak to its target.
+ * A companion, which answers entries over links and is the only process that calls its target.
  *
- * <p>Invariants: no work is taken before the fence is held and the target's state is known, nor after {@link #drain}; an
- * attempt starts at most once; its output is kept until its entry has acknowledged it, or has been gone for too long. Safe
- * for use by several threads.
+ * <p>Invariants: no work is accepted before the fencing token is held and the target's state is known, nor after
+ * {@link #drain}; an attempt starts at most once; its output is retained until its entry has acknowledged it or has
+ * been without a link for too long. Safe for use by several threads.
  */
 public final class CompanionNode implements AutoCloseable {
 
-    private static final Set<Frame.BodyCase> KINDS = EnumSet.of(
+    private static final Set<Frame.BodyCase> HANDLED_FRAMES = EnumSet.of(
             Frame.BodyCase.RUN,
             Frame.BodyCase.CANCEL,
             Frame.BodyCase.RESUME,
             Frame.BodyCase.ACKNOWLEDGE,
             Frame.BodyCase.SEAL);
     private static final String ENTRY_ROLE = "entry";
-    private static final Duration STARTING = Duration.ofMillis(500);
-    private static final Duration TICK = Duration.ofMillis(100);
-    private static final Duration REPORT_GAP = Duration.ofMillis(100);
+    private static final Duration STARTING_RETRY_AFTER = Duration.ofMillis(500);
+    private static final Duration TICK_PERIOD = Duration.ofMillis(100);
+    private static final Duration MIN_REPORT_GAP = Duration.ofMillis(100);
 
     private final CompanionSettings settings;
-    private final CompanionParts parts;
+    private final CompanionDependencies dependencies;
     private final AttemptShards attempts;
-    private final Outcomes outcomes;
-    private final Requests requests;
+    private final AttemptLifecycle lifecycle;
+    private final AttemptRequestHandler requestHandler;
     private final StatusReporter reporter = new StatusReporter();
     private final ScheduledThreadPoolExecutor timer = newTimer();
-    private final TargetStart targetStart;
-    private final AtomicBoolean reportDue = new AtomicBoolean();
-    private volatile boolean draining;
-    private volatile long lastReport;
+    private final TargetTakeover takeover;
+    private final AtomicBoolean isReportScheduled = new AtomicBoolean();
+    private volatile boolean isDraining;
+    private volatile long lastReportAt;
 
-    private CompanionNode(CompanionSettings settings, CompanionParts parts) {
+    private CompanionNode(CompanionSettings settings, CompanionDependencies dependencies) {
         this.settings = settings;
-        this.parts = parts;
-        this.attempts = new AttemptShards(settings, parts.clock());
-        StartCheck startCheck = new StartCheck(parts);
-        this.outcomes = new Outcomes(attempts, startCheck);
-        this.targetStart = new TargetStart(settings, parts, outcomes, timer, this::changed);
-        this.requests = new Requests(settings, parts, attempts, outcomes, startCheck, new Runners());
+        this.dependencies = dependencies;
+        this.attempts = new AttemptShards(settings, dependencies.clock());
+        StartCheck startCheck = new StartCheck(dependencies);
+        this.lifecycle = new AttemptLifecycle(attempts, startCheck);
+        this.takeover = new TargetTakeover(settings, dependencies, lifecycle, timer, this::scheduleReport);
+        this.requestHandler = new AttemptRequestHandler(
+                settings, dependencies, attempts, lifecycle, startCheck, new TakenOverTarget());
     }
 
     /**
-     * Makes a companion and registers it for frames, so that it answers as soon as links open.
+     * Creates a companion and registers it for frames, so that it answers as soon as links open.
      *
      * @param settings the settings, not null
-     * @param parts what it works with, not null
-     * @return the companion, which takes no work before {@link #start}, not null
+     * @param dependencies the services that it uses, not null
+     * @return the companion, which accepts no work before {@link #start}, not null
      */
-    public static CompanionNode create(CompanionSettings settings, CompanionParts parts) {
-        CompanionNode node = new CompanionNode(settings, parts);
-        parts.links().handle(KINDS, node.new Handler());
-        parts.configuration().listen(node::configurationChanged);
+    public static CompanionNode create(CompanionSettings settings, CompanionDependencies dependencies) {
+        CompanionNode node = new CompanionNode(settings, dependencies);
+        dependencies.links().handle(HANDLED_FRAMES, node.new LinkHandler());
+        dependencies.configuration().listen(node::configurationChanged);
         return node;
     }
 
@@ -88,119 +89,123 @@
         return new ScheduledThreadPoolExecutor(1, threads, new ThreadPoolExecutor.DiscardPolicy());
     }
 
-    /** Begins to take the target over; work is taken once that is done. */
+    /** Starts the takeover of the target; work is accepted once that is done. */
     public void start() {
-        targetStart.start();
-        timer.scheduleWithFixedDelay(this::tick, TICK.toNanos(), TICK.toNanos(), TimeUnit.NANOSECONDS);
+        takeover.start();
+        timer.scheduleWithFixedDelay(this::tick, TICK_PERIOD.toNanos(), TICK_PERIOD.toNanos(), TimeUnit.NANOSECONDS);
     }
 
     /**
-     * Gets why no work is taken.
+     * Gets the reason why no work is accepted.
      *
-     * @return the reason, or empty if work is taken
+     * @return the reason, or empty if work is accepted
      */
     public Optional<String> reasonNotReady() {
-        if (draining) {
+        if (isDraining) {
             return Optional.of("the companion is leaving");
         }
-        return targetStart.reasonNotReady();
+        return takeover.reasonNotReady();
     }
 
     /**
-     * Gets the fence, for the Hello.
+     * Gets the fencing token, which is sent in the Hello.
      *
-     * @return the number, 0 before it is taken
+     * @return the token, 0 before it is acquired
      */
     public long fence() {
-        return targetStart.fence();
+        return takeover.fence();
     }
 
-    /** Gives the runner of the target, as long as it may be given. */
-    private final class Runners implements Requests.RunnerSource {
+    /** Provides the target's runner once the target is taken over. */
+    private final class TakenOverTarget implements AttemptRequestHandler.RunnerProvider {
 
         @Override
         public TargetRunner forNewWork() throws ServingException {
-            if (draining) {
-                throw ServingException.notRun(ResultCode.DRAINING, "companion " + parts.instance() + " is leaving");
+            if (isDraining) {
+                throw ServingException.notRun(
+                        ResultCode.DRAINING, "companion " + dependencies.instance() + " is leaving");
             }
-            if (targetStart.isFencedOut()) {
-                throw ServingException.notRun(ResultCode.FENCED, "a newer companion has taken over " + parts.target());
+            if (takeover.isFencedOut()) {
+                throw ServingException.notRun(
+                        ResultCode.FENCED, "a newer companion has taken over " + dependencies.target());
             }
-            return targetStart.runner().orElseThrow(() -> ServingException.notRun(
-                            ResultCode.NO_TARGET, "the companion is starting")
-                    .withRetryAfter(STARTING));
+            return takeover.runner()
+                    .orElseThrow(() -> ServingException.notRun(ResultCode.NO_TARGET, "the companion is starting")
+                            .withRetryAfter(STARTING_RETRY_AFTER));
         }
 
         @Override
         public Optional<TargetRunner> current() {
-            return targetStart.runner();
+            return takeover.runner();
         }
     }
 
-    /** Takes links' news to where they belong. */
-    private final class Handler implements FrameHandler {
+    /** Passes events of links to the request handler, the status reporter and the attempts. */
+    private final class LinkHandler implements FrameHandler {
 
         @Override
         public void opened(Peer peer) {
             if (peer.hello().getRole().equals(ENTRY_ROLE)) {
-                reporter.opened(peer, status());
+                reporter.onLinkOpened(peer, status());
             }
         }
 
         @Override
         public void received(Peer peer, Frame frame) {
-            requests.received(peer, frame);
+            requestHandler.onFrame(peer, frame);
         }
 
         @Override
         public void writable(Peer peer) {
-            attempts.all().forEach(attempt -> attempt.writable(peer));
+            attempts.all().forEach(attempt -> attempt.onWritable(peer));
         }
 
         @Override
         public void closed(Peer peer, String reason) {
-            reporter.closed(peer);
-            long now = parts.clock().nanos();
-            attempts.all().forEach(attempt -> attempt.linkClosed(peer, now));
+            reporter.onLinkClosed(peer);
+            long now = dependencies.clock().nanos();
+            attempts.all().forEach(attempt -> attempt.onLinkClosed(peer, now));
         }
     }
 
     private Status status() {
         Status.Builder status = Status.newBuilder()
-                .setTarget(parts.target().value())
+                .setTarget(dependencies.target().value())
                 .setDraining(reasonNotReady().isPresent())
                 .setFence(fence());
-        parts.configuration()
+        dependencies
+                .configuration()
                 .current()
-                .target(parts.target())
+                .target(dependencies.target())
                 .map(Target::slots)
                 .ifPresent(status::setSlots);
-        targetStart.runner().ifPresent(running -> running.describe(status));
+        takeover.runner().ifPresent(running -> running.describe(status));
         return status.build();
     }
 
-    private void changed() {
-        if (reportDue.compareAndSet(false, true)) {
-            timer.schedule(this::report, REPORT_GAP.toNanos(), TimeUnit.NANOSECONDS);
+    private void scheduleReport() {
+        if (isReportScheduled.compareAndSet(false, true)) {
+            timer.schedule(this::report, MIN_REPORT_GAP.toNanos(), TimeUnit.NANOSECONDS);
         }
     }
 
     private void report() {
-        reportDue.set(false);
-        lastReport = parts.clock().nanos();
+        isReportScheduled.set(false);
+        lastReportAt = dependencies.clock().nanos();
         reporter.report(status());
     }
 
     private void tick() {
         try {
-            requests.tick();
-            targetStart.tick();
-            if (parts.clock().nanos() - lastReport > settings.statusInterval().toNanos()) {
-                changed();
+            requestHandler.tick();
+            takeover.tick();
+            if (dependencies.clock().nanos() - lastReportAt
+                    > settings.statusInterval().toNanos()) {
+                scheduleReport();
             }
         } catch (RuntimeException failure) {
-            // A task that throws is never run again: deadlines and orphans would then be waited for in vain.
-            EventLog.write(EventCode.UNEXPECTED_FAILURE, failure, "the companion's timer");
+            // An exception would cancel the periodic task, and expired and orphaned attempts would never be ended.
+            EventLog.write(EventCode.UNEXPECTED_FAILURE, failure, "periodic task of the companion failed");
         }
     }
 
@@ -212,39 +217,43 @@
         for (CompanionAttempt attempt : attempts.all()) {
             if (!attempt.isFinished()
                     && attempt.key().filter(withdrawn::contains).isPresent()) {
-                requests.cancel(attempt, ResultCode.KEY_REFUSED, "the key was withdrawn");
+                requestHandler.cancel(attempt, ResultCode.KEY_REFUSED, "the key was withdrawn");
                 cancelled++;
             }
         }
-        EventLog.write(EventCode.STREAMS_CANCELLED, "{} at revision {}", cancelled, after.revision());
+        EventLog.write(
+                EventCode.STREAMS_CANCELLED,
+                "{} streams with withdrawn keys at revision {}",
+                cancelled,
+                after.revision());
     }
 
-    /** Takes no new work from now on and tells all peers; what was taken runs to its end. */
+    /** Stops accepting work and tells all peers; attempts already accepted run to their end. */
     public void drain() {
-        draining = true;
+        isDraining = true;
         Frame leaving = Frame.newBuilder()
                 .setLeaving(Leaving.newBuilder()
-                        .setInstance(parts.instance().value())
-                        .setIncarnation(parts.incarnation()))
+                        .setInstance(dependencies.instance().value())
+                        .setIncarnation(dependencies.incarnation()))
                 .build();
-        parts.links().peers().forEach(peer -> peer.send(leaving));
+        dependencies.links().peers().forEach(peer -> peer.send(leaving));
         reporter.report(status());
-        EventLog.write(EventCode.DRAINING, "companion {} of {}", parts.instance(), parts.target());
+        EventLog.write(EventCode.DRAINING, "companion {} of {}", dependencies.instance(), dependencies.target());
     }
 
     /**
-     * Gets the number of attempts that wait, run, or whose output is not yet with its entry.
+     * Gets the number of attempts that wait, run, or whose output is not yet delivered to its entry.
      *
-     * @return the number, 0 when the drain is done
+     * @return the number, 0 when the drain is complete
      */
     public int unfinished() {
-        return (int) attempts.all().stream().filter(requests::holdsUpDrain).count();
+        return (int) attempts.all().stream().filter(requestHandler::blocksDrain).count();
     }
 
     @Override
     public void close() {
         timer.shutdownNow();
-        targetStart.close();
-        attempts.all().forEach(requests::cutOff);
+        takeover.close();
+        attempts.all().forEach(requestHandler::abort);
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/EngineRunner.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/EngineRunner.java
@@ -33,153 +33,157 @@
 /**
  * Runs attempts on a model engine.
  *
- * <p>Invariants: a request is sent only while its adapter is pinned, after a look at the engine that is recent, and with the
- * fence; the pin is held until the engine no longer runs the stream. A request that the engine shows not to have started
- * goes back into the queue if the view of its slots was wrong, and is refused as not run otherwise. Safe for use by several
- * threads; what blocks runs on the executors.
+ * <p>Invariants: a request is sent only while its adapter is pinned, with a recent state of the engine, and with the
+ * fencing token; the pin is held until the engine no longer runs the stream. A request that the engine reports not to
+ * have started returns to the queue if the known state of the adapter slots was wrong, and is otherwise refused as not
+ * run. Safe for use by several threads; blocking calls run on the executors.
  */
-final class EngineRunner implements TargetRunner, EngineAnswer.Owner {
+final class EngineRunner implements TargetRunner, AttemptStream.Listener {
 
-    private static final int GREATEST_PUT_BACKS = 3;
-    private static final long RETRY_MILLIS = 200;
+    private static final int MAX_REQUEUES = 3;
+    private static final long RETRY_DELAY_MILLIS = 200;
 
     private final ModelEngine engine;
     private final Residency residency;
     private final RequestQueue<CompanionAttempt> queue;
-    private final EngineWatch watch;
-    private final OrderPermit permit;
-    private final Outcomes outcomes;
+    private final EngineMonitor engineMonitor;
+    private final OrderAuthorization authorization;
+    private final AttemptLifecycle lifecycle;
     private final MonotonicClock clock;
     private final Duration resumeLimit;
     private final Duration orderLimit;
-    private final ExecutorService sends;
-    private final ExecutorService loads;
+    private final ExecutorService sendExecutor;
+    private final ExecutorService loadExecutor;
     private final ScheduledExecutorService timer;
-    private final Runnable changed;
-    private final Map<AttemptId, EngineAnswer> running = new ConcurrentHashMap<>();
-    private final AdapterLoads adapterLoads;
-    private final Object dispatching = new Object();
-    private final LeftStreams left;
+    private final Runnable onChange;
+    private final Map<AttemptId, AttemptStream> running = new ConcurrentHashMap<>();
+    private final AdapterLoader adapterLoader;
+    private final Object dispatchLock = new Object();
+    private final InheritedStreams inheritedStreams;
 
     /**
-     * What the runner works with.
+     * The services that the runner works with.
      *
      * @param engine the engine
-     * @param residency its slots
-     * @param queue the order of requests
-     * @param watch keeps the view of the engine true
-     * @param permit whether orders may be given
-     * @param outcomes starts and ends attempts
+     * @param residency the adapter slots of the engine
+     * @param queue the queue of requests
+     * @param engineMonitor keeps the known state of the engine up to date
+     * @param authorization decides whether orders may be sent
+     * @param lifecycle starts and ends attempts
      * @param clock the clock
-     * @param resumeLimit how long a broken stream is asked for
-     * @param orderLimit how long an order may be carried out
-     * @param sends runs short calls of the engine
-     * @param loads runs loads
-     * @param timer runs what is due later
-     * @param changed told when there is something new to report
+     * @param resumeLimit how long the runner tries to resume a broken stream
+     * @param orderLimit how long an order stays valid
+     * @param sendExecutor runs short calls to the engine
+     * @param loadExecutor runs loads of adapters
+     * @param timer schedules retries
+     * @param onChange called when the status has changed
      */
     record Collaborators(
             ModelEngine engine,
             Residency residency,
             RequestQueue<CompanionAttempt> queue,
-            EngineWatch watch,
-            OrderPermit permit,
-            Outcomes outcomes,
+            EngineMonitor engineMonitor,
+            OrderAuthorization authorization,
+            AttemptLifecycle lifecycle,
             MonotonicClock clock,
             Duration resumeLimit,
             Duration orderLimit,
-            ExecutorService sends,
-            ExecutorService loads,
+            ExecutorService sendExecutor,
+            ExecutorService loadExecutor,
             ScheduledExecutorService timer,
-            Runnable changed) {}
-
-    EngineRunner(Collaborators with) {
-        this.engine = with.engine();
-        this.residency = with.residency();
-        this.queue = with.queue();
-        this.watch = with.watch();
-        this.permit = with.permit();
-        this.outcomes = with.outcomes();
-        this.clock = with.clock();
-        this.resumeLimit = with.resumeLimit();
-        this.orderLimit = with.orderLimit();
-        this.sends = with.sends();
-        this.loads = with.loads();
-        this.timer = with.timer();
-        this.changed = with.changed();
-        this.adapterLoads = new AdapterLoads(engine, residency, queue, watch, permit, outcomes, clock);
-        this.left = new LeftStreams(watch.streams());
+            Runnable onChange) {}
+
+    EngineRunner(Collaborators collaborators) {
+        this.engine = collaborators.engine();
+        this.residency = collaborators.residency();
+        this.queue = collaborators.queue();
+        this.engineMonitor = collaborators.engineMonitor();
+        this.authorization = collaborators.authorization();
+        this.lifecycle = collaborators.lifecycle();
+        this.clock = collaborators.clock();
+        this.resumeLimit = collaborators.resumeLimit();
+        this.orderLimit = collaborators.orderLimit();
+        this.sendExecutor = collaborators.sendExecutor();
+        this.loadExecutor = collaborators.loadExecutor();
+        this.timer = collaborators.timer();
+        this.onChange = collaborators.onChange();
+        this.adapterLoader =
+                new AdapterLoader(engine, residency, queue, engineMonitor, authorization, lifecycle, clock);
+        this.inheritedStreams = new InheritedStreams(engineMonitor.streams());
     }
 
     /**
-     * Gives entries a time to ask for the streams that a former companion left, and then stops the others.
+     * Gives entries a time limit to claim the streams that a previous companion started, and stops the remaining ones
+     * after it.
      *
-     * @param limit the time, not null
+     * @param limit the time limit, not null
      */
-    void stopLeftStreamsAfter(Duration limit) {
+    void stopInheritedStreamsAfter(Duration limit) {
         timer.schedule(
-                () -> left.takeAll().forEach(id -> sends.execute(() -> stopLeft(id))),
+                () -> inheritedStreams.claimAll().forEach(id -> sendExecutor.execute(() -> stopInherited(id))),
                 limit.toNanos(),
                 TimeUnit.NANOSECONDS);
     }
 
-    private void stopLeft(AttemptId id) {
+    private void stopInherited(AttemptId id) {
         try {
             engine.cancel(id);
-            left.stopped(id);
+            inheritedStreams.onStopped(id);
             dispatch();
         } catch (PlatformException failure) {
-            timer.schedule(() -> sends.execute(() -> stopLeft(id)), RETRY_MILLIS, TimeUnit.MILLISECONDS);
+            timer.schedule(
+                    () -> sendExecutor.execute(() -> stopInherited(id)), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     @Override
     public boolean adopt(CompanionAttempt attempt) {
-        QueuedRequest<CompanionAttempt> request = requestOf(attempt);
+        QueuedRequest<CompanionAttempt> request = toQueuedRequest(attempt);
         Optional<Pin> pin;
-        synchronized (dispatching) {
+        synchronized (dispatchLock) {
             pin = residency.pin(attempt.id(), adapterOf(request));
-            if (pin.isEmpty() || !left.take(attempt.id())) {
+            if (pin.isEmpty() || !inheritedStreams.claim(attempt.id())) {
                 pin.ifPresent(Pin::release);
                 return false;
             }
         }
-        EngineAnswer answer = new EngineAnswer(request, pin, watch.incarnation(), 0, 0, this);
-        running.put(attempt.id(), answer);
-        outcomes.start(attempt);
-        sends.execute(() -> resume(answer));
+        AttemptStream stream = new AttemptStream(request, pin, engineMonitor.incarnation(), 0, 0, this);
+        running.put(attempt.id(), stream);
+        lifecycle.start(attempt);
+        sendExecutor.execute(() -> resume(stream));
         return true;
     }
 
     @Override
     public void submit(CompanionAttempt attempt) {
-        QueuedRequest<CompanionAttempt> request = requestOf(attempt);
+        QueuedRequest<CompanionAttempt> request = toQueuedRequest(attempt);
         if (enqueue(request)) {
             dispatch();
         }
     }
 
-    private QueuedRequest<CompanionAttempt> requestOf(CompanionAttempt attempt) {
-        long tokens = attempt.named().getPromptTokens() + attempt.named().getMaximumTokens();
+    private QueuedRequest<CompanionAttempt> toQueuedRequest(CompanionAttempt attempt) {
+        long tokens = attempt.runWithoutBody().getPromptTokens()
+                + attempt.runWithoutBody().getMaximumTokens();
         return new QueuedRequest<>(
                 attempt.id(),
                 attempt.account(),
                 attempt.adapter(),
                 Math.max(1, tokens),
-                attempt.named().getPriority(),
+                attempt.runWithoutBody().getPriority(),
                 attempt.deadline(),
                 attempt);
     }
 
     private boolean enqueue(QueuedRequest<CompanionAttempt> request) {
         AdapterReference adapter = adapterOf(request);
-        AdapterRequestResult answer =
+        AdapterRequestResult result =
                 residency.request(request.attempt(), request.account(), adapter, request.tokens());
-        if (answer.state() == AdapterRequestResult.State.REFUSED) {
-            outcomes.refused(
+        if (result.state() == AdapterRequestResult.State.REFUSED) {
+            lifecycle.refuse(
                     request.payload(),
                     ServingException.notRun(ResultCode.LOAD_FAILED, "the load of " + adapter + " failed a moment ago")
-                            .withRetryAfter(answer.delay()));
+                            .withRetryAfter(result.delay()));
             return false;
         }
         queue.offer(request);
@@ -197,20 +201,20 @@
         dispatch();
     }
 
-    /** Starts what may start now: requests whose adapters are resident, and loads. */
+    /** Sends the requests whose adapters are resident, and starts loads. */
     private void dispatch() {
-        List<Runnable> started = new ArrayList<>();
-        synchronized (dispatching) {
-            takeRequests(started);
-            if (left.isEmpty()) {
-                residency.startLoads().forEach(order -> started.add(() -> loads.execute(() -> load(order))));
+        List<Runnable> actions = new ArrayList<>();
+        synchronized (dispatchLock) {
+            takeRequests(actions);
+            if (inheritedStreams.isEmpty()) {
+                residency.startLoads().forEach(command -> actions.add(() -> loadExecutor.execute(() -> load(command))));
             }
         }
-        started.forEach(Runnable::run);
-        changed.run();
+        actions.forEach(Runnable::run);
+        onChange.run();
     }
 
-    private void takeRequests(List<Runnable> started) {
+    private void takeRequests(List<Runnable> actions) {
         Optional<QueuedRequest<CompanionAttempt>> next = queue.take(residency::isReady);
         while (next.isPresent()) {
             QueuedRequest<CompanionAttempt> request = next.get();
@@ -220,233 +224,233 @@
                 queue.offer(request);
                 return;
             }
-            long incarnation = watch.incarnation();
-            started.add(() -> sends.execute(() -> send(request, pin.get(), incarnation)));
+            long incarnation = engineMonitor.incarnation();
+            actions.add(() -> sendExecutor.execute(() -> send(request, pin.get(), incarnation)));
             next = queue.take(residency::isReady);
         }
     }
 
     private void send(QueuedRequest<CompanionAttempt> request, Pin pin, long incarnation) {
-        EngineAnswer answer = answerOf(request, pin, incarnation);
-        if (!watch.confirm()) {
-            end(answer, 0, 0);
-            refuse(answer, ResultCode.TARGET_FAILED, ExecutionStatus.NO, "the engine does not answer");
+        AttemptStream stream = newStream(request, pin, incarnation);
+        if (!engineMonitor.refreshIfStale()) {
+            release(stream, 0, 0);
+            refuse(stream, ResultCode.TARGET_FAILED, ExecutionStatus.NO, "the engine does not answer");
             return;
         }
-        if (watch.incarnation() != incarnation) {
-            putBack(answer);
+        if (engineMonitor.incarnation() != incarnation) {
+            requeue(stream);
             return;
         }
-        Optional<Order> order = permit.order(clock.nanos());
+        Optional<Order> order = authorization.authorize(clock.nanos());
         if (order.isEmpty()) {
-            end(answer, 0, 0);
-            refuse(answer, ResultCode.FENCED, ExecutionStatus.NO, "this companion may not give the target orders");
+            release(stream, 0, 0);
+            refuse(stream, ResultCode.FENCED, ExecutionStatus.NO, "this companion may not give the target orders");
             return;
         }
-        running.put(request.attempt(), answer);
-        if (!outcomes.start(request.payload())) {
-            end(answer, 0, 0);
+        running.put(request.attempt(), stream);
+        if (!lifecycle.start(request.payload())) {
+            release(stream, 0, 0);
             return;
         }
-        generate(answer, order.get());
+        generate(stream, order.get());
     }
 
-    private EngineAnswer answerOf(QueuedRequest<CompanionAttempt> request, Pin pin, long incarnation) {
+    private AttemptStream newStream(QueuedRequest<CompanionAttempt> request, Pin pin, long incarnation) {
         long arrivedAt = request.payload().arrivedAt();
         long now = clock.nanos();
-        long loading = adapterLoads.waited(adapterOf(request), arrivedAt, now);
-        return new EngineAnswer(request, Optional.of(pin), incarnation, now - arrivedAt - loading, loading, this);
+        long loading = adapterLoader.loadWaitNanos(adapterOf(request), arrivedAt, now);
+        return new AttemptStream(request, Optional.of(pin), incarnation, now - arrivedAt - loading, loading, this);
     }
 
-    private void generate(EngineAnswer answer, Order order) {
-        CompanionAttempt attempt = answer.attempt();
+    private void generate(AttemptStream stream, Order order) {
+        CompanionAttempt attempt = stream.attempt();
         ModelEngine.Generation generation = new ModelEngine.Generation(
                 attempt.id(),
                 attempt.account(),
-                adapterOf(answer.request()),
+                adapterOf(stream.request()),
                 attempt.body().toStringUtf8(),
-                attempt.named().getMaximumTokens(),
-                attempt.named().getPriority());
-        answer.attach(engine.generate(generation, order, answer));
+                attempt.runWithoutBody().getMaximumTokens(),
+                attempt.runWithoutBody().getPriority());
+        stream.attach(engine.generate(generation, order, stream));
     }
 
-    private void putBack(EngineAnswer answer) {
-        end(answer, 0, 0);
-        CompanionAttempt attempt = answer.attempt();
-        if (attempt.countPutBack() > GREATEST_PUT_BACKS) {
-            refuse(answer, ResultCode.TARGET_FAILED, ExecutionStatus.NO, "the engine does not keep the adapter");
+    private void requeue(AttemptStream stream) {
+        release(stream, 0, 0);
+        CompanionAttempt attempt = stream.attempt();
+        if (attempt.countRequeue() > MAX_REQUEUES) {
+            refuse(stream, ResultCode.TARGET_FAILED, ExecutionStatus.NO, "the engine does not keep the adapter");
             return;
         }
-        attempt.forgetDemand();
-        outcomes.putBack(attempt);
-        if (enqueue(answer.request())) {
+        attempt.resetDemand();
+        lifecycle.requeue(attempt);
+        if (enqueue(stream.request())) {
             dispatch();
         }
     }
 
     /**
-     * Ends a stream's hold on the engine: its pin and its place in the batch.
+     * Releases what a stream holds: its pin and its place in the batch.
      *
-     * @param answer the stream, not null
-     * @param tokensUsed what it cost
-     * @param generated the tokens generated
+     * @param stream the stream, not null
+     * @param tokensUsed the prompt tokens and generated tokens
+     * @param generated the generated tokens
      */
-    private void end(EngineAnswer answer, long tokensUsed, long generated) {
-        if (!answer.release()) {
+    private void release(AttemptStream stream, long tokensUsed, long generated) {
+        if (!stream.releasePin()) {
             return;
         }
-        running.remove(answer.attempt().id(), answer);
-        queue.onFinished(answer.attempt().id(), tokensUsed, generated);
+        running.remove(stream.attempt().id(), stream);
+        queue.onFinished(stream.attempt().id(), tokensUsed, generated);
     }
 
-    private void refuse(EngineAnswer answer, ResultCode code, ExecutionStatus ran, String message) {
-        outcomes.refused(answer.attempt(), ServingException.of(code, ran, message));
+    private void refuse(AttemptStream stream, ResultCode code, ExecutionStatus executionStatus, String message) {
+        lifecycle.refuse(stream.attempt(), ServingException.of(code, executionStatus, message));
         dispatch();
     }
 
     @Override
-    public void ended(EngineAnswer answer, End end) {
-        outcomes.ended(answer.attempt(), end);
-        end(answer, (long) end.getPromptTokens() + end.getGeneratedTokens(), end.getGeneratedTokens());
+    public void onEnded(AttemptStream stream, End end) {
+        lifecycle.end(stream.attempt(), end);
+        release(stream, (long) end.getPromptTokens() + end.getGeneratedTokens(), end.getGeneratedTokens());
         dispatch();
     }
 
     @Override
-    public void servedWrong(EngineAnswer answer, AdapterReference served) {
-        AdapterReference named = adapterOf(answer.request());
+    public void onWrongAdapterServed(AttemptStream stream, AdapterReference served) {
+        AdapterReference requested = adapterOf(stream.request());
         EventLog.write(
                 EventCode.WRONG_ADAPTER_SERVED,
-                "{}: {} named, {} served",
-                answer.attempt().id(),
-                named,
+                "{}: requested {}, served {}",
+                stream.attempt().id(),
+                requested,
                 served);
-        answer.stopListening();
-        outcomes.refused(
-                answer.attempt(),
+        stream.detach();
+        lifecycle.refuse(
+                stream.attempt(),
                 ServingException.of(
                         ResultCode.WRONG_ADAPTER_SERVED,
                         ExecutionStatus.YES,
-                        "the target ran " + served + " in place of " + named));
-        watch.invalidate();
-        stop(answer);
+                        "the target ran " + served + " in place of " + requested));
+        engineMonitor.invalidate();
+        stop(stream);
     }
 
     @Override
-    public void notStarted(EngineAnswer answer, PlatformException failure) {
+    public void onNotStarted(AttemptStream stream, PlatformException failure) {
         switch (failure.reason()) {
             case NOT_RESIDENT -> {
-                watch.invalidate();
-                sends.execute(() -> {
-                    end(answer, 0, 0);
-                    watch.confirm();
-                    putBack(answer);
+                engineMonitor.invalidate();
+                sendExecutor.execute(() -> {
+                    release(stream, 0, 0);
+                    engineMonitor.refreshIfStale();
+                    requeue(stream);
                 });
             }
             case FENCED -> {
-                permit.fencedOut();
-                end(answer, 0, 0);
-                refuse(answer, ResultCode.FENCED, ExecutionStatus.NO, "a newer companion has taken over the target");
+                authorization.onFencedOut();
+                release(stream, 0, 0);
+                refuse(stream, ResultCode.FENCED, ExecutionStatus.NO, "a newer companion has taken over the target");
             }
             default -> {
-                watch.invalidate();
-                end(answer, 0, 0);
-                refuse(answer, ResultCode.TARGET_FAILED, ExecutionStatus.NO, failure.getMessage());
+                engineMonitor.invalidate();
+                release(stream, 0, 0);
+                refuse(stream, ResultCode.TARGET_FAILED, ExecutionStatus.NO, failure.getMessage());
             }
         }
     }
 
     /**
-     * Goes on with a stream whose connection broke: the engine goes on with it, and holds what was not read. Only an engine
-     * that does not know it any more, or cannot be reached for too long, ends it.
+     * Resumes a stream whose connection broke: the engine continues it and keeps the chunks that were not read. The
+     * stream ends only if the engine does not know it or has been unreachable for longer than the resume limit.
      */
     @Override
-    public void broken(EngineAnswer answer, PlatformException failure) {
-        watch.invalidate();
-        boolean unknown = failure.effect() == PlatformException.Effect.NONE;
-        if (unknown || answer.isOverdue(clock.nanos(), resumeLimit)) {
-            answer.stopListening();
-            refuse(answer, ResultCode.ANSWER_INTERRUPTED, ranSoFar(answer), failure.getMessage());
-            stoppable(answer);
+    public void onBroken(AttemptStream stream, PlatformException failure) {
+        engineMonitor.invalidate();
+        boolean isUnknown = failure.effect() == PlatformException.Effect.NONE;
+        if (isUnknown || stream.isBrokenLongerThan(clock.nanos(), resumeLimit)) {
+            stream.detach();
+            refuse(stream, ResultCode.ANSWER_INTERRUPTED, executionStatus(stream), failure.getMessage());
+            onStoppable(stream);
             return;
         }
-        timer.schedule(() -> sends.execute(() -> resume(answer)), RETRY_MILLIS, TimeUnit.MILLISECONDS);
+        timer.schedule(() -> sendExecutor.execute(() -> resume(stream)), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private static ExecutionStatus ranSoFar(EngineAnswer answer) {
-        return answer.hasBegun() ? ExecutionStatus.YES : ExecutionStatus.UNKNOWN;
+    private static ExecutionStatus executionStatus(AttemptStream stream) {
+        return stream.hasStarted() ? ExecutionStatus.YES : ExecutionStatus.UNKNOWN;
     }
 
-    private void resume(EngineAnswer answer) {
-        if (answer.isCancelled()) {
+    private void resume(AttemptStream stream) {
+        if (stream.isCancelled()) {
             return;
         }
-        answer.resuming();
-        CompanionAttempt attempt = answer.attempt();
-        answer.attachResumed(engine.resume(attempt.id(), attempt.nextFromTarget(), answer));
+        stream.markResumed();
+        CompanionAttempt attempt = stream.attempt();
+        stream.attachResumed(engine.resume(attempt.id(), attempt.nextExpectedSequence(), stream));
     }
 
     @Override
     public void cancel(CompanionAttempt attempt) {
-        EngineAnswer answer = running.get(attempt.id());
-        if (answer != null && answer.cancel()) {
-            stop(answer);
+        AttemptStream stream = running.get(attempt.id());
+        if (stream != null && stream.cancel()) {
+            stop(stream);
         }
     }
 
     /**
-     * Stops a stream. One that was never heard of may still be on its way to the engine, and starts there as long as its
-     * order is valid; it is stopped after that, and holds its pin until then.
+     * Stops a cancelled stream. One that the engine has reported nothing of may still be on its way and can start as
+     * long as its order is valid; it is stopped after the order limit and keeps its pin until then.
      */
     @Override
-    public void stoppable(EngineAnswer answer) {
-        if (answer.hasBegun()) {
-            stop(answer);
+    public void onStoppable(AttemptStream stream) {
+        if (stream.hasStarted()) {
+            stop(stream);
         } else {
-            timer.schedule(() -> stop(answer), orderLimit.toNanos(), TimeUnit.NANOSECONDS);
+            timer.schedule(() -> stop(stream), orderLimit.toNanos(), TimeUnit.NANOSECONDS);
         }
     }
 
     /**
-     * Stops a stream at the engine, trying again until it is known to be gone; its adapter stays pinned for as long, since
-     * the engine may still be running on it.
+     * Stops a stream at the engine and retries until it is known to be gone. Its adapter stays pinned until then, since
+     * the engine may still use it.
      *
-     * @param answer the stream, not null
+     * @param stream the stream, not null
      */
-    private void stop(EngineAnswer answer) {
-        sends.execute(() -> {
+    private void stop(AttemptStream stream) {
+        sendExecutor.execute(() -> {
             try {
-                engine.cancel(answer.attempt().id());
-                end(answer, 0, 0);
+                engine.cancel(stream.attempt().id());
+                release(stream, 0, 0);
                 dispatch();
             } catch (PlatformException failure) {
-                stopLater(answer);
+                retryStop(stream);
             }
         });
     }
 
-    private void stopLater(EngineAnswer answer) {
-        watch.invalidate();
-        if (watch.confirm() && watch.incarnation() != answer.engineIncarnation()) {
-            end(answer, 0, 0);
+    private void retryStop(AttemptStream stream) {
+        engineMonitor.invalidate();
+        if (engineMonitor.refreshIfStale() && engineMonitor.incarnation() != stream.engineIncarnation()) {
+            release(stream, 0, 0);
             dispatch();
             return;
         }
-        timer.schedule(() -> stop(answer), RETRY_MILLIS, TimeUnit.MILLISECONDS);
+        timer.schedule(() -> stop(stream), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void load(AdapterLoadCommand order) {
-        adapterLoads.carryOut(order);
+    private void load(AdapterLoadCommand command) {
+        adapterLoader.execute(command);
         dispatch();
     }
 
     @Override
-    public void acknowledged(CompanionAttempt attempt) {
-        Optional.ofNullable(running.get(attempt.id())).ifPresent(EngineAnswer::demand);
+    public void onAcknowledged(CompanionAttempt attempt) {
+        Optional.ofNullable(running.get(attempt.id())).ifPresent(AttemptStream::requestChunks);
     }
 
     @Override
     public void tick() {
-        sends.execute(watch::confirm);
+        sendExecutor.execute(engineMonitor::refreshIfStale);
         dispatch();
     }
 
@@ -456,13 +460,13 @@
                 .setQueued(queue.waitingCount())
                 .setQueuedTokens(queue.waitingTokens())
                 .setConcurrencyLimit(queue.concurrencyLimit())
-                .setEngineIncarnation(watch.incarnation());
+                .setEngineIncarnation(engineMonitor.incarnation());
         residency.resident().forEach(adapter -> status.addResident(adapter.toString()));
         residency.loading().forEach(adapter -> status.addLoading(adapter.toString()));
     }
 
     @Override
-    public int unfinished() {
+    public int unfinishedCount() {
         return queue.runningCount() + queue.waitingCount();
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/ServiceRunner.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/ServiceRunner.java
@@ -18,37 +18,37 @@
 /**
  * Runs attempts on a plain service.
  *
- * <p>Invariant: each attempt is one call, whatever becomes of it; the call is not made again, since the service may have
- * carried it out although its answer was lost. Safe for use by several threads; calls run on the executor.
+ * <p>Invariant: each attempt is at most one call. A failed call is not retried, since the service may have carried it
+ * out although its answer was lost. Safe for use by several threads; calls run on the executor.
  */
 final class ServiceRunner implements TargetRunner {
 
-    private static final int PAYLOAD_BYTES = 64 * 1024;
+    private static final int MAX_CHUNK_BYTES = 64 * 1024;
     private static final long NANOS_PER_MICRO = 1_000;
 
     private final PlainService service;
     private final RequestQueue<CompanionAttempt> queue;
-    private final OrderPermit permit;
-    private final Outcomes outcomes;
+    private final OrderAuthorization authorization;
+    private final AttemptLifecycle lifecycle;
     private final MonotonicClock clock;
-    private final ExecutorService calls;
-    private final Runnable changed;
+    private final ExecutorService callExecutor;
+    private final Runnable onChange;
 
     ServiceRunner(
             PlainService service,
             RequestQueue<CompanionAttempt> queue,
-            OrderPermit permit,
-            Outcomes outcomes,
+            OrderAuthorization authorization,
+            AttemptLifecycle lifecycle,
             MonotonicClock clock,
-            ExecutorService calls,
-            Runnable changed) {
+            ExecutorService callExecutor,
+            Runnable onChange) {
         this.service = service;
         this.queue = queue;
-        this.permit = permit;
-        this.outcomes = outcomes;
+        this.authorization = authorization;
+        this.lifecycle = lifecycle;
         this.clock = clock;
-        this.calls = calls;
-        this.changed = changed;
+        this.callExecutor = callExecutor;
+        this.onChange = onChange;
     }
 
     @Override
@@ -58,7 +58,7 @@
                 attempt.account(),
                 Optional.empty(),
                 1,
-                attempt.named().getPriority(),
+                attempt.runWithoutBody().getPriority(),
                 attempt.deadline(),
                 attempt));
         dispatch();
@@ -67,25 +67,25 @@
     @Override
     public void withdraw(CompanionAttempt attempt) {
         queue.remove(attempt.id());
-        changed.run();
+        onChange.run();
     }
 
     @Override
     public void cancel(CompanionAttempt attempt) {
-        // A call that was made cannot be taken back; its outcome is what the entry has to learn.
+        // A call that was sent cannot be cancelled; the entry needs its outcome.
     }
 
     private void dispatch() {
         Optional<QueuedRequest<CompanionAttempt>> next = queue.take(adapter -> true);
         while (next.isPresent()) {
             CompanionAttempt attempt = next.get().payload();
-            calls.execute(() -> runToEnd(attempt));
+            callExecutor.execute(() -> runAndRelease(attempt));
             next = queue.take(adapter -> true);
         }
-        changed.run();
+        onChange.run();
     }
 
-    private void runToEnd(CompanionAttempt attempt) {
+    private void runAndRelease(CompanionAttempt attempt) {
         try {
             run(attempt);
         } finally {
@@ -95,47 +95,47 @@
     }
 
     private void run(CompanionAttempt attempt) {
-        if (permit.order(clock.nanos()).isEmpty()) {
-            outcomes.refused(
+        if (authorization.authorize(clock.nanos()).isEmpty()) {
+            lifecycle.refuse(
                     attempt,
                     ServingException.notRun(ResultCode.FENCED, "this companion may not give the target orders"));
             return;
         }
-        if (!outcomes.start(attempt)) {
+        if (!lifecycle.start(attempt)) {
             return;
         }
-        long waited = clock.nanos() - attempt.arrivedAt();
+        long waitNanos = clock.nanos() - attempt.arrivedAt();
         byte[] body = attempt.body().toByteArray();
         try {
             byte[] answer = service.call(
-                    attempt.id(), attempt.account(), attempt.named().getOperation(), body);
-            answered(attempt, answer, waited);
+                    attempt.id(), attempt.account(), attempt.runWithoutBody().getOperation(), body);
+            deliver(attempt, answer, waitNanos);
         } catch (PlatformException failure) {
-            failed(attempt, failure);
+            onFailed(attempt, failure);
         }
     }
 
-    private void answered(CompanionAttempt attempt, byte[] answer, long waited) {
+    private void deliver(CompanionAttempt attempt, byte[] answer, long waitNanos) {
         int sequence = 0;
-        for (int from = 0; from < answer.length; from += PAYLOAD_BYTES) {
-            int length = Math.min(PAYLOAD_BYTES, answer.length - from);
-            attempt.add(Frames.chunk(attempt.id(), sequence, ByteString.copyFrom(answer, from, length), 0));
+        for (int offset = 0; offset < answer.length; offset += MAX_CHUNK_BYTES) {
+            int length = Math.min(MAX_CHUNK_BYTES, answer.length - offset);
+            attempt.add(Frames.chunk(attempt.id(), sequence, ByteString.copyFrom(answer, offset, length), 0));
             sequence++;
         }
-        outcomes.ended(
+        lifecycle.end(
                 attempt,
                 End.newBuilder()
                         .setAttempt(attempt.id().value())
                         .setCount(sequence)
-                        .setQueueMicros(waited / NANOS_PER_MICRO)
+                        .setQueueMicros(waitNanos / NANOS_PER_MICRO)
                         .build());
     }
 
-    private void failed(CompanionAttempt attempt, PlatformException failure) {
-        boolean notRun = failure.effect() == PlatformException.Effect.NONE;
-        ResultCode code = notRun ? ResultCode.TARGET_FAILED : ResultCode.OUTCOME_UNKNOWN;
-        ExecutionStatus ran = notRun ? ExecutionStatus.NO : ExecutionStatus.UNKNOWN;
-        outcomes.refused(attempt, ServingException.of(code, ran, failure.getMessage()));
+    private void onFailed(CompanionAttempt attempt, PlatformException failure) {
+        boolean isNotRun = failure.effect() == PlatformException.Effect.NONE;
+        ResultCode code = isNotRun ? ResultCode.TARGET_FAILED : ResultCode.OUTCOME_UNKNOWN;
+        ExecutionStatus executionStatus = isNotRun ? ExecutionStatus.NO : ExecutionStatus.UNKNOWN;
+        lifecycle.refuse(attempt, ServingException.of(code, executionStatus, failure.getMessage()));
     }
 
     @Override
@@ -152,7 +152,7 @@
     }
 
     @Override
-    public int unfinished() {
+    public int unfinishedCount() {
         return queue.runningCount() + queue.waitingCount();
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/StatusReporter.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/StatusReporter.java
@@ -10,44 +10,45 @@
 import org.geraniumreach.messages.Status;
 
 /**
- * Tells entries of this companion: all of it when a link opens, then what has changed.
+ * Sends the status of this companion to entries: the complete status when a link opens, then the changes.
  *
- * <p>Invariant: the first report over each link is complete, and the others are changes against the one before it over the
- * same link, which carries them in order or not at all. Safe for use by several threads, under its own lock.
+ * <p>Invariant: the first report over a link is complete, and each later one holds the changes since the report before
+ * it over the same link, which delivers them in order or not at all. Safe for use by several threads, under its own
+ * lock.
  */
 final class StatusReporter {
 
-    private final Map<Peer, Set<String>> told = new HashMap<>();
+    private final Map<Peer, Set<String>> reportedResidents = new HashMap<>();
     private long sequence;
 
-    synchronized void opened(Peer peer, Status current) {
-        told.put(peer, new HashSet<>());
-        tell(peer, current, true);
+    synchronized void onLinkOpened(Peer peer, Status current) {
+        reportedResidents.put(peer, new HashSet<>());
+        send(peer, current, true);
     }
 
-    synchronized void closed(Peer peer) {
-        told.remove(peer);
+    synchronized void onLinkClosed(Peer peer) {
+        reportedResidents.remove(peer);
     }
 
     synchronized void report(Status current) {
-        told.keySet().forEach(peer -> tell(peer, current, false));
+        reportedResidents.keySet().forEach(peer -> send(peer, current, false));
     }
 
-    private void tell(Peer peer, Status current, boolean complete) {
-        Set<String> before = told.get(peer);
+    private void send(Peer peer, Status current, boolean isComplete) {
+        Set<String> previous = reportedResidents.get(peer);
         Set<String> now = new HashSet<>(current.getResidentList());
-        Set<String> removed = new HashSet<>(before);
+        Set<String> removed = new HashSet<>(previous);
         removed.removeAll(now);
         Set<String> added = new HashSet<>(now);
-        added.removeAll(before);
+        added.removeAll(previous);
         Status report = current.toBuilder()
                 .clearResident()
                 .addAllResident(added)
                 .addAllRemoved(removed)
-                .setComplete(complete)
+                .setComplete(isComplete)
                 .setSequence(++sequence)
                 .build();
         peer.send(Frame.newBuilder().setStatus(report).build());
-        told.put(peer, now);
+        reportedResidents.put(peer, now);
     }
 }
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/CompanionNodeTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/CompanionNodeTest.java
@@ -25,7 +25,7 @@
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
             Run run = fixture.generation("a", tokens).build();
             RecordedAnswer answer = fixture.send(run);
-            CompanionFixture.await(answer::isOver);
+            CompanionFixture.await(answer::isEnded);
             assertThat(answer.refusal()).isEmpty();
             assertThat(answer.text()).isEqualTo(CompanionFixture.expected(run));
             assertThat(answer.end().orElseThrow().getGeneratedTokens()).isEqualTo(tokens);
@@ -34,8 +34,8 @@
 
     @Test
     void streamsOfManyAdaptersShareFewSlots() throws IOException {
-        // Callers of three adapters send at once to an engine with two slots. The third adapter's load has to evict
-        // one. If that one were in use, its caller's answer would come from nothing or from the wrong adapter.
+        // Callers of three adapters send at once to an engine with two slots, so a load has to evict an adapter. If
+        // that one were in use, its caller would get no answer or one from the wrong adapter.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
             List<Run> runs = new ArrayList<>();
             List<RecordedAnswer> answers = new ArrayList<>();
@@ -45,7 +45,7 @@
                 answers.add(fixture.send(runs.get(index)));
             }
             for (int index = 0; index < 30; index++) {
-                CompanionFixture.await(answers.get(index)::isOver);
+                CompanionFixture.await(answers.get(index)::isEnded);
                 assertThat(answers.get(index).text()).isEqualTo(CompanionFixture.expected(runs.get(index)));
             }
             assertThat(fixture.engine.unloadedInUse()).isEmpty();
@@ -54,35 +54,36 @@
 
     @Test
     void slowCallerSlowsOnlyItsOwnStream() throws IOException {
-        // One caller reads nothing beyond its first chunks; another one reads on. The engine is asked for no more of
-        // the slow one's chunks than the companion keeps, and the other's answer is whole.
+        // One caller reads nothing beyond its first chunks while another one reads on. No more of the slow one's chunks
+        // may be requested from the engine than the companion retains, and the other answer must be complete.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
             Run slow = fixture.generation("a", 5_000).build();
             RecordedAnswer slowAnswer = fixture.send(slow, true);
             CompanionFixture.await(() -> slowAnswer.chunks() == 8);
             Run quick = fixture.generation("a", 300).build();
             RecordedAnswer quickAnswer = fixture.send(quick);
-            CompanionFixture.await(quickAnswer::isOver);
+            CompanionFixture.await(quickAnswer::isEnded);
             assertThat(quickAnswer.text()).isEqualTo(CompanionFixture.expected(quick));
-            assertThat(fixture.engine.givenOf(AttemptId.of(slow.getAttempt()))).isLessThanOrEqualTo(8 + 64);
+            assertThat(fixture.engine.chunksSent(AttemptId.of(slow.getAttempt())))
+                    .isLessThanOrEqualTo(8 + 64);
             slowAnswer.handle().cancel("test");
-            CompanionFixture.await(slowAnswer::isOver);
+            CompanionFixture.await(slowAnswer::isEnded);
         }
     }
 
     @Test
-    void answerGoesOnOverNewLinkAfterLoss() throws IOException {
-        // The link breaks again and again in the middle of an answer. The companion keeps what was not acknowledged,
-        // the entry asks for the next chunk over a new link, and the caller gets every chunk once, in order.
+    void answerContinuesOverANewLink() throws IOException {
+        // The link breaks repeatedly during an answer. The companion retains what was not acknowledged, the entry
+        // requests the next chunk over a new link, and the caller gets every chunk once and in order.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
             Run run = fixture.generation("a", 2_000).build();
             RecordedAnswer answer = fixture.send(run);
-            for (long seen = 100; seen <= 1_500; seen += 200) {
-                long least = seen;
-                CompanionFixture.await(() -> answer.chunks() >= least || answer.isOver());
+            for (long threshold = 100; threshold <= 1_500; threshold += 200) {
+                long minimum = threshold;
+                CompanionFixture.await(() -> answer.chunks() >= minimum || answer.isEnded());
                 fixture.closeLink();
             }
-            CompanionFixture.await(answer::isOver);
+            CompanionFixture.await(answer::isEnded);
             assertThat(answer.text()).isEqualTo(CompanionFixture.expected(run));
             assertThat(answer.ends()).isEqualTo(1);
             assertThat(fixture.engine.started()).hasSize(1);
@@ -90,16 +91,16 @@
     }
 
     @Test
-    void answerGoesOnAfterEngineConnectionBreaks() throws IOException {
-        // The companion's connection to the engine breaks in the middle of an answer; the engine goes on. The companion
-        // asks for the rest instead of starting the request anew, so the caller gets every chunk once.
+    void answerContinuesAfterEngineConnectionBreaks() throws IOException {
+        // The companion's connection to the engine breaks during an answer; the engine continues. The companion
+        // requests the rest and does not start the request again, so the caller gets every chunk once.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
             Run run = fixture.generation("a", 400).build();
             RecordedAnswer answer = fixture.send(run, true);
             CompanionFixture.await(() -> answer.chunks() == 8);
             fixture.engine.breakConnections();
             answer.handle().request(1_000);
-            CompanionFixture.await(answer::isOver);
+            CompanionFixture.await(answer::isEnded);
             assertThat(answer.text()).isEqualTo(CompanionFixture.expected(run));
             assertThat(fixture.engine.started()).hasSize(1);
         }
@@ -108,20 +109,20 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void engineRestartLosesResidencyBeforeNextRequest(boolean runsBareModel) throws IOException {
-        // The engine restarts cold between two requests on one adapter. An engine that then runs on its bare model
-        // has to be looked at before the second is sent; one that refuses it may be asked on an old view. In both
-        // cases the adapter is loaded again first, and the caller gets its answer.
+        // The engine restarts without adapters between two requests for one adapter. The state of an engine that runs
+        // such a request on its bare model must be read before the second send; an engine that refuses it may be called
+        // on stale state. In both cases the adapter is loaded again first and the caller gets its answer.
         Duration checkAge = runsBareModel ? Duration.ZERO : Duration.ofHours(1);
         CompanionSettings settings = CompanionFixture.settings(checkAge, Duration.ZERO);
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2), settings)) {
             if (runsBareModel) {
                 fixture.engine.runBareModel();
             }
-            CompanionFixture.await(fixture.send(fixture.generation("a", 3).build())::isOver);
+            CompanionFixture.await(fixture.send(fixture.generation("a", 3).build())::isEnded);
             fixture.engine.restart();
             Run run = fixture.generation("a", 3).build();
             RecordedAnswer answer = fixture.send(run);
-            CompanionFixture.await(answer::isOver);
+            CompanionFixture.await(answer::isEnded);
             assertThat(answer.text()).isEqualTo(CompanionFixture.expected(run));
             AdapterReference adapter = AdapterReference.of("a", "1");
             assertThat(fixture.engine.loaded()).containsExactly(adapter, adapter);
@@ -129,31 +130,31 @@
     }
 
     @Test
-    void engineRestartInTheMiddleOfAnAnswerIsTold() throws IOException {
-        // The engine restarts while it is answering, and knows the stream no more. The caller is told that the answer
-        // broke off; it does not wait until its deadline, and is not told that nothing ran.
+    void engineRestartInterruptsAnAnswerInProgress() throws IOException {
+        // The engine restarts during an answer and no longer knows the stream. The caller must be told that the answer
+        // was interrupted, not that nothing ran, and must not wait until its deadline.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
             RecordedAnswer answer = fixture.send(fixture.generation("a", 5_000).build(), true);
             CompanionFixture.await(() -> answer.chunks() == 8);
             fixture.engine.restart();
-            CompanionFixture.await(answer::isOver);
+            CompanionFixture.await(answer::isEnded);
             assertThat(answer.refusal()).contains(ResultCode.ANSWER_INTERRUPTED);
-            assertThat(answer.ran()).contains(ExecutionStatus.YES);
+            assertThat(answer.executionStatus()).contains(ExecutionStatus.YES);
         }
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void answerFromAnotherAdapterIsWithheld(boolean namesAtTheEnd) throws IOException {
-        // The engine runs another adapter than the one named, and says so at the start or only at the end. Not one
-        // chunk of it reaches the caller.
+    void answerFromAnotherAdapterIsWithheld(boolean namesAdapterAtEnd) throws IOException {
+        // The engine runs another adapter than the requested one and reports it at the start or only at the end. No
+        // chunk may reach the caller.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
-            fixture.engine.serveWrong();
-            if (namesAtTheEnd) {
-                fixture.engine.nameOnlyAtTheEnd();
+            fixture.engine.serveWrongAdapter();
+            if (namesAdapterAtEnd) {
+                fixture.engine.nameAdapterOnlyAtEnd();
             }
             RecordedAnswer answer = fixture.send(fixture.generation("a", 300).build());
-            CompanionFixture.await(answer::isOver);
+            CompanionFixture.await(answer::isEnded);
             assertThat(answer.refusal()).contains(ResultCode.WRONG_ADAPTER_SERVED);
             assertThat(answer.chunks()).isZero();
         }
@@ -162,18 +163,18 @@
     @Test
     void engineThatNamesItsAdapterOnlyAtTheEndIsServedWhole() throws IOException {
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
-            fixture.engine.nameOnlyAtTheEnd();
+            fixture.engine.nameAdapterOnlyAtEnd();
             Run run = fixture.generation("a", 300).build();
             RecordedAnswer answer = fixture.send(run);
-            CompanionFixture.await(answer::isOver);
+            CompanionFixture.await(answer::isEnded);
             assertThat(answer.text()).isEqualTo(CompanionFixture.expected(run));
         }
     }
 
     @Test
-    void failedLoadTellsAllItsWaitersAtOnce() throws IOException {
-        // Five callers wait for one load, and it fails. All are told at once that nothing has run, and there was one
-        // load.
+    void failedLoadRefusesAllItsWaitersAtOnce() throws IOException {
+        // Five callers wait for one load, which fails. All are refused at once as not run, and nothing is sent to the
+        // engine.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
             fixture.engine.holdLoads(true);
             List<RecordedAnswer> answers = new ArrayList<>();
@@ -184,9 +185,9 @@
             fixture.engine.failLoads(true);
             fixture.engine.holdLoads(false);
             for (RecordedAnswer answer : answers) {
-                CompanionFixture.await(answer::isOver);
+                CompanionFixture.await(answer::isEnded);
                 assertThat(answer.refusal()).contains(ResultCode.LOAD_FAILED);
-                assertThat(answer.ran()).contains(ExecutionStatus.NO);
+                assertThat(answer.executionStatus()).contains(ExecutionStatus.NO);
             }
             assertThat(fixture.engine.started()).isEmpty();
         }
@@ -194,88 +195,88 @@
 
     @Test
     void sealedAttemptNeverStarts() throws IOException {
-        // An entry that lost its companion seals its attempt before the Run arrives; the Run arrives late. It must
-        // not run, since the caller was told so and may have been served elsewhere.
+        // An entry that lost its companion seals its attempt before the Run arrives. The late Run must not start, since
+        // the caller was told "not run" and may have been served elsewhere.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
             Run run = fixture.generation("a", 10).build();
-            List<SealOutcome> outcomes = new ArrayList<>();
+            List<SealOutcome> sealOutcomes = new ArrayList<>();
             fixture.attempts.seal(
-                    CompanionFixture.COMPANION, run.getAttempt(), CompanionFixture.FIRST_INCARNATION, outcome -> {
-                        synchronized (outcomes) {
-                            outcomes.add(outcome);
+                    CompanionFixture.COMPANION, run.getAttempt(), CompanionFixture.FIRST_INCARNATION, sealOutcome -> {
+                        synchronized (sealOutcomes) {
+                            sealOutcomes.add(sealOutcome);
                         }
                     });
             CompanionFixture.await(() -> {
-                synchronized (outcomes) {
-                    return !outcomes.isEmpty();
+                synchronized (sealOutcomes) {
+                    return !sealOutcomes.isEmpty();
                 }
             });
             RecordedAnswer answer = fixture.send(run);
-            CompanionFixture.await(answer::isOver);
-            assertThat(outcomes).containsExactly(SealOutcome.NEVER_STARTED);
+            CompanionFixture.await(answer::isEnded);
+            assertThat(sealOutcomes).containsExactly(SealOutcome.NEVER_STARTED);
             assertThat(answer.refusal()).contains(ResultCode.NOT_RUN);
-            assertThat(answer.ran()).contains(ExecutionStatus.NO);
+            assertThat(answer.executionStatus()).contains(ExecutionStatus.NO);
             assertThat(fixture.engine.started()).isEmpty();
         }
     }
 
     @Test
     void withdrawnKeyEndsItsStreamsAndStartsNone() throws IOException {
-        // A key is withdrawn while its caller's answer is coming. The stream is stopped at the engine, the caller is
+        // A key is withdrawn while an answer for it is in progress. The stream is stopped at the engine, the caller is
         // told, and a request that an entry checked before the withdrawal is refused as not run.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
             Run run = fixture.generation("a", 5_000).build();
-            RecordedAnswer open = fixture.send(run, true);
-            CompanionFixture.await(() -> open.chunks() == 8);
+            RecordedAnswer openStream = fixture.send(run, true);
+            CompanionFixture.await(() -> openStream.chunks() == 8);
             fixture.configuration.withdrawKey("key-1", CompanionFixture.SECRET);
-            RecordedAnswer late = fixture.send(fixture.generation("a", 10).build());
-            CompanionFixture.await(open::isOver);
-            CompanionFixture.await(late::isOver);
-            assertThat(open.refusal()).contains(ResultCode.KEY_REFUSED);
-            assertThat(late.refusal()).contains(ResultCode.KEY_REFUSED);
-            assertThat(late.ran()).contains(ExecutionStatus.NO);
+            RecordedAnswer lateAnswer = fixture.send(fixture.generation("a", 10).build());
+            CompanionFixture.await(openStream::isEnded);
+            CompanionFixture.await(lateAnswer::isEnded);
+            assertThat(openStream.refusal()).contains(ResultCode.KEY_REFUSED);
+            assertThat(lateAnswer.refusal()).contains(ResultCode.KEY_REFUSED);
+            assertThat(lateAnswer.executionStatus()).contains(ExecutionStatus.NO);
             CompanionFixture.await(() -> fixture.engine.cancelled().contains(AttemptId.of(run.getAttempt())));
             assertThat(fixture.engine.started()).hasSize(1);
         }
     }
 
     @Test
-    void requestThatWaitsWhileTheCompanionIsCutOffDoesNotStart() throws IOException {
-        // A request waits for its adapter while the companion loses sight of the configuration. Its key may have been
-        // withdrawn since; when the adapter is there, the request is refused as not run.
+    void waitingRequestDoesNotStartWithoutFreshConfiguration() throws IOException {
+        // A request waits for its adapter while the companion loses its connection to the configuration. The key may
+        // have been withdrawn since, so the request is refused as not run once the adapter is loaded.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
             fixture.engine.holdLoads(true);
             RecordedAnswer answer = fixture.send(fixture.generation("a", 10).build());
             CompanionFixture.await(answer::isAccepted);
             fixture.configuration.makeStale();
             fixture.engine.holdLoads(false);
-            CompanionFixture.await(answer::isOver);
+            CompanionFixture.await(answer::isEnded);
             assertThat(answer.refusal()).contains(ResultCode.NOT_FRESH);
-            assertThat(answer.ran()).contains(ExecutionStatus.NO);
+            assertThat(answer.executionStatus()).contains(ExecutionStatus.NO);
             assertThat(fixture.engine.started()).isEmpty();
         }
     }
 
     @Test
-    void drainEndsRunningWorkAndRefusesNew() throws IOException {
-        // The companion leaves while an answer is coming. New work is refused as not run; the answer comes whole, and
-        // only then is nothing unfinished.
+    void drainCompletesRunningWorkAndRefusesNewWork() throws IOException {
+        // The companion drains during an answer. New work is refused as not run, the answer is completed, and only then
+        // does the drain end.
         try (CompanionFixture fixture = CompanionFixture.ofEngine(new FakeEngine(2))) {
             Run run = fixture.generation("a", 1_000).build();
-            RecordedAnswer running = fixture.send(run, true);
-            CompanionFixture.await(() -> running.chunks() == 8);
+            RecordedAnswer runningAnswer = fixture.send(run, true);
+            CompanionFixture.await(() -> runningAnswer.chunks() == 8);
             fixture.companion.drain();
-            RecordedAnswer late = fixture.send(fixture.generation("a", 10).build());
-            CompanionFixture.await(late::isOver);
-            assertThat(late.refusal()).contains(ResultCode.DRAINING);
-            assertThat(late.ran()).contains(ExecutionStatus.NO);
-            // The refusal counts, too, until the entry's acknowledgement of it has come, which the entry sends after
-            // its own end.
+            RecordedAnswer lateAnswer = fixture.send(fixture.generation("a", 10).build());
+            CompanionFixture.await(lateAnswer::isEnded);
+            assertThat(lateAnswer.refusal()).contains(ResultCode.DRAINING);
+            assertThat(lateAnswer.executionStatus()).contains(ExecutionStatus.NO);
+            // The refused attempt counts as unfinished until the entry acknowledges the refusal, which it does after it
+            // has ended the attempt itself.
             CompanionFixture.await(() -> fixture.companion.unfinished() == 1);
-            assertThat(running.isOver()).isFalse();
-            running.handle().request(2_000);
-            CompanionFixture.await(running::isOver);
-            assertThat(running.text()).isEqualTo(CompanionFixture.expected(run));
+            assertThat(runningAnswer.isEnded()).isFalse();
+            runningAnswer.handle().request(2_000);
+            CompanionFixture.await(runningAnswer::isEnded);
+            assertThat(runningAnswer.text()).isEqualTo(CompanionFixture.expected(run));
             CompanionFixture.await(() -> fixture.companion.unfinished() == 0);
         }
     }
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/ExchangeWorld.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/ExchangeSimulation.java
@@ -32,41 +32,44 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 /**
- * The real code of both ends of attempts, with link, clock, target and restarts under a fuzzer's hand, and the oracle: each
- * caller gets its own chunks, each once and in order, and one end; an attempt starts at most once; none starts that was
- * said not to run.
+ * Runs the real code of both ends of the attempt protocol with simulated links, clock, target and restarts, and checks
+ * that each caller gets its own chunks, each once and in order, and one end; that an attempt starts at most once; and
+ * that none starts that was reported as not run.
  */
-final class ExchangeWorld {
+final class ExchangeSimulation {
 
     private static final InstanceId COMPANION = InstanceId.of("companion-1");
-    private static final Duration SILENCE = Duration.ofSeconds(2);
+    private static final Duration SILENCE_LIMIT = Duration.ofSeconds(2);
 
-    /** How long frames of an old link may still be read after some of a newer one; the link itself closes it at once. */
-    private static final Duration OVERLAP = Duration.ofSeconds(10);
+    /**
+     * How long frames of an old link may be read after the first frame of a newer link; a real companion closes the old
+     * link at once.
+     */
+    private static final Duration OLD_LINK_READ_LIMIT = Duration.ofSeconds(10);
 
     private static final String SECRET = "secret-1";
 
     private final FakeConfiguration configuration = new FakeConfiguration();
     private final Map<String, Integer> starts = new HashMap<>();
-    private final Set<String> saidNotRun = new HashSet<>();
+    private final Set<String> reportedNotRun = new HashSet<>();
     private final Map<String, Caller> callers = new HashMap<>();
-    private final List<Caller> order = new ArrayList<>();
+    private final List<Caller> callersInOrder = new ArrayList<>();
     private final LinkSettings linkSettings = LinkSettings.defaults();
-    private final List<FakeWire.Link> companionLinks = new ArrayList<>();
-    private final FakeWire wire;
+    private final List<FakeLinks.Link> companionLinks = new ArrayList<>();
+    private final FakeLinks links;
     private final LinkAttempts attempts;
     private Runnable entryTick = () -> {};
-    private FakeWire.Link link;
+    private FakeLinks.Link link;
     private long now = 1;
-    private long busySince = 1;
+    private long lastProgressAt = 1;
     private long newLinkReadAt;
     private long incarnation;
     private AttemptShards shards;
-    private Outcomes outcomes;
-    private Requests requests;
+    private AttemptLifecycle lifecycle;
+    private AttemptRequestHandler requestHandler;
     private FakeRunner runner;
 
-    ExchangeWorld() {
+    ExchangeSimulation() {
         configuration.put(RecordKind.ACCOUNT, "winders", "{\"schemaVersion\":1,\"rate\":1000,\"burst\":1000}");
         configuration.put(
                 RecordKind.KEY,
@@ -82,19 +85,19 @@
                 "target-1",
                 "{\"schemaVersion\":1,\"failureDomain\":\"d1\",\"service\":\"job-cards\",\"checksFence\":true}");
         startCompanion();
-        wire = new FakeWire(hello("entry-1", 1), hello("companion-1", incarnation));
+        links = new FakeLinks(hello("entry-1", 1), hello("companion-1", incarnation));
         attempts = LinkAttempts.start(
-                wire, linkSettings, () -> now, new CapturedTimer(task -> entryTick = task), (event, detail) -> {
+                links, linkSettings, () -> now, new CapturedTimer(task -> entryTick = task), (event, detail) -> {
                     throw new AssertionError(event + " " + detail);
                 });
         reconnect();
     }
 
-    private static Hello hello(String instance, long number) {
+    private static Hello hello(String instance, long incarnationNumber) {
         return Hello.newBuilder()
                 .setProtocolVersion(1)
                 .setInstance(instance)
-                .setIncarnation(number)
+                .setIncarnation(incarnationNumber)
                 .build();
     }
 
@@ -113,11 +116,11 @@
                 defaults.orderLimit(),
                 defaults.fenceCheckInterval(),
                 defaults.adoptionLimit());
-        CompanionParts parts = new CompanionParts(
+        CompanionDependencies dependencies = new CompanionDependencies(
                 COMPANION,
                 incarnation,
                 TargetId.of("target-1"),
-                new FakeWire(hello("entry-1", 1), hello("companion-1", incarnation)),
+                new FakeLinks(hello("entry-1", 1), hello("companion-1", incarnation)),
                 configuration,
                 new FakeTable(),
                 Optional.empty(),
@@ -125,31 +128,31 @@
                 () -> now,
                 InstantSource.system());
         shards = new AttemptShards(settings, () -> now);
-        StartCheck startCheck = new StartCheck(parts);
-        outcomes = new Outcomes(shards, startCheck);
+        StartCheck startCheck = new StartCheck(dependencies);
+        lifecycle = new AttemptLifecycle(shards, startCheck);
         runner = new FakeRunner();
-        requests = new Requests(settings, parts, shards, outcomes, startCheck, runner);
+        requestHandler = new AttemptRequestHandler(settings, dependencies, shards, lifecycle, startCheck, runner);
     }
 
-    /** One caller at the entry, and what it has been told. */
+    /** A caller at the entry, and what it has received. */
     private final class Caller implements AttemptListener {
         private final String id;
-        private final int wanted;
-        private final long sentTo;
+        private final int expectedChunks;
+        private final long companionIncarnation;
         private AttemptHandle handle;
         private long chunks;
         private int ends;
-        private boolean whole;
+        private boolean isComplete;
 
-        private Caller(String id, int wanted, long sentTo) {
+        private Caller(String id, int expectedChunks, long companionIncarnation) {
             this.id = id;
-            this.sentTo = sentTo;
-            this.wanted = wanted;
+            this.companionIncarnation = companionIncarnation;
+            this.expectedChunks = expectedChunks;
         }
 
-        private void notRun(int ran) {
-            if (ran == ExecutionStatus.NO.ordinal()) {
-                saidNotRun.add(id);
+        private void recordExecution(int executionStatus) {
+            if (executionStatus == ExecutionStatus.NO.ordinal()) {
+                reportedNotRun.add(id);
             }
         }
 
@@ -168,26 +171,26 @@
 
         @Override
         public void ended(End end) {
-            assertThat(chunks).isEqualTo(wanted);
-            whole = true;
+            assertThat(chunks).isEqualTo(expectedChunks);
+            isComplete = true;
             ends++;
         }
 
         @Override
         public void refused(Refused refused) {
-            notRun(refused.getRan());
+            recordExecution(refused.getRan());
             ends++;
         }
 
         @Override
-        public void lost(ExecutionStatus ran, String reason) {
-            notRun(ran.ordinal());
+        public void lost(ExecutionStatus executionStatus, String reason) {
+            recordExecution(executionStatus.ordinal());
             ends++;
         }
     }
 
-    /** A target that starts and goes on with attempts as the fuzzer says. */
-    private final class FakeRunner implements TargetRunner, Requests.RunnerSource {
+    /** A target that starts and continues attempts as the test directs. */
+    private final class FakeRunner implements TargetRunner, AttemptRequestHandler.RunnerProvider {
         private final List<CompanionAttempt> waiting = new ArrayList<>();
         private final List<CompanionAttempt> running = new ArrayList<>();
         private final Map<AttemptId, Integer> demand = new HashMap<>();
@@ -224,7 +227,7 @@
         public void describe(Status.Builder status) {}
 
         @Override
-        public int unfinished() {
+        public int unfinishedCount() {
             return waiting.size() + running.size();
         }
 
@@ -233,42 +236,42 @@
                 return;
             }
             CompanionAttempt attempt = waiting.remove(0);
-            if (outcomes.start(attempt)) {
+            if (lifecycle.start(attempt)) {
                 starts.merge(attempt.id().value(), 1, Integer::sum);
                 attempt.open();
                 running.add(attempt);
             }
         }
 
-        private void goOn(int index) {
+        private void continueAttempt(int index) {
             if (running.isEmpty()) {
                 return;
             }
             CompanionAttempt attempt = running.get(index % running.size());
-            int owed = demand.merge(attempt.id(), attempt.takeDemand(), Integer::sum);
-            long sequence = attempt.nextFromTarget();
-            int wanted = callers.get(attempt.id().value()).wanted;
-            if (sequence < wanted && owed > 0) {
+            int outstandingDemand = demand.merge(attempt.id(), attempt.takeDemand(), Integer::sum);
+            long sequence = attempt.nextExpectedSequence();
+            int expectedChunks = callers.get(attempt.id().value()).expectedChunks;
+            if (sequence < expectedChunks && outstandingDemand > 0) {
                 demand.merge(attempt.id(), -1, Integer::sum);
                 ByteString payload = ByteString.copyFromUtf8(attempt.id() + "/" + sequence);
                 attempt.add(Frames.chunk(attempt.id(), sequence, payload, 1));
-            } else if (sequence == wanted) {
+            } else if (sequence == expectedChunks) {
                 running.remove(attempt);
-                outcomes.ended(
+                lifecycle.end(
                         attempt,
                         End.newBuilder()
                                 .setAttempt(attempt.id().value())
-                                .setCount(wanted)
+                                .setCount(expectedChunks)
                                 .build());
             }
         }
     }
 
     void send(int chunks, boolean repeatable, int credit) {
-        String id = "attempt-" + (order.size() + 1);
+        String id = "attempt-" + (callersInOrder.size() + 1);
         Caller caller = new Caller(id, chunks, incarnation);
         callers.put(id, caller);
-        order.add(caller);
+        callersInOrder.add(caller);
         Run run = Run.newBuilder()
                 .setAttempt(id)
                 .setDeadlineLeftMillis(120_000)
@@ -283,7 +286,9 @@
     }
 
     private Optional<Caller> caller(int index) {
-        return order.isEmpty() ? Optional.empty() : Optional.of(order.get(index % order.size()));
+        return callersInOrder.isEmpty()
+                ? Optional.empty()
+                : Optional.of(callersInOrder.get(index % callersInOrder.size()));
     }
 
     void request(int index, int chunks) {
@@ -297,9 +302,9 @@
     void seal(int index) {
         caller(index).ifPresent(caller -> {
             try {
-                attempts.seal(COMPANION, caller.id, caller.sentTo, Duration.ofNanos(now), outcome -> {
+                attempts.seal(COMPANION, caller.id, caller.companionIncarnation, Duration.ofNanos(now), outcome -> {
                     if (outcome == SealOutcome.NEVER_STARTED) {
-                        saidNotRun.add(caller.id);
+                        reportedNotRun.add(caller.id);
                     }
                 });
             } catch (IllegalArgumentException alreadyBeingSealed) {
@@ -308,57 +313,60 @@
         });
     }
 
-    void deliverToCompanion(int linkIndex, int position, boolean twice) {
+    void deliverToCompanion(int linkIndex, int position, boolean isDuplicated) {
         if (companionLinks.isEmpty()) {
             return;
         }
-        FakeWire.Link from = companionLinks.get(linkIndex % companionLinks.size());
-        if (companionLinks.indexOf(from) > 0 && newLinkReadAt == 0) {
+        FakeLinks.Link source = companionLinks.get(linkIndex % companionLinks.size());
+        if (companionLinks.indexOf(source) > 0 && newLinkReadAt == 0) {
             newLinkReadAt = now;
         }
-        from.takeForCompanion(position).ifPresent(frame -> {
-            receive(from, frame);
-            if (twice) {
-                receive(from, frame);
+        source.takeForCompanion(position).ifPresent(frame -> {
+            receive(source, frame);
+            if (isDuplicated) {
+                receive(source, frame);
             }
         });
-        noteProgress();
+        recordProgress();
     }
 
-    private void receive(FakeWire.Link from, Frame frame) {
-        if (from.companionEnd.isOpen()) {
-            requests.received(from.companionEnd, frame);
+    private void receive(FakeLinks.Link source, Frame frame) {
+        if (source.companionEnd.isOpen()) {
+            requestHandler.onFrame(source.companionEnd, frame);
         }
     }
 
     void deliverToEntry(int position) {
         link.deliverToEntry(position);
-        noteProgress();
+        recordProgress();
     }
 
     void duplicateToEntry() {
         link.duplicateToEntry();
     }
 
-    private void noteProgress() {
-        busySince = now;
+    private void recordProgress() {
+        lastProgressAt = now;
     }
 
     void startNext() {
         runner.startNext();
     }
 
-    void goOn(int index) {
-        runner.goOn(index);
+    void continueAttempt(int index) {
+        runner.continueAttempt(index);
     }
 
-    /** Lets time pass; a link that stays silent for too long is given up by the entry, as heartbeats would see to. */
-    void pass(Duration time) {
-        now += time.toNanos();
-        if (!link.isIdle() && now - busySince > SILENCE.toNanos()) {
+    /**
+     * Advances the clock. The entry gives up a link that has been silent for too long, as it would after missed
+     * heartbeats.
+     */
+    void advance(Duration elapsed) {
+        now += elapsed.toNanos();
+        if (!link.isIdle() && now - lastProgressAt > SILENCE_LIMIT.toNanos()) {
             reconnect();
         }
-        if (newLinkReadAt != 0 && now - newLinkReadAt > OVERLAP.toNanos()) {
+        if (newLinkReadAt != 0 && now - newLinkReadAt > OLD_LINK_READ_LIMIT.toNanos()) {
             companionSeesNewLink();
         }
         tick();
@@ -366,52 +374,52 @@
 
     private void tick() {
         entryTick.run();
-        requests.tick();
+        requestHandler.tick();
     }
 
-    /** The entry gives its link up and opens a new one; the companion still has the old one until it sees the new one. */
+    /** Closes the link at the entry and opens a new one; the companion keeps the old one until it sees the new one. */
     void reconnect() {
         if (link != null) {
-            wire.closeAtEntry(link);
+            links.closeAtEntry(link);
         }
-        link = wire.open();
+        link = links.open();
         companionLinks.add(link);
-        noteProgress();
+        recordProgress();
     }
 
-    /** The companion sees the end of its older links. */
+    /** Closes the older links at the companion. */
     void companionSeesNewLink() {
         newLinkReadAt = 0;
         while (companionLinks.size() > 1) {
-            FakeWire.Link old = companionLinks.remove(0);
-            old.companionEnd.close("superseded");
-            shards.all().forEach(attempt -> attempt.linkClosed(old.companionEnd, now));
+            FakeLinks.Link oldLink = companionLinks.remove(0);
+            oldLink.companionEnd.close("superseded");
+            shards.all().forEach(attempt -> attempt.onLinkClosed(oldLink.companionEnd, now));
         }
     }
 
     void restartCompanion() {
-        wire.closeAtEntry(link);
+        links.closeAtEntry(link);
         companionLinks.clear();
         startCompanion();
-        wire.setCompanionHello(hello("companion-1", incarnation));
-        link = wire.open();
+        links.setCompanionHello(hello("companion-1", incarnation));
+        link = links.open();
         companionLinks.add(link);
-        noteProgress();
+        recordProgress();
     }
 
-    /** Lets all faults end and everything run to its end. */
+    /** Ends all faults and runs everything to its end. */
     void settle() {
         reconnect();
         companionSeesNewLink();
         for (int round = 0; round < 400; round++) {
-            order.forEach(caller -> caller.handle.request(4));
+            callersInOrder.forEach(caller -> caller.handle.request(4));
             while (!link.isIdle()) {
                 deliverToCompanion(0, 0, false);
                 deliverToEntry(0);
             }
             startNext();
             for (int index = 0; index < 4 * runner.running.size(); index++) {
-                goOn(index);
+                continueAttempt(index);
             }
             now += 10_000_000;
             tick();
@@ -420,19 +428,20 @@
 
     void check() {
         starts.forEach((id, count) -> assertThat(count).as("starts of " + id).isEqualTo(1));
-        saidNotRun.forEach(id -> assertThat(starts).as("said not run").doesNotContainKey(id));
-        order.forEach(caller -> assertThat(caller.ends).isLessThanOrEqualTo(1));
+        reportedNotRun.forEach(
+                id -> assertThat(starts).as("reported as not run").doesNotContainKey(id));
+        callersInOrder.forEach(caller -> assertThat(caller.ends).isLessThanOrEqualTo(1));
     }
 
     void checkSettled() {
         check();
-        order.forEach(
+        callersInOrder.forEach(
                 caller -> assertThat(caller.ends).as("ends of " + caller.id).isEqualTo(1));
-        order.stream().filter(caller -> caller.whole).forEach(caller -> assertThat(caller.chunks)
-                .isEqualTo(caller.wanted));
+        callersInOrder.stream().filter(caller -> caller.isComplete).forEach(caller -> assertThat(caller.chunks)
+                .isEqualTo(caller.expectedChunks));
     }
 
-    long wholeAnswers() {
-        return order.stream().filter(caller -> caller.whole).count();
+    long completeAnswers() {
+        return callersInOrder.stream().filter(caller -> caller.isComplete).count();
     }
 }
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/FakeEngine.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/FakeEngine.java
@@ -16,10 +16,10 @@
 import org.geraniumreach.ports.PlatformException.Effect;
 import org.geraniumreach.ports.PlatformException.Reason;
 
-/** An engine in memory, with its faults under the test's hand; it gives chunks only as they are asked for. */
+/** An in-memory engine whose faults are set by the test; it sends chunks only on request. */
 final class FakeEngine implements ModelEngine {
 
-    private final ExecutorService thread = Executors.newSingleThreadExecutor(task -> {
+    private final ExecutorService executor = Executors.newSingleThreadExecutor(task -> {
         Thread worker = new Thread(task, "fake-engine");
         worker.setDaemon(true);
         return worker;
@@ -32,12 +32,12 @@
     private final Set<AttemptId> cancelled = new HashSet<>();
     private final Set<AdapterReference> unloadedInUse = new HashSet<>();
     private long incarnation = 1;
-    private boolean servesWrong;
-    private boolean namesAtTheEnd;
+    private boolean servesWrongAdapter;
+    private boolean namesAdapterAtEnd;
     private boolean runsBareModel;
     private boolean failsLoads;
     private boolean holdsLoads;
-    private long newestFence;
+    private long highestFence;
 
     FakeEngine(int slots) {
         this.slots = slots;
@@ -66,28 +66,28 @@
             synchronized (FakeEngine.this) {
                 demand += chunks;
             }
-            thread.execute(() -> give(listener));
+            executor.execute(() -> sendChunks(listener));
         }
 
-        private void give(EngineListener to) {
+        private void sendChunks(EngineListener recipient) {
             while (true) {
                 long sequence;
                 synchronized (FakeEngine.this) {
-                    if (listener != to || next >= generation.maximumTokens() || demand == 0 || !isRunning()) {
+                    if (listener != recipient || next >= generation.maximumTokens() || demand == 0 || !isRunning()) {
                         break;
                     }
                     demand--;
                     sequence = next++;
                 }
-                to.chunk(sequence, text(generation, sequence), 1);
+                recipient.chunk(sequence, text(generation, sequence), 1);
             }
-            boolean ends;
+            boolean isEnding;
             synchronized (FakeEngine.this) {
-                ends = listener == to && next >= generation.maximumTokens() && !ended && isRunning();
-                ended |= ends;
+                isEnding = listener == recipient && next >= generation.maximumTokens() && !ended && isRunning();
+                ended |= isEnding;
             }
-            if (ends) {
-                to.ended(new GenerationEnd(next, served, 1, (int) next, "length", false));
+            if (isEnding) {
+                recipient.ended(new GenerationEnd(next, served, 1, (int) next, "length", false));
             }
         }
 
@@ -105,29 +105,30 @@
 
     @Override
     public synchronized EngineStream generate(Generation generation, Order order, EngineListener listener) {
-        if (order.fence() < newestFence) {
+        if (order.fence() < highestFence) {
             return refused(listener, Reason.FENCED);
         }
         boolean isResident = resident.contains(generation.adapter());
         if (!isResident && !runsBareModel) {
             return refused(listener, Reason.NOT_RESIDENT);
         }
-        AdapterReference served = servesWrong || !isResident ? AdapterReference.of("other", "1") : generation.adapter();
+        AdapterReference served =
+                servesWrongAdapter || !isResident ? AdapterReference.of("other", "1") : generation.adapter();
         Stream stream = new Stream(generation, served, listener);
         streams.put(generation.attempt(), stream);
         started.add(generation);
-        boolean namesAtOnce = !namesAtTheEnd;
-        thread.execute(() -> {
-            if (namesAtOnce) {
+        boolean namesAdapterAtStart = !namesAdapterAtEnd;
+        executor.execute(() -> {
+            if (namesAdapterAtStart) {
                 listener.started(served);
             }
-            stream.give(listener);
+            stream.sendChunks(listener);
         });
         return stream;
     }
 
     private EngineStream refused(EngineListener listener, Reason reason) {
-        thread.execute(() -> listener.failed(new PlatformException(Effect.NONE, reason, "refused: " + reason, null)));
+        executor.execute(() -> listener.failed(new PlatformException(Effect.NONE, reason, "refused: " + reason, null)));
         return new EngineStream() {
             @Override
             public void request(int chunks) {}
@@ -147,7 +148,7 @@
         stream.next = nextSequence;
         stream.demand = 0;
         stream.ended = false;
-        thread.execute(() -> stream.give(listener));
+        executor.execute(() -> stream.sendChunks(listener));
         return stream;
     }
 
@@ -201,9 +202,9 @@
     synchronized void restart() {
         incarnation++;
         resident.clear();
-        List<Stream> broken = new ArrayList<>(streams.values());
+        List<Stream> interrupted = new ArrayList<>(streams.values());
         streams.clear();
-        broken.forEach(stream -> breakOff(stream));
+        interrupted.forEach(stream -> breakOff(stream));
     }
 
     synchronized void breakConnections() {
@@ -214,22 +215,22 @@
         EngineListener listener = stream.listener;
         stream.listener = null;
         if (listener != null && !stream.ended) {
-            thread.execute(() -> listener.failed(
+            executor.execute(() -> listener.failed(
                     new PlatformException(Effect.UNKNOWN, Reason.NO_ANSWER, "the connection broke", null)));
         }
     }
 
-    synchronized void serveWrong() {
-        servesWrong = true;
+    synchronized void serveWrongAdapter() {
+        servesWrongAdapter = true;
     }
 
-    /** Runs what names an adapter that is not resident without it, instead of refusing it. */
+    /** Makes the engine run generations for a non-resident adapter on the bare model instead of refusing them. */
     synchronized void runBareModel() {
         runsBareModel = true;
     }
 
-    synchronized void nameOnlyAtTheEnd() {
-        namesAtTheEnd = true;
+    synchronized void nameAdapterOnlyAtEnd() {
+        namesAdapterAtEnd = true;
     }
 
     synchronized void failLoads(boolean fails) {
@@ -241,12 +242,12 @@
         notifyAll();
     }
 
-    synchronized void seeFence(long fence) {
-        newestFence = fence;
+    synchronized void acceptFence(long fence) {
+        highestFence = fence;
     }
 
-    /** Leaves a stream as a companion that died has left it. */
-    synchronized void leaveStream(Generation generation) {
+    /** Adds a stream as left by a companion that crashed. */
+    synchronized void addInheritedStream(Generation generation) {
         resident.add(generation.adapter());
         streams.put(generation.attempt(), new Stream(generation, generation.adapter(), null));
     }
@@ -267,7 +268,7 @@
         return Set.copyOf(unloadedInUse);
     }
 
-    synchronized long givenOf(AttemptId attempt) {
+    synchronized long chunksSent(AttemptId attempt) {
         Stream stream = streams.get(attempt);
         return stream == null ? -1 : stream.next;
     }
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/FakeTable.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/FakeTable.java
@@ -12,14 +12,14 @@
 import org.geraniumreach.ports.PlatformException.Effect;
 import org.geraniumreach.ports.TableService;
 
-/** A table service in memory, which can lose the answer to a write that took effect. */
+/** An in-memory table service that can lose the answer to a write that took effect. */
 final class FakeTable implements TableService {
 
     private final Map<RowKey, Row> rows = new HashMap<>();
-    private boolean losesAnswers;
+    private boolean losesNextAnswer;
 
     synchronized void loseNextAnswer() {
-        losesAnswers = true;
+        losesNextAnswer = true;
     }
 
     @Override
@@ -45,8 +45,8 @@
             rows.put(
                     write.key(), new Row(write.key(), version + 1, write.value().orElseThrow()));
         }
-        if (losesAnswers) {
-            losesAnswers = false;
+        if (losesNextAnswer) {
+            losesNextAnswer = false;
             throw new PlatformException(Effect.UNKNOWN, "the answer was lost", null);
         }
         return true;
--- /dev/null
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/OrderAuthorizationTest.java
@@ -0,0 +1,60 @@
+package org.geraniumreach.daemon.companion;
+
+import java.time.Duration;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+class OrderAuthorizationTest {
+
+    private static final Duration LIMIT = Duration.ofSeconds(2);
+    private static final long AFTER_LIMIT_NANOS = Duration.ofSeconds(3).toNanos();
+
+    private static OrderAuthorization withFence(boolean targetChecksFence) {
+        OrderAuthorization authorization = new OrderAuthorization(targetChecksFence, LIMIT);
+        authorization.onFenceAcquired(5, 0);
+        return authorization;
+    }
+
+    @Test
+    void noOrderIsGivenBeforeTheFenceIsTaken() {
+        assertThat(new OrderAuthorization(true, LIMIT).authorize(0)).isEmpty();
+    }
+
+    @Test
+    void orderCarriesTheFence() {
+        assertThat(withFence(false).authorize(1).orElseThrow().fence()).isEqualTo(5);
+    }
+
+    @ParameterizedTest
+    @CsvSource({"true, true", "false, false"})
+    void frozenCompanionConfirmsItsFenceBeforeTheNextOrder(boolean targetChecksFence, boolean isAuthorized) {
+        // The companion is frozen for longer than an order is valid, so its successor may have started. A target that
+        // checks fencing tokens refuses the old companion's order itself; for one that does not, no order may be
+        // authorized until the token was read again.
+        OrderAuthorization authorization = withFence(targetChecksFence);
+        assertThat(authorization.authorize(AFTER_LIMIT_NANOS).isPresent()).isEqualTo(isAuthorized);
+        authorization.tick(AFTER_LIMIT_NANOS + 1);
+        assertThat(authorization.authorize(AFTER_LIMIT_NANOS + 2).isPresent()).isEqualTo(isAuthorized);
+        authorization.onFenceConfirmed(AFTER_LIMIT_NANOS + 2, AFTER_LIMIT_NANOS + 3);
+        assertThat(authorization.authorize(AFTER_LIMIT_NANOS + 4)).isPresent();
+    }
+
+    @Test
+    void fenceReadBegunBeforeTheFreezeConfirmsNothing() {
+        OrderAuthorization authorization = withFence(false);
+        authorization.onFenceConfirmed(1, AFTER_LIMIT_NANOS);
+        assertThat(authorization.authorize(AFTER_LIMIT_NANOS + 1)).isEmpty();
+    }
+
+    @Test
+    void noOrderIsGivenAfterANewerFence() {
+        OrderAuthorization authorization = withFence(true);
+        authorization.onFencedOut();
+        authorization.onFenceConfirmed(1, 2);
+        assertThat(authorization.authorize(3)).isEmpty();
+    }
+}
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/RecordedAnswer.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/RecordedAnswer.java
@@ -10,32 +10,32 @@
 import org.geraniumreach.model.ExecutionStatus;
 import org.geraniumreach.model.ResultCode;
 
-/** What a caller at an entry receives; it asks for a chunk more with each that came, unless it is slow. */
+/** Records what a caller at an entry receives; requests another chunk for each one received, unless told not to. */
 final class RecordedAnswer implements AttemptListener {
 
     private final StringBuilder text = new StringBuilder();
-    private final boolean slow;
+    private final boolean requestsNoMore;
     private AttemptHandle handle;
-    private int owed;
+    private int pendingDemand;
     private long chunks;
     private int ends;
     private boolean accepted;
     private End end;
     private ResultCode refusal;
-    private ExecutionStatus ran;
+    private ExecutionStatus executionStatus;
 
-    RecordedAnswer(boolean slow) {
-        this.slow = slow;
+    RecordedAnswer(boolean requestsNoMore) {
+        this.requestsNoMore = requestsNoMore;
     }
 
-    void use(AttemptHandle started) {
-        int more;
+    void attachHandle(AttemptHandle started) {
+        int demand;
         synchronized (this) {
             handle = started;
-            more = owed;
+            demand = pendingDemand;
         }
-        if (more > 0) {
-            started.request(more);
+        if (demand > 0) {
+            started.request(demand);
         }
     }
 
@@ -50,38 +50,38 @@
 
     @Override
     public void chunk(long sequence, ByteString payload, int tokens) {
-        AttemptHandle asked;
+        AttemptHandle currentHandle;
         synchronized (this) {
             if (sequence != chunks) {
                 throw new IllegalStateException("chunk " + sequence + " after " + chunks);
             }
             chunks++;
             text.append(payload.toStringUtf8());
-            asked = slow ? null : handle;
-            owed += asked == null ? 1 : 0;
+            currentHandle = requestsNoMore ? null : handle;
+            pendingDemand += currentHandle == null ? 1 : 0;
         }
-        if (asked != null) {
-            asked.request(1);
+        if (currentHandle != null) {
+            currentHandle.request(1);
         }
     }
 
     @Override
-    public synchronized void ended(End whole) {
+    public synchronized void ended(End received) {
         ends++;
-        end = whole;
+        end = received;
     }
 
     @Override
     public synchronized void refused(Refused refused) {
         ends++;
         refusal = ResultCode.ofNumber(refused.getCode()).orElseThrow();
-        ran = ExecutionStatus.values()[refused.getRan()];
+        executionStatus = ExecutionStatus.values()[refused.getRan()];
     }
 
     @Override
-    public synchronized void lost(ExecutionStatus lostRan, String reason) {
+    public synchronized void lost(ExecutionStatus lostStatus, String reason) {
         ends++;
-        ran = lostRan;
+        executionStatus = lostStatus;
     }
 
     synchronized String text() {
@@ -96,7 +96,7 @@
         return accepted;
     }
 
-    synchronized boolean isOver() {
+    synchronized boolean isEnded() {
         return ends > 0;
     }
 
@@ -112,7 +112,7 @@
         return Optional.ofNullable(refusal);
     }
 
-    synchronized Optional<ExecutionStatus> ran() {
-        return Optional.ofNullable(ran);
+    synchronized Optional<ExecutionStatus> executionStatus() {
+        return Optional.ofNullable(executionStatus);
     }
 }
