--- a/daemon/src/main/java/org/geraniumreach/daemon/budget/BudgetService.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/budget/BudgetService.java
@@ -61,7 +61,7 @@
      * @param incarnation the number of this start of the process
      * @param table the table service
      * @param links the links with the other entries
-     * @param list the newest reading of the list, empty before the first
+     * @param instanceList the newest reading of the list, empty before the first
      * @param configuration the configuration in force
      * @param clock the source of elapsed time
      * @param random the source of random choices, safe for use by several threads
@@ -73,26 +73,26 @@
             long incarnation,
             TableService table,
             Links links,
-            Supplier<Optional<ListReading>> list,
+            Supplier<Optional<ListReading>> instanceList,
             Supplier<Configuration> configuration,
             MonotonicClock clock,
             RandomGenerator random,
             ScheduledExecutorService executor) {}
 
-    private static final Duration TICK = Duration.ofMillis(100);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(100);
     private static final String ENTRY_ROLE = "entry";
 
-    private final Surroundings surroundings;
-    private final EntryBudget core;
-    private final StoreDriver store;
-    private final Map<Long, BudgetCallback> waiting = new ConcurrentHashMap<>();
-    private final Map<AccountId, Long> wakes = new ConcurrentHashMap<>();
-    private final AtomicLong tickets = new AtomicLong();
-    private final CompletableFuture<Void> released = new CompletableFuture<>();
-    private Set<AccountId> known = Set.of();
+    private final Surroundings dependencies;
+    private final EntryBudget budget;
+    private final StoreCallExecutor storeCalls;
+    private final Map<Long, BudgetCallback> pendingCallbacks = new ConcurrentHashMap<>();
+    private final Map<AccountId, Long> scheduledWakeups = new ConcurrentHashMap<>();
+    private final AtomicLong lastTicket = new AtomicLong();
+    private final CompletableFuture<Void> releaseCompletion = new CompletableFuture<>();
+    private Set<AccountId> knownAccounts = Set.of();
     private Optional<ListReading> lastReading = Optional.empty();
-    private boolean proved;
-    private ScheduledFuture<?> ticking;
+    private boolean wasProved;
+    private ScheduledFuture<?> tickTask;
 
     /**
      * Makes a service that holds nothing yet.
@@ -102,26 +102,28 @@
      * @throws IllegalArgumentException if the quarantine is too short for the other settings
      */
     public BudgetService(BudgetSettings settings, Surroundings surroundings) {
-        this.surroundings = surroundings;
-        HolderId self =
-                new HolderId(surroundings.instance(), textOf(surroundings.linkAddress()), surroundings.incarnation());
-        this.core = new EntryBudget(self, settings.policy(), surroundings.clock(), surroundings.random());
-        this.store = new StoreDriver(core.keeper(), surroundings.table());
+        this.dependencies = surroundings;
+        HolderId self = new HolderId(
+                surroundings.instance(), formatAddress(surroundings.linkAddress()), surroundings.incarnation());
+        this.budget = new EntryBudget(self, settings.policy(), surroundings.clock(), surroundings.random());
+        this.storeCalls = new StoreCallExecutor(budget.keeper(), surroundings.table());
     }
 
-    private static String textOf(InetSocketAddress address) {
+    private static String formatAddress(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     /** Begins to take and keep shares. */
     public synchronized void start() {
-        surroundings
+        dependencies
                 .links()
                 .handle(
                         EnumSet.of(Frame.BodyCase.LOAN_REQUEST, Frame.BodyCase.LOAN_ANSWER, Frame.BodyCase.SHARE_MOVED),
-                        new LoanHandler());
+                        new LoanFrameHandler());
         configurationChanged();
-        ticking = surroundings.executor().scheduleWithFixedDelay(this::tick, 0, TICK.toNanos(), TimeUnit.NANOSECONDS);
+        tickTask = dependencies
+                .executor()
+                .scheduleWithFixedDelay(this::tick, 0, TICK_INTERVAL.toNanos(), TimeUnit.NANOSECONDS);
     }
 
     /**
@@ -136,25 +138,25 @@
         if (tokens < 0) {
             throw new IllegalArgumentException("negative tokens: " + tokens);
         }
-        long ticket = tickets.incrementAndGet();
-        waiting.put(ticket, callback);
-        carryOut(account, core.reserve(account, ticket, tokens, deadlineLeft));
+        long ticket = lastTicket.incrementAndGet();
+        pendingCallbacks.put(ticket, callback);
+        perform(account, budget.reserve(account, ticket, tokens, deadlineLeft));
     }
 
     /** Takes the rates of the configuration now in force; call after each change. */
     public synchronized void configurationChanged() {
         Set<AccountId> present = new HashSet<>();
-        for (ClientAccount account : surroundings.configuration().get().accounts()) {
+        for (ClientAccount account : dependencies.configuration().get().accounts()) {
             present.add(account.id());
-            carryOut(account.id(), core.setRate(account.id(), account.tokensPerSecond(), account.burstTokens()));
+            perform(account.id(), budget.setRate(account.id(), account.tokensPerSecond(), account.burstTokens()));
         }
-        for (AccountId gone : known) {
+        for (AccountId gone : knownAccounts) {
             if (!present.contains(gone)) {
-                carryOut(gone, core.setRate(gone, 0, 0));
+                perform(gone, budget.setRate(gone, 0, 0));
             }
         }
-        known = present;
-        core.setAccounts(present);
+        knownAccounts = present;
+        budget.setAccounts(present);
     }
 
     /**
@@ -164,7 +166,7 @@
      * @return the share, 0 to 1
      */
     public double share(AccountId account) {
-        return (double) core.ownParts(account) / ShareParts.WHOLE;
+        return (double) budget.ownParts(account) / ShareParts.WHOLE;
     }
 
     /**
@@ -173,29 +175,29 @@
      * @return completed when the shares are back; a process that ends before loses nothing but time, not null
      */
     public CompletableFuture<Void> release() {
-        core.release();
-        return released;
+        budget.release();
+        return releaseCompletion;
     }
 
     /** Stops without putting anything back. */
     @Override
     public synchronized void close() {
-        if (ticking != null) {
-            ticking.cancel(false);
+        if (tickTask != null) {
+            tickTask.cancel(false);
         }
     }
 
     private void tick() {
         try {
-            takeList();
-            core.setPeers(peers());
+            applyListReading();
+            budget.setPeers(linkedEntries());
             do {
-                core.publish().forEach(this::published);
-                tellRecipients();
-            } while (store.step());
-            noteProof();
-            if (core.keeper().isReleased()) {
-                released.complete(null);
+                budget.publish().forEach(this::onShareChanged);
+                notifyShareRecipients();
+            } while (storeCalls.executeNext());
+            logProofLoss();
+            if (budget.keeper().isReleased()) {
+                releaseCompletion.complete(null);
             }
         } catch (RuntimeException fault) {
             // A task that throws is never run again, and the lease would lapse unnoticed.
@@ -203,86 +205,87 @@
         }
     }
 
-    private void takeList() {
-        Optional<ListReading> reading = surroundings.list().get();
+    private void applyListReading() {
+        Optional<ListReading> reading = dependencies.instanceList().get();
         if (reading.isEmpty() || reading.equals(lastReading)) {
             return;
         }
         lastReading = reading;
         Set<ListedHolder> listed = reading.get().entries().stream()
-                .map(entry -> new ListedHolder(entry.instance(), textOf(entry.linkAddress())))
+                .map(entry -> new ListedHolder(entry.instance(), formatAddress(entry.linkAddress())))
                 .collect(Collectors.toSet());
-        core.listed(listed, reading.get().askedNanos());
+        budget.listed(listed, reading.get().requestedAtNanos());
     }
 
-    private List<InstanceId> peers() {
-        return surroundings.links().peers().stream()
+    private List<InstanceId> linkedEntries() {
+        return dependencies.links().peers().stream()
                 .filter(peer -> peer.hello().getRole().equals(ENTRY_ROLE))
                 .map(peer -> InstanceId.of(peer.hello().getInstance()))
-                .filter(peer -> !peer.equals(surroundings.instance()))
+                .filter(peer -> !peer.equals(dependencies.instance()))
                 .distinct()
                 .toList();
     }
 
-    private void published(EntryBudget.AccountStep changed) {
+    private void onShareChanged(EntryBudget.AccountStep changed) {
         EventLog.write(EventCode.SHARE_CHANGED, "account {}, share {}", changed.account(), share(changed.account()));
-        carryOut(changed.account(), changed.step());
+        perform(changed.account(), changed.step());
     }
 
-    private void tellRecipients() {
-        for (RowKey row : core.keeper().takeHandedOverTo()) {
-            surroundings.links().find(HolderRow.instanceOf(row)).ifPresent(peer -> peer.send(LoanFrames.shareMoved()));
+    private void notifyShareRecipients() {
+        for (RowKey row : budget.keeper().takeHandedOverTo()) {
+            dependencies.links().find(HolderRow.instanceOf(row)).ifPresent(peer -> peer.send(LoanFrames.shareMoved()));
         }
     }
 
-    private void noteProof() {
-        boolean holds = core.isProved();
-        if (proved && !holds) {
+    private void logProofLoss() {
+        boolean holds = budget.isProved();
+        if (wasProved && !holds) {
             EventLog.write(EventCode.SHARE_LAPSED, "neither the lease nor the list proves the shares");
         }
-        proved = holds;
+        wasProved = holds;
     }
 
-    private void carryOut(AccountId account, BudgetStep step) {
-        step.actions().forEach(action -> carryOut(account, action));
-        step.wakeAt().ifPresent(at -> wakeAt(account, at));
+    private void perform(AccountId account, BudgetStep step) {
+        step.actions().forEach(action -> perform(account, action));
+        step.wakeAt().ifPresent(at -> scheduleWakeup(account, at));
     }
 
-    private void carryOut(AccountId account, BudgetAction action) {
+    private void perform(AccountId account, BudgetAction action) {
         if (action instanceof BudgetAction.Granted granted) {
-            answer(granted.ticket(), callback -> callback.granted(new GrantedReservation(account, granted.grant())));
+            completeRequest(
+                    granted.ticket(), callback -> callback.granted(new GrantedReservation(account, granted.grant())));
         } else if (action instanceof BudgetAction.Refused refused) {
             ServingException refusal = ServingException.notRun(
                             refused.code(), refused.code().meaning())
                     .withRetryAfter(refused.retryAfter());
-            answer(refused.ticket(), callback -> callback.refused(refusal));
+            completeRequest(refused.ticket(), callback -> callback.refused(refusal));
         } else if (action instanceof BudgetAction.AskLoan ask) {
-            surroundings.links().find(ask.peer()).ifPresent(peer -> peer.send(LoanFrames.of(ask.wish())));
+            dependencies.links().find(ask.peer()).ifPresent(peer -> peer.send(LoanFrames.encode(ask.wish())));
         } else if (action instanceof BudgetAction.GiveLoan give) {
-            surroundings.links().find(give.peer()).ifPresent(peer -> peer.send(LoanFrames.of(give.loan())));
+            dependencies.links().find(give.peer()).ifPresent(peer -> peer.send(LoanFrames.encode(give.loan())));
         }
     }
 
-    private void answer(long ticket, Consumer<BudgetCallback> how) {
-        BudgetCallback callback = waiting.remove(ticket);
+    private void completeRequest(long ticket, Consumer<BudgetCallback> how) {
+        BudgetCallback callback = pendingCallbacks.remove(ticket);
         if (callback != null) {
             how.accept(callback);
         }
     }
 
-    private void wakeAt(AccountId account, long at) {
-        Long earlier = wakes.get(account);
+    private void scheduleWakeup(AccountId account, long at) {
+        Long earlier = scheduledWakeups.get(account);
         if (earlier != null && earlier <= at) {
             return;
         }
-        wakes.put(account, at);
-        long delay = Math.max(0, at - surroundings.clock().nanos());
-        surroundings.executor().schedule(() -> wake(account, at), delay, TimeUnit.NANOSECONDS);
+        scheduledWakeups.put(account, at);
+        long delay = Math.max(0, at - dependencies.clock().nanos());
+        dependencies.executor().schedule(() -> wakeUp(account, at), delay, TimeUnit.NANOSECONDS);
     }
 
-    private void wake(AccountId account, long at) {
-        wakes.remove(account, at);
-        carryOut(account, core.wake(account));
+    private void wakeUp(AccountId account, long at) {
+        scheduledWakeups.remove(account, at);
+        perform(account, budget.wake(account));
     }
 
     /** A reservation that gives back through the service. */
@@ -303,12 +306,12 @@
 
         @Override
         public void settle(long actualTokens) {
-            carryOut(account, core.settle(account, grant, actualTokens));
+            perform(account, budget.settle(account, grant, actualTokens));
         }
     }
 
     /** Takes the frames of loans. */
-    private final class LoanHandler implements FrameHandler {
+    private final class LoanFrameHandler implements FrameHandler {
 
         @Override
         public void opened(Peer peer) {
@@ -323,23 +326,23 @@
         @Override
         public void received(Peer peer, Frame frame) {
             try {
-                take(InstanceId.of(peer.hello().getInstance()), frame);
+                handleFrame(InstanceId.of(peer.hello().getInstance()), frame);
             } catch (IllegalArgumentException invalid) {
                 EventLog.write(EventCode.FRAME_REFUSED, "loan frame: {}", invalid.getMessage());
             }
         }
 
-        private void take(InstanceId peer, Frame frame) {
+        private void handleFrame(InstanceId peer, Frame frame) {
             switch (frame.getBodyCase()) {
                 case LOAN_REQUEST -> {
-                    LoanWish wish = LoanFrames.wishIn(frame.getLoanRequest());
-                    carryOut(wish.account(), core.loanAsked(peer, wish));
+                    LoanWish wish = LoanFrames.decodeRequest(frame.getLoanRequest());
+                    perform(wish.account(), budget.loanAsked(peer, wish));
                 }
                 case LOAN_ANSWER -> {
-                    Loan loan = LoanFrames.loanIn(frame.getLoanAnswer());
-                    carryOut(loan.account(), core.loanAnswered(peer, loan));
+                    Loan loan = LoanFrames.decodeAnswer(frame.getLoanAnswer());
+                    perform(loan.account(), budget.loanAnswered(peer, loan));
                 }
-                default -> core.keeper().refresh();
+                default -> budget.keeper().refresh();
             }
         }
     }
--- a/daemon/src/main/java/org/geraniumreach/daemon/budget/ListReading.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/budget/ListReading.java
@@ -9,10 +9,10 @@
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param askedNanos the reading of the monotonic clock before the list was asked for
+ * @param requestedAtNanos the reading of the monotonic clock before the list was asked for
  * @param entries the entries listed, those that are leaving among them
  */
-public record ListReading(long askedNanos, List<ListedInstance> entries) {
+public record ListReading(long requestedAtNanos, List<ListedInstance> entries) {
 
     public ListReading {
         entries = List.copyOf(entries);
--- a/daemon/src/main/java/org/geraniumreach/daemon/budget/LoanFrames.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/budget/LoanFrames.java
@@ -23,7 +23,7 @@
 
     private LoanFrames() {}
 
-    static Frame of(LoanWish wish) {
+    static Frame encode(LoanWish wish) {
         return Frame.newBuilder()
                 .setLoanRequest(LoanRequest.newBuilder()
                         .setNumber(wish.number())
@@ -44,22 +44,22 @@
      * @return the request
      * @throws IllegalArgumentException if a value is out of range
      */
-    static LoanWish wishIn(LoanRequest request) {
+    static LoanWish decodeRequest(LoanRequest request) {
         Optional<RowKey> holder = request.getHolder().isEmpty()
                 ? Optional.empty()
                 : Optional.of(RowKey.of(HolderRow.TABLE, request.getHolder()));
         return new LoanWish(
                 request.getNumber(),
                 AccountId.of(request.getAccount()),
-                tokens(request.getTokensWanted()),
+                requireTokens(request.getTokensWanted()),
                 ShareParts.require(request.getShareWanted()),
-                duration(request.getDurationMillis()),
-                tokens(request.getDemand()),
+                toDuration(request.getDurationMillis()),
+                requireTokens(request.getDemand()),
                 ShareParts.require(request.getShareHeld()),
                 holder);
     }
 
-    static Frame of(Loan loan) {
+    static Frame encode(Loan loan) {
         return Frame.newBuilder()
                 .setLoanAnswer(LoanAnswer.newBuilder()
                         .setNumber(loan.number())
@@ -77,27 +77,27 @@
      * @return the loan
      * @throws IllegalArgumentException if a value is out of range
      */
-    static Loan loanIn(LoanAnswer answer) {
+    static Loan decodeAnswer(LoanAnswer answer) {
         return new Loan(
                 answer.getNumber(),
                 AccountId.of(answer.getAccount()),
-                tokens(answer.getTokens()),
+                requireTokens(answer.getTokens()),
                 ShareParts.require(answer.getShare()),
-                duration(answer.getDurationMillis()));
+                toDuration(answer.getDurationMillis()));
     }
 
     static Frame shareMoved() {
         return Frame.newBuilder().setShareMoved(ShareMoved.getDefaultInstance()).build();
     }
 
-    private static long tokens(long number) {
+    private static long requireTokens(long number) {
         if (number < 0 || number > ShareParts.GREATEST_TOKENS) {
             throw new IllegalArgumentException("tokens out of range: " + number);
         }
         return number;
     }
 
-    private static Duration duration(long millis) {
+    private static Duration toDuration(long millis) {
         if (millis < 0) {
             throw new IllegalArgumentException("negative duration: " + millis);
         }
--- a/daemon/src/main/java/org/geraniumreach/daemon/budget/StoreDriver.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/budget/StoreCallExecutor.java
@@ -16,32 +16,32 @@
  *
  * <p>Invariant: each call is answered once, whatever the table service throws. Not safe for use by several threads.
  */
-final class StoreDriver {
+final class StoreCallExecutor {
 
     private final ShareKeeper keeper;
     private final TableService table;
     private boolean reachable = true;
 
-    StoreDriver(ShareKeeper keeper, TableService table) {
+    StoreCallExecutor(ShareKeeper keeper, TableService table) {
         this.keeper = keeper;
         this.table = table;
     }
 
     /** Makes the call that is due; returns false if there was none. */
-    boolean step() {
+    boolean executeNext() {
         Optional<StoreCall> call = keeper.next();
-        call.ifPresent(this::make);
+        call.ifPresent(this::execute);
         return call.isPresent();
     }
 
-    private void make(StoreCall call) {
+    private void execute(StoreCall call) {
         Runnable event;
         try {
-            event = eventOf(call);
-            noteReachable();
+            event = callTable(call);
+            logReachable();
         } catch (PlatformException failure) {
             event = () -> keeper.failed(failure.effect() == PlatformException.Effect.UNKNOWN);
-            noteUnreachable(failure);
+            logUnreachable(failure);
         } catch (RuntimeException fault) {
             event = () -> keeper.failed(true);
             EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "table service, for budget shares");
@@ -49,7 +49,7 @@
         event.run();
     }
 
-    private Runnable eventOf(StoreCall call) throws PlatformException {
+    private Runnable callTable(StoreCall call) throws PlatformException {
         if (call instanceof StoreCall.Read read) {
             Optional<Row> row = table.read(read.key());
             return () -> keeper.read(row);
@@ -62,14 +62,14 @@
         return () -> keeper.committed(effective);
     }
 
-    private void noteReachable() {
+    private void logReachable() {
         if (!reachable) {
             reachable = true;
             EventLog.write(EventCode.PLATFORM_REACHABLE, "table service, for budget shares");
         }
     }
 
-    private void noteUnreachable(PlatformException failure) {
+    private void logUnreachable(PlatformException failure) {
         if (reachable) {
             reachable = false;
             EventLog.write(
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/Compactor.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/Compactor.java
@@ -24,16 +24,16 @@
  */
 final class Compactor {
 
-    private static final int OLDEST_LIMIT = 500;
+    private static final int CHANGE_SCAN_LIMIT_ROWS = 500;
 
     private final TableService table;
-    private final int changes;
-    private long notBefore;
+    private final int changesPerSnapshot;
+    private long nextSnapshotRevision;
 
     Compactor(TableService table, int changes) {
         this.table = Objects.requireNonNull(table, "table");
-        this.changes = changes;
-        this.notBefore = changes;
+        this.changesPerSnapshot = changes;
+        this.nextSnapshotRevision = changes;
     }
 
     /**
@@ -43,8 +43,8 @@
      * @throws PlatformException if the table does not answer
      * @throws RecordException if a row is malformed
      */
-    void run(Configuration configuration) throws PlatformException, RecordException {
-        if (configuration.revision() < notBefore) {
+    void compactIfDue(Configuration configuration) throws PlatformException, RecordException {
+        if (configuration.revision() < nextSnapshotRevision) {
             return;
         }
         Optional<Row> row = table.read(ConfigurationRows.SNAPSHOT);
@@ -52,32 +52,32 @@
         if (row.isPresent()) {
             newest = Optional.of(ConfigurationRows.readPointer(row.get().value()));
         }
-        if (!Compaction.isDue(configuration.revision(), newest, changes)) {
-            notBefore = newest.orElseThrow().revision() + changes;
+        if (!Compaction.isDue(configuration.revision(), newest, changesPerSnapshot)) {
+            nextSnapshotRevision = newest.orElseThrow().revision() + changesPerSnapshot;
             return;
         }
         List<Transaction> parts = Compaction.planPartWrites(configuration);
-        commit(parts);
+        commitAll(parts);
         SnapshotPointer place = new SnapshotPointer(configuration.revision(), parts.size());
         long version = row.map(Row::version).orElse(Transaction.ABSENT_VERSION);
         if (!table.commit(Compaction.planPointerWrite(version, place))) {
             return;
         }
-        notBefore = configuration.revision() + changes;
+        nextSnapshotRevision = configuration.revision() + changesPerSnapshot;
         if (newest.isPresent()) {
-            commit(Compaction.planPartDeletions(newest.get()));
+            commitAll(Compaction.planPartDeletions(newest.get()));
         }
-        commit(Compaction.planChangeDeletions(oldestChanges(), configuration.revision()));
+        commitAll(Compaction.planChangeDeletions(readOldestChanges(), configuration.revision()));
     }
 
-    private void commit(List<Transaction> transactions) throws PlatformException {
+    private void commitAll(List<Transaction> transactions) throws PlatformException {
         for (Transaction transaction : transactions) {
             table.commit(transaction);
         }
     }
 
-    private List<LogEntry> oldestChanges() throws PlatformException, RecordException {
-        List<Row> rows = table.scan(ConfigurationRows.TABLE, ConfigurationRows.LOG_PREFIX, "", OLDEST_LIMIT);
+    private List<LogEntry> readOldestChanges() throws PlatformException, RecordException {
+        List<Row> rows = table.scan(ConfigurationRows.TABLE, ConfigurationRows.LOG_PREFIX, "", CHANGE_SCAN_LIMIT_ROWS);
         List<LogEntry> entries = new ArrayList<>();
         for (Row row : rows) {
             entries.add(ConfigurationRows.readEntry(row.value()));
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/ConfigurationReader.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/ConfigurationReader.java
@@ -22,8 +22,8 @@
  */
 final class ConfigurationReader {
 
-    private static final int SCAN_LIMIT = 500;
-    private static final int PARTS_AT_ONCE = 20;
+    private static final int LOG_SCAN_LIMIT_ROWS = 500;
+    private static final int PART_SCAN_LIMIT_ROWS = 20;
 
     private final TableService table;
     private final MonotonicClock clock;
@@ -48,13 +48,13 @@
         if (head <= haveRevision) {
             return new PollResult(startedAt, head, Optional.empty(), List.of());
         }
-        List<LogEntry> entries = log(haveRevision);
+        List<LogEntry> entries = readLog(haveRevision);
         if (!entries.isEmpty() && entries.get(0).revision() == haveRevision + 1) {
             return new PollResult(startedAt, head, Optional.empty(), entries);
         }
-        Optional<Configuration> snapshot = snapshot();
+        Optional<Configuration> snapshot = readSnapshot();
         long after = snapshot.map(Configuration::revision).orElse(haveRevision);
-        return new PollResult(startedAt, head, snapshot, log(after));
+        return new PollResult(startedAt, head, snapshot, readLog(after));
     }
 
     /**
@@ -65,22 +65,23 @@
      * @throws PlatformException if there was no answer
      * @throws RecordException if a row is malformed
      */
-    List<LogEntry> log(long after) throws PlatformException, RecordException {
+    List<LogEntry> readLog(long after) throws PlatformException, RecordException {
         List<LogEntry> entries = new ArrayList<>();
         String last = ConfigurationRows.logKey(after).key();
         while (true) {
-            List<Row> rows = table.scan(ConfigurationRows.TABLE, ConfigurationRows.LOG_PREFIX, last, SCAN_LIMIT);
+            List<Row> rows =
+                    table.scan(ConfigurationRows.TABLE, ConfigurationRows.LOG_PREFIX, last, LOG_SCAN_LIMIT_ROWS);
             for (Row row : rows) {
                 entries.add(ConfigurationRows.readEntry(row.value()));
             }
-            if (rows.size() < SCAN_LIMIT) {
+            if (rows.size() < LOG_SCAN_LIMIT_ROWS) {
                 return entries;
             }
             last = rows.get(rows.size() - 1).key().key();
         }
     }
 
-    private Optional<Configuration> snapshot() throws PlatformException, RecordException {
+    private Optional<Configuration> readSnapshot() throws PlatformException, RecordException {
         Optional<Row> row = table.read(ConfigurationRows.SNAPSHOT);
         if (row.isEmpty()) {
             return Optional.empty();
@@ -91,7 +92,7 @@
         String prefix = ConfigurationRows.partPrefix(place.revision());
         String last = "";
         for (int read = 0; read < place.parts(); ) {
-            List<Row> rows = table.scan(ConfigurationRows.TABLE, prefix, last, PARTS_AT_ONCE);
+            List<Row> rows = table.scan(ConfigurationRows.TABLE, prefix, last, PART_SCAN_LIMIT_ROWS);
             if (rows.isEmpty()) {
                 // A newer snapshot has taken this one's place meanwhile; the next reading finds it.
                 return Optional.empty();
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/History.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/History.java
@@ -41,7 +41,7 @@
      */
     public List<LogEntry> read(Optional<RecordKey> key) throws ServingException {
         try {
-            return reader.log(0).stream()
+            return reader.readLog(0).stream()
                     .filter(entry -> key.isEmpty() || entry.key().equals(key.get()))
                     .toList();
         } catch (PlatformException unanswered) {
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/NodeFrames.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/NodeFrames.java
@@ -27,20 +27,20 @@
 final class NodeFrames {
 
     /** The kinds of frame that carry messages of configuration nodes. */
-    static final Set<Frame.BodyCase> KINDS = Set.of(
+    static final Set<Frame.BodyCase> FRAME_KINDS = Set.of(
             Frame.BodyCase.CONFIGURATION_NEWS,
             Frame.BodyCase.SNAPSHOT_REQUEST,
             Frame.BodyCase.SNAPSHOT_PART,
             Frame.BodyCase.FRESHNESS);
 
-    private static final long NEVER_CONFIRMED = -1;
+    private static final long NEVER_CONFIRMED_AGE_MILLIS = -1;
 
     private NodeFrames() {}
 
-    static Frame frame(InstanceId self, NodeMessage message) {
+    static Frame encode(InstanceId self, NodeMessage message) {
         if (message instanceof NodeMessage.Changes news) {
             ConfigurationNews.Builder builder = ConfigurationNews.newBuilder().setHead(news.highestKnownRevision());
-            news.entries().forEach(entry -> builder.addEntries(wire(entry)));
+            news.entries().forEach(entry -> builder.addEntries(encodeEntry(entry)));
             return Frame.newBuilder().setConfigurationNews(builder).build();
         }
         if (message instanceof NodeMessage.SnapshotRequest request) {
@@ -53,7 +53,7 @@
                     .setRevision(part.revision())
                     .setIndex(part.index())
                     .setParts(part.parts());
-            part.entries().forEach(entry -> builder.addEntries(wire(entry)));
+            part.entries().forEach(entry -> builder.addEntries(encodeEntry(entry)));
             return Frame.newBuilder().setSnapshotPart(builder).build();
         }
         return Frame.newBuilder()
@@ -68,23 +68,23 @@
                 .setHighestRevision(note.highestKnownRevision())
                 .setConfirmedAgeMillis(
                         note.confirmationAgeNanos().isPresent()
-                                ? roundUp(note.confirmationAgeNanos().getAsLong())
-                                : NEVER_CONFIRMED)
+                                ? toMillisRoundedUp(note.confirmationAgeNanos().getAsLong())
+                                : NEVER_CONFIRMED_AGE_MILLIS)
                 .setStoreReachable(!note.isStoreUnreachable())
                 .setStamp(note.timestamp());
-        note.unreachableReports()
-                .forEach(word -> builder.addHeard(word.entry().value()).addHeardAgeMillis(roundUp(word.ageNanos())));
+        note.unreachableReports().forEach(word -> builder.addHeard(word.entry().value())
+                .addHeardAgeMillis(toMillisRoundedUp(word.ageNanos())));
         note.echo().ifPresent(echo -> builder.setEchoes(true)
                 .setEcho(echo.timestamp())
                 .setEchoHeldMillis(TimeUnit.NANOSECONDS.toMillis(echo.heldNanos())));
         return builder.build();
     }
 
-    private static long roundUp(long nanos) {
+    private static long toMillisRoundedUp(long nanos) {
         return TimeUnit.NANOSECONDS.toMillis(nanos) + 1;
     }
 
-    private static org.geraniumreach.messages.LogEntry wire(LogEntry entry) {
+    private static org.geraniumreach.messages.LogEntry encodeEntry(LogEntry entry) {
         return org.geraniumreach.messages.LogEntry.newBuilder()
                 .setRevision(entry.revision())
                 .setOperation(entry.operation())
@@ -98,22 +98,22 @@
     /**
      * Reads a frame.
      *
-     * @param frame the frame, of one of {@link #KINDS}, not null
+     * @param frame the frame, of one of {@link #FRAME_KINDS}, not null
      * @return the message, not null
      * @throws IllegalArgumentException if a part of it is not what it must be
      */
-    static NodeMessage message(Frame frame) {
+    static NodeMessage decode(Frame frame) {
         switch (frame.getBodyCase()) {
             case CONFIGURATION_NEWS:
                 ConfigurationNews news = frame.getConfigurationNews();
-                return new NodeMessage.Changes(news.getHead(), entries(news.getEntriesList()));
+                return new NodeMessage.Changes(news.getHead(), decodeEntries(news.getEntriesList()));
             case SNAPSHOT_REQUEST:
                 return new NodeMessage.SnapshotRequest(
                         frame.getSnapshotRequest().getHaveRevision());
             case SNAPSHOT_PART:
                 SnapshotPart part = frame.getSnapshotPart();
                 return new NodeMessage.SnapshotPart(
-                        part.getRevision(), part.getIndex(), part.getParts(), entries(part.getEntriesList()));
+                        part.getRevision(), part.getIndex(), part.getParts(), decodeEntries(part.getEntriesList()));
             case FRESHNESS:
                 return note(frame.getFreshness());
             default:
@@ -128,34 +128,34 @@
         List<NodeMessage.UnreachableReport> words = new ArrayList<>();
         for (int index = 0; index < freshness.getHeardCount(); index++) {
             words.add(new NodeMessage.UnreachableReport(
-                    InstanceId.of(freshness.getHeard(index)), nanos(freshness.getHeardAgeMillis(index))));
+                    InstanceId.of(freshness.getHeard(index)), toNanos(freshness.getHeardAgeMillis(index))));
         }
         long age = freshness.getConfirmedAgeMillis();
         return new NodeMessage.Heartbeat(
                 freshness.getRevision(),
                 freshness.getHighestRevision(),
-                age < 0 ? OptionalLong.empty() : OptionalLong.of(nanos(age)),
+                age < 0 ? OptionalLong.empty() : OptionalLong.of(toNanos(age)),
                 !freshness.getStoreReachable(),
                 words,
                 freshness.getStamp(),
                 freshness.getEchoes()
                         ? Optional.of(new NodeMessage.TimestampEcho(
-                                freshness.getEcho(), nanos(freshness.getEchoHeldMillis())))
+                                freshness.getEcho(), toNanos(freshness.getEchoHeldMillis())))
                         : Optional.empty());
     }
 
-    private static long nanos(long millis) {
+    private static long toNanos(long millis) {
         if (millis < 0) {
             throw new IllegalArgumentException("negative time: " + millis);
         }
         return TimeUnit.MILLISECONDS.toNanos(millis);
     }
 
-    private static List<LogEntry> entries(List<org.geraniumreach.messages.LogEntry> wire) {
-        return wire.stream().map(NodeFrames::entry).toList();
+    private static List<LogEntry> decodeEntries(List<org.geraniumreach.messages.LogEntry> wire) {
+        return wire.stream().map(NodeFrames::decodeEntry).toList();
     }
 
-    private static LogEntry entry(org.geraniumreach.messages.LogEntry wire) {
+    private static LogEntry decodeEntry(org.geraniumreach.messages.LogEntry wire) {
         RecordKind kind = RecordKind.ofLabel(wire.getKind())
                 .orElseThrow(() -> new IllegalArgumentException("unknown kind '" + wire.getKind() + "'"));
         return new LogEntry(
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/ReplicatedConfiguration.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/ReplicatedConfiguration.java
@@ -51,7 +51,7 @@
  */
 public final class ReplicatedConfiguration implements ConfigurationService, AutoCloseable {
 
-    private static final int TICKS_IN_PERIOD = 10;
+    private static final int TICKS_PER_PERIOD = 10;
     private static final String COMPACTOR_SUBJECT = "configuration-compactor";
 
     private final InstanceId self;
@@ -62,13 +62,14 @@
     private final ConfigurationReader reader;
     private final Compactor compactor;
     private final ConfigurationNode node;
-    private final ScheduledExecutorService owner = Executors.newSingleThreadScheduledExecutor(named("configuration"));
-    private final ExecutorService pollers = Executors.newSingleThreadExecutor(named("configuration-poll"));
+    private final ScheduledExecutorService ownerExecutor =
+            Executors.newSingleThreadScheduledExecutor(threadFactory("configuration"));
+    private final ExecutorService pollExecutor = Executors.newSingleThreadExecutor(threadFactory("configuration-poll"));
     private final List<ConfigurationListener> listeners = new CopyOnWriteArrayList<>();
     private final Map<InstanceId, Peer> peers = new HashMap<>();
-    private final SnapshotBacklog snapshots = new SnapshotBacklog();
+    private final SnapshotSender snapshotSender = new SnapshotSender();
     private volatile ConfigurationState state;
-    private boolean storeAnswers = true;
+    private boolean storeReachable = true;
 
     private ReplicatedConfiguration(
             InstanceId self,
@@ -111,13 +112,13 @@
             RandomGenerator random) {
         ReplicatedConfiguration started =
                 new ReplicatedConfiguration(self, settings, table, links, membership, clock, random);
-        links.handle(NodeFrames.KINDS, started.new Handler());
-        long tick = settings.period().toNanos() / TICKS_IN_PERIOD;
-        started.owner.scheduleWithFixedDelay(started::tick, 0, tick, TimeUnit.NANOSECONDS);
+        links.handle(NodeFrames.FRAME_KINDS, started.new LinkHandler());
+        long tick = settings.period().toNanos() / TICKS_PER_PERIOD;
+        started.ownerExecutor.scheduleWithFixedDelay(started::tick, 0, tick, TimeUnit.NANOSECONDS);
         return started;
     }
 
-    private static ThreadFactory named(String name) {
+    private static ThreadFactory threadFactory(String name) {
         return task -> {
             Thread thread = new Thread(task, name);
             thread.setDaemon(true);
@@ -174,9 +175,9 @@
      * @return the configuration, not null
      * @throws InterruptedException if the process ends
      */
-    Configuration take(PollResult answer) throws InterruptedException {
-        ask(() -> {
-            handle(() -> node.onPollCompleted(answer));
+    Configuration applyPollResult(PollResult answer) throws InterruptedException {
+        callOnOwnerThread(() -> {
+            handleEvent(() -> node.onPollCompleted(answer));
             return true;
         });
         return current();
@@ -188,24 +189,24 @@
      * @param entry the change, not null
      * @throws InterruptedException if the process ends
      */
-    void committed(LogEntry entry) throws InterruptedException {
-        ask(() -> {
-            handle(() -> node.onCommitted(List.of(entry)));
+    void applyCommittedEntry(LogEntry entry) throws InterruptedException {
+        callOnOwnerThread(() -> {
+            handleEvent(() -> node.onCommitted(List.of(entry)));
             return true;
         });
     }
 
-    int otherEntriesHolding(long revision) throws InterruptedException {
-        return ask(() -> node.countOtherEntriesHolding(revision));
+    int countOtherEntriesHolding(long revision) throws InterruptedException {
+        return callOnOwnerThread(() -> node.countOtherEntriesHolding(revision));
     }
 
     boolean hasOtherEntries() {
         return membership.submittingEntries().stream().anyMatch(entry -> !entry.equals(self));
     }
 
-    private <T> T ask(Callable<T> question) throws InterruptedException {
+    private <T> T callOnOwnerThread(Callable<T> question) throws InterruptedException {
         try {
-            return owner.submit(question).get();
+            return ownerExecutor.submit(question).get();
         } catch (ExecutionException fault) {
             throw new IllegalStateException("the configuration's thread failed", fault.getCause());
         }
@@ -213,12 +214,12 @@
 
     @Override
     public void close() {
-        owner.shutdownNow();
-        pollers.shutdownNow();
+        ownerExecutor.shutdownNow();
+        pollExecutor.shutdownNow();
     }
 
     private void tick() {
-        handle(() -> {
+        handleEvent(() -> {
             node.onEntriesListed(membership.submittingEntries());
             return node.onTick();
         });
@@ -227,16 +228,16 @@
     /** Lets the owner take an event. */
     void enqueue(Supplier<List<NodeAction>> event) {
         try {
-            owner.execute(() -> handle(event));
+            ownerExecutor.execute(() -> handleEvent(event));
         } catch (RejectedExecutionException rejected) {
             // Links close after the configuration when a process ends; nobody waits for what that would have led to.
-            if (!owner.isShutdown()) {
+            if (!ownerExecutor.isShutdown()) {
                 throw rejected;
             }
         }
     }
 
-    private void handle(Supplier<List<NodeAction>> event) {
+    private void handleEvent(Supplier<List<NodeAction>> event) {
         try {
             List<NodeAction> actions = event.get();
             actions.forEach(this::perform);
@@ -244,7 +245,7 @@
             publish();
         } catch (RuntimeException fault) {
             // While the process ends, the thread that polls may be gone before an event that asks it for a poll.
-            if (!owner.isShutdown()) {
+            if (!ownerExecutor.isShutdown()) {
                 EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "event of the configuration");
             }
         }
@@ -254,10 +255,10 @@
         if (action instanceof NodeAction.Send send) {
             Peer peer = peers.get(send.peer());
             if (peer != null && !(send.message() instanceof NodeMessage.SnapshotPart)) {
-                peer.send(NodeFrames.frame(self, send.message()));
+                peer.send(NodeFrames.encode(self, send.message()));
             }
         } else if (action instanceof NodeAction.Poll poll) {
-            pollers.execute(() -> poll(poll.heldRevision()));
+            pollExecutor.execute(() -> poll(poll.heldRevision()));
         }
     }
 
@@ -267,24 +268,24 @@
             if (action instanceof NodeAction.Send send && send.message() instanceof NodeMessage.SnapshotPart part) {
                 Peer peer = peers.get(send.peer());
                 if (peer != null) {
-                    parts.computeIfAbsent(peer, key -> new ArrayList<>()).add(NodeFrames.frame(self, part));
+                    parts.computeIfAbsent(peer, key -> new ArrayList<>()).add(NodeFrames.encode(self, part));
                 }
             }
         }
-        parts.forEach(snapshots::send);
+        parts.forEach(snapshotSender::send);
     }
 
     private void poll(long haveRevision) {
         try {
             PollResult answer = reader.read(haveRevision);
             enqueue(() -> {
-                storeAnswered(true, null);
+                updateStoreReachable(true, null);
                 return node.onPollCompleted(answer);
             });
             compact();
         } catch (PlatformException | RecordException | RuntimeException failure) {
             enqueue(() -> {
-                storeAnswered(false, failure);
+                updateStoreReachable(false, failure);
                 node.onPollFailed();
                 return List.of();
             });
@@ -300,17 +301,17 @@
             return;
         }
         try {
-            compactor.run(state.configuration());
+            compactor.compactIfDue(state.configuration());
         } catch (PlatformException | RecordException failure) {
             EventLog.write(EventCode.PLATFORM_UNREACHABLE, failure, "table service, for a snapshot");
         }
     }
 
-    private void storeAnswered(boolean answers, Throwable failure) {
-        if (answers == storeAnswers) {
+    private void updateStoreReachable(boolean answers, Throwable failure) {
+        if (answers == storeReachable) {
             return;
         }
-        storeAnswers = answers;
+        storeReachable = answers;
         if (answers) {
             EventLog.write(EventCode.PLATFORM_REACHABLE, "table service, for the configuration");
         } else {
@@ -324,7 +325,7 @@
         state = after;
         long now = clock.nanos();
         if (before.configuration() != after.configuration()) {
-            changed(before.configuration(), after.configuration());
+            notifyListeners(before.configuration(), after.configuration());
         }
         if (before.fresh() && !after.isFreshAt(now)) {
             EventLog.write(
@@ -336,14 +337,14 @@
         state = after.withFresh(after.isFreshAt(now));
     }
 
-    private void changed(Configuration before, Configuration after) {
+    private void notifyListeners(Configuration before, Configuration after) {
         EventLog.write(EventCode.CONFIGURATION_ADVANCED, "{} to {}", before.revision(), after.revision());
         after.unreadable().forEach((key, reason) -> {
             if (!reason.equals(before.unreadable().get(key))) {
                 EventLog.write(EventCode.RECORD_UNREADABLE, "{}: {}", key, reason);
             }
         });
-        Set<KeyDigest> withdrawn = withdrawnKeys(before, after);
+        Set<KeyDigest> withdrawn = findWithdrawnKeys(before, after);
         for (ConfigurationListener listener : listeners) {
             try {
                 listener.changed(before, after, withdrawn);
@@ -353,7 +354,7 @@
         }
     }
 
-    private static Set<KeyDigest> withdrawnKeys(Configuration before, Configuration after) {
+    private static Set<KeyDigest> findWithdrawnKeys(Configuration before, Configuration after) {
         Set<KeyDigest> withdrawn = new HashSet<>();
         for (KeyDigest digest : before.keyDigests()) {
             boolean same = after.key(digest)
@@ -367,7 +368,7 @@
     }
 
     /** Takes what links bring; all of it is handed to the owner. */
-    private final class Handler implements FrameHandler {
+    private final class LinkHandler implements FrameHandler {
 
         @Override
         public void opened(Peer peer) {
@@ -393,7 +394,7 @@
                     return List.of();
                 }
                 try {
-                    return node.onMessage(instance, NodeFrames.message(frame));
+                    return node.onMessage(instance, NodeFrames.decode(frame));
                 } catch (IllegalArgumentException malformed) {
                     EventLog.write(EventCode.FRAME_REFUSED, malformed, "of the configuration, from {}", instance);
                     peer.close("a malformed frame of the configuration");
@@ -405,7 +406,7 @@
         @Override
         public void writable(Peer peer) {
             enqueue(() -> {
-                snapshots.flush(peer);
+                snapshotSender.flush(peer);
                 return List.of();
             });
         }
@@ -413,7 +414,7 @@
         @Override
         public void closed(Peer peer, String reason) {
             enqueue(() -> {
-                snapshots.closed(peer);
+                snapshotSender.onPeerClosed(peer);
                 InstanceId instance = InstanceId.of(peer.hello().getInstance());
                 if (peers.get(instance) != peer) {
                     return List.of();
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/SnapshotBacklog.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/SnapshotSender.java
@@ -16,9 +16,9 @@
  * answers to callers. Invariant: a peer that is still being sent a snapshot is not sent another; it asks again if it needs
  * one. Confined to the thread that owns the configuration.
  */
-final class SnapshotBacklog {
+final class SnapshotSender {
 
-    private final Map<Peer, Deque<Frame>> waiting = new HashMap<>();
+    private final Map<Peer, Deque<Frame>> pendingParts = new HashMap<>();
 
     /**
      * Takes the parts of a snapshot and sends what the peer takes now.
@@ -27,7 +27,7 @@
      * @param parts the parts in their order, not null
      */
     void send(Peer peer, List<Frame> parts) {
-        waiting.putIfAbsent(peer, new ArrayDeque<>(parts));
+        pendingParts.putIfAbsent(peer, new ArrayDeque<>(parts));
         flush(peer);
     }
 
@@ -37,7 +37,7 @@
      * @param peer the receiver, not null
      */
     void flush(Peer peer) {
-        Deque<Frame> parts = waiting.get(peer);
+        Deque<Frame> parts = pendingParts.get(peer);
         if (parts == null) {
             return;
         }
@@ -45,11 +45,11 @@
             peer.send(parts.remove());
         }
         if (parts.isEmpty()) {
-            waiting.remove(peer);
+            pendingParts.remove(peer);
         }
     }
 
-    void closed(Peer peer) {
-        waiting.remove(peer);
+    void onPeerClosed(Peer peer) {
+        pendingParts.remove(peer);
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/Submitter.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/Submitter.java
@@ -24,7 +24,7 @@
  */
 public final class Submitter {
 
-    private static final Duration HOLDER_CHECK = Duration.ofMillis(10);
+    private static final Duration HOLDER_CHECK_INTERVAL = Duration.ofMillis(10);
 
     private final ReplicatedConfiguration configuration;
     private final ConfigurationSettings settings;
@@ -105,8 +105,8 @@
             if (step instanceof SubmissionStep.Read read) {
                 return process.onRowRead(table.read(read.key()));
             }
-            return process.onCaughtUp(
-                    configuration.take(reader.read(configuration.current().revision())));
+            return process.onCaughtUp(configuration.applyPollResult(
+                    reader.read(configuration.current().revision())));
         } catch (PlatformException | RecordException unanswered) {
             return process.onReadFailed();
         }
@@ -128,7 +128,7 @@
         }
         LogEntry entry = result.entry().orElseThrow();
         EventLog.write(EventCode.SUBMISSION_ACCEPTED, "{} revision {}", submission.operation(), entry.revision());
-        configuration.committed(entry);
+        configuration.applyCommittedEntry(entry);
         return new Outcome(result, awaitHolder(entry.revision()));
     }
 
@@ -137,11 +137,11 @@
     private int awaitHolder(long revision) throws InterruptedException {
         long deadline = clock.nanos() + settings.holderLimit().toNanos();
         while (true) {
-            int holders = configuration.otherEntriesHolding(revision);
+            int holders = configuration.countOtherEntriesHolding(revision);
             if (holders > 0 || !configuration.hasOtherEntries() || clock.nanos() - deadline >= 0) {
                 return holders;
             }
-            Thread.sleep(HOLDER_CHECK.toMillis());
+            Thread.sleep(HOLDER_CHECK_INTERVAL.toMillis());
         }
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/ledger/AnswerCollector.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/ledger/AnswerCollector.java
@@ -22,13 +22,13 @@
 final class AnswerCollector implements AttemptListener {
 
     /** How many chunks may come before more are asked for. */
-    static final int CREDIT = 64;
+    static final int CREDIT_CHUNKS = 64;
 
-    private final long largestAnswer;
-    private final Consumer<Ending> ending;
+    private final long maxAnswerBytes;
+    private final Consumer<Ending> endingConsumer;
     private volatile AttemptHandle handle;
     private ByteString body = ByteString.EMPTY;
-    private long chunks;
+    private long receivedChunks;
     private boolean ended;
 
     /** How an attempt ended. */
@@ -39,31 +39,31 @@
          *
          * @param body the answer
          */
-        record Whole(byte[] body) implements Ending {}
+        record Complete(byte[] body) implements Ending {}
 
         /**
          * The companion gave it up.
          *
          * @param refusal why
          */
-        record GivenUp(LedgerAction.Refuse refusal) implements Ending {}
+        record Failed(LedgerAction.Refuse refusal) implements Ending {}
 
         /**
          * The companion cannot be reached any more.
          *
-         * @param ran what is known
+         * @param executionStatus what is known
          */
-        record Lost(ExecutionStatus ran) implements Ending {}
+        record Lost(ExecutionStatus executionStatus) implements Ending {}
     }
 
     AnswerCollector(long largestAnswer, Consumer<Ending> ending) {
-        this.largestAnswer = largestAnswer;
-        this.ending = ending;
+        this.maxAnswerBytes = largestAnswer;
+        this.endingConsumer = ending;
     }
 
-    void begin(AttemptHandle sent) {
+    void start(AttemptHandle sent) {
         handle = sent;
-        sent.request(CREDIT);
+        sent.request(CREDIT_CHUNKS);
     }
 
     @Override
@@ -76,16 +76,16 @@
         if (ended) {
             return;
         }
-        if (body.size() + (long) payload.size() > largestAnswer) {
-            finish(new Ending.GivenUp(refusal(
+        if (body.size() + (long) payload.size() > maxAnswerBytes) {
+            finish(new Ending.Failed(createRefusal(
                     ResultCode.TARGET_FAILED,
                     ExecutionStatus.YES,
                     Optional.empty(),
-                    "the answer is above " + largestAnswer)));
+                    "the answer is above " + maxAnswerBytes)));
             return;
         }
         body = body.concat(payload);
-        chunks++;
+        receivedChunks++;
         AttemptHandle current = handle;
         if (current != null) {
             current.request(1);
@@ -94,12 +94,12 @@
 
     @Override
     public void ended(End end) {
-        if (end.getCount() != chunks) {
+        if (end.getCount() != receivedChunks) {
             // A part of an answer must never be kept as the answer: every later call with the key would get it.
             finish(new Ending.Lost(ExecutionStatus.UNKNOWN));
             return;
         }
-        finish(new Ending.Whole(body.toByteArray()));
+        finish(new Ending.Complete(body.toByteArray()));
     }
 
     @Override
@@ -108,15 +108,16 @@
         Optional<Duration> retryAfter = refused.getRetryAfterMillis() > 0
                 ? Optional.of(Duration.ofMillis(refused.getRetryAfterMillis()))
                 : Optional.empty();
-        finish(new Ending.GivenUp(refusal(code, ranOf(refused.getRan()), retryAfter, refused.getMessage())));
+        finish(new Ending.Failed(
+                createRefusal(code, toExecutionStatus(refused.getRan()), retryAfter, refused.getMessage())));
     }
 
-    private static LedgerAction.Refuse refusal(
+    private static LedgerAction.Refuse createRefusal(
             ResultCode code, ExecutionStatus ran, Optional<Duration> retryAfter, String message) {
         return new LedgerAction.Refuse(code, ran, retryAfter, message);
     }
 
-    private static ExecutionStatus ranOf(int number) {
+    private static ExecutionStatus toExecutionStatus(int number) {
         ExecutionStatus[] values = ExecutionStatus.values();
         return number >= 0 && number < values.length ? values[number] : ExecutionStatus.UNKNOWN;
     }
@@ -131,6 +132,6 @@
             return;
         }
         ended = true;
-        ending.accept(how);
+        endingConsumer.accept(how);
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/ledger/CallRunner.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/ledger/CallRunner.java
@@ -31,15 +31,15 @@
  */
 final class CallRunner {
 
-    private static final int OBJECT_TRIES = 3;
+    private static final int MAX_OBJECT_PUT_ATTEMPTS = 3;
 
-    private final LedgerService.Surroundings surroundings;
+    private final LedgerService.Surroundings dependencies;
     private final LedgerSettings settings;
-    private final GroupCommitter groups;
+    private final GroupCommitter committer;
     private final LedgerCall call;
-    private final Dispatch dispatch;
+    private final Dispatch dispatcher;
     private final CompletableFuture<LedgerAnswer> future = new CompletableFuture<>();
-    private volatile byte[] body;
+    private volatile byte[] receivedBody;
 
     CallRunner(
             LedgerService.Surroundings surroundings,
@@ -47,25 +47,25 @@
             GroupCommitter groups,
             LedgerCall call,
             Dispatch dispatch) {
-        this.surroundings = surroundings;
+        this.dependencies = surroundings;
         this.settings = settings;
-        this.groups = groups;
+        this.committer = groups;
         this.call = call;
-        this.dispatch = dispatch;
+        this.dispatcher = dispatch;
     }
 
     CompletableFuture<LedgerAnswer> run() {
-        step(call::start);
+        advance(call::start);
         return future;
     }
 
-    private void step(Supplier<LedgerAction> event) {
+    private void advance(Supplier<LedgerAction> event) {
         try {
             LedgerAction action;
             synchronized (this) {
                 action = event.get();
             }
-            carryOut(action);
+            perform(action);
         } catch (RuntimeException fault) {
             EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "ledger call");
             future.completeExceptionally(
@@ -74,13 +74,13 @@
         }
     }
 
-    private void carryOut(LedgerAction action) {
+    private void perform(LedgerAction action) {
         if (action instanceof LedgerAction.Commit commit) {
-            groups.commit(commit.transaction()).thenAccept(this::committed);
+            committer.commit(commit.transaction()).thenAccept(this::onCommitFinished);
         } else if (action instanceof LedgerAction.Read read) {
-            surroundings.executor().execute(() -> read(read.key()));
+            dependencies.executor().execute(() -> read(read.key()));
         } else if (action instanceof LedgerAction.Wait wait) {
-            later(wait.delay().toNanos());
+            scheduleWaitFinished(wait.delay().toNanos());
         } else if (action instanceof LedgerAction.Send send) {
             send(send);
         } else if (action instanceof LedgerAction.Seal seal) {
@@ -88,22 +88,22 @@
         } else if (action instanceof LedgerAction.Resume resume) {
             resume(resume);
         } else if (action instanceof LedgerAction.Reply reply) {
-            surroundings.executor().execute(() -> reply(reply));
+            dependencies.executor().execute(() -> reply(reply));
         } else if (action instanceof LedgerAction.Refuse refuse) {
             refuse(refuse);
         }
     }
 
-    private void later(long nanos) {
-        surroundings.executor().schedule(() -> step(call::waited), nanos, TimeUnit.NANOSECONDS);
+    private void scheduleWaitFinished(long nanos) {
+        dependencies.executor().schedule(() -> advance(call::waited), nanos, TimeUnit.NANOSECONDS);
     }
 
-    private void committed(GroupCommitter.Outcome outcome) {
+    private void onCommitFinished(GroupCommitter.Outcome outcome) {
         switch (outcome) {
-            case COMMITTED -> step(call::committed);
-            case CONFLICT -> step(call::conflicted);
-            case FAILED -> step(() -> call.commitFailed(false));
-            case UNKNOWN -> step(() -> call.commitFailed(true));
+            case COMMITTED -> advance(call::committed);
+            case CONFLICT -> advance(call::conflicted);
+            case FAILED -> advance(() -> call.commitFailed(false));
+            case UNKNOWN -> advance(() -> call.commitFailed(true));
             default -> throw new IllegalStateException("unhandled outcome " + outcome);
         }
     }
@@ -111,12 +111,12 @@
     private void read(RowKey key) {
         Optional<Row> row;
         try {
-            row = surroundings.table().read(key);
+            row = dependencies.table().read(key);
         } catch (PlatformException failure) {
-            step(call::readFailed);
+            advance(call::readFailed);
             return;
         }
-        step(() -> call.read(row));
+        advance(() -> call.read(row));
     }
 
     private void send(LedgerAction.Send send) {
@@ -124,21 +124,21 @@
                 send.companion().instance(), send.companion().incarnation());
         // Another start of the companion knows nothing of the attempt, so it must refuse the frame: a frame that
         // comes late, after the attempt was declared lost with the former start, would be a second run.
-        Run run = dispatch.runFor(send.attempt(), companion).toBuilder()
+        Run run = dispatcher.runFor(send.attempt(), companion).toBuilder()
                 .setAttempt(send.attempt().value())
                 .setCompanionIncarnation(companion.incarnation())
                 .setRepeatable(false)
                 .setNotAfterMillis(send.notAfter().toEpochMilli())
-                .setCredit(AnswerCollector.CREDIT)
+                .setCredit(AnswerCollector.CREDIT_CHUNKS)
                 .build();
-        AnswerCollector collector = new AnswerCollector(settings.largestAnswer().bytes(), this::ended);
-        collector.begin(surroundings.attempts().run(companion.instance(), run, collector));
+        AnswerCollector collector = new AnswerCollector(settings.largestAnswer().bytes(), this::onAttemptEnded);
+        collector.start(dependencies.attempts().run(companion.instance(), run, collector));
     }
 
     private void resume(LedgerAction.Resume resume) {
         EventLog.write(EventCode.ATTEMPT_RESUMED, "attempt {}", resume.attempt());
-        AnswerCollector collector = new AnswerCollector(settings.largestAnswer().bytes(), this::ended);
-        collector.begin(surroundings
+        AnswerCollector collector = new AnswerCollector(settings.largestAnswer().bytes(), this::onAttemptEnded);
+        collector.start(dependencies
                 .attempts()
                 .resume(
                         resume.companion().instance(),
@@ -149,17 +149,17 @@
     }
 
     private void seal(LedgerAction.Seal seal) {
-        surroundings
+        dependencies
                 .attempts()
                 .seal(
                         seal.companion().instance(),
                         seal.attempt().value(),
                         seal.companion().incarnation(),
                         seal.age(),
-                        outcome -> step(() -> call.sealed(resultOf(outcome))));
+                        outcome -> advance(() -> call.sealed(toSealResult(outcome))));
     }
 
-    private static SealResult resultOf(SealOutcome outcome) {
+    private static SealResult toSealResult(SealOutcome outcome) {
         return switch (outcome) {
             case NEVER_STARTED -> SealResult.NEVER_STARTED;
             case STARTED, ENDED -> SealResult.STARTED;
@@ -168,17 +168,17 @@
         };
     }
 
-    private void ended(AnswerCollector.Ending ending) {
-        if (ending instanceof AnswerCollector.Ending.Whole whole) {
-            body = whole.body();
-            surroundings.executor().execute(() -> {
+    private void onAttemptEnded(AnswerCollector.Ending ending) {
+        if (ending instanceof AnswerCollector.Ending.Complete whole) {
+            receivedBody = whole.body();
+            dependencies.executor().execute(() -> {
                 StoredAnswer stored = store(whole.body());
-                step(() -> call.answered(stored));
+                advance(() -> call.answered(stored));
             });
-        } else if (ending instanceof AnswerCollector.Ending.GivenUp givenUp) {
-            step(() -> call.refused(givenUp.refusal()));
+        } else if (ending instanceof AnswerCollector.Ending.Failed givenUp) {
+            advance(() -> call.refused(givenUp.refusal()));
         } else if (ending instanceof AnswerCollector.Ending.Lost lost) {
-            step(() -> call.lost(lost.ran()));
+            advance(() -> call.lost(lost.executionStatus()));
         }
     }
 
@@ -187,10 +187,10 @@
         if (answer.length <= settings.largestInline().bytes()) {
             return inline;
         }
-        String key = "ledger-" + AttemptId.random(surroundings.random());
-        for (int tries = 0; tries < OBJECT_TRIES; tries++) {
+        String key = "ledger-" + AttemptId.random(dependencies.random());
+        for (int tries = 0; tries < MAX_OBJECT_PUT_ATTEMPTS; tries++) {
             try {
-                surroundings.objects().put(key, answer);
+                dependencies.objects().put(key, answer);
                 return new StoredAnswer.InObject(key);
             } catch (PlatformException failure) {
                 EventLog.write(EventCode.PLATFORM_UNREACHABLE, failure, "object store: {}", failure.getMessage());
@@ -201,11 +201,12 @@
 
     private void reply(LedgerAction.Reply reply) {
         try {
-            future.complete(new LedgerAnswer(reply.replayed() ? fetch(reply.answer()) : body, reply.replayed()));
+            future.complete(
+                    new LedgerAnswer(reply.replayed() ? fetch(reply.answer()) : receivedBody, reply.replayed()));
         } catch (ServingException failure) {
             future.completeExceptionally(failure);
         }
-        reply.storeAgainAfter().ifPresent(delay -> later(delay.toNanos()));
+        reply.storeAgainAfter().ifPresent(delay -> scheduleWaitFinished(delay.toNanos()));
     }
 
     private byte[] fetch(StoredAnswer stored) throws ServingException {
@@ -214,7 +215,7 @@
         }
         String key = ((StoredAnswer.InObject) stored).key();
         try {
-            return surroundings
+            return dependencies
                     .objects()
                     .get(key)
                     .orElseThrow(() -> ServingException.of(
--- a/daemon/src/main/java/org/geraniumreach/daemon/ledger/GroupCommitter.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/ledger/GroupCommitter.java
@@ -22,11 +22,11 @@
 
     private final TableService table;
     private final ScheduledExecutorService executor;
-    private final int limit;
-    private final Duration longestWait;
+    private final int maxGroupSize;
+    private final Duration maxWait;
     private final Object lock = new Object();
-    private TransactionGroup<CompletableFuture<Outcome>> open = new TransactionGroup<>();
-    private ScheduledFuture<?> timer;
+    private TransactionGroup<CompletableFuture<Outcome>> openGroup = new TransactionGroup<>();
+    private ScheduledFuture<?> flushTimer;
 
     /** What became of a transaction. */
     enum Outcome {
@@ -41,8 +41,8 @@
     GroupCommitter(TableService table, ScheduledExecutorService executor, int limit, Duration longestWait) {
         this.table = table;
         this.executor = executor;
-        this.limit = limit;
-        this.longestWait = longestWait;
+        this.maxGroupSize = limit;
+        this.maxWait = longestWait;
     }
 
     /**
@@ -55,14 +55,14 @@
         TransactionGroup.Member<CompletableFuture<Outcome>> member =
                 new TransactionGroup.Member<>(transaction, new CompletableFuture<>());
         synchronized (lock) {
-            if (!open.add(member)) {
-                closeGroup();
-                open.add(member);
+            if (!openGroup.add(member)) {
+                submitOpenGroup();
+                openGroup.add(member);
             }
-            if (open.size() >= limit) {
-                closeGroup();
-            } else if (timer == null) {
-                timer = executor.schedule(this::flush, longestWait.toNanos(), TimeUnit.NANOSECONDS);
+            if (openGroup.size() >= maxGroupSize) {
+                submitOpenGroup();
+            } else if (flushTimer == null) {
+                flushTimer = executor.schedule(this::flush, maxWait.toNanos(), TimeUnit.NANOSECONDS);
             }
         }
         return member.tag();
@@ -70,20 +70,20 @@
 
     private void flush() {
         synchronized (lock) {
-            closeGroup();
+            submitOpenGroup();
         }
     }
 
-    private void closeGroup() {
-        if (timer != null) {
-            timer.cancel(false);
-            timer = null;
+    private void submitOpenGroup() {
+        if (flushTimer != null) {
+            flushTimer.cancel(false);
+            flushTimer = null;
         }
-        if (open.size() == 0) {
+        if (openGroup.size() == 0) {
             return;
         }
-        TransactionGroup<CompletableFuture<Outcome>> full = open;
-        open = new TransactionGroup<>();
+        TransactionGroup<CompletableFuture<Outcome>> full = openGroup;
+        openGroup = new TransactionGroup<>();
         executor.execute(() -> commitGroup(full));
     }
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/ledger/LedgerService.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/ledger/LedgerService.java
@@ -36,8 +36,8 @@
      * @param table the table service
      * @param objects the object store
      * @param attempts sends to companions
-     * @param liveEntry whether an entry is live as far as is known; a wrong answer costs time, never a second run
-     * @param goneCompanion whether a companion's instance is known to be gone for good
+     * @param isEntryLive whether an entry is live as far as is known; a wrong answer costs time, never a second run
+     * @param isCompanionGone whether a companion's instance is known to be gone for good
      * @param clock the time of day, for the age of rows
      * @param random the source of attempt ids, safe for use by several threads
      * @param executor runs what waits, and the blocking calls of the platform, so it needs several threads
@@ -48,21 +48,21 @@
             TableService table,
             ObjectStore objects,
             Attempts attempts,
-            Predicate<InstanceId> liveEntry,
-            Predicate<InstanceId> goneCompanion,
+            Predicate<InstanceId> isEntryLive,
+            Predicate<InstanceId> isCompanionGone,
             Clock clock,
             RandomGenerator random,
             ScheduledExecutorService executor) {}
 
-    private static final int STORE_TRIES = 3;
-    private static final int SEND_TRIES = 3;
+    private static final int MAX_STORE_ATTEMPTS = 3;
+    private static final int MAX_SEND_ATTEMPTS = 3;
 
     private final LedgerSettings settings;
-    private final Surroundings surroundings;
+    private final Surroundings dependencies;
     private final Sender self;
     private final LedgerPolicy policy;
-    private final GroupCommitter groups;
-    private ScheduledFuture<?> sweeping;
+    private final GroupCommitter committer;
+    private ScheduledFuture<?> sweepTask;
 
     /**
      * Makes a service.
@@ -72,7 +72,7 @@
      */
     public LedgerService(LedgerSettings settings, Surroundings surroundings) {
         this.settings = settings;
-        this.surroundings = surroundings;
+        this.dependencies = surroundings;
         this.self = new Sender(surroundings.instance(), surroundings.incarnation());
         this.policy = new LedgerPolicy(
                 settings.patience(),
@@ -81,18 +81,19 @@
                 settings.clockError(),
                 settings.sendLimit(),
                 settings.sealLimit(),
-                STORE_TRIES,
-                SEND_TRIES);
-        this.groups = new GroupCommitter(
+                MAX_STORE_ATTEMPTS,
+                MAX_SEND_ATTEMPTS);
+        this.committer = new GroupCommitter(
                 surroundings.table(), surroundings.executor(), settings.groupSize(), settings.groupWait());
     }
 
     /** Begins the sweep of rows past their retention. */
     public synchronized void start() {
-        LedgerSweep sweep = new LedgerSweep(settings, surroundings, groups);
+        LedgerSweep sweep = new LedgerSweep(settings, dependencies, committer);
         long interval = settings.sweepInterval().toNanos();
-        sweeping =
-                surroundings.executor().scheduleWithFixedDelay(sweep::step, interval, interval, TimeUnit.NANOSECONDS);
+        sweepTask = dependencies
+                .executor()
+                .scheduleWithFixedDelay(sweep::sweepBatch, interval, interval, TimeUnit.NANOSECONDS);
     }
 
     /**
@@ -105,31 +106,31 @@
      */
     public CompletableFuture<LedgerAnswer> perform(LedgerRequest request, Dispatch dispatch) {
         LedgerView view = new LedgerView(
-                surroundings.clock()::instant,
-                () -> AttemptId.random(surroundings.random()),
+                dependencies.clock()::instant,
+                () -> AttemptId.random(dependencies.random()),
                 () -> dispatch.choose().map(chosen -> new Companion(chosen.instance(), chosen.incarnation())),
                 this::isLive,
-                companion -> surroundings.goneCompanion().test(companion.instance()));
+                companion -> dependencies.isCompanionGone().test(companion.instance()));
         LedgerCall call = new LedgerCall(
                 LedgerRowFormat.keyOf(request.account(), request.idempotencyKey()),
                 LedgerRowFormat.digestOf(request.operation(), request.body()),
                 self,
                 policy,
                 view);
-        return new CallRunner(surroundings, settings, groups, call, dispatch).run();
+        return new CallRunner(dependencies, settings, committer, call, dispatch).run();
     }
 
     private boolean isLive(Sender sender) {
         if (sender.instance().equals(self.instance())) {
             return sender.equals(self);
         }
-        return surroundings.liveEntry().test(sender.instance());
+        return dependencies.isEntryLive().test(sender.instance());
     }
 
     @Override
     public synchronized void close() {
-        if (sweeping != null) {
-            sweeping.cancel(false);
+        if (sweepTask != null) {
+            sweepTask.cancel(false);
         }
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/ledger/LedgerSweep.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/ledger/LedgerSweep.java
@@ -19,23 +19,23 @@
 final class LedgerSweep {
 
     private final LedgerSettings settings;
-    private final LedgerService.Surroundings surroundings;
-    private final GroupCommitter groups;
-    private String after = "";
+    private final LedgerService.Surroundings dependencies;
+    private final GroupCommitter committer;
+    private String lastKey = "";
 
     LedgerSweep(LedgerSettings settings, LedgerService.Surroundings surroundings, GroupCommitter groups) {
         this.settings = settings;
-        this.surroundings = surroundings;
-        this.groups = groups;
+        this.dependencies = surroundings;
+        this.committer = groups;
     }
 
     /** Reads the next rows, and deletes those past their retention. */
-    void step() {
+    void sweepBatch() {
         try {
-            List<Row> rows = surroundings.table().scan(LedgerRowFormat.TABLE, "", after, settings.sweepRows());
-            Instant oldest = surroundings.clock().instant().minus(settings.retention());
-            rows.stream().filter(row -> isOlder(row, oldest)).forEach(this::delete);
-            after = rows.size() < settings.sweepRows()
+            List<Row> rows = dependencies.table().scan(LedgerRowFormat.TABLE, "", lastKey, settings.sweepRows());
+            Instant oldest = dependencies.clock().instant().minus(settings.retention());
+            rows.stream().filter(row -> isCreatedBefore(row, oldest)).forEach(this::delete);
+            lastKey = rows.size() < settings.sweepRows()
                     ? ""
                     : rows.get(rows.size() - 1).key().key();
         } catch (PlatformException failure) {
@@ -46,7 +46,7 @@
         }
     }
 
-    private static boolean isOlder(Row row, Instant oldest) {
+    private static boolean isCreatedBefore(Row row, Instant oldest) {
         try {
             return LedgerRowFormat.read(row.value()).created().isBefore(oldest);
         } catch (LedgerRowFormat.UnreadableRowException unreadable) {
@@ -55,7 +55,7 @@
     }
 
     private void delete(Row row) {
-        groups.commit(
+        committer.commit(
                 Transaction.empty().withCondition(row.key(), row.version()).withDelete(row.key()));
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/membership/LinkedMembership.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/membership/LinkedMembership.java
@@ -57,9 +57,9 @@
     private final List<MembershipListener> listeners = new CopyOnWriteArrayList<>();
     private final Object lock = new Object();
     private final Membership membership;
-    private final Map<InstanceId, ListedInstance> kept = new HashMap<>();
-    private MembershipView published = MembershipView.empty();
-    private boolean listAnswers = true;
+    private final Map<InstanceId, ListedInstance> keptLinks = new HashMap<>();
+    private MembershipView lastPublished = MembershipView.empty();
+    private boolean listReachable = true;
     private volatile MembershipView view = MembershipView.empty();
     private volatile Optional<InstanceListReading> lastReading = Optional.empty();
     private volatile Set<InstanceId> submittingEntries = Set.of();
@@ -95,7 +95,7 @@
     public static LinkedMembership start(
             Hello hello, MembershipSettings settings, InstanceList list, Links links, MonotonicClock clock) {
         LinkedMembership started = new LinkedMembership(hello, settings, list, links, clock);
-        links.handle(Set.of(Frame.BodyCase.LEAVING), started.new Handler());
+        links.handle(Set.of(Frame.BodyCase.LEAVING), started.new LinkHandler());
         long interval = settings.readInterval().toNanos();
         started.executor.scheduleWithFixedDelay(started::readList, 0, interval, TimeUnit.NANOSECONDS);
         return started;
@@ -128,11 +128,11 @@
     @Override
     public void announceLeaving() {
         leaving = true;
-        Frame frame = leavingFrame();
+        Frame frame = createLeavingFrame();
         links.peers().forEach(peer -> peer.send(frame));
     }
 
-    private Frame leavingFrame() {
+    private Frame createLeavingFrame() {
         Leaving message = Leaving.newBuilder()
                 .setInstance(self.value())
                 .setIncarnation(incarnation)
@@ -149,19 +149,19 @@
         long asked = clock.nanos();
         try {
             List<ListedInstance> instances = list.read();
-            if (!listAnswers) {
-                listAnswers = true;
+            if (!listReachable) {
+                listReachable = true;
                 EventLog.write(EventCode.PLATFORM_REACHABLE, "instance list");
             }
             lastReading = Optional.of(new InstanceListReading(asked, instances));
             update(() -> membership.onListRead(
-                    instances.stream().map(LinkedMembership::member).toList()));
+                    instances.stream().map(LinkedMembership::toListedMember).toList()));
             if (role == MemberRole.ENTRY) {
                 keepLinks(instances);
             }
         } catch (PlatformException unanswered) {
-            if (listAnswers) {
-                listAnswers = false;
+            if (listReachable) {
+                listReachable = false;
                 EventLog.write(EventCode.PLATFORM_UNREACHABLE, unanswered, "instance list");
             }
         } catch (RuntimeException fault) {
@@ -169,7 +169,7 @@
         }
     }
 
-    private static ListedMember member(ListedInstance listed) {
+    private static ListedMember toListedMember(ListedInstance listed) {
         return new ListedMember(
                 listed.instance(),
                 listed.role() == ListedInstance.Role.ENTRY ? MemberRole.ENTRY : MemberRole.COMPANION,
@@ -186,18 +186,18 @@
                 (listed.role() == ListedInstance.Role.ENTRY ? entries : companions).put(listed.instance(), listed);
             }
         }
-        LinkSelector choice = settings.linkChoice();
+        LinkSelector choice = settings.linkSelector();
         Set<InstanceId> wanted = new HashSet<>(choice.selectEntries(self, entries.keySet()));
         wanted.addAll(choice.selectCompanions(self, entries.keySet(), companions.keySet()));
-        releaseUnwanted(wanted);
+        releaseUnwantedLinks(wanted);
         for (InstanceId instance : wanted) {
-            keep(entries.getOrDefault(instance, companions.get(instance)));
+            keepLink(entries.getOrDefault(instance, companions.get(instance)));
         }
     }
 
     /* An instance may come back under its name at another address; a link that is still open to the old one stays. */
-    private void keep(ListedInstance listed) {
-        ListedInstance before = kept.get(listed.instance());
+    private void keepLink(ListedInstance listed) {
+        ListedInstance before = keptLinks.get(listed.instance());
         if (before != null && before.linkAddress().equals(listed.linkAddress())) {
             return;
         }
@@ -207,16 +207,16 @@
             }
             links.release(listed.instance());
         }
-        kept.put(listed.instance(), listed);
+        keptLinks.put(listed.instance(), listed);
         links.keep(listed.instance(), listed.linkAddress());
     }
 
     /* The platform drops an instance from its list while the instance still finishes what runs there. Closing the link would
      * cut those answers off, so an open link stays until its other end closes it. */
-    private void releaseUnwanted(Set<InstanceId> wanted) {
-        for (InstanceId instance : Set.copyOf(kept.keySet())) {
+    private void releaseUnwantedLinks(Set<InstanceId> wanted) {
+        for (InstanceId instance : Set.copyOf(keptLinks.keySet())) {
             if (!wanted.contains(instance) && links.find(instance).isEmpty()) {
-                kept.remove(instance);
+                keptLinks.remove(instance);
                 links.release(instance);
             }
         }
@@ -249,13 +249,13 @@
     }
 
     private void publish() {
-        MembershipView before = published;
+        MembershipView before = lastPublished;
         MembershipView after = view;
-        published = after;
+        lastPublished = after;
         logChanges(before, after);
         for (MembershipListener listener : listeners) {
             try {
-                listener.changed(before, after);
+                listener.onMembershipChanged(before, after);
             } catch (RuntimeException fault) {
                 EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "listener of the membership");
             }
@@ -280,23 +280,23 @@
     }
 
     /** Takes what links bring. */
-    private final class Handler implements FrameHandler {
+    private final class LinkHandler implements FrameHandler {
 
         @Override
         public void opened(Peer peer) {
             try {
-                LinkedMember member = linkedMember(peer.hello());
+                LinkedMember member = toLinkedMember(peer.hello());
                 update(() -> membership.onLinkOpened(member));
             } catch (IllegalArgumentException invalid) {
                 peer.close("its Hello is wrong: " + invalid.getMessage());
                 return;
             }
             if (leaving) {
-                peer.send(leavingFrame());
+                peer.send(createLeavingFrame());
             }
         }
 
-        private LinkedMember linkedMember(Hello hello) {
+        private LinkedMember toLinkedMember(Hello hello) {
             return new LinkedMember(
                     InstanceId.of(hello.getInstance()),
                     roleOf(hello),
--- a/daemon/src/main/java/org/geraniumreach/daemon/membership/MembershipListener.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/membership/MembershipListener.java
@@ -16,5 +16,5 @@
      * @param before the view until now, not null
      * @param after the view from now on, not null
      */
-    void changed(MembershipView before, MembershipView after);
+    void onMembershipChanged(MembershipView before, MembershipView after);
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/membership/MembershipSettings.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/membership/MembershipSettings.java
@@ -40,7 +40,7 @@
                         about = "How many entries link with each companion beyond that.")
                 int entriesOfCompanion) {
 
-    LinkSelector linkChoice() {
+    LinkSelector linkSelector() {
         return new LinkSelector(fullMeshEntries, rings, fullMeshCompanions, entriesOfCompanion);
     }
 }
--- a/daemon/src/test/java/org/geraniumreach/daemon/budget/BudgetServiceTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/budget/BudgetServiceTest.java
@@ -34,7 +34,7 @@
 class BudgetServiceTest {
 
     private static final AccountId ACCOUNT = AccountId.of("account");
-    private static final int PORT = 9000;
+    private static final int FIRST_PORT = 9000;
 
     private final ScheduledExecutorService executor = Executors.newScheduledThreadPool(4);
     private final FaultyTable table = new FaultyTable(() -> FaultyTable.Fault.NONE);
@@ -48,21 +48,21 @@
     }
 
     @Test
-    void theFirstEntryHasTheWholeAndGivesBackWhatIsNotUsed() throws Exception {
+    void firstEntryHoldsTheWholeShareAndReturnsUnusedTokens() throws Exception {
         BudgetService budget = startAndAwaitShare("one");
         reserve(budget, 1000).get().settle(0);
         assertThat(reserve(budget, 1000).get().tokens()).isEqualTo(1000);
     }
 
     @Test
-    void aRequestAboveTheBurstIsRefused() throws Exception {
+    void refusesARequestAboveTheBurst() throws Exception {
         ServingException refusal = refusalOf(reserve(startAndAwaitShare("one"), 1001));
         assertThat(refusal.code()).isEqualTo(ResultCode.REQUEST_ABOVE_BURST);
         assertThat(refusal.executionStatus()).isEqualTo(ExecutionStatus.NO);
     }
 
     @Test
-    void aRequestThatTheRateCannotBringInTimeIsRefusedWithTheTimeToComeBack() throws Exception {
+    void refusesWithRetryAfterWhenTheRateIsTooLowForTheDeadline() throws Exception {
         BudgetService budget = startAndAwaitShare("one");
         reserve(budget, 1000).get();
         ServingException refusal = refusalOf(reserve(budget, 1000));
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void anEntryWithoutAShareBorrowsFromAnother() throws Exception {
+    void entryWithoutAShareBorrowsFromAnotherEntry() throws Exception {
         startAndAwaitShare("one");
         BudgetService second = start("two");
         Optional<Reservation> borrowed = Optional.empty();
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void anEntryThatLeavesGivesItsSharesToTheNext() throws Exception {
+    void leavingEntryReleasesItsSharesToTheNextEntry() throws Exception {
         startAndAwaitShare("one").release().get();
         assertThat(startAndAwaitShare("two").share(ACCOUNT)).isEqualTo(1);
     }
@@ -101,7 +101,7 @@
 
     private BudgetService start(String name) {
         InstanceId instance = InstanceId.of(name);
-        InetSocketAddress address = new InetSocketAddress("127.0.0.1", PORT + services.size());
+        InetSocketAddress address = new InetSocketAddress("127.0.0.1", FIRST_PORT + services.size());
         MonotonicClock clock = MonotonicClock.system();
         ListedInstance listed =
                 new ListedInstance(instance, ListedInstance.Role.ENTRY, FailureDomain.of("domain"), address, false);
--- a/daemon/src/test/java/org/geraniumreach/daemon/budget/LocalLinks.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/budget/LocalLinks.java
@@ -18,12 +18,12 @@
 final class LocalLinks implements Links {
 
     private final InstanceId self;
-    private final Map<InstanceId, LocalLinks> all;
+    private final Map<InstanceId, LocalLinks> network;
     private volatile FrameHandler handler;
 
     LocalLinks(InstanceId self, Map<InstanceId, LocalLinks> all) {
         this.self = self;
-        this.all = all;
+        this.network = all;
         all.put(self, this);
     }
 
@@ -43,12 +43,12 @@
 
     @Override
     public Optional<Peer> find(InstanceId instance) {
-        return Optional.ofNullable(all.get(instance)).map(other -> new LocalPeer(other, this));
+        return Optional.ofNullable(network.get(instance)).map(other -> new LocalPeer(other, this));
     }
 
     @Override
     public List<Peer> peers() {
-        return all.values().stream()
+        return network.values().stream()
                 .filter(other -> other != this)
                 .<Peer>map(other -> new LocalPeer(other, this))
                 .toList();
--- a/daemon/src/test/java/org/geraniumreach/daemon/configuration/MemoryLinks.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/configuration/InMemoryLinks.java
@@ -16,15 +16,15 @@
 import org.geraniumreach.model.InstanceId;
 
 /** Links within one process: what one end sends the other receives at once. */
-final class MemoryLinks implements Links {
+final class InMemoryLinks implements Links {
 
     private final Hello hello;
-    private final Map<InstanceId, Peer> open = new ConcurrentHashMap<>();
+    private final Map<InstanceId, Peer> openPeers = new ConcurrentHashMap<>();
     private final List<Registration> handlers = new ArrayList<>();
 
     private record Registration(Set<Frame.BodyCase> kinds, FrameHandler handler) {}
 
-    MemoryLinks(String instance, String role) {
+    InMemoryLinks(String instance, String role) {
         hello = Hello.newBuilder()
                 .setInstance(instance)
                 .setRole(role)
@@ -33,13 +33,13 @@
                 .build();
     }
 
-    void connect(MemoryLinks other) {
+    void connect(InMemoryLinks other) {
         End here = new End(this, other);
         End there = new End(other, this);
-        here.back = there;
-        there.back = here;
-        open.put(InstanceId.of(other.hello.getInstance()), here);
-        other.open.put(InstanceId.of(hello.getInstance()), there);
+        here.reverse = there;
+        there.reverse = here;
+        openPeers.put(InstanceId.of(other.hello.getInstance()), here);
+        other.openPeers.put(InstanceId.of(hello.getInstance()), there);
         handlers.forEach(registered -> registered.handler().opened(here));
         other.handlers.forEach(registered -> registered.handler().opened(there));
     }
@@ -58,12 +58,12 @@
 
     @Override
     public Optional<Peer> find(InstanceId instance) {
-        return Optional.ofNullable(open.get(instance));
+        return Optional.ofNullable(openPeers.get(instance));
     }
 
     @Override
     public List<Peer> peers() {
-        return List.copyOf(open.values());
+        return List.copyOf(openPeers.values());
     }
 
     @Override
@@ -74,10 +74,10 @@
     /** One end's view of the other. */
     private static final class End implements Peer {
 
-        private final MemoryLinks to;
-        private End back;
+        private final InMemoryLinks to;
+        private End reverse;
 
-        End(MemoryLinks from, MemoryLinks to) {
+        End(InMemoryLinks from, InMemoryLinks to) {
             this.to = to;
         }
 
@@ -88,7 +88,7 @@
 
         @Override
         public boolean send(Frame frame) {
-            to.receive(back, frame);
+            to.receive(reverse, frame);
             return true;
         }
 
--- a/daemon/src/test/java/org/geraniumreach/daemon/configuration/LoneEntry.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/configuration/LoneEntry.java
@@ -49,7 +49,7 @@
                 SELF,
                 settings,
                 table,
-                new MemoryLinks(SELF.value(), "entry"),
+                new InMemoryLinks(SELF.value(), "entry"),
                 new FixedMembership(Set.of(SELF)),
                 clock,
                 new Random(1));
--- a/daemon/src/test/java/org/geraniumreach/daemon/configuration/MemoryTable.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/configuration/MemoryTable.java
@@ -14,27 +14,27 @@
 public final class MemoryTable implements TableService {
 
     private final TreeMap<String, Row> rows = new TreeMap<>();
-    private boolean away;
+    private boolean unavailable;
 
     public synchronized void setAway(boolean isAway) {
-        away = isAway;
+        unavailable = isAway;
     }
 
-    private void requireThere(PlatformException.Effect effect) throws PlatformException {
-        if (away) {
+    private void requireAvailable(PlatformException.Effect effect) throws PlatformException {
+        if (unavailable) {
             throw new PlatformException(effect, "the table is away", null);
         }
     }
 
     @Override
     public synchronized Optional<Row> read(RowKey key) throws PlatformException {
-        requireThere(PlatformException.Effect.NONE);
+        requireAvailable(PlatformException.Effect.NONE);
         return Optional.ofNullable(rows.get(key.key()));
     }
 
     @Override
     public synchronized List<Row> scan(String table, String prefix, String after, int limit) throws PlatformException {
-        requireThere(PlatformException.Effect.NONE);
+        requireAvailable(PlatformException.Effect.NONE);
         return rows.tailMap(after, false).values().stream()
                 .filter(row -> row.key().key().startsWith(prefix))
                 .limit(limit)
@@ -43,7 +43,7 @@
 
     @Override
     public synchronized boolean commit(Transaction transaction) throws PlatformException {
-        requireThere(PlatformException.Effect.UNKNOWN);
+        requireAvailable(PlatformException.Effect.UNKNOWN);
         for (Transaction.Condition condition : transaction.conditions()) {
             if (version(condition.key()) != condition.version()) {
                 return false;
--- a/daemon/src/test/java/org/geraniumreach/daemon/configuration/ReplicatedConfigurationTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/configuration/ReplicatedConfigurationTest.java
@@ -31,7 +31,7 @@
 
     private static final ConfigurationSettings SETTINGS = new ConfigurationSettings(
             Duration.ofMillis(50), Duration.ofMillis(500), 2, Duration.ofSeconds(2), Duration.ofSeconds(1), 10);
-    private static final Duration PATIENCE = Duration.ofSeconds(30);
+    private static final Duration TIMEOUT = Duration.ofSeconds(30);
     private static final KeyDigest DIGEST = KeyDigest.ofSecret("secret");
 
     private final MonotonicClock clock = MonotonicClock.system();
@@ -39,10 +39,10 @@
     private final List<ReplicatedConfiguration> started = new ArrayList<>();
 
     private final Set<InstanceId> entries = Set.of(InstanceId.of("entry-1"), InstanceId.of("entry-2"));
-    private final MemoryLinks firstLinks = new MemoryLinks("entry-1", "entry");
-    private final MemoryLinks secondLinks = new MemoryLinks("entry-2", "entry");
+    private final InMemoryLinks firstLinks = new InMemoryLinks("entry-1", "entry");
+    private final InMemoryLinks secondLinks = new InMemoryLinks("entry-2", "entry");
 
-    private ReplicatedConfiguration start(String instance, MemoryLinks links) {
+    private ReplicatedConfiguration start(String instance, InMemoryLinks links) {
         ReplicatedConfiguration configuration = ReplicatedConfiguration.start(
                 InstanceId.of(instance),
                 SETTINGS,
@@ -65,7 +65,7 @@
     }
 
     private static void await(BooleanSupplier condition) throws InterruptedException {
-        long deadline = System.nanoTime() + PATIENCE.toNanos();
+        long deadline = System.nanoTime() + TIMEOUT.toNanos();
         while (!condition.getAsBoolean()) {
             assertThat(System.nanoTime()).isLessThan(deadline);
             Thread.sleep(5);
@@ -90,7 +90,7 @@
      * the change from the first, and tells whoever runs streams which keys are good no more.
      */
     @Test
-    void aWithdrawnKeyIsToldAtTheOtherEntry() throws InterruptedException {
+    void withdrawnKeyIsReportedAtAnotherEntry() throws InterruptedException {
         ReplicatedConfiguration first = start("entry-1", firstLinks);
         ReplicatedConfiguration second = start("entry-2", secondLinks);
         firstLinks.connect(secondLinks);
@@ -115,7 +115,7 @@
      * starts from it.
      */
     @Test
-    void aFreshInstanceStartsFromTheSnapshotInTheTable() throws Exception {
+    void newInstanceStartsFromTheSnapshotInTheTable() throws Exception {
         ReplicatedConfiguration first = start("entry-1", firstLinks);
         Submitter submitter = submitter(first);
         for (int number = 0; number < 25; number++) {
@@ -123,17 +123,17 @@
                     .isTrue();
         }
         start("entry-2", secondLinks);
-        await(() -> isThere(ConfigurationRows.SNAPSHOT));
-        deleteLogTo(ConfigurationRows.readPointer(
+        await(() -> isPresent(ConfigurationRows.SNAPSHOT));
+        deleteLogUpTo(ConfigurationRows.readPointer(
                         table.read(ConfigurationRows.SNAPSHOT).orElseThrow().value())
                 .revision());
-        ReplicatedConfiguration fresh = start("entry-2", new MemoryLinks("entry-2", "entry"));
+        ReplicatedConfiguration fresh = start("entry-2", new InMemoryLinks("entry-2", "entry"));
         await(() -> fresh.current().revision() == 25);
         assertThat(fresh.current().entries()).hasSize(1);
         assertThat(fresh.reasonNotReady()).isEmpty();
     }
 
-    private boolean isThere(RowKey key) {
+    private boolean isPresent(RowKey key) {
         try {
             return table.read(key).isPresent();
         } catch (PlatformException away) {
@@ -141,7 +141,7 @@
         }
     }
 
-    private void deleteLogTo(long revision) throws Exception {
+    private void deleteLogUpTo(long revision) throws Exception {
         for (long old = 1; old <= revision; old++) {
             table.commit(Transaction.empty().withDelete(ConfigurationRows.logKey(old)));
         }
@@ -152,7 +152,7 @@
      * is away and no peer is there it refuses as not run, with a time to come back, and is not ready.
      */
     @Test
-    void anInstanceWithoutConfigurationRefusesWithATimeToComeBack() {
+    void instanceWithoutConfigurationRefusesWithRetryAfter() {
         table.setAway(true);
         ReplicatedConfiguration alone = start("entry-1", firstLinks);
         ServingException refusal = catchThrowableOfType(ServingException.class, alone::requireFresh);
--- a/daemon/src/test/java/org/geraniumreach/daemon/ledger/LedgerServiceTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/ledger/LedgerServiceTest.java
@@ -41,14 +41,14 @@
 class LedgerServiceTest {
 
     private static final InstanceId COMPANION = InstanceId.of("companion");
-    private static final int SMALL = 10;
-    private static final int LARGE = 100_000;
+    private static final int INLINE_ANSWER_BYTES = 10;
+    private static final int OBJECT_ANSWER_BYTES = 100_000;
 
     private final ScheduledExecutorService executor = Executors.newScheduledThreadPool(4);
     private final AtomicReference<Fault> fault = new AtomicReference<>(Fault.NONE);
     private final Map<String, byte[]> objects = new ConcurrentHashMap<>();
     private final AtomicInteger runs = new AtomicInteger();
-    private int answerLength = SMALL;
+    private int answerBytes = INLINE_ANSWER_BYTES;
 
     @AfterEach
     void stop() {
@@ -56,9 +56,9 @@
     }
 
     @ParameterizedTest
-    @ValueSource(ints = {0, SMALL, LARGE})
-    void aSecondCallGetsTheStoredAnswerWhole(int length) throws Exception {
-        answerLength = length;
+    @ValueSource(ints = {0, INLINE_ANSWER_BYTES, OBJECT_ANSWER_BYTES})
+    void secondCallReturnsTheCompleteStoredAnswer(int length) throws Exception {
+        answerBytes = length;
         LedgerService ledger = service();
         byte[] first = ledger.perform(request("body"), dispatch()).get().body();
         LedgerAnswer second = ledger.perform(request("body"), dispatch()).get();
@@ -70,7 +70,7 @@
     // The caller sees a refusal that says "not run", and may believe it: without the row that keeps a second call
     // from sending, nothing is sent.
     @Test
-    void withoutTheTableServiceNothingIsSent() throws Exception {
+    void sendsNothingWhenTheTableServiceIsUnreachable() throws Exception {
         fault.set(Fault.UNREACHABLE);
         ServingException refusal = failureOf(service().perform(request("body"), dispatch()));
         assertThat(refusal.code()).isEqualTo(ResultCode.STORE_UNAVAILABLE);
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void anotherBodyUnderTheKeyIsRefused() throws Exception {
+    void refusesAnotherBodyWithTheSameKey() throws Exception {
         LedgerService ledger = service();
         ledger.perform(request("body"), dispatch()).get();
         ServingException refusal = failureOf(ledger.perform(request("another"), dispatch()));
@@ -90,14 +90,14 @@
     // would share a transaction, in which both conditions hold and the later write wins; each must be told its own
     // result.
     @Test
-    void callsWithOneKeyAtOnceRunOnce() throws Exception {
+    void concurrentCallsWithOneKeyRunOnce() throws Exception {
         LedgerService ledger = service();
         List<CompletableFuture<LedgerAnswer>> calls = new ArrayList<>();
         for (int call = 0; call < 20; call++) {
             calls.add(ledger.perform(request("body"), dispatch()));
         }
         for (CompletableFuture<LedgerAnswer> call : calls) {
-            assertThat(call.get().body()).hasSize(SMALL);
+            assertThat(call.get().body()).hasSize(INLINE_ANSWER_BYTES);
         }
         assertThat(runs).hasValue(1);
     }
@@ -150,8 +150,8 @@
                         InstanceId.of("entry"),
                         1,
                         new FaultyTable(fault::get),
-                        new MemoryObjects(),
-                        new InstantAttempts(),
+                        new InMemoryObjectStore(),
+                        new ImmediateAttempts(),
                         entry -> true,
                         companion -> false,
                         Clock.systemUTC(),
@@ -160,7 +160,7 @@
     }
 
     /** An object store in memory. */
-    private final class MemoryObjects implements ObjectStore {
+    private final class InMemoryObjectStore implements ObjectStore {
 
         @Override
         public void put(String key, byte[] content) {
@@ -174,25 +174,25 @@
     }
 
     /** A companion that answers in two chunks, from a thread of its own. */
-    private final class InstantAttempts implements Attempts {
+    private final class ImmediateAttempts implements Attempts {
 
         @Override
         public AttemptHandle run(InstanceId companion, Run run, AttemptListener listener) {
             executor.execute(() -> {
                 runs.incrementAndGet();
                 listener.accepted();
-                listener.chunk(0, ByteString.copyFrom(new byte[answerLength / 2]), 0);
-                listener.chunk(1, ByteString.copyFrom(new byte[answerLength - answerLength / 2]), 0);
+                listener.chunk(0, ByteString.copyFrom(new byte[answerBytes / 2]), 0);
+                listener.chunk(1, ByteString.copyFrom(new byte[answerBytes - answerBytes / 2]), 0);
                 listener.ended(End.newBuilder().setCount(2).build());
             });
-            return new IdleHandle();
+            return new NoOpHandle();
         }
 
         @Override
         public AttemptHandle resume(
                 InstanceId companion, String attempt, long incarnation, long nextSequence, AttemptListener listener) {
             listener.lost(ExecutionStatus.UNKNOWN, "not kept");
-            return new IdleHandle();
+            return new NoOpHandle();
         }
 
         @Override
@@ -202,7 +202,7 @@
     }
 
     /** A handle that does nothing. */
-    private static final class IdleHandle implements AttemptHandle {
+    private static final class NoOpHandle implements AttemptHandle {
 
         @Override
         public void request(int chunks) {
