--- a/daemon/src/main/java/org/geraniumreach/daemon/budget/BudgetCallback.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/budget/BudgetCallback.java
@@ -3,23 +3,24 @@
 import org.geraniumreach.model.ServingException;
 
 /**
- * Is told whether a request has its budget.
+ * Receives the outcome of one {@link BudgetService#reserve}.
  *
- * <p>Contract: one of the methods is called, once, by the thread that reserves or by one of the executor; it must not block.
+ * <p>Contract: exactly one of the methods is called, once, on the reserving thread or on a thread of the executor; it must
+ * not block.
  */
 public interface BudgetCallback {
 
     /**
-     * Tells that the tokens are set aside.
+     * Called when the tokens are reserved.
      *
-     * @param reservation to be settled when the request ends, not null
+     * @param reservation the reservation, which must be settled when the request ends, not null
      */
     void granted(Reservation reservation);
 
     /**
-     * Tells that the request may not run.
+     * Called when the request must not run.
      *
-     * @param refusal OUT_OF_BUDGET with the time to come back, or REQUEST_ABOVE_BURST; it has not run, not null
+     * @param refusal OUT_OF_BUDGET with a retry-after time, or REQUEST_ABOVE_BURST, both as not run; not null
      */
     void refused(ServingException refusal);
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/budget/BudgetService.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/budget/BudgetService.java
@@ -45,27 +45,27 @@
 import org.geraniumreach.ports.TableService;
 
 /**
- * The budgets of all client accounts at one entry.
+ * Reserves tokens from the budgets of all client accounts at one entry.
  *
- * <p>Invariants: those of {@link EntryBudget}; each callback is told once; the calls of the table service are made by one
- * task at a time. Safe for use by several threads; each client account's state is under a lock of its own, which is not
- * held while a callback runs.
+ * <p>Invariants: those of {@link EntryBudget}; each callback is called once; table service calls are made by one task at a
+ * time. Safe for use by several threads; each client account's state has its own lock, which is not held while a callback
+ * runs.
  */
 public final class BudgetService implements AutoCloseable {
 
     /**
-     * What the service works with.
+     * The collaborators of the service.
      *
-     * @param instance this entry's name on the list
-     * @param linkAddress this entry's link address on the list; the socket must be bound already
-     * @param incarnation the number of this start of the process
+     * @param instance this entry's name in the instance list
+     * @param linkAddress this entry's link address in the instance list; the socket must already be bound
+     * @param incarnation the incarnation of this process
      * @param table the table service
      * @param links the links with the other entries
-     * @param instanceList the newest reading of the list, empty before the first
-     * @param configuration the configuration in force
-     * @param clock the source of elapsed time
+     * @param instanceList supplies the latest reading of the instance list, empty before the first
+     * @param configuration supplies the configuration in force
+     * @param clock the monotonic clock
      * @param random the source of random choices, safe for use by several threads
-     * @param executor runs what waits; calls of the table service block one of its threads at a time
+     * @param executor runs scheduled tasks; table service calls block at most one of its threads
      */
     public record Surroundings(
             InstanceId instance,
@@ -95,25 +95,25 @@
     private ScheduledFuture<?> tickTask;
 
     /**
-     * Makes a service that holds nothing yet.
+     * Creates a service that holds no shares.
      *
      * @param settings the settings, not null
-     * @param surroundings what the service works with, not null
+     * @param dependencies the collaborators, not null
      * @throws IllegalArgumentException if the quarantine is too short for the other settings
      */
-    public BudgetService(BudgetSettings settings, Surroundings surroundings) {
-        this.dependencies = surroundings;
+    public BudgetService(BudgetSettings settings, Surroundings dependencies) {
+        this.dependencies = dependencies;
         HolderId self = new HolderId(
-                surroundings.instance(), formatAddress(surroundings.linkAddress()), surroundings.incarnation());
-        this.budget = new EntryBudget(self, settings.policy(), surroundings.clock(), surroundings.random());
-        this.storeCalls = new StoreCallExecutor(budget.keeper(), surroundings.table());
+                dependencies.instance(), formatAddress(dependencies.linkAddress()), dependencies.incarnation());
+        this.budget = new EntryBudget(self, settings.policy(), dependencies.clock(), dependencies.random());
+        this.storeCalls = new StoreCallExecutor(budget.keeper(), dependencies.table());
     }
 
     private static String formatAddress(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** Begins to take and keep shares. */
+    /** Starts acquiring shares and renewing the lease that covers them. */
     public synchronized void start() {
         dependencies
                 .links()
@@ -127,12 +127,12 @@
     }
 
     /**
-     * Sets tokens aside for a request, at once or after a short wait in order of arrival.
+     * Reserves tokens for a request, at once or after a short wait in order of arrival.
      *
      * @param account the client account, not null
-     * @param tokens the prompt and the most that may be generated, at least 0
-     * @param deadlineLeft the time that the request has left, not null
-     * @param callback told once, maybe before this method returns, not null
+     * @param tokens the prompt tokens plus the maximum that may be generated, at least 0
+     * @param deadlineLeft the time left until the deadline of the request, not null
+     * @param callback called once, possibly before this method returns, not null
      */
     public void reserve(AccountId account, long tokens, Duration deadlineLeft, BudgetCallback callback) {
         if (tokens < 0) {
@@ -143,16 +143,16 @@
         perform(account, budget.reserve(account, ticket, tokens, deadlineLeft));
     }
 
-    /** Takes the rates of the configuration now in force; call after each change. */
+    /** Applies the rates of the configuration in force; must be called after each change. */
     public synchronized void configurationChanged() {
         Set<AccountId> present = new HashSet<>();
         for (ClientAccount account : dependencies.configuration().get().accounts()) {
             present.add(account.id());
             perform(account.id(), budget.setRate(account.id(), account.tokensPerSecond(), account.burstTokens()));
         }
-        for (AccountId gone : knownAccounts) {
-            if (!present.contains(gone)) {
-                perform(gone, budget.setRate(gone, 0, 0));
+        for (AccountId removed : knownAccounts) {
+            if (!present.contains(removed)) {
+                perform(removed, budget.setRate(removed, 0, 0));
             }
         }
         knownAccounts = present;
@@ -160,7 +160,7 @@
     }
 
     /**
-     * Gets the share of a client account that this entry holds itself, loans aside.
+     * Gets the share of a client account that this entry holds, not counting loans.
      *
      * @param account the account, not null
      * @return the share, 0 to 1
@@ -170,16 +170,17 @@
     }
 
     /**
-     * Puts all shares back for others to take, at the end of a drain; nothing is granted afterwards.
+     * Releases all shares to other entries at the end of a drain; nothing is granted afterwards.
      *
-     * @return completed when the shares are back; a process that ends before loses nothing but time, not null
+     * @return completed when the shares are released; if the process ends before, others can take the shares only after the
+     *     quarantine, not null
      */
     public CompletableFuture<Void> release() {
         budget.release();
         return releaseCompletion;
     }
 
-    /** Stops without putting anything back. */
+    /** Stops without releasing any shares. */
     @Override
     public synchronized void close() {
         if (tickTask != null) {
@@ -200,8 +201,8 @@
                 releaseCompletion.complete(null);
             }
         } catch (RuntimeException fault) {
-            // A task that throws is never run again, and the lease would lapse unnoticed.
-            EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "keeping the budget's shares");
+            // The executor drops a periodic task that throws, and the lease would lapse unnoticed.
+            EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "periodic update of the budget shares");
         }
     }
 
@@ -238,16 +239,17 @@
     }
 
     private void logProofLoss() {
-        boolean holds = budget.isProved();
-        if (wasProved && !holds) {
-            EventLog.write(EventCode.SHARE_LAPSED, "neither the lease nor the list proves the shares");
+        boolean isProved = budget.isProved();
+        if (wasProved && !isProved) {
+            EventLog.write(
+                    EventCode.SHARE_LAPSED, "neither the lease nor the instance list proves that the shares are held");
         }
-        wasProved = holds;
+        wasProved = isProved;
     }
 
     private void perform(AccountId account, BudgetStep step) {
         step.actions().forEach(action -> perform(account, action));
-        step.wakeAt().ifPresent(at -> scheduleWakeup(account, at));
+        step.wakeAt().ifPresent(atNanos -> scheduleWakeup(account, atNanos));
     }
 
     private void perform(AccountId account, BudgetAction action) {
@@ -259,36 +261,36 @@
                             refused.code(), refused.code().meaning())
                     .withRetryAfter(refused.retryAfter());
             completeRequest(refused.ticket(), callback -> callback.refused(refusal));
-        } else if (action instanceof BudgetAction.AskLoan ask) {
-            dependencies.links().find(ask.peer()).ifPresent(peer -> peer.send(LoanFrames.encode(ask.wish())));
-        } else if (action instanceof BudgetAction.GiveLoan give) {
-            dependencies.links().find(give.peer()).ifPresent(peer -> peer.send(LoanFrames.encode(give.loan())));
+        } else if (action instanceof BudgetAction.AskLoan askLoan) {
+            dependencies.links().find(askLoan.peer()).ifPresent(peer -> peer.send(LoanFrames.encode(askLoan.wish())));
+        } else if (action instanceof BudgetAction.GiveLoan giveLoan) {
+            dependencies.links().find(giveLoan.peer()).ifPresent(peer -> peer.send(LoanFrames.encode(giveLoan.loan())));
         }
     }
 
-    private void completeRequest(long ticket, Consumer<BudgetCallback> how) {
+    private void completeRequest(long ticket, Consumer<BudgetCallback> notification) {
         BudgetCallback callback = pendingCallbacks.remove(ticket);
         if (callback != null) {
-            how.accept(callback);
+            notification.accept(callback);
         }
     }
 
-    private void scheduleWakeup(AccountId account, long at) {
+    private void scheduleWakeup(AccountId account, long atNanos) {
         Long earlier = scheduledWakeups.get(account);
-        if (earlier != null && earlier <= at) {
+        if (earlier != null && earlier <= atNanos) {
             return;
         }
-        scheduledWakeups.put(account, at);
-        long delay = Math.max(0, at - dependencies.clock().nanos());
-        dependencies.executor().schedule(() -> wakeUp(account, at), delay, TimeUnit.NANOSECONDS);
+        scheduledWakeups.put(account, atNanos);
+        long delayNanos = Math.max(0, atNanos - dependencies.clock().nanos());
+        dependencies.executor().schedule(() -> wakeUp(account, atNanos), delayNanos, TimeUnit.NANOSECONDS);
     }
 
-    private void wakeUp(AccountId account, long at) {
-        scheduledWakeups.remove(account, at);
+    private void wakeUp(AccountId account, long atNanos) {
+        scheduledWakeups.remove(account, atNanos);
         perform(account, budget.wake(account));
     }
 
-    /** A reservation that gives back through the service. */
+    /** A reservation that returns unused tokens to the budget of its account. */
     private final class GrantedReservation implements Reservation {
 
         private final AccountId account;
@@ -310,17 +312,17 @@
         }
     }
 
-    /** Takes the frames of loans. */
+    /** Handles loan requests, loan answers and notices of moved shares. */
     private final class LoanFrameHandler implements FrameHandler {
 
         @Override
         public void opened(Peer peer) {
-            // Peers are looked up when a loan is needed.
+            // Peers are looked up when a loan is needed, so none are tracked here.
         }
 
         @Override
         public void closed(Peer peer, String reason) {
-            // A loan request without an answer is given up by its time limit.
+            // A loan request without an answer ends by its timeout.
         }
 
         @Override
@@ -328,15 +330,15 @@
             try {
                 handleFrame(InstanceId.of(peer.hello().getInstance()), frame);
             } catch (IllegalArgumentException invalid) {
-                EventLog.write(EventCode.FRAME_REFUSED, "loan frame: {}", invalid.getMessage());
+                EventLog.write(EventCode.FRAME_REFUSED, "invalid loan frame: {}", invalid.getMessage());
             }
         }
 
         private void handleFrame(InstanceId peer, Frame frame) {
             switch (frame.getBodyCase()) {
                 case LOAN_REQUEST -> {
-                    LoanWish wish = LoanFrames.decodeRequest(frame.getLoanRequest());
-                    perform(wish.account(), budget.loanAsked(peer, wish));
+                    LoanWish request = LoanFrames.decodeRequest(frame.getLoanRequest());
+                    perform(request.account(), budget.loanAsked(peer, request));
                 }
                 case LOAN_ANSWER -> {
                     Loan loan = LoanFrames.decodeAnswer(frame.getLoanAnswer());
--- a/daemon/src/main/java/org/geraniumreach/daemon/budget/BudgetSettings.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/budget/BudgetSettings.java
@@ -8,21 +8,21 @@
 import org.geraniumreach.daemon.settings.Setting;
 
 /**
- * Settings of the budget; all entries of a fleet must have the same.
+ * Settings of the budget, which must be equal at all entries of a fleet.
  *
- * <p>Invariant, checked by {@link BudgetService}: the quarantine exceeds the proof limit, twice the list's lag, a loan and the
- * drift of two clocks together. Immutable and safe for use by several threads.
+ * <p>Invariant, checked by {@link BudgetService}: the quarantine exceeds the sum of the proof limit, twice the list lag,
+ * the loan duration and the drift of two clocks. Immutable and safe for use by several threads.
  *
- * @param sharing whether entries lend and hand over shares
- * @param leaseRenewal how often the lease is renewed
- * @param proofLimit how long a proof counts
- * @param listLag the greatest lag of the instance list
- * @param quarantine how long a holder must be gone before its shares are taken back
- * @param loanDuration how long a loan lasts
- * @param loanAnswerLimit how long an answer to a loan request is waited for
- * @param longestWait how long a request may wait for budget
- * @param scanInterval how often the rows of other entries are looked at
- * @param clockDriftPartsPerMillion the greatest drift of a clock
+ * @param sharing whether entries lend and transfer shares
+ * @param leaseRenewal the interval between renewals of the lease
+ * @param proofLimit how long a renewed lease, or a reading of the instance list, proves that the shares are held
+ * @param listLag the maximum lag of the instance list
+ * @param quarantine how long a holder must be absent before its shares are reclaimed
+ * @param loanDuration the duration of a loan
+ * @param loanAnswerLimit the timeout of a loan request
+ * @param longestWait the maximum time that a request waits for budget
+ * @param scanInterval the interval between scans for shares without a holder
+ * @param clockDriftPartsPerMillion the maximum drift of a clock, in parts per million
  */
 public record BudgetSettings(
         @Setting(value = "by-demand", about = "Whether entries lend and hand over shares: by-demand or static-split.")
@@ -60,14 +60,14 @@
 
     /** How entries share a client account's budget. */
     public enum Sharing {
-        /** Shares follow demand, by loans and handovers. */
+        /** Shares follow demand, by loans and transfers. */
         BY_DEMAND,
-        /** Shares stay where they are, for comparison. */
+        /** Shares do not move; serves as a baseline for comparison. */
         STATIC_SPLIT
     }
 
     /**
-     * Gets the settings as the core takes them.
+     * Gets the budget policy that these settings describe.
      *
      * @return the policy, not null
      * @throws IllegalArgumentException if the quarantine is too short for the other settings
--- a/daemon/src/main/java/org/geraniumreach/daemon/budget/ListReading.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/budget/ListReading.java
@@ -5,12 +5,12 @@
 import org.geraniumreach.ports.ListedInstance;
 
 /**
- * The entries on the platform's list, with the time of the reading.
+ * The entries in the platform's instance list, with the time of the reading.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param requestedAtNanos the reading of the monotonic clock before the list was asked for
- * @param entries the entries listed, those that are leaving among them
+ * @param requestedAtNanos the monotonic clock in nanoseconds before the list was requested
+ * @param entries the listed entries, including those that are leaving
  */
 public record ListReading(long requestedAtNanos, List<ListedInstance> entries) {
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/budget/LoanFrames.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/budget/LoanFrames.java
@@ -15,7 +15,7 @@
 import org.geraniumreach.model.table.RowKey;
 
 /**
- * The frames by which entries lend budget.
+ * Encodes and decodes the frames of loans between entries.
  *
  * <p>Stateless and safe for use by several threads.
  */
@@ -23,22 +23,22 @@
 
     private LoanFrames() {}
 
-    static Frame encode(LoanWish wish) {
+    static Frame encode(LoanWish request) {
         return Frame.newBuilder()
                 .setLoanRequest(LoanRequest.newBuilder()
-                        .setNumber(wish.number())
-                        .setAccount(wish.account().value())
-                        .setTokensWanted(wish.tokens())
-                        .setShareWanted(wish.parts())
-                        .setDurationMillis(wish.duration().toMillis())
-                        .setDemand(wish.demand())
-                        .setShareHeld(wish.heldParts())
-                        .setHolder(wish.holder().map(RowKey::key).orElse("")))
+                        .setNumber(request.number())
+                        .setAccount(request.account().value())
+                        .setTokensWanted(request.tokens())
+                        .setShareWanted(request.parts())
+                        .setDurationMillis(request.duration().toMillis())
+                        .setDemand(request.demand())
+                        .setShareHeld(request.heldParts())
+                        .setHolder(request.holder().map(RowKey::key).orElse("")))
                 .build();
     }
 
     /**
-     * Reads a request for a loan.
+     * Decodes a loan request.
      *
      * @param request the frame's content
      * @return the request
@@ -71,7 +71,7 @@
     }
 
     /**
-     * Reads the answer to a request for a loan.
+     * Decodes the answer to a loan request.
      *
      * @param answer the frame's content
      * @return the loan
@@ -90,11 +90,11 @@
         return Frame.newBuilder().setShareMoved(ShareMoved.getDefaultInstance()).build();
     }
 
-    private static long requireTokens(long number) {
-        if (number < 0 || number > ShareParts.GREATEST_TOKENS) {
-            throw new IllegalArgumentException("tokens out of range: " + number);
+    private static long requireTokens(long tokens) {
+        if (tokens < 0 || tokens > ShareParts.GREATEST_TOKENS) {
+            throw new IllegalArgumentException("tokens out of range: " + tokens);
         }
-        return number;
+        return tokens;
     }
 
     private static Duration toDuration(long millis) {
--- a/daemon/src/main/java/org/geraniumreach/daemon/budget/StoreCallExecutor.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/budget/StoreCallExecutor.java
@@ -12,9 +12,10 @@
 import org.geraniumreach.ports.TableService;
 
 /**
- * Makes the calls of the table service that a keeper of shares wants.
+ * Executes the table service calls that a {@link ShareKeeper} requests and reports their results to it.
  *
- * <p>Invariant: each call is answered once, whatever the table service throws. Not safe for use by several threads.
+ * <p>Invariant: the keeper receives one result for each call, even if the table service throws. Not safe for use by
+ * several threads.
  */
 final class StoreCallExecutor {
 
@@ -27,7 +28,7 @@
         this.table = table;
     }
 
-    /** Makes the call that is due; returns false if there was none. */
+    /** Executes the next requested call; returns false if there was none. */
     boolean executeNext() {
         Optional<StoreCall> call = keeper.next();
         call.ifPresent(this::execute);
@@ -35,18 +36,18 @@
     }
 
     private void execute(StoreCall call) {
-        Runnable event;
+        Runnable report;
         try {
-            event = callTable(call);
+            report = callTable(call);
             logReachable();
         } catch (PlatformException failure) {
-            event = () -> keeper.failed(failure.effect() == PlatformException.Effect.UNKNOWN);
+            report = () -> keeper.failed(failure.effect() == PlatformException.Effect.UNKNOWN);
             logUnreachable(failure);
         } catch (RuntimeException fault) {
-            event = () -> keeper.failed(true);
+            report = () -> keeper.failed(true);
             EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "table service, for budget shares");
         }
-        event.run();
+        report.run();
     }
 
     private Runnable callTable(StoreCall call) throws PlatformException {
--- a/daemon/src/main/java/org/geraniumreach/daemon/budget/package-info.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/budget/package-info.java
@@ -1,2 +1,2 @@
-/** Runs the budget core of {@code org.geraniumreach.coordination.budget} against the table service, the links and time. */
+/** Connects the budget logic of {@code org.geraniumreach.coordination.budget} to the table service and the links. */
 package org.geraniumreach.daemon.budget;
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/Compactor.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/Compactor.java
@@ -17,10 +17,10 @@
 import org.geraniumreach.ports.TableService;
 
 /**
- * Writes snapshots of the configuration to the table and deletes what they make needless.
+ * Writes snapshots of the configuration to the table and deletes the rows that they supersede.
  *
- * <p>Contract: a run that breaks off leaves rows that a later run writes again or deletes, and never a place without its
- * parts. Confined to the thread that polls.
+ * <p>Contract: an interrupted run leaves rows that a later run overwrites or deletes, and never a pointer to missing parts.
+ * Confined to the polling thread.
  */
 final class Compactor {
 
@@ -30,10 +30,10 @@
     private final int changesPerSnapshot;
     private long nextSnapshotRevision;
 
-    Compactor(TableService table, int changes) {
+    Compactor(TableService table, int changesPerSnapshot) {
         this.table = Objects.requireNonNull(table, "table");
-        this.changesPerSnapshot = changes;
-        this.nextSnapshotRevision = changes;
+        this.changesPerSnapshot = changesPerSnapshot;
+        this.nextSnapshotRevision = changesPerSnapshot;
     }
 
     /**
@@ -58,9 +58,9 @@
         }
         List<Transaction> parts = Compaction.planPartWrites(configuration);
         commitAll(parts);
-        SnapshotPointer place = new SnapshotPointer(configuration.revision(), parts.size());
+        SnapshotPointer pointer = new SnapshotPointer(configuration.revision(), parts.size());
         long version = row.map(Row::version).orElse(Transaction.ABSENT_VERSION);
-        if (!table.commit(Compaction.planPointerWrite(version, place))) {
+        if (!table.commit(Compaction.planPointerWrite(version, pointer))) {
             return;
         }
         nextSnapshotRevision = configuration.revision() + changesPerSnapshot;
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/ConfigurationListener.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/ConfigurationListener.java
@@ -6,20 +6,20 @@
 import org.geraniumreach.model.record.Configuration;
 
 /**
- * Is told when a newer configuration is in force.
+ * Receives changes of the configuration in force.
  *
- * <p>Contract: calls come one at a time, with rising revisions, and must not block.
+ * <p>Contract: calls come one at a time, with increasing revisions, and must not block.
  */
 @FunctionalInterface
 public interface ConfigurationListener {
 
     /**
-     * Tells of a newer configuration.
+     * Called when a newer configuration takes effect.
      *
-     * @param before the one until now, not null
-     * @param after the one from now on, not null
-     * @param withdrawnKeys the keys that were good until now and are not any more, or act for another client account;
-     *     running requests of theirs are to be cancelled, not null
+     * @param before the previous configuration, not null
+     * @param after the new configuration, not null
+     * @param withdrawnKeys the keys that are no longer valid or belong to another client account; their running requests
+     *     must be cancelled, not null
      */
     void changed(Configuration before, Configuration after, Set<KeyDigest> withdrawnKeys);
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/ConfigurationReader.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/ConfigurationReader.java
@@ -16,9 +16,9 @@
 import org.geraniumreach.ports.TableService;
 
 /**
- * Reads the configuration from the table.
+ * Reads the configuration and its change log from the table.
  *
- * <p>Stateless but for what it was made with, and safe for use by several threads.
+ * <p>Immutable and safe for use by several threads.
  */
 final class ConfigurationReader {
 
@@ -34,35 +34,35 @@
     }
 
     /**
-     * Reads the head and what follows a revision.
+     * Reads the head and all changes after a revision, from a snapshot if the log does not reach back that far.
      *
-     * @param haveRevision the revision
-     * @return what was read, not null
-     * @throws PlatformException if there was no answer
+     * @param heldRevision the revision that the caller holds
+     * @return the result, not null
+     * @throws PlatformException if the table does not answer
      * @throws RecordException if a row is malformed
      */
-    PollResult read(long haveRevision) throws PlatformException, RecordException {
-        long startedAt = clock.nanos();
+    PollResult read(long heldRevision) throws PlatformException, RecordException {
+        long startedAtNanos = clock.nanos();
         Optional<Row> row = table.read(ConfigurationRows.HEAD);
         long head = row.isPresent() ? ConfigurationRows.readRevision(row.get().value()) : 0;
-        if (head <= haveRevision) {
-            return new PollResult(startedAt, head, Optional.empty(), List.of());
+        if (head <= heldRevision) {
+            return new PollResult(startedAtNanos, head, Optional.empty(), List.of());
         }
-        List<LogEntry> entries = readLog(haveRevision);
-        if (!entries.isEmpty() && entries.get(0).revision() == haveRevision + 1) {
-            return new PollResult(startedAt, head, Optional.empty(), entries);
+        List<LogEntry> entries = readLog(heldRevision);
+        if (!entries.isEmpty() && entries.get(0).revision() == heldRevision + 1) {
+            return new PollResult(startedAtNanos, head, Optional.empty(), entries);
         }
         Optional<Configuration> snapshot = readSnapshot();
-        long after = snapshot.map(Configuration::revision).orElse(haveRevision);
-        return new PollResult(startedAt, head, snapshot, readLog(after));
+        long after = snapshot.map(Configuration::revision).orElse(heldRevision);
+        return new PollResult(startedAtNanos, head, snapshot, readLog(after));
     }
 
     /**
-     * Reads the log.
+     * Reads the change log.
      *
-     * @param after the revision after which to begin
-     * @return the entries in their order, not null
-     * @throws PlatformException if there was no answer
+     * @param after the revision after which to start
+     * @return the entries in order of revision, not null
+     * @throws PlatformException if the table does not answer
      * @throws RecordException if a row is malformed
      */
     List<LogEntry> readLog(long after) throws PlatformException, RecordException {
@@ -86,15 +86,15 @@
         if (row.isEmpty()) {
             return Optional.empty();
         }
-        ConfigurationRows.SnapshotPointer place =
+        ConfigurationRows.SnapshotPointer pointer =
                 ConfigurationRows.readPointer(row.get().value());
         List<LogEntry> records = new ArrayList<>();
-        String prefix = ConfigurationRows.partPrefix(place.revision());
+        String prefix = ConfigurationRows.partPrefix(pointer.revision());
         String last = "";
-        for (int read = 0; read < place.parts(); ) {
+        for (int read = 0; read < pointer.parts(); ) {
             List<Row> rows = table.scan(ConfigurationRows.TABLE, prefix, last, PART_SCAN_LIMIT_ROWS);
             if (rows.isEmpty()) {
-                // A newer snapshot has taken this one's place meanwhile; the next reading finds it.
+                // A newer snapshot has replaced this one in the meantime; the next poll finds it.
                 return Optional.empty();
             }
             for (Row part : rows) {
@@ -104,7 +104,7 @@
             last = rows.get(rows.size() - 1).key().key();
         }
         try {
-            return Optional.of(Configuration.ofSnapshot(place.revision(), records));
+            return Optional.of(Configuration.ofSnapshot(pointer.revision(), records));
         } catch (IllegalArgumentException malformed) {
             throw RecordException.invalid("snapshot", malformed.getMessage());
         }
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/ConfigurationService.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/ConfigurationService.java
@@ -6,35 +6,35 @@
 import org.geraniumreach.model.record.Configuration;
 
 /**
- * The configuration in force at this process.
+ * Provides the configuration in force at this process.
  *
- * <p>Contract: safe for use by several threads; no call blocks. The revision of {@link #current} never falls.
+ * <p>Contract: safe for use by several threads; no call blocks. The revision of {@link #current} never decreases.
  */
 public interface ConfigurationService {
 
     /**
      * Gets the configuration in force.
      *
-     * @return the configuration, the empty one before the first was obtained, not null
+     * @return the configuration, empty until the first was obtained, not null
      */
     Configuration current();
 
     /**
      * Refuses a request while the configuration cannot be confirmed as current.
      *
-     * @throws ServingException with NOT_FRESH, not run, and a time to come back
+     * @throws ServingException NOT_FRESH, as not run, with a retry-after time
      */
     void requireFresh() throws ServingException;
 
     /**
-     * Gets why this process is not ready as far as the configuration goes.
+     * Gets the reason why the configuration keeps this process from being ready.
      *
      * @return the reason, or empty if it is ready
      */
     Optional<String> reasonNotReady();
 
     /**
-     * Registers who is told of newer configurations.
+     * Registers a listener for newer configurations.
      *
      * @param listener the listener, not null
      */
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/ConfigurationSettings.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/ConfigurationSettings.java
@@ -7,16 +7,16 @@
 import org.geraniumreach.daemon.settings.Setting;
 
 /**
- * Settings of the configuration's replication; all instances of a fleet must have the same.
+ * Settings of the configuration's replication, which must be equal at all instances of a fleet.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param period the time between two polls of a poller, and between two notes to a peer
- * @param freshnessLimit how old the confirmation of the configuration may be
- * @param pollers how many entries poll the table
- * @param submissionLimit how long a submission is tried
- * @param holderLimit how long an accepted change waits for another entry to hold it
- * @param compactionChanges after how many changes a new snapshot is written to the table
+ * @param period the interval between two polls of a poller, and between two heartbeats to a peer
+ * @param freshnessLimit the maximum age of the confirmation of the configuration, at least three periods
+ * @param pollers the number of entries that poll the table
+ * @param submissionLimit how long a submission is retried
+ * @param holderLimit how long an accepted change waits until another entry holds it
+ * @param compactionChanges the number of changes after which a new snapshot is written to the table
  */
 public record ConfigurationSettings(
         @Setting(
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/ConfigurationState.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/ConfigurationState.java
@@ -4,16 +4,16 @@
 import org.geraniumreach.model.record.Configuration;
 
 /**
- * What a process knows of its configuration at one moment.
+ * The state of the configuration of a process at one moment.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @param configuration the configuration in force
  * @param obtained whether one was obtained from the table or a peer
- * @param freshUntil until when, by the monotonic clock, it may be taken as current
+ * @param freshUntil the monotonic clock in nanoseconds until which the configuration counts as current
  * @param poller whether this process polls the table
- * @param storeUnreachable whether the table is out of this process's reach
- * @param fresh whether it was fresh at that moment
+ * @param storeUnreachable whether this process cannot reach the table
+ * @param fresh whether the configuration was fresh at that moment
  */
 public record ConfigurationState(
         Configuration configuration,
@@ -33,8 +33,8 @@
                 false);
     }
 
-    ConfigurationState withFresh(boolean isFresh) {
-        return new ConfigurationState(configuration, obtained, freshUntil, poller, storeUnreachable, isFresh);
+    ConfigurationState withFresh(boolean newFresh) {
+        return new ConfigurationState(configuration, obtained, freshUntil, poller, storeUnreachable, newFresh);
     }
 
     boolean isFreshAt(long now) {
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/History.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/History.java
@@ -14,16 +14,16 @@
 import org.geraniumreach.ports.TableService;
 
 /**
- * Reads the log of changes, as far back as the table holds it.
+ * Reads the change log as far back as the table holds it.
  *
- * <p>Safe for use by several threads; a call blocks.
+ * <p>Safe for use by several threads; calls block.
  */
 public final class History {
 
     private final ConfigurationReader reader;
 
     /**
-     * Makes a reader of the log.
+     * Creates a reader of the change log.
      *
      * @param table the platform's table, not null
      * @param clock the clock, not null
@@ -35,18 +35,18 @@
     /**
      * Reads the changes.
      *
-     * @param key the record whose changes are wanted, or empty for those of all, not null
-     * @return the changes, the oldest first, not null
-     * @throws ServingException if the table does not answer
+     * @param key the record whose changes are read, or empty for those of all records, not null
+     * @return the changes, oldest first, not null
+     * @throws ServingException if the table does not answer or a row is malformed
      */
     public List<LogEntry> read(Optional<RecordKey> key) throws ServingException {
         try {
             return reader.readLog(0).stream()
                     .filter(entry -> key.isEmpty() || entry.key().equals(key.get()))
                     .toList();
-        } catch (PlatformException unanswered) {
+        } catch (PlatformException failure) {
             throw ServingException.notRun(ResultCode.STORE_UNAVAILABLE, "the table service does not answer")
-                    .withCause(unanswered);
+                    .withCause(failure);
         } catch (RecordException malformed) {
             throw ServingException.notRun(ResultCode.INTERNAL_ERROR, "a row of the log is malformed")
                     .withCause(malformed);
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/NodeFrames.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/NodeFrames.java
@@ -19,9 +19,9 @@
 import org.geraniumreach.model.record.RecordKind;
 
 /**
- * Turns the messages of configuration nodes into frames and back.
+ * Encodes and decodes the frames that carry messages of configuration nodes.
  *
- * <p>Contract: an age grows and a holding time shrinks when it is rounded, so that nothing looks newer than it is. Stateless
+ * <p>Contract: ages are rounded up and holding times are rounded down, so that nothing appears newer than it is. Stateless
  * and safe for use by several threads.
  */
 final class NodeFrames {
@@ -38,9 +38,9 @@
     private NodeFrames() {}
 
     static Frame encode(InstanceId self, NodeMessage message) {
-        if (message instanceof NodeMessage.Changes news) {
-            ConfigurationNews.Builder builder = ConfigurationNews.newBuilder().setHead(news.highestKnownRevision());
-            news.entries().forEach(entry -> builder.addEntries(encodeEntry(entry)));
+        if (message instanceof NodeMessage.Changes changes) {
+            ConfigurationNews.Builder builder = ConfigurationNews.newBuilder().setHead(changes.highestKnownRevision());
+            changes.entries().forEach(entry -> builder.addEntries(encodeEntry(entry)));
             return Frame.newBuilder().setConfigurationNews(builder).build();
         }
         if (message instanceof NodeMessage.SnapshotRequest request) {
@@ -57,24 +57,26 @@
             return Frame.newBuilder().setSnapshotPart(builder).build();
         }
         return Frame.newBuilder()
-                .setFreshness(note(self, (NodeMessage.Heartbeat) message))
+                .setFreshness(encodeHeartbeat(self, (NodeMessage.Heartbeat) message))
                 .build();
     }
 
-    private static Freshness note(InstanceId self, NodeMessage.Heartbeat note) {
+    private static Freshness encodeHeartbeat(InstanceId self, NodeMessage.Heartbeat heartbeat) {
         Freshness.Builder builder = Freshness.newBuilder()
                 .setInstance(self.value())
-                .setRevision(note.revision())
-                .setHighestRevision(note.highestKnownRevision())
+                .setRevision(heartbeat.revision())
+                .setHighestRevision(heartbeat.highestKnownRevision())
                 .setConfirmedAgeMillis(
-                        note.confirmationAgeNanos().isPresent()
-                                ? toMillisRoundedUp(note.confirmationAgeNanos().getAsLong())
+                        heartbeat.confirmationAgeNanos().isPresent()
+                                ? toMillisRoundedUp(
+                                        heartbeat.confirmationAgeNanos().getAsLong())
                                 : NEVER_CONFIRMED_AGE_MILLIS)
-                .setStoreReachable(!note.isStoreUnreachable())
-                .setStamp(note.timestamp());
-        note.unreachableReports().forEach(word -> builder.addHeard(word.entry().value())
-                .addHeardAgeMillis(toMillisRoundedUp(word.ageNanos())));
-        note.echo().ifPresent(echo -> builder.setEchoes(true)
+                .setStoreReachable(!heartbeat.isStoreUnreachable())
+                .setStamp(heartbeat.timestamp());
+        heartbeat.unreachableReports().forEach(report -> builder.addHeard(
+                        report.entry().value())
+                .addHeardAgeMillis(toMillisRoundedUp(report.ageNanos())));
+        heartbeat.echo().ifPresent(echo -> builder.setEchoes(true)
                 .setEcho(echo.timestamp())
                 .setEchoHeldMillis(TimeUnit.NANOSECONDS.toMillis(echo.heldNanos())));
         return builder.build();
@@ -96,17 +98,17 @@
     }
 
     /**
-     * Reads a frame.
+     * Decodes a frame.
      *
      * @param frame the frame, of one of {@link #FRAME_KINDS}, not null
      * @return the message, not null
-     * @throws IllegalArgumentException if a part of it is not what it must be
+     * @throws IllegalArgumentException if the frame is of another kind or a value of it is invalid
      */
     static NodeMessage decode(Frame frame) {
         switch (frame.getBodyCase()) {
             case CONFIGURATION_NEWS:
-                ConfigurationNews news = frame.getConfigurationNews();
-                return new NodeMessage.Changes(news.getHead(), decodeEntries(news.getEntriesList()));
+                ConfigurationNews changes = frame.getConfigurationNews();
+                return new NodeMessage.Changes(changes.getHead(), decodeEntries(changes.getEntriesList()));
             case SNAPSHOT_REQUEST:
                 return new NodeMessage.SnapshotRequest(
                         frame.getSnapshotRequest().getHaveRevision());
@@ -115,28 +117,28 @@
                 return new NodeMessage.SnapshotPart(
                         part.getRevision(), part.getIndex(), part.getParts(), decodeEntries(part.getEntriesList()));
             case FRESHNESS:
-                return note(frame.getFreshness());
+                return decodeHeartbeat(frame.getFreshness());
             default:
-                throw new IllegalArgumentException("not a frame of the configuration: " + frame.getBodyCase());
+                throw new IllegalArgumentException("expected a configuration frame, not " + frame.getBodyCase());
         }
     }
 
-    private static NodeMessage.Heartbeat note(Freshness freshness) {
+    private static NodeMessage.Heartbeat decodeHeartbeat(Freshness freshness) {
         if (freshness.getHeardCount() != freshness.getHeardAgeMillisCount()) {
-            throw new IllegalArgumentException("entries heard and their ages differ in number");
+            throw new IllegalArgumentException("different numbers of unreachable reports and of their ages");
         }
-        List<NodeMessage.UnreachableReport> words = new ArrayList<>();
+        List<NodeMessage.UnreachableReport> reports = new ArrayList<>();
         for (int index = 0; index < freshness.getHeardCount(); index++) {
-            words.add(new NodeMessage.UnreachableReport(
+            reports.add(new NodeMessage.UnreachableReport(
                     InstanceId.of(freshness.getHeard(index)), toNanos(freshness.getHeardAgeMillis(index))));
         }
-        long age = freshness.getConfirmedAgeMillis();
+        long ageMillis = freshness.getConfirmedAgeMillis();
         return new NodeMessage.Heartbeat(
                 freshness.getRevision(),
                 freshness.getHighestRevision(),
-                age < 0 ? OptionalLong.empty() : OptionalLong.of(toNanos(age)),
+                ageMillis < 0 ? OptionalLong.empty() : OptionalLong.of(toNanos(ageMillis)),
                 !freshness.getStoreReachable(),
-                words,
+                reports,
                 freshness.getStamp(),
                 freshness.getEchoes()
                         ? Optional.of(new NodeMessage.TimestampEcho(
@@ -146,7 +148,7 @@
 
     private static long toNanos(long millis) {
         if (millis < 0) {
-            throw new IllegalArgumentException("negative time: " + millis);
+            throw new IllegalArgumentException("negative time in milliseconds: " + millis);
         }
         return TimeUnit.MILLISECONDS.toNanos(millis);
     }
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/ReplicatedConfiguration.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/ReplicatedConfiguration.java
@@ -44,10 +44,10 @@
 import org.geraniumreach.ports.TableService;
 
 /**
- * The configuration of a process with links and a table.
+ * The configuration of a process, replicated through the table and the links to peers.
  *
- * <p>Invariants: one thread owns the core and tells the listeners, another reads the table; what others ask for is published
- * after each event and read without a lock. Safe for use by several threads.
+ * <p>Invariants: one thread owns the node and calls the listeners, another reads the table; the state for other threads
+ * is published after each event and read without a lock. Safe for use by several threads.
  */
 public final class ReplicatedConfiguration implements ConfigurationService, AutoCloseable {
 
@@ -91,7 +91,7 @@
     }
 
     /**
-     * Starts the configuration of a process.
+     * Starts replicating the configuration.
      *
      * @param self this instance, not null
      * @param settings the settings, not null
@@ -132,7 +132,7 @@
     }
 
     /**
-     * Gets what the process knows of its configuration.
+     * Gets the state of the configuration.
      *
      * @return the state as of the last event, not null
      */
@@ -169,25 +169,25 @@
     }
 
     /**
-     * Takes what a reading of the table brought, waiting until it is in force.
+     * Applies the result of a poll and waits until it is in force.
      *
-     * @param answer what was read, not null
+     * @param result the result of the poll, not null
      * @return the configuration, not null
-     * @throws InterruptedException if the process ends
+     * @throws InterruptedException if the thread is interrupted because the process ends
      */
-    Configuration applyPollResult(PollResult answer) throws InterruptedException {
+    Configuration applyPollResult(PollResult result) throws InterruptedException {
         callOnOwnerThread(() -> {
-            handleEvent(() -> node.onPollCompleted(answer));
+            handleEvent(() -> node.onPollCompleted(result));
             return true;
         });
         return current();
     }
 
     /**
-     * Takes a change that this process brought into the log, waiting until it is in force here and was sent to the peers.
+     * Applies a change that this process committed to the log and waits until it is in force here and was sent to peers.
      *
      * @param entry the change, not null
-     * @throws InterruptedException if the process ends
+     * @throws InterruptedException if the thread is interrupted because the process ends
      */
     void applyCommittedEntry(LogEntry entry) throws InterruptedException {
         callOnOwnerThread(() -> {
@@ -204,11 +204,11 @@
         return membership.submittingEntries().stream().anyMatch(entry -> !entry.equals(self));
     }
 
-    private <T> T callOnOwnerThread(Callable<T> question) throws InterruptedException {
+    private <T> T callOnOwnerThread(Callable<T> task) throws InterruptedException {
         try {
-            return ownerExecutor.submit(question).get();
+            return ownerExecutor.submit(task).get();
         } catch (ExecutionException fault) {
-            throw new IllegalStateException("the configuration's thread failed", fault.getCause());
+            throw new IllegalStateException("a task on the thread of the configuration failed", fault.getCause());
         }
     }
 
@@ -225,12 +225,12 @@
         });
     }
 
-    /** Lets the owner take an event. */
+    /** Schedules an event for the owner thread. */
     void enqueue(Supplier<List<NodeAction>> event) {
         try {
             ownerExecutor.execute(() -> handleEvent(event));
         } catch (RejectedExecutionException rejected) {
-            // Links close after the configuration when a process ends; nobody waits for what that would have led to.
+            // When a process ends, links close after the configuration, and their events no longer matter.
             if (!ownerExecutor.isShutdown()) {
                 throw rejected;
             }
@@ -244,9 +244,9 @@
             sendSnapshots(actions);
             publish();
         } catch (RuntimeException fault) {
-            // While the process ends, the thread that polls may be gone before an event that asks it for a poll.
+            // While the process ends, the poll executor may reject the poll that an event requests.
             if (!ownerExecutor.isShutdown()) {
-                EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "event of the configuration");
+                EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "handling an event of the configuration");
             }
         }
     }
@@ -275,12 +275,12 @@
         parts.forEach(snapshotSender::send);
     }
 
-    private void poll(long haveRevision) {
+    private void poll(long heldRevision) {
         try {
-            PollResult answer = reader.read(haveRevision);
+            PollResult result = reader.read(heldRevision);
             enqueue(() -> {
                 updateStoreReachable(true, null);
-                return node.onPollCompleted(answer);
+                return node.onPollCompleted(result);
             });
             compact();
         } catch (PlatformException | RecordException | RuntimeException failure) {
@@ -292,8 +292,8 @@
         }
     }
 
-    /* One entry is enough; two that take themselves for it write the same rows. A run that fails is made good by the next,
-     * and says nothing of whether the head could be read. */
+    /* One entry is chosen to compact; if two consider themselves chosen, they write the same rows. A failed run is repeated
+     * by the next one and does not count as a failed poll. */
     private void compact() {
         boolean chosen = RendezvousHashing.choose(COMPACTOR_SUBJECT, membership.submittingEntries(), 1)
                 .contains(self);
@@ -303,16 +303,17 @@
         try {
             compactor.compactIfDue(state.configuration());
         } catch (PlatformException | RecordException failure) {
-            EventLog.write(EventCode.PLATFORM_UNREACHABLE, failure, "table service, for a snapshot");
+            EventLog.write(
+                    EventCode.PLATFORM_UNREACHABLE, failure, "table service, while compacting the configuration");
         }
     }
 
-    private void updateStoreReachable(boolean answers, Throwable failure) {
-        if (answers == storeReachable) {
+    private void updateStoreReachable(boolean reachable, Throwable failure) {
+        if (reachable == storeReachable) {
             return;
         }
-        storeReachable = answers;
-        if (answers) {
+        storeReachable = reachable;
+        if (reachable) {
             EventLog.write(EventCode.PLATFORM_REACHABLE, "table service, for the configuration");
         } else {
             EventLog.write(EventCode.PLATFORM_UNREACHABLE, failure, "table service, for the configuration");
@@ -349,7 +350,7 @@
             try {
                 listener.changed(before, after, withdrawn);
             } catch (RuntimeException fault) {
-                EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "listener of the configuration");
+                EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "a listener of the configuration failed");
             }
         }
     }
@@ -357,17 +358,17 @@
     private static Set<KeyDigest> findWithdrawnKeys(Configuration before, Configuration after) {
         Set<KeyDigest> withdrawn = new HashSet<>();
         for (KeyDigest digest : before.keyDigests()) {
-            boolean same = after.key(digest)
+            boolean sameAccount = after.key(digest)
                     .map(key -> key.account())
                     .equals(before.key(digest).map(key -> key.account()));
-            if (!same) {
+            if (!sameAccount) {
                 withdrawn.add(digest);
             }
         }
         return withdrawn;
     }
 
-    /** Takes what links bring; all of it is handed to the owner. */
+    /** Forwards the events of links to the owner thread. */
     private final class LinkHandler implements FrameHandler {
 
         @Override
@@ -396,8 +397,9 @@
                 try {
                     return node.onMessage(instance, NodeFrames.decode(frame));
                 } catch (IllegalArgumentException malformed) {
-                    EventLog.write(EventCode.FRAME_REFUSED, malformed, "of the configuration, from {}", instance);
-                    peer.close("a malformed frame of the configuration");
+                    EventLog.write(
+                            EventCode.FRAME_REFUSED, malformed, "malformed configuration frame from {}", instance);
+                    peer.close("malformed configuration frame");
                     return List.of();
                 }
             });
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/SnapshotSender.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/SnapshotSender.java
@@ -10,21 +10,21 @@
 import org.geraniumreach.messages.Frame;
 
 /**
- * Sends the parts of snapshots as fast as each peer takes them.
+ * Sends the parts of snapshots only while the link to each peer is writable.
  *
- * <p>A snapshot of the largest configuration is some megabytes; sent at once it would fill the link's buffer and hold up
- * answers to callers. Invariant: a peer that is still being sent a snapshot is not sent another; it asks again if it needs
- * one. Confined to the thread that owns the configuration.
+ * <p>A snapshot of the largest configuration has several megabytes; sent at once, it would fill the link's buffer and delay
+ * answers to callers. Invariant: while a snapshot is being sent to a peer, no other is sent to it; the peer requests
+ * another if it needs one. Confined to the thread that owns the configuration.
  */
 final class SnapshotSender {
 
     private final Map<Peer, Deque<Frame>> pendingParts = new HashMap<>();
 
     /**
-     * Takes the parts of a snapshot and sends what the peer takes now.
+     * Queues the parts of a snapshot and sends as many as the link accepts.
      *
      * @param peer the receiver, not null
-     * @param parts the parts in their order, not null
+     * @param parts the parts in order, not null
      */
     void send(Peer peer, List<Frame> parts) {
         pendingParts.putIfAbsent(peer, new ArrayDeque<>(parts));
@@ -32,7 +32,7 @@
     }
 
     /**
-     * Sends what a peer takes now.
+     * Sends as many queued parts as the link to a peer accepts.
      *
      * @param peer the receiver, not null
      */
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/Submitter.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/Submitter.java
@@ -17,10 +17,11 @@
 import org.geraniumreach.ports.TableService;
 
 /**
- * Takes operators' submissions into the log.
+ * Commits operators' submissions to the change log.
  *
- * <p>Invariant: accepted is answered after the commit is known, the change is in force here and was sent to the peers, and
- * another entry was given the time to say that it holds the change. Safe for use by several threads; a call blocks.
+ * <p>Invariant: a submission is reported as accepted only after the commit is known, the change is in force here and was
+ * sent to the peers, and another entry has confirmed that it holds the change or the time limit for that has passed. Safe
+ * for use by several threads; {@link #submit} blocks.
  */
 public final class Submitter {
 
@@ -35,13 +36,13 @@
     private volatile boolean closed;
 
     /**
-     * Makes a submitter.
+     * Creates a submitter.
      *
      * @param configuration the configuration of this process, not null
      * @param settings the settings, not null
      * @param table the platform's table, not null
      * @param clock the clock, not null
-     * @param random the source of the jitter of waits, safe for use by several threads, not null
+     * @param random the source of jitter, safe for use by several threads, not null
      */
     public Submitter(
             ReplicatedConfiguration configuration,
@@ -58,14 +59,14 @@
     }
 
     /**
-     * What a submission came to, and who holds it.
+     * The result of a submission and the number of other entries that hold the change.
      *
      * @param result the result
-     * @param otherEntries how many other entries are known to hold an accepted change
+     * @param otherEntries the number of other entries known to hold an accepted change, 0 if it was refused
      */
     public record Outcome(SubmissionResult result, int otherEntries) {}
 
-    /** Refuses further submissions; to be called before this process says that it leaves. */
+    /** Marks this submitter as closed to new submissions; call before announcing that this process leaves. */
     public void close() {
         closed = true;
     }
@@ -75,11 +76,12 @@
     }
 
     /**
-     * Submits a change, waiting for its result.
+     * Submits a change and waits for its result.
      *
      * @param submission the change, not null
-     * @return what it came to, not null
-     * @throws InterruptedException if the process ends; the submission may have been accepted
+     * @return the outcome, not null
+     * @throws InterruptedException if the thread is interrupted because the process ends; the submission may have
+     *     been accepted
      */
     public Outcome submit(Submission submission) throws InterruptedException {
         SubmissionProcess process =
@@ -107,7 +109,7 @@
             }
             return process.onCaughtUp(configuration.applyPollResult(
                     reader.read(configuration.current().revision())));
-        } catch (PlatformException | RecordException unanswered) {
+        } catch (PlatformException | RecordException failure) {
             return process.onReadFailed();
         }
     }
@@ -115,8 +117,8 @@
     private SubmissionStep commit(SubmissionProcess process, SubmissionStep.Commit commit) {
         try {
             return process.onCommitAnswered(table.commit(commit.transaction()));
-        } catch (PlatformException unanswered) {
-            return process.onCommitFailed(unanswered.effect() == PlatformException.Effect.UNKNOWN);
+        } catch (PlatformException failure) {
+            return process.onCommitFailed(failure.effect() == PlatformException.Effect.UNKNOWN);
         }
     }
 
@@ -132,8 +134,8 @@
         return new Outcome(result, awaitHolder(entry.revision()));
     }
 
-    /* Until another entry holds the change, only this process and the table know it. If the table went away now and this
-     * process with it, the others would go on without the change, as all of them say that the table is out of reach. */
+    /* Until another entry holds the change, only this process and the table know it. If both failed, the other entries
+     * would continue without the change, since all of them report the table as unreachable. */
     private int awaitHolder(long revision) throws InterruptedException {
         long deadline = clock.nanos() + settings.holderLimit().toNanos();
         while (true) {
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/package-info.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** Drives the configuration core: polls the table, exchanges news with peers and answers who asks for the configuration. */
+/** Replicates the configuration: polls the table, exchanges changes with peers and provides the configuration in force. */
 package org.geraniumreach.daemon.configuration;
--- a/daemon/src/main/java/org/geraniumreach/daemon/ledger/AnswerCollector.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/ledger/AnswerCollector.java
@@ -14,14 +14,14 @@
 import org.geraniumreach.model.ResultCode;
 
 /**
- * Puts an attempt's chunks together.
+ * Assembles the chunks of an attempt's answer.
  *
- * <p>Invariants: an answer is passed on only when it is whole; one end is passed on. Calls come one at a time, as of any
- * {@link AttemptListener}.
+ * <p>Invariants: an answer is reported only when it is complete, and exactly one end is reported. Calls come one at a time,
+ * as for any {@link AttemptListener}.
  */
 final class AnswerCollector implements AttemptListener {
 
-    /** How many chunks may come before more are asked for. */
+    /** The chunks that a companion may send before more are requested. */
     static final int CREDIT_CHUNKS = 64;
 
     private final long maxAnswerBytes;
@@ -35,30 +35,30 @@
     sealed interface Ending {
 
         /**
-         * The answer came whole.
+         * The answer is complete.
          *
          * @param body the answer
          */
         record Complete(byte[] body) implements Ending {}
 
         /**
-         * The companion gave it up.
+         * The companion refused the attempt, or its answer was too large.
          *
-         * @param refusal why
+         * @param refusal the reason
          */
         record Failed(LedgerAction.Refuse refusal) implements Ending {}
 
         /**
-         * The companion cannot be reached any more.
+         * The companion became unreachable, or the answer is incomplete.
          *
-         * @param executionStatus what is known
+         * @param executionStatus whether the attempt is known to have run
          */
         record Lost(ExecutionStatus executionStatus) implements Ending {}
     }
 
-    AnswerCollector(long largestAnswer, Consumer<Ending> ending) {
-        this.maxAnswerBytes = largestAnswer;
-        this.endingConsumer = ending;
+    AnswerCollector(long maxAnswerBytes, Consumer<Ending> endingConsumer) {
+        this.maxAnswerBytes = maxAnswerBytes;
+        this.endingConsumer = endingConsumer;
     }
 
     void start(AttemptHandle sent) {
@@ -68,7 +68,7 @@
 
     @Override
     public void accepted() {
-        // Nothing to do: that it is queued says nothing of its running.
+        // Nothing to do: a queued attempt may still never run.
     }
 
     @Override
@@ -95,7 +95,7 @@
     @Override
     public void ended(End end) {
         if (end.getCount() != receivedChunks) {
-            // A part of an answer must never be kept as the answer: every later call with the key would get it.
+            // An incomplete answer must never be stored: every later call with the key would get it.
             finish(new Ending.Lost(ExecutionStatus.UNKNOWN));
             return;
         }
@@ -113,8 +113,8 @@
     }
 
     private static LedgerAction.Refuse createRefusal(
-            ResultCode code, ExecutionStatus ran, Optional<Duration> retryAfter, String message) {
-        return new LedgerAction.Refuse(code, ran, retryAfter, message);
+            ResultCode code, ExecutionStatus executionStatus, Optional<Duration> retryAfter, String message) {
+        return new LedgerAction.Refuse(code, executionStatus, retryAfter, message);
     }
 
     private static ExecutionStatus toExecutionStatus(int number) {
@@ -123,15 +123,15 @@
     }
 
     @Override
-    public void lost(ExecutionStatus ran, String reason) {
-        finish(new Ending.Lost(ran));
+    public void lost(ExecutionStatus executionStatus, String reason) {
+        finish(new Ending.Lost(executionStatus));
     }
 
-    private void finish(Ending how) {
+    private void finish(Ending ending) {
         if (ended) {
             return;
         }
         ended = true;
-        endingConsumer.accept(how);
+        endingConsumer.accept(ending);
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/ledger/CallRunner.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/ledger/CallRunner.java
@@ -23,11 +23,11 @@
 import org.geraniumreach.ports.PlatformException;
 
 /**
- * Carries out what one {@link LedgerCall} wants done.
+ * Performs the actions of one {@link LedgerCall}.
  *
- * <p>Invariants: events reach the call one at a time, each the answer to its last action; the future is completed once.
- * Blocking calls of the platform run on the executor. Safe for use by several threads: the call is under this object's
- * lock, which is not held while an action is carried out.
+ * <p>Invariants: events reach the call one at a time, each as the result of its last action; the future is completed once.
+ * Blocking platform calls run on the executor. Safe for use by several threads: the call is guarded by this object's lock,
+ * which is not held while an action is performed.
  */
 final class CallRunner {
 
@@ -42,16 +42,16 @@
     private volatile byte[] receivedBody;
 
     CallRunner(
-            LedgerService.Surroundings surroundings,
+            LedgerService.Surroundings dependencies,
             LedgerSettings settings,
-            GroupCommitter groups,
+            GroupCommitter committer,
             LedgerCall call,
-            Dispatch dispatch) {
-        this.dependencies = surroundings;
+            Dispatch dispatcher) {
+        this.dependencies = dependencies;
         this.settings = settings;
-        this.committer = groups;
+        this.committer = committer;
         this.call = call;
-        this.dispatcher = dispatch;
+        this.dispatcher = dispatcher;
     }
 
     CompletableFuture<LedgerAnswer> run() {
@@ -122,8 +122,8 @@
     private void send(LedgerAction.Send send) {
         Dispatch.Companion companion = new Dispatch.Companion(
                 send.companion().instance(), send.companion().incarnation());
-        // Another start of the companion knows nothing of the attempt, so it must refuse the frame: a frame that
-        // comes late, after the attempt was declared lost with the former start, would be a second run.
+        // Another incarnation of the companion must refuse the frame, since it does not know the attempt: a frame that
+        // arrives after the attempt was declared lost with the former incarnation would cause a second run.
         Run run = dispatcher.runFor(send.attempt(), companion).toBuilder()
                 .setAttempt(send.attempt().value())
                 .setCompanionIncarnation(companion.incarnation())
@@ -188,12 +188,16 @@
             return inline;
         }
         String key = "ledger-" + AttemptId.random(dependencies.random());
-        for (int tries = 0; tries < MAX_OBJECT_PUT_ATTEMPTS; tries++) {
+        for (int attempt = 0; attempt < MAX_OBJECT_PUT_ATTEMPTS; attempt++) {
             try {
                 dependencies.objects().put(key, answer);
                 return new StoredAnswer.InObject(key);
             } catch (PlatformException failure) {
-                EventLog.write(EventCode.PLATFORM_UNREACHABLE, failure, "object store: {}", failure.getMessage());
+                EventLog.write(
+                        EventCode.PLATFORM_UNREACHABLE,
+                        failure,
+                        "object store, storing an answer: {}",
+                        failure.getMessage());
             }
         }
         return inline;
--- a/daemon/src/main/java/org/geraniumreach/daemon/ledger/Dispatch.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/ledger/Dispatch.java
@@ -7,17 +7,17 @@
 import org.geraniumreach.model.InstanceId;
 
 /**
- * Chooses where a request goes, and writes it out.
+ * Chooses a companion for a request and creates the frame that is sent to it.
  *
  * <p>Contract: safe for use by several threads; the methods do not block.
  */
 public interface Dispatch {
 
     /**
-     * A companion and its incarnation.
+     * One incarnation of a companion.
      *
      * @param instance the companion
-     * @param incarnation the number of its start, which alone may run the attempt
+     * @param incarnation the incarnation, the only one that may run the attempt
      */
     record Companion(InstanceId instance, long incarnation) {}
 
@@ -29,10 +29,11 @@
     Optional<Companion> choose();
 
     /**
-     * Writes the request out; the ledger sets attempt and companion incarnation, and marks it as not repeatable.
+     * Creates the frame of the request; the ledger sets the attempt and the companion's incarnation, and marks it as not
+     * repeatable.
      *
      * @param attempt the attempt, not null
-     * @param companion where it goes, not null
+     * @param companion the receiver, not null
      * @return the frame, not null
      */
     Run runFor(AttemptId attempt, Companion companion);
--- a/daemon/src/main/java/org/geraniumreach/daemon/ledger/GroupCommitter.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/ledger/GroupCommitter.java
@@ -12,11 +12,11 @@
 import org.geraniumreach.ports.TableService;
 
 /**
- * Commits many small transactions as few large ones.
+ * Commits small transactions in groups, each as one larger transaction.
  *
- * <p>Invariants: each transaction is told its own result; a group whose conditions did not all hold is split until the
- * transaction to blame is alone, so one conflict fails no other. Safe for use by several threads; the open group is under
- * one lock, and no call of the table service is made while it is held.
+ * <p>Invariants: each transaction gets its own outcome; a group whose conditions did not all hold is split until the
+ * conflicting transaction is alone, so that a conflict fails no other transaction. Safe for use by several threads;
+ * one lock guards the open group and is not held during table service calls.
  */
 final class GroupCommitter {
 
@@ -28,28 +28,28 @@
     private TransactionGroup<CompletableFuture<Outcome>> openGroup = new TransactionGroup<>();
     private ScheduledFuture<?> flushTimer;
 
-    /** What became of a transaction. */
+    /** The outcome of a transaction. */
     enum Outcome {
         COMMITTED,
         CONFLICT,
-        /** No answer; it has not taken effect and will not. */
+        /** The table service did not answer, and the transaction will not take effect. */
         FAILED,
-        /** No answer; it may have taken effect, or may yet. */
+        /** The table service did not answer, and the transaction may have taken effect or may still do so. */
         UNKNOWN
     }
 
-    GroupCommitter(TableService table, ScheduledExecutorService executor, int limit, Duration longestWait) {
+    GroupCommitter(TableService table, ScheduledExecutorService executor, int maxGroupSize, Duration maxWait) {
         this.table = table;
         this.executor = executor;
-        this.maxGroupSize = limit;
-        this.maxWait = longestWait;
+        this.maxGroupSize = maxGroupSize;
+        this.maxWait = maxWait;
     }
 
     /**
-     * Commits a transaction within a group.
+     * Commits a transaction as part of a group.
      *
      * @param transaction the transaction, not null
-     * @return what became of it, not null
+     * @return completed with the outcome, not null
      */
     CompletableFuture<Outcome> commit(Transaction transaction) {
         TransactionGroup.Member<CompletableFuture<Outcome>> member =
--- a/daemon/src/main/java/org/geraniumreach/daemon/ledger/LedgerRequest.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/ledger/LedgerRequest.java
@@ -5,12 +5,12 @@
 import org.geraniumreach.model.AccountId;
 
 /**
- * A request that may run once only.
+ * A request that runs at most once.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @param account the client account
- * @param idempotencyKey what the caller sent as Idempotency-Key
+ * @param idempotencyKey the value of the Idempotency-Key header
  * @param operation the service and operation, as {@code service/operation}
  * @param body the request's body; the array must not be changed afterwards
  */
--- a/daemon/src/main/java/org/geraniumreach/daemon/ledger/LedgerService.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/ledger/LedgerService.java
@@ -23,24 +23,25 @@
 /**
  * Runs each request with an idempotency key at most once.
  *
- * <p>Invariants: those of {@link LedgerCall}; nothing is sent before the row is known to hold the attempt, so without the
- * table service every call is refused as not run. Safe for use by several threads: each call is under a lock of its own.
+ * <p>Invariants: those of {@link LedgerCall}; no attempt is sent before it is known to be recorded in its row, so without
+ * the table service every call is refused as not run. Safe for use by several threads: each call has its own lock.
  */
 public final class LedgerService implements AutoCloseable {
 
     /**
-     * What the service works with.
+     * The collaborators of the service.
      *
      * @param instance this entry
-     * @param incarnation the number of this start of the process
+     * @param incarnation the incarnation of this process
      * @param table the table service
      * @param objects the object store
-     * @param attempts sends to companions
-     * @param isEntryLive whether an entry is live as far as is known; a wrong answer costs time, never a second run
-     * @param isCompanionGone whether a companion's instance is known to be gone for good
-     * @param clock the time of day, for the age of rows
+     * @param attempts sends attempts to companions
+     * @param isEntryLive tells whether an entry is believed to be live; a wrong answer costs time, but never causes a
+     *     second run
+     * @param isCompanionGone tells whether a companion's instance is known to be gone permanently
+     * @param clock the wall clock, which dates rows
      * @param random the source of attempt ids, safe for use by several threads
-     * @param executor runs what waits, and the blocking calls of the platform, so it needs several threads
+     * @param executor runs scheduled tasks and blocking platform calls, so it needs several threads
      */
     public record Surroundings(
             InstanceId instance,
@@ -65,15 +66,15 @@
     private ScheduledFuture<?> sweepTask;
 
     /**
-     * Makes a service.
+     * Creates a service.
      *
      * @param settings the settings, not null
-     * @param surroundings what the service works with, not null
+     * @param dependencies the collaborators, not null
      */
-    public LedgerService(LedgerSettings settings, Surroundings surroundings) {
+    public LedgerService(LedgerSettings settings, Surroundings dependencies) {
         this.settings = settings;
-        this.dependencies = surroundings;
-        this.self = new Sender(surroundings.instance(), surroundings.incarnation());
+        this.dependencies = dependencies;
+        this.self = new Sender(dependencies.instance(), dependencies.incarnation());
         this.policy = new LedgerPolicy(
                 settings.patience(),
                 settings.pollInterval(),
@@ -84,10 +85,10 @@
                 MAX_STORE_ATTEMPTS,
                 MAX_SEND_ATTEMPTS);
         this.committer = new GroupCommitter(
-                surroundings.table(), surroundings.executor(), settings.groupSize(), settings.groupWait());
+                dependencies.table(), dependencies.executor(), settings.groupSize(), settings.groupWait());
     }
 
-    /** Begins the sweep of rows past their retention. */
+    /** Starts the periodic deletion of rows past their retention. */
     public synchronized void start() {
         LedgerSweep sweep = new LedgerSweep(settings, dependencies, committer);
         long interval = settings.sweepInterval().toNanos();
@@ -97,18 +98,18 @@
     }
 
     /**
-     * Runs a request, unless it ran before, and gives the answer.
+     * Runs a request, or returns the stored answer if it has run before.
      *
      * @param request the request, not null
-     * @param dispatch chooses where it goes, not null
-     * @return the answer, or a failure with a {@link org.geraniumreach.model.ServingException} that says whether it ran, not
-     *     null
+     * @param dispatcher chooses the companion and creates the frame, not null
+     * @return completed with the answer, or with a {@link org.geraniumreach.model.ServingException} that says whether the
+     *     request ran, not null
      */
-    public CompletableFuture<LedgerAnswer> perform(LedgerRequest request, Dispatch dispatch) {
+    public CompletableFuture<LedgerAnswer> perform(LedgerRequest request, Dispatch dispatcher) {
         LedgerView view = new LedgerView(
                 dependencies.clock()::instant,
                 () -> AttemptId.random(dependencies.random()),
-                () -> dispatch.choose().map(chosen -> new Companion(chosen.instance(), chosen.incarnation())),
+                () -> dispatcher.choose().map(chosen -> new Companion(chosen.instance(), chosen.incarnation())),
                 this::isLive,
                 companion -> dependencies.isCompanionGone().test(companion.instance()));
         LedgerCall call = new LedgerCall(
@@ -117,7 +118,7 @@
                 self,
                 policy,
                 view);
-        return new CallRunner(dependencies, settings, committer, call, dispatch).run();
+        return new CallRunner(dependencies, settings, committer, call, dispatcher).run();
     }
 
     private boolean isLive(Sender sender) {
--- a/daemon/src/main/java/org/geraniumreach/daemon/ledger/LedgerSettings.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/ledger/LedgerSettings.java
@@ -6,23 +6,23 @@
 import org.geraniumreach.daemon.settings.Setting;
 
 /**
- * Settings of the once-only ledger.
+ * Settings of the ledger, which runs each request at most once.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @param retention how long a row is kept
- * @param patience how long a second call waits for the first
- * @param pollInterval how often a waiting call reads the row
- * @param takeoverAge when the row of a sender that is still listed is taken over nevertheless
- * @param clockError how far the times of day of two entries may be apart
- * @param sendLimit how long after its row was written an attempt may be sent
- * @param sealLimit how long after it was asked a companion is believed that an attempt never started
- * @param groupSize how many rows go into one transaction
- * @param groupWait how long a row waits for others
- * @param largestInline the largest answer kept in the row
- * @param largestAnswer the largest answer that is kept at all
- * @param sweepInterval how often the sweep reads rows
- * @param sweepRows how many rows it reads
+ * @param patience how long a repeated call waits for the answer of the first
+ * @param pollInterval the interval at which a waiting call reads the row
+ * @param takeoverAge the age at which a running row is taken over even if its sender is still listed
+ * @param clockError the maximum difference between the wall clocks of two entries
+ * @param sendLimit how long after its row was written an attempt may still be sent
+ * @param sealLimit how long after the question a companion's answer that an attempt never started is accepted
+ * @param groupSize the maximum number of rows in one transaction
+ * @param groupWait how long a row waits for others to share its transaction
+ * @param largestInline the largest answer stored in its row; larger ones go to the object store
+ * @param largestAnswer the largest answer that is stored at all
+ * @param sweepInterval the interval between reads of the sweep
+ * @param sweepRows the number of rows per read of the sweep
  */
 public record LedgerSettings(
         @Setting(value = "24h", least = "1m", about = "How long a row is kept, and a key is recognised.")
--- a/daemon/src/main/java/org/geraniumreach/daemon/ledger/LedgerSweep.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/ledger/LedgerSweep.java
@@ -11,10 +11,10 @@
 import org.geraniumreach.ports.PlatformException;
 
 /**
- * Deletes ledger rows past their retention, some at a time.
+ * Deletes ledger rows past their retention, in batches.
  *
- * <p>Invariant: a row is deleted only in the version that was seen to be past its retention. Not safe for use by several
- * threads.
+ * <p>Invariant: a row is deleted only if its version is still the one that was read as past its retention. Not safe
+ * for use by several threads.
  */
 final class LedgerSweep {
 
@@ -23,32 +23,32 @@
     private final GroupCommitter committer;
     private String lastKey = "";
 
-    LedgerSweep(LedgerSettings settings, LedgerService.Surroundings surroundings, GroupCommitter groups) {
+    LedgerSweep(LedgerSettings settings, LedgerService.Surroundings dependencies, GroupCommitter committer) {
         this.settings = settings;
-        this.dependencies = surroundings;
-        this.committer = groups;
+        this.dependencies = dependencies;
+        this.committer = committer;
     }
 
-    /** Reads the next rows, and deletes those past their retention. */
+    /** Reads the next batch of rows and deletes those past their retention. */
     void sweepBatch() {
         try {
             List<Row> rows = dependencies.table().scan(LedgerRowFormat.TABLE, "", lastKey, settings.sweepRows());
-            Instant oldest = dependencies.clock().instant().minus(settings.retention());
-            rows.stream().filter(row -> isCreatedBefore(row, oldest)).forEach(this::delete);
+            Instant cutoff = dependencies.clock().instant().minus(settings.retention());
+            rows.stream().filter(row -> isCreatedBefore(row, cutoff)).forEach(this::delete);
             lastKey = rows.size() < settings.sweepRows()
                     ? ""
                     : rows.get(rows.size() - 1).key().key();
         } catch (PlatformException failure) {
             EventLog.write(EventCode.PLATFORM_UNREACHABLE, failure, "ledger sweep: {}", failure.getMessage());
         } catch (RuntimeException fault) {
-            // A task that throws is never run again, and rows would pile up unnoticed.
+            // The executor drops a periodic task that throws, and rows would accumulate unnoticed.
             EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "ledger sweep");
         }
     }
 
-    private static boolean isCreatedBefore(Row row, Instant oldest) {
+    private static boolean isCreatedBefore(Row row, Instant cutoff) {
         try {
-            return LedgerRowFormat.read(row.value()).created().isBefore(oldest);
+            return LedgerRowFormat.read(row.value()).created().isBefore(cutoff);
         } catch (LedgerRowFormat.UnreadableRowException unreadable) {
             return false;
         }
--- a/daemon/src/main/java/org/geraniumreach/daemon/ledger/package-info.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/ledger/package-info.java
@@ -1,2 +1,2 @@
-/** Runs the once-only ledger of {@code org.geraniumreach.coordination.ledger} against the table service and companions. */
+/** Connects the ledger of {@code org.geraniumreach.coordination.ledger} to the table service and companions. */
 package org.geraniumreach.daemon.ledger;
--- a/daemon/src/main/java/org/geraniumreach/daemon/membership/InstanceListReading.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/membership/InstanceListReading.java
@@ -9,8 +9,8 @@
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param askedNanos the monotonic clock before the list was asked for
- * @param instances the instances listed
+ * @param askedNanos the monotonic clock in nanoseconds before the list was requested
+ * @param instances the listed instances
  */
 public record InstanceListReading(long askedNanos, List<ListedInstance> instances) {
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/membership/LinkedMembership.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/membership/LinkedMembership.java
@@ -38,11 +38,11 @@
 import org.geraniumreach.ports.PlatformException;
 
 /**
- * The membership of a process with links: reads the list, keeps links and publishes the view.
+ * Reads the instance list, maintains links to other instances and publishes the membership view.
  *
- * <p>Invariants: an entry keeps links as {@link LinkSelector} says, a companion keeps none and is linked by entries. A list
- * that does not answer leaves the last view standing. The core is guarded by one lock, and listeners are told by one thread.
- * Safe for use by several threads.
+ * <p>Invariants: an entry maintains the links that {@link LinkSelector} selects; a companion opens none and is linked by
+ * entries. While the list does not answer, the last view stays. One lock guards the membership state, and one thread
+ * calls the listeners. Safe for use by several threads.
  */
 public final class LinkedMembership implements MembershipService, AutoCloseable {
 
@@ -85,9 +85,9 @@
     /**
      * Starts the membership of a process.
      *
-     * @param hello what this process says of itself on its links, not null
+     * @param hello the Hello that this process sends on its links, not null
      * @param settings the settings, not null
-     * @param list the platform's list, not null
+     * @param list the platform's instance list, not null
      * @param links the links of this process, not null
      * @param clock the clock, not null
      * @return the running membership, not null
@@ -146,26 +146,26 @@
     }
 
     private void readList() {
-        long asked = clock.nanos();
+        long requestedAtNanos = clock.nanos();
         try {
             List<ListedInstance> instances = list.read();
             if (!listReachable) {
                 listReachable = true;
                 EventLog.write(EventCode.PLATFORM_REACHABLE, "instance list");
             }
-            lastReading = Optional.of(new InstanceListReading(asked, instances));
+            lastReading = Optional.of(new InstanceListReading(requestedAtNanos, instances));
             update(() -> membership.onListRead(
                     instances.stream().map(LinkedMembership::toListedMember).toList()));
             if (role == MemberRole.ENTRY) {
                 keepLinks(instances);
             }
-        } catch (PlatformException unanswered) {
+        } catch (PlatformException failure) {
             if (listReachable) {
                 listReachable = false;
-                EventLog.write(EventCode.PLATFORM_UNREACHABLE, unanswered, "instance list");
+                EventLog.write(EventCode.PLATFORM_UNREACHABLE, failure, "instance list");
             }
         } catch (RuntimeException fault) {
-            EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "reading of the instance list");
+            EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "reading the instance list");
         }
     }
 
@@ -186,16 +186,16 @@
                 (listed.role() == ListedInstance.Role.ENTRY ? entries : companions).put(listed.instance(), listed);
             }
         }
-        LinkSelector choice = settings.linkSelector();
-        Set<InstanceId> wanted = new HashSet<>(choice.selectEntries(self, entries.keySet()));
-        wanted.addAll(choice.selectCompanions(self, entries.keySet(), companions.keySet()));
+        LinkSelector selector = settings.linkSelector();
+        Set<InstanceId> wanted = new HashSet<>(selector.selectEntries(self, entries.keySet()));
+        wanted.addAll(selector.selectCompanions(self, entries.keySet(), companions.keySet()));
         releaseUnwantedLinks(wanted);
         for (InstanceId instance : wanted) {
             keepLink(entries.getOrDefault(instance, companions.get(instance)));
         }
     }
 
-    /* An instance may come back under its name at another address; a link that is still open to the old one stays. */
+    /* An instance may return under its name at another address; a link still open to the old address is not replaced. */
     private void keepLink(ListedInstance listed) {
         ListedInstance before = keptLinks.get(listed.instance());
         if (before != null && before.linkAddress().equals(listed.linkAddress())) {
@@ -211,8 +211,8 @@
         links.keep(listed.instance(), listed.linkAddress());
     }
 
-    /* The platform drops an instance from its list while the instance still finishes what runs there. Closing the link would
-     * cut those answers off, so an open link stays until its other end closes it. */
+    /* The platform may drop an instance from its list while requests still run there. Closing the link would cut off their
+     * answers, so an open link stays until the other end closes it. */
     private void releaseUnwantedLinks(Set<InstanceId> wanted) {
         for (InstanceId instance : Set.copyOf(keptLinks.keySet())) {
             if (!wanted.contains(instance) && links.find(instance).isEmpty()) {
@@ -231,7 +231,7 @@
         try {
             executor.execute(this::publish);
         } catch (RejectedExecutionException rejected) {
-            // Links close after the membership when a process ends; nobody listens any more.
+            // When a process ends, links close after the membership, and listeners no longer need the change.
             if (!executor.isShutdown()) {
                 throw rejected;
             }
@@ -257,29 +257,33 @@
             try {
                 listener.onMembershipChanged(before, after);
             } catch (RuntimeException fault) {
-                EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "listener of the membership");
+                EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "a listener of the membership failed");
             }
         }
     }
 
     private static void logChanges(MembershipView before, MembershipView after) {
         for (Member member : after.members()) {
-            boolean did =
+            boolean acceptedWork =
                     before.member(member.instance()).filter(Member::acceptsWork).isPresent();
-            if (member.acceptsWork() && !did) {
+            if (member.acceptsWork() && !acceptedWork) {
                 EventLog.write(EventCode.INSTANCE_JOINED, "{}", member.instance());
-            } else if (did && !member.acceptsWork()) {
-                EventLog.write(EventCode.INSTANCE_LEFT, "{} leaving: {}", member.instance(), member.leaving());
+            } else if (acceptedWork && !member.acceptsWork()) {
+                EventLog.write(
+                        EventCode.INSTANCE_LEFT,
+                        "{} accepts no more work, leaving: {}",
+                        member.instance(),
+                        member.leaving());
             }
         }
         for (Member member : before.members()) {
             if (member.acceptsWork() && after.member(member.instance()).isEmpty()) {
-                EventLog.write(EventCode.INSTANCE_LEFT, "{} gone", member.instance());
+                EventLog.write(EventCode.INSTANCE_LEFT, "{} is gone", member.instance());
             }
         }
     }
 
-    /** Takes what links bring. */
+    /** Updates the membership from the events of links. */
     private final class LinkHandler implements FrameHandler {
 
         @Override
@@ -288,7 +292,7 @@
                 LinkedMember member = toLinkedMember(peer.hello());
                 update(() -> membership.onLinkOpened(member));
             } catch (IllegalArgumentException invalid) {
-                peer.close("its Hello is wrong: " + invalid.getMessage());
+                peer.close("invalid Hello: " + invalid.getMessage());
                 return;
             }
             if (leaving) {
--- a/daemon/src/main/java/org/geraniumreach/daemon/membership/MembershipListener.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/membership/MembershipListener.java
@@ -3,7 +3,7 @@
 import org.geraniumreach.coordination.membership.MembershipView;
 
 /**
- * Is told when the membership view changes.
+ * Receives changes of the membership view.
  *
  * <p>Contract: calls come one at a time and must not block.
  */
@@ -11,10 +11,10 @@
 public interface MembershipListener {
 
     /**
-     * Tells of a new view.
+     * Called when the view has changed.
      *
-     * @param before the view until now, not null
-     * @param after the view from now on, not null
+     * @param before the previous view, not null
+     * @param after the new view, not null
      */
     void onMembershipChanged(MembershipView before, MembershipView after);
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/membership/MembershipService.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/membership/MembershipService.java
@@ -8,33 +8,33 @@
 import org.geraniumreach.model.InstanceId;
 
 /**
- * The instances as this process sees them.
+ * Provides the instances known to this process.
  *
  * <p>Contract: safe for use by several threads; {@link #get} never blocks.
  */
 public interface MembershipService extends Supplier<MembershipView> {
 
     /**
-     * Registers who is told of changes.
+     * Registers a listener for changes of the view.
      *
      * @param listener the listener, not null
      */
     void listen(MembershipListener listener);
 
     /**
-     * Gets the last reading of the instance list.
+     * Gets the latest reading of the instance list.
      *
      * @return the reading, or empty if the list has not answered yet
      */
     Optional<InstanceListReading> lastReading();
 
     /**
-     * Gets the entries that may bring a change into the log: those listed, without those that said that they leave.
+     * Gets the entries that may commit a change to the log: the listed ones except those that announced leaving.
      *
      * @return the entries, not null
      */
     Set<InstanceId> submittingEntries();
 
-    /** Tells every linked peer that this process leaves and takes no new work. */
+    /** Tells every linked peer that this process is leaving and accepts no new work. */
     void announceLeaving();
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/membership/MembershipSettings.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/membership/MembershipSettings.java
@@ -6,15 +6,15 @@
 import org.geraniumreach.daemon.settings.Setting;
 
 /**
- * Settings of the membership; all instances of a fleet must have the same.
+ * Settings of the membership, which must be equal at all instances of a fleet.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param readInterval how often the list is read
- * @param fullMeshEntries up to how many entries all link with all
- * @param rings the number of rings on which entries choose links beyond that
- * @param fullMeshCompanions up to how many companions every entry links with all
- * @param entriesOfCompanion how many entries link with each companion beyond that
+ * @param readInterval the interval between reads of the instance list
+ * @param fullMeshEntries the number of entries up to which all entries are linked with each other
+ * @param rings the number of rings by which entries select links above that number
+ * @param fullMeshCompanions the number of companions up to which every entry is linked with all of them
+ * @param entriesOfCompanion the number of entries linked with each companion above that number
  */
 public record MembershipSettings(
         @Setting(value = "1s", least = "50ms", greatest = "1m", about = "How often the instance list is read.")
--- a/daemon/src/main/java/org/geraniumreach/daemon/membership/package-info.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Drives the membership core: reads the instance list, keeps links and publishes the view. */
+/** Maintains the membership: reads the instance list, maintains links and publishes the view. */
 package org.geraniumreach.daemon.membership;
--- a/daemon/src/test/java/org/geraniumreach/daemon/budget/BudgetServiceTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/budget/BudgetServiceTest.java
@@ -163,7 +163,7 @@
     private static ServingException refusalOf(CompletableFuture<Reservation> future) throws InterruptedException {
         try {
             future.get();
-            throw new AssertionError("the tokens were granted");
+            throw new AssertionError("expected a refusal, but the tokens were granted");
         } catch (ExecutionException failure) {
             return (ServingException) failure.getCause();
         }
--- a/daemon/src/test/java/org/geraniumreach/daemon/budget/LocalLinks.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/budget/LocalLinks.java
@@ -14,17 +14,17 @@
 import org.geraniumreach.messages.Hello;
 import org.geraniumreach.model.InstanceId;
 
-/** Links between entries of one process; a frame arrives before {@code send} returns. */
+/** Links between entries of one process; {@code send} delivers a frame before it returns. */
 final class LocalLinks implements Links {
 
     private final InstanceId self;
     private final Map<InstanceId, LocalLinks> network;
     private volatile FrameHandler handler;
 
-    LocalLinks(InstanceId self, Map<InstanceId, LocalLinks> all) {
+    LocalLinks(InstanceId self, Map<InstanceId, LocalLinks> network) {
         this.self = self;
-        this.network = all;
-        all.put(self, this);
+        this.network = network;
+        network.put(self, this);
     }
 
     static Map<InstanceId, LocalLinks> network() {
@@ -33,12 +33,12 @@
 
     @Override
     public void keep(InstanceId instance, InetSocketAddress address) {
-        throw new UnsupportedOperationException("all are linked");
+        throw new UnsupportedOperationException("all entries are linked permanently");
     }
 
     @Override
     public void release(InstanceId instance) {
-        throw new UnsupportedOperationException("all are linked");
+        throw new UnsupportedOperationException("all entries are linked permanently");
     }
 
     @Override
@@ -59,7 +59,7 @@
         handler = newHandler;
     }
 
-    /** One end of a link. */
+    /** One end of a link; {@code sender} is the local end. */
     private record LocalPeer(LocalLinks other, LocalLinks sender) implements Peer {
 
         @Override
--- a/daemon/src/test/java/org/geraniumreach/daemon/configuration/InMemoryLinks.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/configuration/InMemoryLinks.java
@@ -15,7 +15,7 @@
 import org.geraniumreach.messages.Hello;
 import org.geraniumreach.model.InstanceId;
 
-/** Links within one process: what one end sends the other receives at once. */
+/** Links within one process; {@code send} delivers a frame to the other end before it returns. */
 final class InMemoryLinks implements Links {
 
     private final Hello hello;
@@ -34,14 +34,14 @@
     }
 
     void connect(InMemoryLinks other) {
-        End here = new End(this, other);
-        End there = new End(other, this);
-        here.reverse = there;
-        there.reverse = here;
-        openPeers.put(InstanceId.of(other.hello.getInstance()), here);
-        other.openPeers.put(InstanceId.of(hello.getInstance()), there);
-        handlers.forEach(registered -> registered.handler().opened(here));
-        other.handlers.forEach(registered -> registered.handler().opened(there));
+        End localEnd = new End(this, other);
+        End remoteEnd = new End(other, this);
+        localEnd.reverse = remoteEnd;
+        remoteEnd.reverse = localEnd;
+        openPeers.put(InstanceId.of(other.hello.getInstance()), localEnd);
+        other.openPeers.put(InstanceId.of(hello.getInstance()), remoteEnd);
+        handlers.forEach(registered -> registered.handler().opened(localEnd));
+        other.handlers.forEach(registered -> registered.handler().opened(remoteEnd));
     }
 
     private void receive(Peer peer, Frame frame) {
@@ -71,7 +71,7 @@
         handlers.add(new Registration(kinds, handler));
     }
 
-    /** One end's view of the other. */
+    /** The peer that one end of a link sees. */
     private static final class End implements Peer {
 
         private final InMemoryLinks to;
--- a/daemon/src/test/java/org/geraniumreach/daemon/configuration/LoneEntry.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/configuration/LoneEntry.java
@@ -11,14 +11,14 @@
 import org.geraniumreach.model.InstanceId;
 import org.geraniumreach.model.MonotonicClock;
 
-/** Starts the configuration of an entry that is alone. */
+/** Starts the configuration of a single entry without peers. */
 public final class LoneEntry {
 
     private static final InstanceId SELF = InstanceId.of("entry-1");
 
     private LoneEntry() {}
 
-    /** A membership of the same entries for ever. */
+    /** A membership with a fixed set of entries. */
     record FixedMembership(Set<InstanceId> entries) implements MembershipService {
 
         @Override
--- a/daemon/src/test/java/org/geraniumreach/daemon/configuration/MemoryTable.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/configuration/MemoryTable.java
@@ -10,19 +10,19 @@
 import org.geraniumreach.ports.PlatformException;
 import org.geraniumreach.ports.TableService;
 
-/** A table service in memory, which can be away. */
+/** A table service in memory that can be made unavailable. */
 public final class MemoryTable implements TableService {
 
     private final TreeMap<String, Row> rows = new TreeMap<>();
     private boolean unavailable;
 
-    public synchronized void setAway(boolean isAway) {
-        unavailable = isAway;
+    public synchronized void setAway(boolean newUnavailable) {
+        unavailable = newUnavailable;
     }
 
     private void requireAvailable(PlatformException.Effect effect) throws PlatformException {
         if (unavailable) {
-            throw new PlatformException(effect, "the table is away", null);
+            throw new PlatformException(effect, "the table is unavailable", null);
         }
     }
 
--- a/daemon/src/test/java/org/geraniumreach/daemon/configuration/ReplicatedConfigurationTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/configuration/ReplicatedConfigurationTest.java
@@ -86,8 +86,8 @@
     }
 
     /*
-     * Failure: a key is withdrawn at one entry and streams that another entry serves for it go on. The other entry hears of
-     * the change from the first, and tells whoever runs streams which keys are good no more.
+     * Failure: a key is withdrawn at one entry, and another entry continues the streams that it serves for the key. The
+     * other entry receives the change from the first and must report the withdrawn keys to its listeners.
      */
     @Test
     void withdrawnKeyIsReportedAtAnotherEntry() throws InterruptedException {
@@ -110,9 +110,9 @@
     }
 
     /*
-     * Failure: the longer the system runs, the longer a new instance takes to start, since it reads every change ever made.
-     * After enough changes a snapshot stands in the table, and an instance whose revision the log no longer reaches back to
-     * starts from it.
+     * Failure: the start of a new instance takes longer the longer the system runs, since it reads every change ever made.
+     * After enough changes the table holds a snapshot, from which an instance starts if the log does not reach back to its
+     * revision.
      */
     @Test
     void newInstanceStartsFromTheSnapshotInTheTable() throws Exception {
@@ -127,16 +127,16 @@
         deleteLogUpTo(ConfigurationRows.readPointer(
                         table.read(ConfigurationRows.SNAPSHOT).orElseThrow().value())
                 .revision());
-        ReplicatedConfiguration fresh = start("entry-2", new InMemoryLinks("entry-2", "entry"));
-        await(() -> fresh.current().revision() == 25);
-        assertThat(fresh.current().entries()).hasSize(1);
-        assertThat(fresh.reasonNotReady()).isEmpty();
+        ReplicatedConfiguration joined = start("entry-2", new InMemoryLinks("entry-2", "entry"));
+        await(() -> joined.current().revision() == 25);
+        assertThat(joined.current().entries()).hasSize(1);
+        assertThat(joined.reasonNotReady()).isEmpty();
     }
 
     private boolean isPresent(RowKey key) {
         try {
             return table.read(key).isPresent();
-        } catch (PlatformException away) {
+        } catch (PlatformException unavailable) {
             return false;
         }
     }
@@ -148,8 +148,8 @@
     }
 
     /*
-     * Failure: an instance that has never seen a configuration answers callers that their keys are unknown. While the table
-     * is away and no peer is there it refuses as not run, with a time to come back, and is not ready.
+     * Failure: an instance that has never had a configuration answers callers that their keys are unknown. While the table
+     * is unavailable and there is no peer, it must refuse with a retry-after time and must not be ready.
      */
     @Test
     void instanceWithoutConfigurationRefusesWithRetryAfter() {
--- a/daemon/src/test/java/org/geraniumreach/daemon/ledger/LedgerServiceTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/ledger/LedgerServiceTest.java
@@ -67,8 +67,9 @@
         assertThat(runs).hasValue(1);
     }
 
-    // The caller sees a refusal that says "not run", and may believe it: without the row that keeps a second call
-    // from sending, nothing is sent.
+    // Failure: a request runs although its caller is told that it did not. Without the row that keeps a second call
+    // from
+    // sending, nothing may be sent.
     @Test
     void sendsNothingWhenTheTableServiceIsUnreachable() throws Exception {
         fault.set(Fault.UNREACHABLE);
@@ -86,9 +87,8 @@
         assertThat(refusal.code()).isEqualTo(ResultCode.IDEMPOTENCY_KEY_REUSED);
     }
 
-    // A caller that sends a booking twice at once would see it made twice. The two inserts come so close that they
-    // would share a transaction, in which both conditions hold and the later write wins; each must be told its own
-    // result.
+    // Failure: a booking sent twice at once is made twice. If both inserts shared a transaction, both conditions would
+    // hold and the later write would win; each insert must get its own outcome.
     @Test
     void concurrentCallsWithOneKeyRunOnce() throws Exception {
         LedgerService ledger = service();
@@ -105,7 +105,7 @@
     private static ServingException failureOf(CompletableFuture<LedgerAnswer> call) throws InterruptedException {
         try {
             call.get();
-            throw new AssertionError("the call succeeded");
+            throw new AssertionError("expected a failure, but the call succeeded");
         } catch (ExecutionException failure) {
             return (ServingException) failure.getCause();
         }
@@ -173,7 +173,7 @@
         }
     }
 
-    /** A companion that answers in two chunks, from a thread of its own. */
+    /** A companion that answers at once in two chunks, on a thread of the executor. */
     private final class ImmediateAttempts implements Attempts {
 
         @Override
@@ -206,12 +206,12 @@
 
         @Override
         public void request(int chunks) {
-            // The companion above sends without credit.
+            // The simulated companion sends without credit.
         }
 
         @Override
         public void cancel(String reason) {
-            // It has ended already.
+            // The attempt has already ended.
         }
     }
 }
