--- a/daemon/src/main/java/org/geraniumreach/daemon/budget/BudgetService.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/budget/BudgetService.java
@@ -45,27 +45,27 @@
 import org.geraniumreach.ports.TableService;
 
 /**
- * The budgets of all client accounts at one entry.
+ * Reserves tokens from the budgets of all client accounts at one entry.
  *
- * <p>Invariants: those of {@link EntryBudget}; each callback is told once; the calls of the table service are made by one
- * task at a time. Safe for use by several threads; each client account's state is under a lock of its own, which is not
- * held while a callback runs.
+ * <p>Invariants: those of {@link EntryBudget}; each callback is called once; table service calls are made by one task at a
+ * time. Safe for use by several threads; each client account's state has its own lock, which is not held while a callback
+ * runs.
  */
 public final class BudgetService implements AutoCloseable {
 
     /**
-     * What the service works with.
+     * The collaborators of the service.
      *
-     * @param instance this entry's name on the list
-     * @param linkAddress this entry's link address on the list; the socket must be bound already
-     * @param incarnation the number of this start of the process
+     * @param instance this entry's name in the instance list
+     * @param linkAddress this entry's link address in the instance list; the socket must already be bound
+     * @param incarnation the incarnation of this process
      * @param table the table service
      * @param links the links with the other entries
-     * @param list the newest reading of the list, empty before the first
-     * @param configuration the configuration in force
-     * @param clock the source of elapsed time
+     * @param instanceList supplies the latest reading of the instance list, empty before the first
+     * @param configuration supplies the configuration in force
+     * @param clock the monotonic clock
      * @param random the source of random choices, safe for use by several threads
-     * @param executor runs what waits; calls of the table service block one of its threads at a time
+     * @param executor runs scheduled tasks; table service calls block at most one of its threads
      */
     public record Surroundings(
             InstanceId instance,
@@ -73,219 +73,224 @@
             long incarnation,
             TableService table,
             Links links,
-            Supplier<Optional<ListReading>> list,
+            Supplier<Optional<ListReading>> instanceList,
             Supplier<Configuration> configuration,
             MonotonicClock clock,
             RandomGenerator random,
             ScheduledExecutorService executor) {}
 
-    private static final Duration TICK = Duration.ofMillis(100);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(100);
     private static final String ENTRY_ROLE = "entry";
 
-    private final Surroundings surroundings;
-    private final EntryBudget core;
-    private final StoreDriver store;
-    private final Map<Long, BudgetCallback> waiting = new ConcurrentHashMap<>();
-    private final Map<AccountId, Long> wakes = new ConcurrentHashMap<>();
-    private final AtomicLong tickets = new AtomicLong();
-    private final CompletableFuture<Void> released = new CompletableFuture<>();
-    private Set<AccountId> known = Set.of();
+    private final Surroundings dependencies;
+    private final EntryBudget budget;
+    private final StoreCallExecutor storeCalls;
+    private final Map<Long, BudgetCallback> pendingCallbacks = new ConcurrentHashMap<>();
+    private final Map<AccountId, Long> scheduledWakeups = new ConcurrentHashMap<>();
+    private final AtomicLong lastTicket = new AtomicLong();
+    private final CompletableFuture<Void> releaseCompletion = new CompletableFuture<>();
+    private Set<AccountId> knownAccounts = Set.of();
     private Optional<ListReading> lastReading = Optional.empty();
-    private boolean proved;
-    private ScheduledFuture<?> ticking;
+    private boolean wasProved;
+    private ScheduledFuture<?> tickTask;
 
     /**
-     * Makes a service that holds nothing yet.
+     * Creates a service that holds no shares.
      *
      * @param settings the settings, not null
-     * @param surroundings what the service works with, not null
+     * @param dependencies the collaborators, not null
      * @throws IllegalArgumentException if the quarantine is too short for the other settings
      */
-    public BudgetService(BudgetSettings settings, Surroundings surroundings) {
-        this.surroundings = surroundings;
-        HolderId self =
-                new HolderId(surroundings.instance(), textOf(surroundings.linkAddress()), surroundings.incarnation());
-        this.core = new EntryBudget(self, settings.policy(), surroundings.clock(), surroundings.random());
-        this.store = new StoreDriver(core.keeper(), surroundings.table());
+    public BudgetService(BudgetSettings settings, Surroundings dependencies) {
+        this.dependencies = dependencies;
+        HolderId self = new HolderId(
+                dependencies.instance(), formatAddress(dependencies.linkAddress()), dependencies.incarnation());
+        this.budget = new EntryBudget(self, settings.policy(), dependencies.clock(), dependencies.random());
+        this.storeCalls = new StoreCallExecutor(budget.keeper(), dependencies.table());
     }
 
-    private static String textOf(InetSocketAddress address) {
+    private static String formatAddress(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** Begins to take and keep shares. */
+    /** Starts acquiring shares and renewing the lease that covers them. */
     public synchronized void start() {
-        surroundings
+        dependencies
                 .links()
                 .handle(
                         EnumSet.of(Frame.BodyCase.LOAN_REQUEST, Frame.BodyCase.LOAN_ANSWER, Frame.BodyCase.SHARE_MOVED),
-                        new LoanHandler());
+                        new LoanFrameHandler());
         configurationChanged();
-        ticking = surroundings.executor().scheduleWithFixedDelay(this::tick, 0, TICK.toNanos(), TimeUnit.NANOSECONDS);
+        tickTask = dependencies
+                .executor()
+                .scheduleWithFixedDelay(this::tick, 0, TICK_INTERVAL.toNanos(), TimeUnit.NANOSECONDS);
     }
 
     /**
-     * Sets tokens aside for a request, at once or after a short wait in order of arrival.
+     * Reserves tokens for a request, at once or after a short wait in order of arrival.
      *
      * @param account the client account, not null
-     * @param tokens the prompt and the most that may be generated, at least 0
-     * @param deadlineLeft the time that the request has left, not null
-     * @param callback told once, maybe before this method returns, not null
+     * @param tokens the prompt tokens plus the maximum that may be generated, at least 0
+     * @param deadlineLeft the time left until the deadline of the request, not null
+     * @param callback called once, possibly before this method returns, not null
      */
     public void reserve(AccountId account, long tokens, Duration deadlineLeft, BudgetCallback callback) {
         if (tokens < 0) {
             throw new IllegalArgumentException("negative tokens: " + tokens);
         }
-        long ticket = tickets.incrementAndGet();
-        waiting.put(ticket, callback);
-        carryOut(account, core.reserve(account, ticket, tokens, deadlineLeft));
+        long ticket = lastTicket.incrementAndGet();
+        pendingCallbacks.put(ticket, callback);
+        perform(account, budget.reserve(account, ticket, tokens, deadlineLeft));
     }
 
-    /** Takes the rates of the configuration now in force; call after each change. */
+    /** Applies the rates of the configuration in force; must be called after each change. */
     public synchronized void configurationChanged() {
         Set<AccountId> present = new HashSet<>();
-        for (ClientAccount account : surroundings.configuration().get().accounts()) {
+        for (ClientAccount account : dependencies.configuration().get().accounts()) {
             present.add(account.id());
-            carryOut(account.id(), core.setRate(account.id(), account.tokensPerSecond(), account.burstTokens()));
+            perform(account.id(), budget.setRate(account.id(), account.tokensPerSecond(), account.burstTokens()));
         }
-        for (AccountId gone : known) {
-            if (!present.contains(gone)) {
-                carryOut(gone, core.setRate(gone, 0, 0));
+        for (AccountId removed : knownAccounts) {
+            if (!present.contains(removed)) {
+                perform(removed, budget.setRate(removed, 0, 0));
             }
         }
-        known = present;
-        core.setAccounts(present);
+        knownAccounts = present;
+        budget.setAccounts(present);
     }
 
     /**
-     * Gets the share of a client account that this entry holds itself, loans aside.
+     * Gets the share of a client account that this entry holds, not counting loans.
      *
      * @param account the account, not null
      * @return the share, 0 to 1
      */
     public double share(AccountId account) {
-        return (double) core.ownParts(account) / ShareParts.WHOLE;
+        return (double) budget.ownParts(account) / ShareParts.WHOLE;
     }
 
     /**
-     * Puts all shares back for others to take, at the end of a drain; nothing is granted afterwards.
+     * Releases all shares to other entries at the end of a drain; nothing is granted afterwards.
      *
-     * @return completed when the shares are back; a process that ends before loses nothing but time, not null
+     * @return completed when the shares are released; if the process ends before, others can take the shares only after the
+     *     quarantine, not null
      */
     public CompletableFuture<Void> release() {
-        core.release();
-        return released;
+        budget.release();
+        return releaseCompletion;
     }
 
-    /** Stops without putting anything back. */
+    /** Stops without releasing any shares. */
     @Override
     public synchronized void close() {
-        if (ticking != null) {
-            ticking.cancel(false);
+        if (tickTask != null) {
+            tickTask.cancel(false);
         }
     }
 
     private void tick() {
         try {
-            takeList();
-            core.setPeers(peers());
+            applyListReading();
+            budget.setPeers(linkedEntries());
             do {
-                core.publish().forEach(this::published);
-                tellRecipients();
-            } while (store.step());
-            noteProof();
-            if (core.keeper().isReleased()) {
-                released.complete(null);
+                budget.publish().forEach(this::onShareChanged);
+                notifyShareRecipients();
+            } while (storeCalls.executeNext());
+            logProofLoss();
+            if (budget.keeper().isReleased()) {
+                releaseCompletion.complete(null);
             }
         } catch (RuntimeException fault) {
-            // A task that throws is never run again, and the lease would lapse unnoticed.
-            EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "keeping the budget's shares");
+            // The executor drops a periodic task that throws, and the lease would lapse unnoticed.
+            EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "periodic update of the budget shares");
         }
     }
 
-    private void takeList() {
-        Optional<ListReading> reading = surroundings.list().get();
+    private void applyListReading() {
+        Optional<ListReading> reading = dependencies.instanceList().get();
         if (reading.isEmpty() || reading.equals(lastReading)) {
             return;
         }
         lastReading = reading;
         Set<ListedHolder> listed = reading.get().entries().stream()
-                .map(entry -> new ListedHolder(entry.instance(), textOf(entry.linkAddress())))
+                .map(entry -> new ListedHolder(entry.instance(), formatAddress(entry.linkAddress())))
                 .collect(Collectors.toSet());
-        core.listed(listed, reading.get().askedNanos());
+        budget.listed(listed, reading.get().requestedAtNanos());
     }
 
-    private List<InstanceId> peers() {
-        return surroundings.links().peers().stream()
+    private List<InstanceId> linkedEntries() {
+        return dependencies.links().peers().stream()
                 .filter(peer -> peer.hello().getRole().equals(ENTRY_ROLE))
                 .map(peer -> InstanceId.of(peer.hello().getInstance()))
-                .filter(peer -> !peer.equals(surroundings.instance()))
+                .filter(peer -> !peer.equals(dependencies.instance()))
                 .distinct()
                 .toList();
     }
 
-    private void published(EntryBudget.AccountStep changed) {
+    private void onShareChanged(EntryBudget.AccountStep changed) {
         EventLog.write(EventCode.SHARE_CHANGED, "account {}, share {}", changed.account(), share(changed.account()));
-        carryOut(changed.account(), changed.step());
+        perform(changed.account(), changed.step());
     }
 
-    private void tellRecipients() {
-        for (RowKey row : core.keeper().takeHandedOverTo()) {
-            surroundings.links().find(HolderRow.instanceOf(row)).ifPresent(peer -> peer.send(LoanFrames.shareMoved()));
+    private void notifyShareRecipients() {
+        for (RowKey row : budget.keeper().takeHandedOverTo()) {
+            dependencies.links().find(HolderRow.instanceOf(row)).ifPresent(peer -> peer.send(LoanFrames.shareMoved()));
         }
     }
 
-    private void noteProof() {
-        boolean holds = core.isProved();
-        if (proved && !holds) {
-            EventLog.write(EventCode.SHARE_LAPSED, "neither the lease nor the list proves the shares");
+    private void logProofLoss() {
+        boolean isProved = budget.isProved();
+        if (wasProved && !isProved) {
+            EventLog.write(
+                    EventCode.SHARE_LAPSED, "neither the lease nor the instance list proves that the shares are held");
         }
-        proved = holds;
+        wasProved = isProved;
     }
 
-    private void carryOut(AccountId account, BudgetStep step) {
-        step.actions().forEach(action -> carryOut(account, action));
-        step.wakeAt().ifPresent(at -> wakeAt(account, at));
+    private void perform(AccountId account, BudgetStep step) {
+        step.actions().forEach(action -> perform(account, action));
+        step.wakeAt().ifPresent(atNanos -> scheduleWakeup(account, atNanos));
     }
 
-    private void carryOut(AccountId account, BudgetAction action) {
+    private void perform(AccountId account, BudgetAction action) {
         if (action instanceof BudgetAction.Granted granted) {
-            answer(granted.ticket(), callback -> callback.granted(new GrantedReservation(account, granted.grant())));
+            completeRequest(
+                    granted.ticket(), callback -> callback.granted(new GrantedReservation(account, granted.grant())));
         } else if (action instanceof BudgetAction.Refused refused) {
             ServingException refusal = ServingException.notRun(
                             refused.code(), refused.code().meaning())
                     .withRetryAfter(refused.retryAfter());
-            answer(refused.ticket(), callback -> callback.refused(refusal));
-        } else if (action instanceof BudgetAction.AskLoan ask) {
-            surroundings.links().find(ask.peer()).ifPresent(peer -> peer.send(LoanFrames.of(ask.wish())));
-        } else if (action instanceof BudgetAction.GiveLoan give) {
-            surroundings.links().find(give.peer()).ifPresent(peer -> peer.send(LoanFrames.of(give.loan())));
+            completeRequest(refused.ticket(), callback -> callback.refused(refusal));
+        } else if (action instanceof BudgetAction.AskLoan askLoan) {
+            dependencies.links().find(askLoan.peer()).ifPresent(peer -> peer.send(LoanFrames.encode(askLoan.wish())));
+        } else if (action instanceof BudgetAction.GiveLoan giveLoan) {
+            dependencies.links().find(giveLoan.peer()).ifPresent(peer -> peer.send(LoanFrames.encode(giveLoan.loan())));
         }
     }
 
-    private void answer(long ticket, Consumer<BudgetCallback> how) {
-        BudgetCallback callback = waiting.remove(ticket);
+    private void completeRequest(long ticket, Consumer<BudgetCallback> notification) {
+        BudgetCallback callback = pendingCallbacks.remove(ticket);
         if (callback != null) {
-            how.accept(callback);
+            notification.accept(callback);
         }
     }
 
-    private void wakeAt(AccountId account, long at) {
-        Long earlier = wakes.get(account);
-        if (earlier != null && earlier <= at) {
+    private void scheduleWakeup(AccountId account, long atNanos) {
+        Long earlier = scheduledWakeups.get(account);
+        if (earlier != null && earlier <= atNanos) {
             return;
         }
-        wakes.put(account, at);
-        long delay = Math.max(0, at - surroundings.clock().nanos());
-        surroundings.executor().schedule(() -> wake(account, at), delay, TimeUnit.NANOSECONDS);
+        scheduledWakeups.put(account, atNanos);
+        long delayNanos = Math.max(0, atNanos - dependencies.clock().nanos());
+        dependencies.executor().schedule(() -> wakeUp(account, atNanos), delayNanos, TimeUnit.NANOSECONDS);
     }
 
-    private void wake(AccountId account, long at) {
-        wakes.remove(account, at);
-        carryOut(account, core.wake(account));
+    private void wakeUp(AccountId account, long atNanos) {
+        scheduledWakeups.remove(account, atNanos);
+        perform(account, budget.wake(account));
     }
 
-    /** A reservation that gives back through the service. */
+    /** A reservation that returns unused tokens to the budget of its account. */
     private final class GrantedReservation implements Reservation {
 
         private final AccountId account;
@@ -303,43 +308,43 @@
 
         @Override
         public void settle(long actualTokens) {
-            carryOut(account, core.settle(account, grant, actualTokens));
+            perform(account, budget.settle(account, grant, actualTokens));
         }
     }
 
-    /** Takes the frames of loans. */
-    private final class LoanHandler implements FrameHandler {
+    /** Handles loan requests, loan answers and notices of moved shares. */
+    private final class LoanFrameHandler implements FrameHandler {
 
         @Override
         public void opened(Peer peer) {
-            // Peers are looked up when a loan is needed.
+            // Peers are looked up when a loan is needed, so none are tracked here.
         }
 
         @Override
         public void closed(Peer peer, String reason) {
-            // A loan request without an answer is given up by its time limit.
+            // A loan request without an answer ends by its timeout.
         }
 
         @Override
         public void received(Peer peer, Frame frame) {
             try {
-                take(InstanceId.of(peer.hello().getInstance()), frame);
+                handleFrame(InstanceId.of(peer.hello().getInstance()), frame);
             } catch (IllegalArgumentException invalid) {
-                EventLog.write(EventCode.FRAME_REFUSED, "loan frame: {}", invalid.getMessage());
+                EventLog.write(EventCode.FRAME_REFUSED, "invalid loan frame: {}", invalid.getMessage());
             }
         }
 
-        private void take(InstanceId peer, Frame frame) {
+        private void handleFrame(InstanceId peer, Frame frame) {
             switch (frame.getBodyCase()) {
                 case LOAN_REQUEST -> {
-                    LoanWish wish = LoanFrames.wishIn(frame.getLoanRequest());
-                    carryOut(wish.account(), core.loanAsked(peer, wish));
+                    LoanWish request = LoanFrames.decodeRequest(frame.getLoanRequest());
+                    perform(request.account(), budget.loanAsked(peer, request));
                 }
                 case LOAN_ANSWER -> {
-                    Loan loan = LoanFrames.loanIn(frame.getLoanAnswer());
-                    carryOut(loan.account(), core.loanAnswered(peer, loan));
+                    Loan loan = LoanFrames.decodeAnswer(frame.getLoanAnswer());
+                    perform(loan.account(), budget.loanAnswered(peer, loan));
                 }
-                default -> core.keeper().refresh();
+                default -> budget.keeper().refresh();
             }
         }
     }
--- a/daemon/src/main/java/org/geraniumreach/daemon/budget/LoanFrames.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/budget/LoanFrames.java
@@ -15,7 +15,7 @@
 import org.geraniumreach.model.table.RowKey;
 
 /**
- * The frames by which entries lend budget.
+ * Encodes and decodes the frames of loans between entries.
  *
  * <p>Stateless and safe for use by several threads.
  */
@@ -23,43 +23,43 @@
 
     private LoanFrames() {}
 
-    static Frame of(LoanWish wish) {
+    static Frame encode(LoanWish request) {
         return Frame.newBuilder()
                 .setLoanRequest(LoanRequest.newBuilder()
-                        .setNumber(wish.number())
-                        .setAccount(wish.account().value())
-                        .setTokensWanted(wish.tokens())
-                        .setShareWanted(wish.parts())
-                        .setDurationMillis(wish.duration().toMillis())
-                        .setDemand(wish.demand())
-                        .setShareHeld(wish.heldParts())
-                        .setHolder(wish.holder().map(RowKey::key).orElse("")))
+                        .setNumber(request.number())
+                        .setAccount(request.account().value())
+                        .setTokensWanted(request.tokens())
+                        .setShareWanted(request.parts())
+                        .setDurationMillis(request.duration().toMillis())
+                        .setDemand(request.demand())
+                        .setShareHeld(request.heldParts())
+                        .setHolder(request.holder().map(RowKey::key).orElse("")))
                 .build();
     }
 
     /**
-     * Reads a request for a loan.
+     * Decodes a loan request.
      *
      * @param request the frame's content
      * @return the request
      * @throws IllegalArgumentException if a value is out of range
      */
-    static LoanWish wishIn(LoanRequest request) {
+    static LoanWish decodeRequest(LoanRequest request) {
         Optional<RowKey> holder = request.getHolder().isEmpty()
                 ? Optional.empty()
                 : Optional.of(RowKey.of(HolderRow.TABLE, request.getHolder()));
         return new LoanWish(
                 request.getNumber(),
                 AccountId.of(request.getAccount()),
-                tokens(request.getTokensWanted()),
+                requireTokens(request.getTokensWanted()),
                 ShareParts.require(request.getShareWanted()),
-                duration(request.getDurationMillis()),
-                tokens(request.getDemand()),
+                toDuration(request.getDurationMillis()),
+                requireTokens(request.getDemand()),
                 ShareParts.require(request.getShareHeld()),
                 holder);
     }
 
-    static Frame of(Loan loan) {
+    static Frame encode(Loan loan) {
         return Frame.newBuilder()
                 .setLoanAnswer(LoanAnswer.newBuilder()
                         .setNumber(loan.number())
@@ -71,33 +71,33 @@
     }
 
     /**
-     * Reads the answer to a request for a loan.
+     * Decodes the answer to a loan request.
      *
      * @param answer the frame's content
      * @return the loan
      * @throws IllegalArgumentException if a value is out of range
      */
-    static Loan loanIn(LoanAnswer answer) {
+    static Loan decodeAnswer(LoanAnswer answer) {
         return new Loan(
                 answer.getNumber(),
                 AccountId.of(answer.getAccount()),
-                tokens(answer.getTokens()),
+                requireTokens(answer.getTokens()),
                 ShareParts.require(answer.getShare()),
-                duration(answer.getDurationMillis()));
+                toDuration(answer.getDurationMillis()));
     }
 
     static Frame shareMoved() {
         return Frame.newBuilder().setShareMoved(ShareMoved.getDefaultInstance()).build();
     }
 
-    private static long tokens(long number) {
-        if (number < 0 || number > ShareParts.GREATEST_TOKENS) {
-            throw new IllegalArgumentException("tokens out of range: " + number);
+    private static long requireTokens(long tokens) {
+        if (tokens < 0 || tokens > ShareParts.GREATEST_TOKENS) {
+            throw new IllegalArgumentException("tokens out of range: " + tokens);
         }
-        return number;
+        return tokens;
     }
 
-    private static Duration duration(long millis) {
+    private static Duration toDuration(long millis) {
         if (millis < 0) {
             throw new IllegalArgumentException("negative duration: " + millis);
         }
--- a/daemon/src/main/java/org/geraniumreach/daemon/budget/StoreDriver.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/budget/StoreCallExecutor.java
@@ -12,44 +12,45 @@
 import org.geraniumreach.ports.TableService;
 
 /**
- * Makes the calls of the table service that a keeper of shares wants.
+ * Executes the table service calls that a {@link ShareKeeper} requests and reports their results to it.
  *
- * <p>Invariant: each call is answered once, whatever the table service throws. Not safe for use by several threads.
+ * <p>Invariant: the keeper receives one result for each call, even if the table service throws. Not safe for use by
+ * several threads.
  */
-final class StoreDriver {
+final class StoreCallExecutor {
 
     private final ShareKeeper keeper;
     private final TableService table;
     private boolean reachable = true;
 
-    StoreDriver(ShareKeeper keeper, TableService table) {
+    StoreCallExecutor(ShareKeeper keeper, TableService table) {
         this.keeper = keeper;
         this.table = table;
     }
 
-    /** Makes the call that is due; returns false if there was none. */
-    boolean step() {
+    /** Executes the next requested call; returns false if there was none. */
+    boolean executeNext() {
         Optional<StoreCall> call = keeper.next();
-        call.ifPresent(this::make);
+        call.ifPresent(this::execute);
         return call.isPresent();
     }
 
-    private void make(StoreCall call) {
-        Runnable event;
+    private void execute(StoreCall call) {
+        Runnable report;
         try {
-            event = eventOf(call);
-            noteReachable();
+            report = callTable(call);
+            logReachable();
         } catch (PlatformException failure) {
-            event = () -> keeper.failed(failure.effect() == PlatformException.Effect.UNKNOWN);
-            noteUnreachable(failure);
+            report = () -> keeper.failed(failure.effect() == PlatformException.Effect.UNKNOWN);
+            logUnreachable(failure);
         } catch (RuntimeException fault) {
-            event = () -> keeper.failed(true);
+            report = () -> keeper.failed(true);
             EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "table service, for budget shares");
         }
-        event.run();
+        report.run();
     }
 
-    private Runnable eventOf(StoreCall call) throws PlatformException {
+    private Runnable callTable(StoreCall call) throws PlatformException {
         if (call instanceof StoreCall.Read read) {
             Optional<Row> row = table.read(read.key());
             return () -> keeper.read(row);
@@ -62,14 +63,14 @@
         return () -> keeper.committed(effective);
     }
 
-    private void noteReachable() {
+    private void logReachable() {
         if (!reachable) {
             reachable = true;
             EventLog.write(EventCode.PLATFORM_REACHABLE, "table service, for budget shares");
         }
     }
 
-    private void noteUnreachable(PlatformException failure) {
+    private void logUnreachable(PlatformException failure) {
         if (reachable) {
             reachable = false;
             EventLog.write(
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/ConfigurationReader.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/ConfigurationReader.java
@@ -16,14 +16,14 @@
 import org.geraniumreach.ports.TableService;
 
 /**
- * Reads the configuration from the table.
+ * Reads the configuration and its change log from the table.
  *
- * <p>Stateless but for what it was made with, and safe for use by several threads.
+ * <p>Immutable and safe for use by several threads.
  */
 final class ConfigurationReader {
 
-    private static final int SCAN_LIMIT = 500;
-    private static final int PARTS_AT_ONCE = 20;
+    private static final int LOG_SCAN_LIMIT_ROWS = 500;
+    private static final int PART_SCAN_LIMIT_ROWS = 20;
 
     private final TableService table;
     private final MonotonicClock clock;
@@ -34,66 +34,67 @@
     }
 
     /**
-     * Reads the head and what follows a revision.
+     * Reads the head and all changes after a revision, from a snapshot if the log does not reach back that far.
      *
-     * @param haveRevision the revision
-     * @return what was read, not null
-     * @throws PlatformException if there was no answer
+     * @param heldRevision the revision that the caller holds
+     * @return the result, not null
+     * @throws PlatformException if the table does not answer
      * @throws RecordException if a row is malformed
      */
-    PollResult read(long haveRevision) throws PlatformException, RecordException {
-        long startedAt = clock.nanos();
+    PollResult read(long heldRevision) throws PlatformException, RecordException {
+        long startedAtNanos = clock.nanos();
         Optional<Row> row = table.read(ConfigurationRows.HEAD);
         long head = row.isPresent() ? ConfigurationRows.readRevision(row.get().value()) : 0;
-        if (head <= haveRevision) {
-            return new PollResult(startedAt, head, Optional.empty(), List.of());
+        if (head <= heldRevision) {
+            return new PollResult(startedAtNanos, head, Optional.empty(), List.of());
         }
-        List<LogEntry> entries = log(haveRevision);
-        if (!entries.isEmpty() && entries.get(0).revision() == haveRevision + 1) {
-            return new PollResult(startedAt, head, Optional.empty(), entries);
+        List<LogEntry> entries = readLog(heldRevision);
+        if (!entries.isEmpty() && entries.get(0).revision() == heldRevision + 1) {
+            return new PollResult(startedAtNanos, head, Optional.empty(), entries);
         }
-        Optional<Configuration> snapshot = snapshot();
-        long after = snapshot.map(Configuration::revision).orElse(haveRevision);
-        return new PollResult(startedAt, head, snapshot, log(after));
+        Optional<Configuration> snapshot = readSnapshot();
+        long after = snapshot.map(Configuration::revision).orElse(heldRevision);
+        return new PollResult(startedAtNanos, head, snapshot, readLog(after));
     }
 
     /**
-     * Reads the log.
+     * Reads the change log.
      *
-     * @param after the revision after which to begin
-     * @return the entries in their order, not null
-     * @throws PlatformException if there was no answer
+     * @param after the revision after which to start
+     * @return the entries in order of revision, not null
+     * @throws PlatformException if the table does not answer
      * @throws RecordException if a row is malformed
      */
-    List<LogEntry> log(long after) throws PlatformException, RecordException {
+    List<LogEntry> readLog(long after) throws PlatformException, RecordException {
         List<LogEntry> entries = new ArrayList<>();
         String last = ConfigurationRows.logKey(after).key();
         while (true) {
-            List<Row> rows = table.scan(ConfigurationRows.TABLE, ConfigurationRows.LOG_PREFIX, last, SCAN_LIMIT);
+            List<Row> rows =
+                    table.scan(ConfigurationRows.TABLE, ConfigurationRows.LOG_PREFIX, last, LOG_SCAN_LIMIT_ROWS);
             for (Row row : rows) {
                 entries.add(ConfigurationRows.readEntry(row.value()));
             }
-            if (rows.size() < SCAN_LIMIT) {
+            if (rows.size() < LOG_SCAN_LIMIT_ROWS) {
                 return entries;
             }
             last = rows.get(rows.size() - 1).key().key();
         }
     }
 
-    private Optional<Configuration> snapshot() throws PlatformException, RecordException {
+    private Optional<Configuration> readSnapshot() throws PlatformException, RecordException {
         Optional<Row> row = table.read(ConfigurationRows.SNAPSHOT);
         if (row.isEmpty()) {
             return Optional.empty();
         }
-        ConfigurationRows.SnapshotPointer place =
+        ConfigurationRows.SnapshotPointer pointer =
                 ConfigurationRows.readPointer(row.get().value());
         List<LogEntry> records = new ArrayList<>();
-        String prefix = ConfigurationRows.partPrefix(place.revision());
+        String prefix = ConfigurationRows.partPrefix(pointer.revision());
         String last = "";
-        for (int read = 0; read < place.parts(); ) {
-            List<Row> rows = table.scan(ConfigurationRows.TABLE, prefix, last, PARTS_AT_ONCE);
+        for (int read = 0; read < pointer.parts(); ) {
+            List<Row> rows = table.scan(ConfigurationRows.TABLE, prefix, last, PART_SCAN_LIMIT_ROWS);
             if (rows.isEmpty()) {
-                // A newer snapshot has taken this one's place meanwhile; the next reading finds it.
+                // A newer snapshot has replaced this one in the meantime; the next poll finds it.
                 return Optional.empty();
             }
             for (Row part : rows) {
@@ -103,7 +104,7 @@
             last = rows.get(rows.size() - 1).key().key();
         }
         try {
-            return Optional.of(Configuration.ofSnapshot(place.revision(), records));
+            return Optional.of(Configuration.ofSnapshot(pointer.revision(), records));
         } catch (IllegalArgumentException malformed) {
             throw RecordException.invalid("snapshot", malformed.getMessage());
         }
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/ReplicatedConfiguration.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/ReplicatedConfiguration.java
@@ -44,14 +44,14 @@
 import org.geraniumreach.ports.TableService;
 
 /**
- * The configuration of a process with links and a table.
+ * The configuration of a process, replicated through the table and the links to peers.
  *
- * <p>Invariants: one thread owns the core and tells the listeners, another reads the table; what others ask for is published
- * after each event and read without a lock. Safe for use by several threads.
+ * <p>Invariants: one thread owns the node and calls the listeners, another reads the table; the state for other threads
+ * is published after each event and read without a lock. Safe for use by several threads.
  */
 public final class ReplicatedConfiguration implements ConfigurationService, AutoCloseable {
 
-    private static final int TICKS_IN_PERIOD = 10;
+    private static final int TICKS_PER_PERIOD = 10;
     private static final String COMPACTOR_SUBJECT = "configuration-compactor";
 
     private final InstanceId self;
@@ -62,13 +62,14 @@
     private final ConfigurationReader reader;
     private final Compactor compactor;
     private final ConfigurationNode node;
-    private final ScheduledExecutorService owner = Executors.newSingleThreadScheduledExecutor(named("configuration"));
-    private final ExecutorService pollers = Executors.newSingleThreadExecutor(named("configuration-poll"));
+    private final ScheduledExecutorService ownerExecutor =
+            Executors.newSingleThreadScheduledExecutor(threadFactory("configuration"));
+    private final ExecutorService pollExecutor = Executors.newSingleThreadExecutor(threadFactory("configuration-poll"));
     private final List<ConfigurationListener> listeners = new CopyOnWriteArrayList<>();
     private final Map<InstanceId, Peer> peers = new HashMap<>();
-    private final SnapshotBacklog snapshots = new SnapshotBacklog();
+    private final SnapshotSender snapshotSender = new SnapshotSender();
     private volatile ConfigurationState state;
-    private boolean storeAnswers = true;
+    private boolean storeReachable = true;
 
     private ReplicatedConfiguration(
             InstanceId self,
@@ -90,7 +91,7 @@
     }
 
     /**
-     * Starts the configuration of a process.
+     * Starts replicating the configuration.
      *
      * @param self this instance, not null
      * @param settings the settings, not null
@@ -111,13 +112,13 @@
             RandomGenerator random) {
         ReplicatedConfiguration started =
                 new ReplicatedConfiguration(self, settings, table, links, membership, clock, random);
-        links.handle(NodeFrames.KINDS, started.new Handler());
-        long tick = settings.period().toNanos() / TICKS_IN_PERIOD;
-        started.owner.scheduleWithFixedDelay(started::tick, 0, tick, TimeUnit.NANOSECONDS);
+        links.handle(NodeFrames.FRAME_KINDS, started.new LinkHandler());
+        long tick = settings.period().toNanos() / TICKS_PER_PERIOD;
+        started.ownerExecutor.scheduleWithFixedDelay(started::tick, 0, tick, TimeUnit.NANOSECONDS);
         return started;
     }
 
-    private static ThreadFactory named(String name) {
+    private static ThreadFactory threadFactory(String name) {
         return task -> {
             Thread thread = new Thread(task, name);
             thread.setDaemon(true);
@@ -131,7 +132,7 @@
     }
 
     /**
-     * Gets what the process knows of its configuration.
+     * Gets the state of the configuration.
      *
      * @return the state as of the last event, not null
      */
@@ -168,84 +169,84 @@
     }
 
     /**
-     * Takes what a reading of the table brought, waiting until it is in force.
+     * Applies the result of a poll and waits until it is in force.
      *
-     * @param answer what was read, not null
+     * @param result the result of the poll, not null
      * @return the configuration, not null
-     * @throws InterruptedException if the process ends
+     * @throws InterruptedException if the thread is interrupted because the process ends
      */
-    Configuration take(PollResult answer) throws InterruptedException {
-        ask(() -> {
-            handle(() -> node.onPollCompleted(answer));
+    Configuration applyPollResult(PollResult result) throws InterruptedException {
+        callOnOwnerThread(() -> {
+            handleEvent(() -> node.onPollCompleted(result));
             return true;
         });
         return current();
     }
 
     /**
-     * Takes a change that this process brought into the log, waiting until it is in force here and was sent to the peers.
+     * Applies a change that this process committed to the log and waits until it is in force here and was sent to peers.
      *
      * @param entry the change, not null
-     * @throws InterruptedException if the process ends
+     * @throws InterruptedException if the thread is interrupted because the process ends
      */
-    void committed(LogEntry entry) throws InterruptedException {
-        ask(() -> {
-            handle(() -> node.onCommitted(List.of(entry)));
+    void applyCommittedEntry(LogEntry entry) throws InterruptedException {
+        callOnOwnerThread(() -> {
+            handleEvent(() -> node.onCommitted(List.of(entry)));
             return true;
         });
     }
 
-    int otherEntriesHolding(long revision) throws InterruptedException {
-        return ask(() -> node.countOtherEntriesHolding(revision));
+    int countOtherEntriesHolding(long revision) throws InterruptedException {
+        return callOnOwnerThread(() -> node.countOtherEntriesHolding(revision));
     }
 
     boolean hasOtherEntries() {
         return membership.submittingEntries().stream().anyMatch(entry -> !entry.equals(self));
     }
 
-    private <T> T ask(Callable<T> question) throws InterruptedException {
+    private <T> T callOnOwnerThread(Callable<T> task) throws InterruptedException {
         try {
-            return owner.submit(question).get();
+            return ownerExecutor.submit(task).get();
         } catch (ExecutionException fault) {
-            throw new IllegalStateException("the configuration's thread failed", fault.getCause());
+            throw new IllegalStateException("a task on the thread of the configuration failed", fault.getCause());
         }
     }
 
     @Override
     public void close() {
-        owner.shutdownNow();
-        pollers.shutdownNow();
+        ownerExecutor.shutdownNow();
+        pollExecutor.shutdownNow();
     }
 
     private void tick() {
-        handle(() -> {
+        handleEvent(() -> {
             node.onEntriesListed(membership.submittingEntries());
             return node.onTick();
         });
     }
 
-    /** Lets the owner take an event. */
+    /** Schedules an event for the owner thread. */
     void enqueue(Supplier<List<NodeAction>> event) {
         try {
-            owner.execute(() -> handle(event));
+            ownerExecutor.execute(() -> handleEvent(event));
         } catch (RejectedExecutionException rejected) {
-            // Links close after the configuration when a process ends; nobody waits for what that would have led to.
-            if (!owner.isShutdown()) {
+            // When a process ends, links close after the configuration, and their events no longer matter.
+            if (!ownerExecutor.isShutdown()) {
                 throw rejected;
             }
         }
     }
 
-    private void handle(Supplier<List<NodeAction>> event) {
+    private void handleEvent(Supplier<List<NodeAction>> event) {
         try {
             List<NodeAction> actions = event.get();
             actions.forEach(this::perform);
             sendSnapshots(actions);
             publish();
         } catch (RuntimeException fault) {
-            // While the process ends, the thread that polls may be gone before an event that asks it for a poll.
-            if (!owner.isShutdown()) {
-                EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "event of the configuration");
+            // While the process ends, the poll executor may reject the poll that an event requests.
+            if (!ownerExecutor.isShutdown()) {
+                EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "handling an event of the configuration");
             }
         }
     }
@@ -254,10 +255,10 @@
         if (action instanceof NodeAction.Send send) {
             Peer peer = peers.get(send.peer());
             if (peer != null && !(send.message() instanceof NodeMessage.SnapshotPart)) {
-                peer.send(NodeFrames.frame(self, send.message()));
+                peer.send(NodeFrames.encode(self, send.message()));
             }
         } else if (action instanceof NodeAction.Poll poll) {
-            pollers.execute(() -> poll(poll.heldRevision()));
+            pollExecutor.execute(() -> poll(poll.heldRevision()));
         }
     }
 
@@ -267,32 +268,32 @@
             if (action instanceof NodeAction.Send send && send.message() instanceof NodeMessage.SnapshotPart part) {
                 Peer peer = peers.get(send.peer());
                 if (peer != null) {
-                    parts.computeIfAbsent(peer, key -> new ArrayList<>()).add(NodeFrames.frame(self, part));
+                    parts.computeIfAbsent(peer, key -> new ArrayList<>()).add(NodeFrames.encode(self, part));
                 }
             }
         }
-        parts.forEach(snapshots::send);
+        parts.forEach(snapshotSender::send);
     }
 
-    private void poll(long haveRevision) {
+    private void poll(long heldRevision) {
         try {
-            PollResult answer = reader.read(haveRevision);
+            PollResult result = reader.read(heldRevision);
             enqueue(() -> {
-                storeAnswered(true, null);
-                return node.onPollCompleted(answer);
+                updateStoreReachable(true, null);
+                return node.onPollCompleted(result);
             });
             compact();
         } catch (PlatformException | RecordException | RuntimeException failure) {
             enqueue(() -> {
-                storeAnswered(false, failure);
+                updateStoreReachable(false, failure);
                 node.onPollFailed();
                 return List.of();
             });
         }
     }
 
-    /* One entry is enough; two that take themselves for it write the same rows. A run that fails is made good by the next,
-     * and says nothing of whether the head could be read. */
+    /* One entry is chosen to compact; if two consider themselves chosen, they write the same rows. A failed run is repeated
+     * by the next one and does not count as a failed poll. */
     private void compact() {
         boolean chosen = RendezvousHashing.choose(COMPACTOR_SUBJECT, membership.submittingEntries(), 1)
                 .contains(self);
@@ -300,18 +301,19 @@
             return;
         }
         try {
-            compactor.run(state.configuration());
+            compactor.compactIfDue(state.configuration());
         } catch (PlatformException | RecordException failure) {
-            EventLog.write(EventCode.PLATFORM_UNREACHABLE, failure, "table service, for a snapshot");
+            EventLog.write(
+                    EventCode.PLATFORM_UNREACHABLE, failure, "table service, while compacting the configuration");
         }
     }
 
-    private void storeAnswered(boolean answers, Throwable failure) {
-        if (answers == storeAnswers) {
+    private void updateStoreReachable(boolean reachable, Throwable failure) {
+        if (reachable == storeReachable) {
             return;
         }
-        storeAnswers = answers;
-        if (answers) {
+        storeReachable = reachable;
+        if (reachable) {
             EventLog.write(EventCode.PLATFORM_REACHABLE, "table service, for the configuration");
         } else {
             EventLog.write(EventCode.PLATFORM_UNREACHABLE, failure, "table service, for the configuration");
@@ -324,7 +326,7 @@
         state = after;
         long now = clock.nanos();
         if (before.configuration() != after.configuration()) {
-            changed(before.configuration(), after.configuration());
+            notifyListeners(before.configuration(), after.configuration());
         }
         if (before.fresh() && !after.isFreshAt(now)) {
             EventLog.write(
@@ -336,38 +338,38 @@
         state = after.withFresh(after.isFreshAt(now));
     }
 
-    private void changed(Configuration before, Configuration after) {
+    private void notifyListeners(Configuration before, Configuration after) {
         EventLog.write(EventCode.CONFIGURATION_ADVANCED, "{} to {}", before.revision(), after.revision());
         after.unreadable().forEach((key, reason) -> {
             if (!reason.equals(before.unreadable().get(key))) {
                 EventLog.write(EventCode.RECORD_UNREADABLE, "{}: {}", key, reason);
             }
         });
-        Set<KeyDigest> withdrawn = withdrawnKeys(before, after);
+        Set<KeyDigest> withdrawn = findWithdrawnKeys(before, after);
         for (ConfigurationListener listener : listeners) {
             try {
                 listener.changed(before, after, withdrawn);
             } catch (RuntimeException fault) {
-                EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "listener of the configuration");
+                EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "a listener of the configuration failed");
             }
         }
     }
 
-    private static Set<KeyDigest> withdrawnKeys(Configuration before, Configuration after) {
+    private static Set<KeyDigest> findWithdrawnKeys(Configuration before, Configuration after) {
         Set<KeyDigest> withdrawn = new HashSet<>();
         for (KeyDigest digest : before.keyDigests()) {
-            boolean same = after.key(digest)
+            boolean sameAccount = after.key(digest)
                     .map(key -> key.account())
                     .equals(before.key(digest).map(key -> key.account()));
-            if (!same) {
+            if (!sameAccount) {
                 withdrawn.add(digest);
             }
         }
         return withdrawn;
     }
 
-    /** Takes what links bring; all of it is handed to the owner. */
-    private final class Handler implements FrameHandler {
+    /** Forwards the events of links to the owner thread. */
+    private final class LinkHandler implements FrameHandler {
 
         @Override
         public void opened(Peer peer) {
@@ -393,10 +395,11 @@
                     return List.of();
                 }
                 try {
-                    return node.onMessage(instance, NodeFrames.message(frame));
+                    return node.onMessage(instance, NodeFrames.decode(frame));
                 } catch (IllegalArgumentException malformed) {
-                    EventLog.write(EventCode.FRAME_REFUSED, malformed, "of the configuration, from {}", instance);
-                    peer.close("a malformed frame of the configuration");
+                    EventLog.write(
+                            EventCode.FRAME_REFUSED, malformed, "malformed configuration frame from {}", instance);
+                    peer.close("malformed configuration frame");
                     return List.of();
                 }
             });
@@ -405,7 +408,7 @@
         @Override
         public void writable(Peer peer) {
             enqueue(() -> {
-                snapshots.flush(peer);
+                snapshotSender.flush(peer);
                 return List.of();
             });
         }
@@ -413,7 +416,7 @@
         @Override
         public void closed(Peer peer, String reason) {
             enqueue(() -> {
-                snapshots.closed(peer);
+                snapshotSender.onPeerClosed(peer);
                 InstanceId instance = InstanceId.of(peer.hello().getInstance());
                 if (peers.get(instance) != peer) {
                     return List.of();
--- a/daemon/src/main/java/org/geraniumreach/daemon/ledger/AnswerCollector.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/ledger/AnswerCollector.java
@@ -14,61 +14,61 @@
 import org.geraniumreach.model.ResultCode;
 
 /**
- * Puts an attempt's chunks together.
+ * Assembles the chunks of an attempt's answer.
  *
- * <p>Invariants: an answer is passed on only when it is whole; one end is passed on. Calls come one at a time, as of any
- * {@link AttemptListener}.
+ * <p>Invariants: an answer is reported only when it is complete, and exactly one end is reported. Calls come one at a time,
+ * as for any {@link AttemptListener}.
  */
 final class AnswerCollector implements AttemptListener {
 
-    /** How many chunks may come before more are asked for. */
-    static final int CREDIT = 64;
+    /** The chunks that a companion may send before more are requested. */
+    static final int CREDIT_CHUNKS = 64;
 
-    private final long largestAnswer;
-    private final Consumer<Ending> ending;
+    private final long maxAnswerBytes;
+    private final Consumer<Ending> endingConsumer;
     private volatile AttemptHandle handle;
     private ByteString body = ByteString.EMPTY;
-    private long chunks;
+    private long receivedChunks;
     private boolean ended;
 
     /** How an attempt ended. */
     sealed interface Ending {
 
         /**
-         * The answer came whole.
+         * The answer is complete.
          *
          * @param body the answer
          */
-        record Whole(byte[] body) implements Ending {}
+        record Complete(byte[] body) implements Ending {}
 
         /**
-         * The companion gave it up.
+         * The companion refused the attempt, or its answer was too large.
          *
-         * @param refusal why
+         * @param refusal the reason
          */
-        record GivenUp(LedgerAction.Refuse refusal) implements Ending {}
+        record Failed(LedgerAction.Refuse refusal) implements Ending {}
 
         /**
-         * The companion cannot be reached any more.
+         * The companion became unreachable, or the answer is incomplete.
          *
-         * @param ran what is known
+         * @param executionStatus whether the attempt is known to have run
          */
-        record Lost(ExecutionStatus ran) implements Ending {}
+        record Lost(ExecutionStatus executionStatus) implements Ending {}
     }
 
-    AnswerCollector(long largestAnswer, Consumer<Ending> ending) {
-        this.largestAnswer = largestAnswer;
-        this.ending = ending;
+    AnswerCollector(long maxAnswerBytes, Consumer<Ending> endingConsumer) {
+        this.maxAnswerBytes = maxAnswerBytes;
+        this.endingConsumer = endingConsumer;
     }
 
-    void begin(AttemptHandle sent) {
+    void start(AttemptHandle sent) {
         handle = sent;
-        sent.request(CREDIT);
+        sent.request(CREDIT_CHUNKS);
     }
 
     @Override
     public void accepted() {
-        // Nothing to do: that it is queued says nothing of its running.
+        // Nothing to do: a queued attempt may still never run.
     }
 
     @Override
@@ -76,16 +76,16 @@
         if (ended) {
             return;
         }
-        if (body.size() + (long) payload.size() > largestAnswer) {
-            finish(new Ending.GivenUp(refusal(
+        if (body.size() + (long) payload.size() > maxAnswerBytes) {
+            finish(new Ending.Failed(createRefusal(
                     ResultCode.TARGET_FAILED,
                     ExecutionStatus.YES,
                     Optional.empty(),
-                    "the answer is above " + largestAnswer)));
+                    "the answer is above " + maxAnswerBytes)));
             return;
         }
         body = body.concat(payload);
-        chunks++;
+        receivedChunks++;
         AttemptHandle current = handle;
         if (current != null) {
             current.request(1);
@@ -94,12 +94,12 @@
 
     @Override
     public void ended(End end) {
-        if (end.getCount() != chunks) {
-            // A part of an answer must never be kept as the answer: every later call with the key would get it.
+        if (end.getCount() != receivedChunks) {
+            // An incomplete answer must never be stored: every later call with the key would get it.
             finish(new Ending.Lost(ExecutionStatus.UNKNOWN));
             return;
         }
-        finish(new Ending.Whole(body.toByteArray()));
+        finish(new Ending.Complete(body.toByteArray()));
     }
 
     @Override
@@ -108,29 +108,30 @@
         Optional<Duration> retryAfter = refused.getRetryAfterMillis() > 0
                 ? Optional.of(Duration.ofMillis(refused.getRetryAfterMillis()))
                 : Optional.empty();
-        finish(new Ending.GivenUp(refusal(code, ranOf(refused.getRan()), retryAfter, refused.getMessage())));
+        finish(new Ending.Failed(
+                createRefusal(code, toExecutionStatus(refused.getRan()), retryAfter, refused.getMessage())));
     }
 
-    private static LedgerAction.Refuse refusal(
-            ResultCode code, ExecutionStatus ran, Optional<Duration> retryAfter, String message) {
-        return new LedgerAction.Refuse(code, ran, retryAfter, message);
+    private static LedgerAction.Refuse createRefusal(
+            ResultCode code, ExecutionStatus executionStatus, Optional<Duration> retryAfter, String message) {
+        return new LedgerAction.Refuse(code, executionStatus, retryAfter, message);
     }
 
-    private static ExecutionStatus ranOf(int number) {
+    private static ExecutionStatus toExecutionStatus(int number) {
         ExecutionStatus[] values = ExecutionStatus.values();
         return number >= 0 && number < values.length ? values[number] : ExecutionStatus.UNKNOWN;
     }
 
     @Override
-    public void lost(ExecutionStatus ran, String reason) {
-        finish(new Ending.Lost(ran));
+    public void lost(ExecutionStatus executionStatus, String reason) {
+        finish(new Ending.Lost(executionStatus));
     }
 
-    private void finish(Ending how) {
+    private void finish(Ending ending) {
         if (ended) {
             return;
         }
         ended = true;
-        ending.accept(how);
+        endingConsumer.accept(ending);
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/ledger/GroupCommitter.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/ledger/GroupCommitter.java
@@ -12,57 +12,57 @@
 import org.geraniumreach.ports.TableService;
 
 /**
- * Commits many small transactions as few large ones.
+ * Commits small transactions in groups, each as one larger transaction.
  *
- * <p>Invariants: each transaction is told its own result; a group whose conditions did not all hold is split until the
- * transaction to blame is alone, so one conflict fails no other. Safe for use by several threads; the open group is under
- * one lock, and no call of the table service is made while it is held.
+ * <p>Invariants: each transaction gets its own outcome; a group whose conditions did not all hold is split until the
+ * conflicting transaction is alone, so that a conflict fails no other transaction. Safe for use by several threads;
+ * one lock guards the open group and is not held during table service calls.
  */
 final class GroupCommitter {
 
     private final TableService table;
     private final ScheduledExecutorService executor;
-    private final int limit;
-    private final Duration longestWait;
+    private final int maxGroupSize;
+    private final Duration maxWait;
     private final Object lock = new Object();
-    private TransactionGroup<CompletableFuture<Outcome>> open = new TransactionGroup<>();
-    private ScheduledFuture<?> timer;
+    private TransactionGroup<CompletableFuture<Outcome>> openGroup = new TransactionGroup<>();
+    private ScheduledFuture<?> flushTimer;
 
-    /** What became of a transaction. */
+    /** The outcome of a transaction. */
     enum Outcome {
         COMMITTED,
         CONFLICT,
-        /** No answer; it has not taken effect and will not. */
+        /** The table service did not answer, and the transaction will not take effect. */
         FAILED,
-        /** No answer; it may have taken effect, or may yet. */
+        /** The table service did not answer, and the transaction may have taken effect or may still do so. */
         UNKNOWN
     }
 
-    GroupCommitter(TableService table, ScheduledExecutorService executor, int limit, Duration longestWait) {
+    GroupCommitter(TableService table, ScheduledExecutorService executor, int maxGroupSize, Duration maxWait) {
         this.table = table;
         this.executor = executor;
-        this.limit = limit;
-        this.longestWait = longestWait;
+        this.maxGroupSize = maxGroupSize;
+        this.maxWait = maxWait;
     }
 
     /**
-     * Commits a transaction within a group.
+     * Commits a transaction as part of a group.
      *
      * @param transaction the transaction, not null
-     * @return what became of it, not null
+     * @return completed with the outcome, not null
      */
     CompletableFuture<Outcome> commit(Transaction transaction) {
         TransactionGroup.Member<CompletableFuture<Outcome>> member =
                 new TransactionGroup.Member<>(transaction, new CompletableFuture<>());
         synchronized (lock) {
-            if (!open.add(member)) {
-                closeGroup();
-                open.add(member);
+            if (!openGroup.add(member)) {
+                submitOpenGroup();
+                openGroup.add(member);
             }
-            if (open.size() >= limit) {
-                closeGroup();
-            } else if (timer == null) {
-                timer = executor.schedule(this::flush, longestWait.toNanos(), TimeUnit.NANOSECONDS);
+            if (openGroup.size() >= maxGroupSize) {
+                submitOpenGroup();
+            } else if (flushTimer == null) {
+                flushTimer = executor.schedule(this::flush, maxWait.toNanos(), TimeUnit.NANOSECONDS);
             }
         }
         return member.tag();
@@ -70,20 +70,20 @@
 
     private void flush() {
         synchronized (lock) {
-            closeGroup();
+            submitOpenGroup();
         }
     }
 
-    private void closeGroup() {
-        if (timer != null) {
-            timer.cancel(false);
-            timer = null;
+    private void submitOpenGroup() {
+        if (flushTimer != null) {
+            flushTimer.cancel(false);
+            flushTimer = null;
         }
-        if (open.size() == 0) {
+        if (openGroup.size() == 0) {
             return;
         }
-        TransactionGroup<CompletableFuture<Outcome>> full = open;
-        open = new TransactionGroup<>();
+        TransactionGroup<CompletableFuture<Outcome>> full = openGroup;
+        openGroup = new TransactionGroup<>();
         executor.execute(() -> commitGroup(full));
     }
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/ledger/LedgerSweep.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/ledger/LedgerSweep.java
@@ -11,51 +11,51 @@
 import org.geraniumreach.ports.PlatformException;
 
 /**
- * Deletes ledger rows past their retention, some at a time.
+ * Deletes ledger rows past their retention, in batches.
  *
- * <p>Invariant: a row is deleted only in the version that was seen to be past its retention. Not safe for use by several
- * threads.
+ * <p>Invariant: a row is deleted only if its version is still the one that was read as past its retention. Not safe
+ * for use by several threads.
  */
 final class LedgerSweep {
 
     private final LedgerSettings settings;
-    private final LedgerService.Surroundings surroundings;
-    private final GroupCommitter groups;
-    private String after = "";
+    private final LedgerService.Surroundings dependencies;
+    private final GroupCommitter committer;
+    private String lastKey = "";
 
-    LedgerSweep(LedgerSettings settings, LedgerService.Surroundings surroundings, GroupCommitter groups) {
+    LedgerSweep(LedgerSettings settings, LedgerService.Surroundings dependencies, GroupCommitter committer) {
         this.settings = settings;
-        this.surroundings = surroundings;
-        this.groups = groups;
+        this.dependencies = dependencies;
+        this.committer = committer;
     }
 
-    /** Reads the next rows, and deletes those past their retention. */
-    void step() {
+    /** Reads the next batch of rows and deletes those past their retention. */
+    void sweepBatch() {
         try {
-            List<Row> rows = surroundings.table().scan(LedgerRowFormat.TABLE, "", after, settings.sweepRows());
-            Instant oldest = surroundings.clock().instant().minus(settings.retention());
-            rows.stream().filter(row -> isOlder(row, oldest)).forEach(this::delete);
-            after = rows.size() < settings.sweepRows()
+            List<Row> rows = dependencies.table().scan(LedgerRowFormat.TABLE, "", lastKey, settings.sweepRows());
+            Instant cutoff = dependencies.clock().instant().minus(settings.retention());
+            rows.stream().filter(row -> isCreatedBefore(row, cutoff)).forEach(this::delete);
+            lastKey = rows.size() < settings.sweepRows()
                     ? ""
                     : rows.get(rows.size() - 1).key().key();
         } catch (PlatformException failure) {
             EventLog.write(EventCode.PLATFORM_UNREACHABLE, failure, "ledger sweep: {}", failure.getMessage());
         } catch (RuntimeException fault) {
-            // A task that throws is never run again, and rows would pile up unnoticed.
+            // The executor drops a periodic task that throws, and rows would accumulate unnoticed.
             EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "ledger sweep");
         }
     }
 
-    private static boolean isOlder(Row row, Instant oldest) {
+    private static boolean isCreatedBefore(Row row, Instant cutoff) {
         try {
-            return LedgerRowFormat.read(row.value()).created().isBefore(oldest);
+            return LedgerRowFormat.read(row.value()).created().isBefore(cutoff);
         } catch (LedgerRowFormat.UnreadableRowException unreadable) {
             return false;
         }
     }
 
     private void delete(Row row) {
-        groups.commit(
+        committer.commit(
                 Transaction.empty().withCondition(row.key(), row.version()).withDelete(row.key()));
     }
 }
--- a/daemon/src/test/java/org/geraniumreach/daemon/budget/LocalLinks.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/budget/LocalLinks.java
@@ -14,17 +14,17 @@
 import org.geraniumreach.messages.Hello;
 import org.geraniumreach.model.InstanceId;
 
-/** Links between entries of one process; a frame arrives before {@code send} returns. */
+/** Links between entries of one process; {@code send} delivers a frame before it returns. */
 final class LocalLinks implements Links {
 
     private final InstanceId self;
-    private final Map<InstanceId, LocalLinks> all;
+    private final Map<InstanceId, LocalLinks> network;
     private volatile FrameHandler handler;
 
-    LocalLinks(InstanceId self, Map<InstanceId, LocalLinks> all) {
+    LocalLinks(InstanceId self, Map<InstanceId, LocalLinks> network) {
         this.self = self;
-        this.all = all;
-        all.put(self, this);
+        this.network = network;
+        network.put(self, this);
     }
 
     static Map<InstanceId, LocalLinks> network() {
@@ -33,22 +33,22 @@
 
     @Override
     public void keep(InstanceId instance, InetSocketAddress address) {
-        throw new UnsupportedOperationException("all are linked");
+        throw new UnsupportedOperationException("all entries are linked permanently");
     }
 
     @Override
     public void release(InstanceId instance) {
-        throw new UnsupportedOperationException("all are linked");
+        throw new UnsupportedOperationException("all entries are linked permanently");
     }
 
     @Override
     public Optional<Peer> find(InstanceId instance) {
-        return Optional.ofNullable(all.get(instance)).map(other -> new LocalPeer(other, this));
+        return Optional.ofNullable(network.get(instance)).map(other -> new LocalPeer(other, this));
     }
 
     @Override
     public List<Peer> peers() {
-        return all.values().stream()
+        return network.values().stream()
                 .filter(other -> other != this)
                 .<Peer>map(other -> new LocalPeer(other, this))
                 .toList();
@@ -59,7 +59,7 @@
         handler = newHandler;
     }
 
-    /** One end of a link. */
+    /** One end of a link; {@code sender} is the local end. */
     private record LocalPeer(LocalLinks other, LocalLinks sender) implements Peer {
 
         @Override
--- a/daemon/src/test/java/org/geraniumreach/daemon/configuration/MemoryLinks.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/configuration/InMemoryLinks.java
@@ -15,16 +15,16 @@
 import org.geraniumreach.messages.Hello;
 import org.geraniumreach.model.InstanceId;
 
-/** Links within one process: what one end sends the other receives at once. */
-final class MemoryLinks implements Links {
+/** Links within one process; {@code send} delivers a frame to the other end before it returns. */
+final class InMemoryLinks implements Links {
 
     private final Hello hello;
-    private final Map<InstanceId, Peer> open = new ConcurrentHashMap<>();
+    private final Map<InstanceId, Peer> openPeers = new ConcurrentHashMap<>();
     private final List<Registration> handlers = new ArrayList<>();
 
     private record Registration(Set<Frame.BodyCase> kinds, FrameHandler handler) {}
 
-    MemoryLinks(String instance, String role) {
+    InMemoryLinks(String instance, String role) {
         hello = Hello.newBuilder()
                 .setInstance(instance)
                 .setRole(role)
@@ -33,15 +33,15 @@
                 .build();
     }
 
-    void connect(MemoryLinks other) {
-        End here = new End(this, other);
-        End there = new End(other, this);
-        here.back = there;
-        there.back = here;
-        open.put(InstanceId.of(other.hello.getInstance()), here);
-        other.open.put(InstanceId.of(hello.getInstance()), there);
-        handlers.forEach(registered -> registered.handler().opened(here));
-        other.handlers.forEach(registered -> registered.handler().opened(there));
+    void connect(InMemoryLinks other) {
+        End localEnd = new End(this, other);
+        End remoteEnd = new End(other, this);
+        localEnd.reverse = remoteEnd;
+        remoteEnd.reverse = localEnd;
+        openPeers.put(InstanceId.of(other.hello.getInstance()), localEnd);
+        other.openPeers.put(InstanceId.of(hello.getInstance()), remoteEnd);
+        handlers.forEach(registered -> registered.handler().opened(localEnd));
+        other.handlers.forEach(registered -> registered.handler().opened(remoteEnd));
     }
 
     private void receive(Peer peer, Frame frame) {
@@ -58,12 +58,12 @@
 
     @Override
     public Optional<Peer> find(InstanceId instance) {
-        return Optional.ofNullable(open.get(instance));
+        return Optional.ofNullable(openPeers.get(instance));
     }
 
     @Override
     public List<Peer> peers() {
-        return List.copyOf(open.values());
+        return List.copyOf(openPeers.values());
     }
 
     @Override
@@ -71,13 +71,13 @@
         handlers.add(new Registration(kinds, handler));
     }
 
-    /** One end's view of the other. */
+    /** The peer that one end of a link sees. */
     private static final class End implements Peer {
 
-        private final MemoryLinks to;
-        private End back;
+        private final InMemoryLinks to;
+        private End reverse;
 
-        End(MemoryLinks from, MemoryLinks to) {
+        End(InMemoryLinks from, InMemoryLinks to) {
             this.to = to;
         }
 
@@ -88,7 +88,7 @@
 
         @Override
         public boolean send(Frame frame) {
-            to.receive(back, frame);
+            to.receive(reverse, frame);
             return true;
         }
 
--- a/daemon/src/test/java/org/geraniumreach/daemon/configuration/MemoryTable.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/configuration/MemoryTable.java
@@ -10,31 +10,31 @@
 import org.geraniumreach.ports.PlatformException;
 import org.geraniumreach.ports.TableService;
 
-/** A table service in memory, which can be away. */
+/** A table service in memory that can be made unavailable. */
 public final class MemoryTable implements TableService {
 
     private final TreeMap<String, Row> rows = new TreeMap<>();
-    private boolean away;
+    private boolean unavailable;
 
-    public synchronized void setAway(boolean isAway) {
-        away = isAway;
+    public synchronized void setAway(boolean newUnavailable) {
+        unavailable = newUnavailable;
     }
 
-    private void requireThere(PlatformException.Effect effect) throws PlatformException {
-        if (away) {
-            throw new PlatformException(effect, "the table is away", null);
+    private void requireAvailable(PlatformException.Effect effect) throws PlatformException {
+        if (unavailable) {
+            throw new PlatformException(effect, "the table is unavailable", null);
         }
     }
 
     @Override
     public synchronized Optional<Row> read(RowKey key) throws PlatformException {
-        requireThere(PlatformException.Effect.NONE);
+        requireAvailable(PlatformException.Effect.NONE);
         return Optional.ofNullable(rows.get(key.key()));
     }
 
     @Override
     public synchronized List<Row> scan(String table, String prefix, String after, int limit) throws PlatformException {
-        requireThere(PlatformException.Effect.NONE);
+        requireAvailable(PlatformException.Effect.NONE);
         return rows.tailMap(after, false).values().stream()
                 .filter(row -> row.key().key().startsWith(prefix))
                 .limit(limit)
@@ -43,7 +43,7 @@
 
     @Override
     public synchronized boolean commit(Transaction transaction) throws PlatformException {
-        requireThere(PlatformException.Effect.UNKNOWN);
+        requireAvailable(PlatformException.Effect.UNKNOWN);
         for (Transaction.Condition condition : transaction.conditions()) {
             if (version(condition.key()) != condition.version()) {
                 return false;
