--- a/link/src/main/java/org/geraniumreach/link/AttemptAction.java
+++ b/link/src/main/java/org/geraniumreach/link/AttemptAction.java
@@ -21,7 +21,7 @@
     record Send(Frame frame) implements AttemptAction {}
 
     /** Tell the listener that the attempt is queued. */
-    record TellAccepted() implements AttemptAction {}
+    record NotifyAccepted() implements AttemptAction {}
 
     /**
      * Tell the listener of a chunk.
@@ -30,27 +30,27 @@
      * @param payload its content
      * @param tokens its tokens
      */
-    record TellChunk(long sequence, ByteString payload, int tokens) implements AttemptAction {}
+    record NotifyChunk(long sequence, ByteString payload, int tokens) implements AttemptAction {}
 
     /**
      * Tell the listener of the end.
      *
      * @param end the end
      */
-    record TellEnded(End end) implements AttemptAction {}
+    record NotifyEnded(End end) implements AttemptAction {}
 
     /**
      * Tell the listener of a refusal.
      *
      * @param refused the refusal
      */
-    record TellRefused(Refused refused) implements AttemptAction {}
+    record NotifyRefused(Refused refused) implements AttemptAction {}
 
     /**
      * Tell the listener that the companion is lost.
      *
-     * @param ran whether the attempt ran
+     * @param executionStatus whether the attempt ran
      * @param reason what happened
      */
-    record TellLost(ExecutionStatus ran, String reason) implements AttemptAction {}
+    record NotifyLost(ExecutionStatus executionStatus, String reason) implements AttemptAction {}
 }
--- a/link/src/main/java/org/geraniumreach/link/AttemptTracker.java
+++ b/link/src/main/java/org/geraniumreach/link/AttemptTracker.java
@@ -26,27 +26,27 @@
 final class AttemptTracker {
 
     private static final long NANOS_PER_MILLI = 1_000_000;
-    private static final int UNKNOWN_AGE = -1;
-    private static final long NOWHERE = -1;
-    private static final long ALL = Long.MAX_VALUE;
-    private static final int ACKNOWLEDGE_EVERY = 32;
+    private static final int UNKNOWN_AGE_MILLIS = -1;
+    private static final long NO_GAP = -1;
+    private static final long ALL_CHUNKS = Long.MAX_VALUE;
+    private static final int CHUNKS_PER_ACKNOWLEDGEMENT = 32;
 
     private final Run run;
     private final long incarnation;
     private final Limits limits;
-    private final boolean resumedFromElsewhere;
-    private final long startedAt;
-    private final long window;
+    private final boolean startedEarlier;
+    private final long startNanos;
+    private final long creditWindow;
     private long nextSequence;
-    private long granted;
-    private long announced;
-    private long acknowledged;
-    private long gapAt = NOWHERE;
-    private long unlinkedSince;
-    private long askedAt;
+    private long grantedUpTo;
+    private long announcedUpTo;
+    private long acknowledgedUpTo;
+    private long requestedGap = NO_GAP;
+    private long unlinkedSinceNanos;
+    private long lastRequestNanos;
     private boolean linked = true;
     private boolean done;
-    private boolean isIncomplete;
+    private boolean droppedChunks;
     private String cancelReason;
 
     private AttemptTracker(
@@ -54,24 +54,24 @@
         this.run = run;
         this.incarnation = incarnation;
         this.limits = limits;
-        this.resumedFromElsewhere = resumedFromElsewhere;
+        this.startedEarlier = resumedFromElsewhere;
         this.nextSequence = nextSequence;
-        this.startedAt = now;
-        this.askedAt = now;
-        this.window = Math.max(1, run.getCredit());
-        this.granted = nextSequence + run.getCredit();
-        this.announced = granted;
-        this.acknowledged = nextSequence;
+        this.startNanos = now;
+        this.lastRequestNanos = now;
+        this.creditWindow = Math.max(1, run.getCredit());
+        this.grantedUpTo = nextSequence + run.getCredit();
+        this.announcedUpTo = grantedUpTo;
+        this.acknowledgedUpTo = nextSequence;
     }
 
     /**
      * The limits of waiting.
      *
-     * @param resume how long to wait for a new link
-     * @param answer how long an answer that says "not run" may take to be believed
+     * @param resumeLimit how long to wait for a new link
+     * @param answerLimit how long an answer that says "not run" may take to be believed
      * @param deadlineGrace how long after the deadline an answer may come
      */
-    record Limits(Duration resume, Duration answer, Duration deadlineGrace) {}
+    record Limits(Duration resumeLimit, Duration answerLimit, Duration deadlineGrace) {}
 
     /**
      * Makes the tracker of an attempt that this process starts.
@@ -107,9 +107,9 @@
      * @return what to do, not null
      */
     List<AttemptAction> start(long now) {
-        askedAt = now;
-        return resumedFromElsewhere
-                ? List.of(resume(now))
+        lastRequestNanos = now;
+        return startedEarlier
+                ? List.of(resumeFrame(now))
                 : List.of(send(Frame.newBuilder().setRun(run)));
     }
 
@@ -119,9 +119,9 @@
      * @param reason why, not null
      * @return what to do, not null
      */
-    List<AttemptAction> neverSent(String reason) {
-        return end(new AttemptAction.TellLost(
-                resumedFromElsewhere ? ExecutionStatus.UNKNOWN : ExecutionStatus.NO, reason));
+    List<AttemptAction> onNeverSent(String reason) {
+        return finish(
+                new AttemptAction.NotifyLost(startedEarlier ? ExecutionStatus.UNKNOWN : ExecutionStatus.NO, reason));
     }
 
     /**
@@ -130,11 +130,11 @@
      * @param now the time
      * @return what to do, not null
      */
-    List<AttemptAction> noLink(long now) {
-        if (!resumedFromElsewhere) {
-            return neverSent("no link to the companion");
+    List<AttemptAction> onNoLink(long now) {
+        if (!startedEarlier) {
+            return onNeverSent("no link to the companion");
         }
-        linkLost(now);
+        onLinkLost(now);
         return List.of();
     }
 
@@ -143,10 +143,10 @@
      *
      * @param now the time
      */
-    void linkLost(long now) {
+    void onLinkLost(long now) {
         if (linked) {
             linked = false;
-            unlinkedSince = now;
+            unlinkedSinceNanos = now;
         }
     }
 
@@ -157,7 +157,7 @@
      * @param now the time
      * @return what to do, not null
      */
-    List<AttemptAction> linkOpened(long openIncarnation, long now) {
+    List<AttemptAction> onLinkOpened(long openIncarnation, long now) {
         if (done) {
             return List.of();
         }
@@ -165,13 +165,13 @@
         if (openIncarnation != incarnation && !run.getRepeatable()) {
             // Whether the former process had started the attempt died with it. Anything but "unknown" could make an
             // entry send a booking twice.
-            return end(new AttemptAction.TellLost(ExecutionStatus.UNKNOWN, "the companion has restarted"));
+            return finish(new AttemptAction.NotifyLost(ExecutionStatus.UNKNOWN, "the companion has restarted"));
         }
-        return List.of(cancelReason == null ? resume(now) : cancelFrame(now));
+        return List.of(cancelReason == null ? resumeFrame(now) : cancelFrame(now));
     }
 
-    List<AttemptAction> accepted() {
-        return done ? List.of() : List.of(new AttemptAction.TellAccepted());
+    List<AttemptAction> onAccepted() {
+        return done ? List.of() : List.of(new AttemptAction.NotifyAccepted());
     }
 
     /**
@@ -181,21 +181,21 @@
      * @param now the time
      * @return what to do, not null
      */
-    List<AttemptAction> chunk(Chunk chunk, long now) {
+    List<AttemptAction> onChunk(Chunk chunk, long now) {
         if (done || chunk.getSequence() < nextSequence) {
             return List.of();
         }
         if (chunk.getSequence() > nextSequence) {
-            return askAgain(now);
+            return resumeAtGap(now);
         }
         nextSequence++;
         if (cancelReason != null) {
-            isIncomplete = true;
+            droppedChunks = true;
             return List.of();
         }
         List<AttemptAction> actions = new ArrayList<>();
-        actions.add(new AttemptAction.TellChunk(chunk.getSequence(), chunk.getPayload(), chunk.getTokens()));
-        announceCredit(actions);
+        actions.add(new AttemptAction.NotifyChunk(chunk.getSequence(), chunk.getPayload(), chunk.getTokens()));
+        addAcknowledgementIfDue(actions);
         return actions;
     }
 
@@ -206,27 +206,28 @@
      * @param now the time
      * @return what to do, not null
      */
-    List<AttemptAction> ended(End end, long now) {
+    List<AttemptAction> onEnded(End end, long now) {
         if (done) {
             return List.of();
         }
         if (end.getCount() > nextSequence) {
-            return askAgain(now);
+            return resumeAtGap(now);
         }
         if (end.getCount() < nextSequence) {
-            return end(new AttemptAction.TellLost(
+            return finish(new AttemptAction.NotifyLost(
                     ExecutionStatus.UNKNOWN,
                     "the end counts " + end.getCount() + " chunks and " + nextSequence + " have come"));
         }
-        if (isIncomplete) {
+        if (droppedChunks) {
             // The end crossed with the cancel; without the chunks dropped since, the answer is not whole.
-            return acknowledgedEnd(new AttemptAction.TellRefused(refusal(ResultCode.CANCELLED, cancelReason)));
+            return acknowledgeAndFinish(new AttemptAction.NotifyRefused(refusal(ResultCode.CANCELLED, cancelReason)));
         }
-        if (!isNamed(end)) {
+        if (!isRequestedAdapter(end)) {
             String message = "the target ran " + end.getAdapter() + "@" + end.getVersion();
-            return acknowledgedEnd(new AttemptAction.TellRefused(refusal(ResultCode.WRONG_ADAPTER_SERVED, message)));
+            return acknowledgeAndFinish(
+                    new AttemptAction.NotifyRefused(refusal(ResultCode.WRONG_ADAPTER_SERVED, message)));
         }
-        return acknowledgedEnd(new AttemptAction.TellEnded(end));
+        return acknowledgeAndFinish(new AttemptAction.NotifyEnded(end));
     }
 
     /**
@@ -235,16 +236,16 @@
      * @param last what to tell, not null
      * @return what to do, not null
      */
-    private List<AttemptAction> acknowledgedEnd(AttemptAction last) {
+    private List<AttemptAction> acknowledgeAndFinish(AttemptAction last) {
         List<AttemptAction> actions = new ArrayList<>();
         actions.add(send(Frame.newBuilder()
                 .setAcknowledge(
-                        Acknowledge.newBuilder().setAttempt(run.getAttempt()).setNextSequence(ALL))));
-        actions.addAll(end(last));
+                        Acknowledge.newBuilder().setAttempt(run.getAttempt()).setNextSequence(ALL_CHUNKS))));
+        actions.addAll(finish(last));
         return actions;
     }
 
-    private boolean isNamed(End end) {
+    private boolean isRequestedAdapter(End end) {
         return run.getAdapter().isEmpty()
                 || run.getAdapter().equals(end.getAdapter()) && run.getVersion().equals(end.getVersion());
     }
@@ -265,14 +266,14 @@
      * @param now the time
      * @return what to do, not null
      */
-    List<AttemptAction> refused(Refused refused, long now) {
+    List<AttemptAction> onRefused(Refused refused, long now) {
         if (done) {
             return List.of();
         }
-        if (refused.getRan() != ExecutionStatus.NO.ordinal() || isBelieved(refused, now)) {
-            return acknowledgedEnd(new AttemptAction.TellRefused(refused));
+        if (refused.getRan() != ExecutionStatus.NO.ordinal() || isNotRunTrusted(refused, now)) {
+            return acknowledgeAndFinish(new AttemptAction.NotifyRefused(refused));
         }
-        return acknowledgedEnd(new AttemptAction.TellRefused(
+        return acknowledgeAndFinish(new AttemptAction.NotifyRefused(
                 refused.toBuilder().setRan(ExecutionStatus.UNKNOWN.ordinal()).build()));
     }
 
@@ -285,8 +286,8 @@
      * @param now the time
      * @return true if it is shown
      */
-    private boolean isBelieved(Refused refused, long now) {
-        boolean inTime = now - askedAt <= limits.answer().toNanos();
+    private boolean isNotRunTrusted(Refused refused, long now) {
+        boolean inTime = now - lastRequestNanos <= limits.answerLimit().toNanos();
         return nextSequence == 0 && (inTime || refused.getCode() != ResultCode.NOT_RUN.number());
     }
 
@@ -300,9 +301,9 @@
         if (done) {
             return List.of();
         }
-        granted += chunks;
+        grantedUpTo += chunks;
         List<AttemptAction> actions = new ArrayList<>();
-        announceCredit(actions);
+        addAcknowledgementIfDue(actions);
         return actions;
     }
 
@@ -312,19 +313,19 @@
      *
      * @param actions to which the frame is added
      */
-    private void announceCredit(List<AttemptAction> actions) {
-        boolean needsCredit = granted > announced && announced - nextSequence <= window / 2;
-        boolean needsAcknowledgement = nextSequence - acknowledged >= ACKNOWLEDGE_EVERY;
+    private void addAcknowledgementIfDue(List<AttemptAction> actions) {
+        boolean needsCredit = grantedUpTo > announcedUpTo && announcedUpTo - nextSequence <= creditWindow / 2;
+        boolean needsAcknowledgement = nextSequence - acknowledgedUpTo >= CHUNKS_PER_ACKNOWLEDGEMENT;
         if (!linked || !needsCredit && !needsAcknowledgement) {
             return;
         }
-        announced = granted;
-        acknowledged = nextSequence;
+        announcedUpTo = grantedUpTo;
+        acknowledgedUpTo = nextSequence;
         actions.add(send(Frame.newBuilder()
                 .setAcknowledge(Acknowledge.newBuilder()
                         .setAttempt(run.getAttempt())
                         .setNextSequence(nextSequence)
-                        .setCredit(credit()))));
+                        .setCredit(remainingCredit()))));
     }
 
     /**
@@ -352,15 +353,15 @@
         if (done) {
             return List.of();
         }
-        if (!linked && now - unlinkedSince > limits.resume().toNanos()) {
-            return end(new AttemptAction.TellLost(ExecutionStatus.UNKNOWN, "no link to the companion"));
+        if (!linked && now - unlinkedSinceNanos > limits.resumeLimit().toNanos()) {
+            return finish(new AttemptAction.NotifyLost(ExecutionStatus.UNKNOWN, "no link to the companion"));
         }
         long answerBy = run.getDeadlineLeftMillis() * NANOS_PER_MILLI
                 + limits.deadlineGrace().toNanos();
-        if (run.getDeadlineLeftMillis() > 0 && now - startedAt > answerBy) {
+        if (run.getDeadlineLeftMillis() > 0 && now - startNanos > answerBy) {
             List<AttemptAction> actions = new ArrayList<>();
             actions.add(cancelFrame(now));
-            actions.addAll(end(new AttemptAction.TellLost(ExecutionStatus.UNKNOWN, "no end by the deadline")));
+            actions.addAll(finish(new AttemptAction.NotifyLost(ExecutionStatus.UNKNOWN, "no end by the deadline")));
             return actions;
         }
         return List.of();
@@ -370,15 +371,15 @@
         return done;
     }
 
-    private List<AttemptAction> askAgain(long now) {
-        if (gapAt == nextSequence || cancelReason != null) {
+    private List<AttemptAction> resumeAtGap(long now) {
+        if (requestedGap == nextSequence || cancelReason != null) {
             return List.of();
         }
-        gapAt = nextSequence;
-        return List.of(resume(now));
+        requestedGap = nextSequence;
+        return List.of(resumeFrame(now));
     }
 
-    private List<AttemptAction> end(AttemptAction last) {
+    private List<AttemptAction> finish(AttemptAction last) {
         if (done) {
             return List.of();
         }
@@ -386,15 +387,15 @@
         return List.of(last);
     }
 
-    private AttemptAction resume(long now) {
-        askedAt = now;
-        announced = granted;
-        acknowledged = nextSequence;
+    private AttemptAction resumeFrame(long now) {
+        lastRequestNanos = now;
+        announcedUpTo = grantedUpTo;
+        acknowledgedUpTo = nextSequence;
         return send(Frame.newBuilder()
                 .setResume(Resume.newBuilder()
                         .setAttempt(run.getAttempt())
                         .setNextSequence(nextSequence)
-                        .setCredit(credit())
+                        .setCredit(remainingCredit())
                         .setAgeMillis(ageMillis(now))
                         .setCompanionIncarnation(incarnation)
                         .setAccount(run.getAccount())
@@ -406,7 +407,7 @@
     }
 
     private AttemptAction cancelFrame(long now) {
-        askedAt = now;
+        lastRequestNanos = now;
         return send(Frame.newBuilder()
                 .setCancel(Cancel.newBuilder()
                         .setAttempt(run.getAttempt())
@@ -415,19 +416,19 @@
                         .setAgeMillis(ageMillis(now))));
     }
 
-    private int credit() {
-        return (int) Math.min(Integer.MAX_VALUE, Math.max(0, granted - nextSequence));
+    private int remainingCredit() {
+        return (int) Math.min(Integer.MAX_VALUE, Math.max(0, grantedUpTo - nextSequence));
     }
 
     private long ageMillis(long now) {
-        return resumedFromElsewhere ? UNKNOWN_AGE : (now - startedAt) / NANOS_PER_MILLI + 1;
+        return startedEarlier ? UNKNOWN_AGE_MILLIS : (now - startNanos) / NANOS_PER_MILLI + 1;
     }
 
     private long deadlineLeftMillis(long now) {
         if (run.getDeadlineLeftMillis() == 0) {
             return 0;
         }
-        return Math.max(1, run.getDeadlineLeftMillis() - (now - startedAt) / NANOS_PER_MILLI);
+        return Math.max(1, run.getDeadlineLeftMillis() - (now - startNanos) / NANOS_PER_MILLI);
     }
 
     private static AttemptAction send(Frame.Builder frame) {
--- a/link/src/main/java/org/geraniumreach/link/Backoff.java
+++ b/link/src/main/java/org/geraniumreach/link/Backoff.java
@@ -11,16 +11,16 @@
  */
 final class Backoff {
 
-    private final long leastNanos;
-    private final long greatestNanos;
+    private final long minimumNanos;
+    private final long maximumNanos;
     private final RandomGenerator random;
     private long boundNanos;
 
     Backoff(Duration least, Duration greatest, RandomGenerator random) {
-        this.leastNanos = least.toNanos();
-        this.greatestNanos = greatest.toNanos();
+        this.minimumNanos = least.toNanos();
+        this.maximumNanos = greatest.toNanos();
         this.random = random;
-        this.boundNanos = leastNanos;
+        this.boundNanos = minimumNanos;
     }
 
     /**
@@ -30,11 +30,11 @@
      */
     long nextNanos() {
         long wait = random.nextLong(boundNanos + 1);
-        boundNanos = Math.min(greatestNanos, 2 * boundNanos);
+        boundNanos = Math.min(maximumNanos, 2 * boundNanos);
         return wait;
     }
 
     void reset() {
-        boundNanos = leastNanos;
+        boundNanos = minimumNanos;
     }
 }
--- a/link/src/main/java/org/geraniumreach/link/CompanionAttempts.java
+++ b/link/src/main/java/org/geraniumreach/link/CompanionAttempts.java
@@ -20,7 +20,7 @@
  */
 final class CompanionAttempts {
 
-    private static final long AGE_UNKNOWN = -1;
+    private static final long UNKNOWN_AGE_MILLIS = -1;
 
     private final AttemptTracker.Limits limits;
     private final MonotonicClock clock;
@@ -67,32 +67,32 @@
     }
 
     void seal(Optional<Peer> link, String attempt, long incarnation, Duration age, SealListener listener) {
-        long ageMillis = age.isNegative() ? AGE_UNKNOWN : age.toMillis();
+        long ageMillis = age.isNegative() ? UNKNOWN_AGE_MILLIS : age.toMillis();
         PendingSeal pending =
                 new PendingSeal(new SealTracker(attempt, incarnation, ageMillis, limits, clock.nanos()), listener);
         if (seals.putIfAbsent(attempt, pending) != null) {
             throw new IllegalArgumentException("attempt is being sealed: " + attempt);
         }
-        link.ifPresent(peer -> ask(attempt, pending, peer));
+        link.ifPresent(peer -> sendSeal(attempt, pending, peer));
     }
 
-    private void ask(String attempt, PendingSeal pending, Peer peer) {
+    private void sendSeal(String attempt, PendingSeal pending, Peer peer) {
         Optional<Frame> question;
         synchronized (pending.tracker()) {
-            question = pending.tracker().ask(peer.hello().getIncarnation(), clock.nanos());
+            question = pending.tracker().nextFrame(peer.hello().getIncarnation(), clock.nanos());
         }
-        question.ifPresentOrElse(peer::send, () -> settle(attempt, pending, SealOutcome.OTHER_INCARNATION));
+        question.ifPresentOrElse(peer::send, () -> complete(attempt, pending, SealOutcome.OTHER_INCARNATION));
     }
 
-    private void settle(String attempt, PendingSeal pending, SealOutcome outcome) {
+    private void complete(String attempt, PendingSeal pending, SealOutcome outcome) {
         if (seals.remove(attempt, pending)) {
             pending.listener().sealed(outcome);
         }
     }
 
-    void opened(Peer peer) {
-        attempts.values().forEach(attempt -> attempt.opened(peer));
-        seals.forEach((attempt, pending) -> ask(attempt, pending, peer));
+    void onLinkOpened(Peer peer) {
+        attempts.values().forEach(attempt -> attempt.onLinkOpened(peer));
+        seals.forEach((attempt, pending) -> sendSeal(attempt, pending, peer));
     }
 
     /**
@@ -101,18 +101,18 @@
      * @param peer the link, not null
      * @param other another open link to the same companion, not null
      */
-    void closed(Peer peer, Optional<Peer> other) {
-        attempts.values().forEach(attempt -> attempt.closed(peer, other));
+    void onLinkClosed(Peer peer, Optional<Peer> other) {
+        attempts.values().forEach(attempt -> attempt.onLinkClosed(peer, other));
     }
 
-    void received(Peer peer, Frame frame) {
+    void onFrame(Peer peer, Frame frame) {
         switch (frame.getBodyCase()) {
-            case ACCEPTED -> find(frame.getAccepted().getAttempt()).ifPresent(SentAttempt::accepted);
-            case CHUNK -> find(frame.getChunk().getAttempt()).ifPresent(attempt -> attempt.chunk(frame.getChunk()));
-            case END -> find(frame.getEnd().getAttempt()).ifPresent(attempt -> attempt.ended(frame.getEnd()));
+            case ACCEPTED -> find(frame.getAccepted().getAttempt()).ifPresent(SentAttempt::onAccepted);
+            case CHUNK -> find(frame.getChunk().getAttempt()).ifPresent(attempt -> attempt.onChunk(frame.getChunk()));
+            case END -> find(frame.getEnd().getAttempt()).ifPresent(attempt -> attempt.onEnded(frame.getEnd()));
             case REFUSED -> find(frame.getRefused().getAttempt())
-                    .ifPresent(attempt -> attempt.refused(frame.getRefused()));
-            case SEALED -> sealed(peer, frame.getSealed());
+                    .ifPresent(attempt -> attempt.onRefused(frame.getRefused()));
+            case SEALED -> onSealed(peer, frame.getSealed());
             default -> throw new IllegalArgumentException("not an answer: " + frame.getBodyCase());
         }
     }
@@ -121,17 +121,18 @@
         return Optional.ofNullable(attempts.get(attempt));
     }
 
-    private void sealed(Peer peer, Sealed sealed) {
+    private void onSealed(Peer peer, Sealed sealed) {
         PendingSeal pending = seals.get(sealed.getAttempt());
         if (pending == null) {
             return;
         }
         Optional<SealOutcome> outcome;
         synchronized (pending.tracker()) {
-            outcome = pending.tracker().answered(sealed, clock.nanos());
+            outcome = pending.tracker().onSealed(sealed, clock.nanos());
         }
         outcome.ifPresentOrElse(
-                known -> settle(sealed.getAttempt(), pending, known), () -> ask(sealed.getAttempt(), pending, peer));
+                known -> complete(sealed.getAttempt(), pending, known),
+                () -> sendSeal(sealed.getAttempt(), pending, peer));
     }
 
     void tick() {
@@ -139,7 +140,7 @@
         long now = clock.nanos();
         seals.forEach((attempt, pending) -> {
             if (isOverdue(pending, now)) {
-                settle(attempt, pending, SealOutcome.UNREACHABLE);
+                complete(attempt, pending, SealOutcome.UNREACHABLE);
             }
         });
     }
--- a/link/src/main/java/org/geraniumreach/link/HandlerRegistry.java
+++ b/link/src/main/java/org/geraniumreach/link/HandlerRegistry.java
@@ -34,7 +34,7 @@
         return all;
     }
 
-    List<FrameHandler> of(Frame.BodyCase kind) {
+    List<FrameHandler> forKind(Frame.BodyCase kind) {
         return byKind.get(kind);
     }
 }
--- a/link/src/main/java/org/geraniumreach/link/LinkAttempts.java
+++ b/link/src/main/java/org/geraniumreach/link/LinkAttempts.java
@@ -26,20 +26,20 @@
  */
 public final class LinkAttempts implements Attempts, AutoCloseable {
 
-    private static final Set<Frame.BodyCase> KINDS = EnumSet.of(
+    private static final Set<Frame.BodyCase> ANSWER_KINDS = EnumSet.of(
             Frame.BodyCase.ACCEPTED,
             Frame.BodyCase.CHUNK,
             Frame.BodyCase.END,
             Frame.BodyCase.REFUSED,
             Frame.BodyCase.SEALED);
-    private static final Duration TICK = Duration.ofMillis(250);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(250);
 
     private final Links links;
     private final AttemptTracker.Limits limits;
     private final MonotonicClock clock;
     private final LinkEventListener events;
     private final Map<InstanceId, CompanionAttempts> companions = new ConcurrentHashMap<>();
-    private final Future<?> ticking;
+    private final Future<?> tickTask;
 
     private LinkAttempts(
             Links links,
@@ -52,8 +52,9 @@
         this.limits =
                 new AttemptTracker.Limits(settings.resumeLimit(), settings.answerLimit(), settings.deadlineGrace());
         this.clock = clock;
-        links.handle(KINDS, new Handler());
-        this.ticking = timer.scheduleWithFixedDelay(this::tick, TICK.toNanos(), TICK.toNanos(), TimeUnit.NANOSECONDS);
+        links.handle(ANSWER_KINDS, new Handler());
+        this.tickTask = timer.scheduleWithFixedDelay(
+                this::tick, TICK_INTERVAL.toNanos(), TICK_INTERVAL.toNanos(), TimeUnit.NANOSECONDS);
     }
 
     /**
@@ -80,13 +81,13 @@
                 Objects.requireNonNull(events, "events"));
     }
 
-    private CompanionAttempts of(InstanceId companion) {
+    private CompanionAttempts attemptsAt(InstanceId companion) {
         return companions.computeIfAbsent(companion, name -> new CompanionAttempts(limits, clock, events));
     }
 
     @Override
     public AttemptHandle run(InstanceId companion, Run run, AttemptListener listener) {
-        return of(companion).run(links.find(companion), run, listener);
+        return attemptsAt(companion).run(links.find(companion), run, listener);
     }
 
     @Override
@@ -97,13 +98,13 @@
             long nextSequence,
             AttemptListener listener) {
         Run named = Run.newBuilder().setAttempt(attempt).build();
-        return of(companion).resume(links.find(companion), named, companionIncarnation, nextSequence, listener);
+        return attemptsAt(companion).resume(links.find(companion), named, companionIncarnation, nextSequence, listener);
     }
 
     @Override
     public void seal(
             InstanceId companion, String attempt, long companionIncarnation, Duration age, SealListener listener) {
-        of(companion).seal(links.find(companion), attempt, companionIncarnation, age, listener);
+        attemptsAt(companion).seal(links.find(companion), attempt, companionIncarnation, age, listener);
     }
 
     private void tick() {
@@ -111,7 +112,7 @@
             companions.values().forEach(CompanionAttempts::tick);
         } catch (RuntimeException failure) {
             // A task that throws is never run again: attempts would then wait for good for what has been lost.
-            events.happened(EventCode.UNEXPECTED_FAILURE, "the timer of attempts: " + failure);
+            events.onEvent(EventCode.UNEXPECTED_FAILURE, "the timer of attempts: " + failure);
         }
     }
 
@@ -122,28 +123,28 @@
             return InstanceId.of(peer.hello().getInstance());
         }
 
-        private Optional<CompanionAttempts> from(Peer peer) {
+        private Optional<CompanionAttempts> attemptsAt(Peer peer) {
             return Optional.ofNullable(companions.get(instanceOf(peer)));
         }
 
         @Override
         public void opened(Peer peer) {
-            from(peer).ifPresent(attempts -> attempts.opened(peer));
+            attemptsAt(peer).ifPresent(attempts -> attempts.onLinkOpened(peer));
         }
 
         @Override
         public void received(Peer peer, Frame frame) {
-            from(peer).ifPresent(attempts -> attempts.received(peer, frame));
+            attemptsAt(peer).ifPresent(attempts -> attempts.onFrame(peer, frame));
         }
 
         @Override
         public void closed(Peer peer, String reason) {
-            from(peer).ifPresent(attempts -> attempts.closed(peer, links.find(instanceOf(peer))));
+            attemptsAt(peer).ifPresent(attempts -> attempts.onLinkClosed(peer, links.find(instanceOf(peer))));
         }
     }
 
     @Override
     public void close() {
-        ticking.cancel(false);
+        tickTask.cancel(false);
     }
 }
--- a/link/src/main/java/org/geraniumreach/link/LinkChannel.java
+++ b/link/src/main/java/org/geraniumreach/link/LinkChannel.java
@@ -28,11 +28,11 @@
  * final is confined to the channel's event loop, but for the fields marked volatile; {@link Peer}'s methods are safe for
  * use by several threads.
  */
-final class LinkChannel extends SimpleChannelInboundHandler<Frame> implements Peer, LinkTable.Member {
+final class LinkChannel extends SimpleChannelInboundHandler<Frame> implements Peer, LinkTable.Connection {
 
-    private static final int OLDEST_PROTOCOL = 1;
+    private static final int MINIMUM_PROTOCOL_VERSION = 1;
     private static final long PHASE_STEP_NANOS = 100_003;
-    private static final Set<Frame.BodyCase> REQUESTS =
+    private static final Set<Frame.BodyCase> REQUEST_KINDS =
             EnumSet.of(Frame.BodyCase.RUN, Frame.BodyCase.RESUME, Frame.BodyCase.CANCEL, Frame.BodyCase.SEAL);
 
     private final LinkSettings settings;
@@ -40,7 +40,7 @@
     private final Owner owner;
     private final boolean inbound;
     private final LinkHealth health;
-    private final Set<FrameHandler> announced = new LinkedHashSet<>();
+    private final Set<FrameHandler> notifiedHandlers = new LinkedHashSet<>();
     private volatile Channel channel;
     private volatile OutboundFrames outbound;
     private volatile Hello hello;
@@ -68,24 +68,24 @@
          */
         String admit(LinkChannel link);
 
-        void closed(LinkChannel link, String reason);
+        void onClosed(LinkChannel link, String reason);
 
-        void happened(EventCode event, String detail);
+        void onEvent(EventCode event, String detail);
     }
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
         channel = context.channel();
-        outbound = new OutboundFrames(channel, settings.writeBufferHigh(), this::tellWritable);
+        outbound = new OutboundFrames(channel, settings.writeBufferHigh(), this::notifyWritable);
         send(Frame.newBuilder().setHello(owner.localHello()).build());
-        context.executor().schedule(this::checkHello, settings.helloLimit().toNanos(), TimeUnit.NANOSECONDS);
+        context.executor().schedule(this::closeIfNoHello, settings.helloLimit().toNanos(), TimeUnit.NANOSECONDS);
     }
 
     /**
      * A peer that connects and says nothing would hold a connection, and its memory, for good; it gets no more than the
      * limit.
      */
-    private void checkHello() {
+    private void closeIfNoHello() {
         if (hello == null) {
             close("no Hello within " + settings.helloLimit());
         }
@@ -97,40 +97,40 @@
             return;
         }
         if (hello == null) {
-            readHello(frame);
+            onHello(frame);
             return;
         }
         switch (frame.getBodyCase()) {
             case PING -> send(Frame.newBuilder()
                     .setPong(Pong.newBuilder().setNumber(frame.getPing().getNumber()))
                     .build());
-            case PONG -> health.pong(frame.getPong().getNumber());
+            case PONG -> health.onPong(frame.getPong().getNumber());
             case HELLO -> refuse("a second Hello");
             case BODY_NOT_SET -> refuse("a frame of unknown type");
-            default -> handle(frame);
+            default -> dispatch(frame);
         }
     }
 
-    private void handle(Frame frame) {
-        List<FrameHandler> interested = handlers.of(frame.getBodyCase());
-        if (interested.isEmpty() && REQUESTS.contains(frame.getBodyCase())) {
+    private void dispatch(Frame frame) {
+        List<FrameHandler> interested = handlers.forKind(frame.getBodyCase());
+        if (interested.isEmpty() && REQUEST_KINDS.contains(frame.getBodyCase())) {
             // A request passed over in silence would be waited for until its deadline; a lost link is noticed.
             close("nobody here answers a " + frame.getBodyCase());
             return;
         }
         for (FrameHandler handler : interested) {
-            announce(handler);
-            guard(() -> handler.received(this, frame));
+            notifyOpened(handler);
+            callHandler(() -> handler.received(this, frame));
         }
     }
 
-    private void readHello(Frame frame) {
+    private void onHello(Frame frame) {
         if (frame.getBodyCase() != Frame.BodyCase.HELLO) {
             refuse("the first frame is not a Hello");
             return;
         }
         Hello said = frame.getHello();
-        if (said.getProtocolVersion() < OLDEST_PROTOCOL) {
+        if (said.getProtocolVersion() < MINIMUM_PROTOCOL_VERSION) {
             refuse("protocol version " + said.getProtocolVersion());
             return;
         }
@@ -146,8 +146,8 @@
             close(refusal);
             return;
         }
-        owner.happened(EventCode.LINK_OPENED, description());
-        handlers.all().forEach(this::announce);
+        owner.onEvent(EventCode.LINK_OPENED, description());
+        handlers.all().forEach(this::notifyOpened);
         scheduleTick();
     }
 
@@ -163,7 +163,7 @@
         if (!channel.isActive()) {
             return;
         }
-        if (health.tick() == LinkHealth.Verdict.SILENT) {
+        if (health.tick() == LinkHealth.Action.CLOSE) {
             close(settings.unansweredPings() + " pings without an answer");
             return;
         }
@@ -178,32 +178,32 @@
      *
      * @param handler the handler, not null
      */
-    void announceLater(FrameHandler handler) {
-        channel.eventLoop().execute(() -> announce(handler));
+    void scheduleNotifyOpened(FrameHandler handler) {
+        channel.eventLoop().execute(() -> notifyOpened(handler));
     }
 
-    private void announce(FrameHandler handler) {
-        if (closeReason == null && channel.isActive() && announced.add(handler)) {
-            guard(() -> handler.opened(this));
+    private void notifyOpened(FrameHandler handler) {
+        if (closeReason == null && channel.isActive() && notifiedHandlers.add(handler)) {
+            callHandler(() -> handler.opened(this));
         }
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
-        outbound.writabilityChanged();
+        outbound.onWritabilityChanged();
     }
 
-    private void tellWritable() {
-        tellAll(handler -> handler.writable(this));
+    private void notifyWritable() {
+        notifyHandlers(handler -> handler.writable(this));
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         String reason = closeReason != null ? closeReason : "closed by the other end";
         closeReason = reason;
-        owner.closed(this, reason);
-        tellAll(handler -> handler.closed(this, reason));
-        announced.clear();
+        owner.onClosed(this, reason);
+        notifyHandlers(handler -> handler.closed(this, reason));
+        notifiedHandlers.clear();
     }
 
     @Override
@@ -213,18 +213,18 @@
         } else if (cause instanceof IOException) {
             close(String.valueOf(cause.getMessage()));
         } else {
-            owner.happened(EventCode.UNEXPECTED_FAILURE, description() + ": " + cause);
+            owner.onEvent(EventCode.UNEXPECTED_FAILURE, description() + ": " + cause);
             close("failure of this end");
         }
     }
 
     private void refuse(String what) {
-        owner.happened(EventCode.FRAME_REFUSED, description() + ": " + what);
+        owner.onEvent(EventCode.FRAME_REFUSED, description() + ": " + what);
         close("refused " + what);
     }
 
-    private void tellAll(Consumer<FrameHandler> news) {
-        announced.forEach(handler -> guard(() -> news.accept(handler)));
+    private void notifyHandlers(Consumer<FrameHandler> news) {
+        notifiedHandlers.forEach(handler -> callHandler(() -> news.accept(handler)));
     }
 
     /**
@@ -232,11 +232,11 @@
      *
      * @param call the handler's code, not null
      */
-    private void guard(Runnable call) {
+    private void callHandler(Runnable call) {
         try {
             call.run();
         } catch (RuntimeException failure) {
-            owner.happened(EventCode.UNEXPECTED_FAILURE, description() + ": " + failure);
+            owner.onEvent(EventCode.UNEXPECTED_FAILURE, description() + ": " + failure);
         }
     }
 
@@ -267,7 +267,7 @@
         }
         // The other end would close the link over a frame above its limit, and with it the streams of everyone else.
         if (frame.getSerializedSize() > settings.maximumFrameBytes()) {
-            owner.happened(
+            owner.onEvent(
                     EventCode.FRAME_REFUSED,
                     description() + ": not sent, " + frame.getSerializedSize() + " bytes of " + frame.getBodyCase());
             return false;
--- a/link/src/main/java/org/geraniumreach/link/LinkEventListener.java
+++ b/link/src/main/java/org/geraniumreach/link/LinkEventListener.java
@@ -16,5 +16,5 @@
      * @param event the event, not null
      * @param detail what happened to which link, without any content of frames, not null
      */
-    void happened(EventCode event, String detail);
+    void onEvent(EventCode event, String detail);
 }
--- a/link/src/main/java/org/geraniumreach/link/LinkHealth.java
+++ b/link/src/main/java/org/geraniumreach/link/LinkHealth.java
@@ -7,25 +7,25 @@
  * show that anything sent still gets through. Unanswered pings are counted rather than time, so a process that was frozen
  * itself does not take its peers for dead when it goes on.
  *
- * <p>Invariant: between two verdicts of {@link Verdict#SILENT} at least the limit of pings went unanswered. Not safe for use
+ * <p>Invariant: between two verdicts of {@link Action#CLOSE} at least the limit of pings went unanswered. Not safe for use
  * by several threads.
  */
 final class LinkHealth {
 
     private final int unansweredLimit;
-    private long sent;
-    private long answered;
+    private long lastSentPing;
+    private long lastAnsweredPing;
 
     LinkHealth(int unansweredLimit) {
         this.unansweredLimit = unansweredLimit;
     }
 
     /** What to do with a link. */
-    enum Verdict {
+    enum Action {
         /** Send a ping with {@link #pingNumber}. */
         PING,
         /** Give it up. */
-        SILENT
+        CLOSE
     }
 
     /**
@@ -33,16 +33,16 @@
      *
      * @return what to do, not null
      */
-    Verdict tick() {
-        if (sent - answered >= unansweredLimit) {
-            return Verdict.SILENT;
+    Action tick() {
+        if (lastSentPing - lastAnsweredPing >= unansweredLimit) {
+            return Action.CLOSE;
         }
-        sent++;
-        return Verdict.PING;
+        lastSentPing++;
+        return Action.PING;
     }
 
     long pingNumber() {
-        return sent;
+        return lastSentPing;
     }
 
     /**
@@ -50,9 +50,9 @@
      *
      * @param number the ping's number; one that was never sent is ignored
      */
-    void pong(long number) {
-        if (number <= sent && number > answered) {
-            answered = number;
+    void onPong(long number) {
+        if (number <= lastSentPing && number > lastAnsweredPing) {
+            lastAnsweredPing = number;
         }
     }
 }
--- a/link/src/main/java/org/geraniumreach/link/LinkNode.java
+++ b/link/src/main/java/org/geraniumreach/link/LinkNode.java
@@ -39,17 +39,17 @@
  */
 public final class LinkNode implements Links, AutoCloseable {
 
-    private static final int BACKLOG = 1024;
-    private static final long CLOSE_SECONDS = 2;
+    private static final int ACCEPT_BACKLOG = 1024;
+    private static final long SHUTDOWN_TIMEOUT_SECONDS = 2;
 
     private final LinkSettings settings;
     private final Supplier<Hello> localHello;
     private final LinkEventListener events;
-    private final EventLoopGroup loops;
-    private final boolean ownsLoops;
+    private final EventLoopGroup eventLoops;
+    private final boolean ownsEventLoops;
     private final HandlerRegistry handlers = new HandlerRegistry();
     private final LinkTable<LinkChannel> table = new LinkTable<>();
-    private final Map<InstanceId, KeptLink> kept = new ConcurrentHashMap<>();
+    private final Map<InstanceId, ReconnectingLink> reconnectingLinks = new ConcurrentHashMap<>();
     private volatile Channel server;
     private volatile boolean closed;
 
@@ -62,8 +62,8 @@
         this.settings = Objects.requireNonNull(settings, "settings");
         this.localHello = Objects.requireNonNull(localHello, "localHello");
         this.events = Objects.requireNonNull(events, "events");
-        this.loops = Objects.requireNonNull(loops, "loops");
-        this.ownsLoops = ownsLoops;
+        this.eventLoops = Objects.requireNonNull(loops, "loops");
+        this.ownsEventLoops = ownsLoops;
     }
 
     /**
@@ -102,13 +102,13 @@
      */
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
         ServerBootstrap bootstrap = new ServerBootstrap()
-                .group(loops)
+                .group(eventLoops)
                 .channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, waterMark())
-                .childHandler(new Pipeline(Optional.empty()));
+                .childHandler(new ConnectionInitializer(Optional.empty()));
         ChannelFuture bound = bootstrap.bind(address).awaitUninterruptibly();
         if (!bound.isSuccess()) {
             throw new IOException("cannot listen on " + address, bound.cause());
@@ -122,27 +122,27 @@
     }
 
     /** Sets up a new connection. */
-    private final class Pipeline extends ChannelInitializer<Channel> {
+    private final class ConnectionInitializer extends ChannelInitializer<Channel> {
         private final Optional<InstanceId> expected;
 
-        private Pipeline(Optional<InstanceId> expected) {
+        private ConnectionInitializer(Optional<InstanceId> expected) {
             this.expected = expected;
         }
 
         @Override
         protected void initChannel(Channel channel) {
-            LinkPipeline.set(
+            LinkPipeline.configure(
                     channel.pipeline(),
                     settings,
-                    new LinkChannel(settings, handlers, new Ownership(expected), expected.isEmpty()));
+                    new LinkChannel(settings, handlers, new ConnectionOwner(expected), expected.isEmpty()));
         }
     }
 
     /** What this node decides about one connection. */
-    private final class Ownership implements LinkChannel.Owner {
+    private final class ConnectionOwner implements LinkChannel.Owner {
         private final Optional<InstanceId> expected;
 
-        private Ownership(Optional<InstanceId> expected) {
+        private ConnectionOwner(Optional<InstanceId> expected) {
             this.expected = expected;
         }
 
@@ -161,29 +161,29 @@
                 return "a newer incarnation is connected";
             }
             admission.superseded().forEach(old -> old.close("superseded by a new connection"));
-            Optional.ofNullable(kept.get(link.instance())).ifPresent(KeptLink::opened);
+            Optional.ofNullable(reconnectingLinks.get(link.instance())).ifPresent(ReconnectingLink::onLinkOpened);
             return "";
         }
 
         @Override
-        public void closed(LinkChannel link, String reason) {
+        public void onClosed(LinkChannel link, String reason) {
             if (link.instance() != null) {
                 table.remove(link);
-                Optional.ofNullable(kept.get(link.instance())).ifPresent(KeptLink::closed);
+                Optional.ofNullable(reconnectingLinks.get(link.instance())).ifPresent(ReconnectingLink::onLinkClosed);
             }
             if (!closed) {
-                happened(EventCode.LINK_LOST, link.description() + ": " + reason);
+                onEvent(EventCode.LINK_LOST, link.description() + ": " + reason);
             }
         }
 
         @Override
-        public void happened(EventCode event, String detail) {
-            events.happened(event, detail);
+        public void onEvent(EventCode event, String detail) {
+            events.onEvent(event, detail);
         }
     }
 
     /** Opens the connections of kept links. */
-    private final class Connector implements KeptLink.Opener {
+    private final class NodeConnector implements ReconnectingLink.Connector {
 
         @Override
         public boolean isOpen(InstanceId instance) {
@@ -193,13 +193,13 @@
         @Override
         public Bootstrap bootstrap(InstanceId instance) {
             return new Bootstrap()
-                    .group(loops)
+                    .group(eventLoops)
                     .channel(NioSocketChannel.class)
                     .option(ChannelOption.TCP_NODELAY, true)
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int)
                             settings.connectLimit().toMillis())
                     .option(ChannelOption.WRITE_BUFFER_WATER_MARK, waterMark())
-                    .handler(new Pipeline(Optional.of(instance)));
+                    .handler(new ConnectionInitializer(Optional.of(instance)));
         }
     }
 
@@ -207,7 +207,7 @@
     public void keep(InstanceId instance, InetSocketAddress address) {
         Objects.requireNonNull(instance, "instance");
         Objects.requireNonNull(address, "address");
-        kept.compute(instance, (name, present) -> {
+        reconnectingLinks.compute(instance, (name, present) -> {
             if (present != null && present.address().equals(address)) {
                 return present;
             }
@@ -215,12 +215,12 @@
                 present.release();
                 table.find(instance).ifPresent(open -> open.close("its address has changed"));
             }
-            KeptLink link = new KeptLink(
+            ReconnectingLink link = new ReconnectingLink(
                     instance,
                     address,
-                    loops.next(),
+                    eventLoops.next(),
                     settings,
-                    new Connector(),
+                    new NodeConnector(),
                     new SplittableRandom(ThreadLocalRandom.current().nextLong()));
             link.open();
             return link;
@@ -229,7 +229,7 @@
 
     @Override
     public void release(InstanceId instance) {
-        KeptLink link = kept.remove(Objects.requireNonNull(instance, "instance"));
+        ReconnectingLink link = reconnectingLinks.remove(Objects.requireNonNull(instance, "instance"));
         if (link != null) {
             link.release();
         }
@@ -249,7 +249,7 @@
     @Override
     public void handle(Set<Frame.BodyCase> kinds, FrameHandler handler) {
         handlers.add(kinds, Objects.requireNonNull(handler, "handler"));
-        table.all().forEach(link -> link.announceLater(handler));
+        table.all().forEach(link -> link.scheduleNotifyOpened(handler));
     }
 
     /**
@@ -258,21 +258,21 @@
      * @return the timer, not null
      */
     public ScheduledExecutorService timer() {
-        return loops;
+        return eventLoops;
     }
 
     @Override
     public void close() {
         closed = true;
-        kept.values().forEach(KeptLink::release);
-        kept.clear();
+        reconnectingLinks.values().forEach(ReconnectingLink::release);
+        reconnectingLinks.clear();
         Channel listening = server;
         if (listening != null) {
             listening.close();
         }
         table.all().forEach(link -> link.close("this end stops"));
-        if (ownsLoops) {
-            loops.shutdownGracefully(0, CLOSE_SECONDS, TimeUnit.SECONDS);
+        if (ownsEventLoops) {
+            eventLoops.shutdownGracefully(0, SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
     }
 }
--- a/link/src/main/java/org/geraniumreach/link/LinkPipeline.java
+++ b/link/src/main/java/org/geraniumreach/link/LinkPipeline.java
@@ -19,7 +19,7 @@
 
     private LinkPipeline() {}
 
-    static void set(ChannelPipeline pipeline, LinkSettings settings, LinkChannel link) {
+    static void configure(ChannelPipeline pipeline, LinkSettings settings, LinkChannel link) {
         pipeline.addLast(
                 new LengthFieldBasedFrameDecoder(settings.maximumFrameBytes(), 0, LENGTH_BYTES, 0, LENGTH_BYTES));
         pipeline.addLast(new ProtobufDecoder(Frame.getDefaultInstance()));
--- a/link/src/main/java/org/geraniumreach/link/LinkTable.java
+++ b/link/src/main/java/org/geraniumreach/link/LinkTable.java
@@ -17,12 +17,12 @@
  *
  * @param <L> the type of links
  */
-final class LinkTable<L extends LinkTable.Member> {
+final class LinkTable<L extends LinkTable.Connection> {
 
     private final Map<InstanceId, List<L>> links = new HashMap<>();
 
     /** A link that has said Hello. */
-    interface Member {
+    interface Connection {
         InstanceId instance();
 
         long incarnation();
--- a/link/src/main/java/org/geraniumreach/link/OutboundFrames.java
+++ b/link/src/main/java/org/geraniumreach/link/OutboundFrames.java
@@ -18,48 +18,48 @@
  */
 final class OutboundFrames {
 
-    private static final int GREATEST_BATCH = 256;
+    private static final int MAXIMUM_FRAMES_PER_DRAIN = 256;
 
     private final Channel channel;
     private final long limitBytes;
-    private final Runnable whenWritable;
+    private final Runnable writableCallback;
     private final Queue<Frame> frames = new ConcurrentLinkedQueue<>();
-    private final AtomicLong bytes = new AtomicLong();
-    private final AtomicBoolean draining = new AtomicBoolean();
-    private final AtomicBoolean someoneWaits = new AtomicBoolean();
+    private final AtomicLong queuedBytes = new AtomicLong();
+    private final AtomicBoolean drainScheduled = new AtomicBoolean();
+    private final AtomicBoolean writableCallbackPending = new AtomicBoolean();
 
     OutboundFrames(Channel channel, long limitBytes, Runnable whenWritable) {
         this.channel = channel;
         this.limitBytes = limitBytes;
-        this.whenWritable = whenWritable;
+        this.writableCallback = whenWritable;
     }
 
     void add(Frame frame) {
-        bytes.addAndGet(frame.getSerializedSize());
+        queuedBytes.addAndGet(frame.getSerializedSize());
         frames.add(frame);
-        drainSoon();
+        scheduleDrain();
     }
 
-    private void drainSoon() {
-        if (draining.compareAndSet(false, true)) {
+    private void scheduleDrain() {
+        if (drainScheduled.compareAndSet(false, true)) {
             channel.eventLoop().execute(this::drain);
         }
     }
 
     private void drain() {
-        draining.set(false);
+        drainScheduled.set(false);
         int written = 0;
         for (Frame next = frames.poll(); next != null; next = frames.poll()) {
             channel.write(next, channel.voidPromise());
-            bytes.addAndGet(-next.getSerializedSize());
+            queuedBytes.addAndGet(-next.getSerializedSize());
             written++;
-            if (written == GREATEST_BATCH) {
-                drainSoon();
+            if (written == MAXIMUM_FRAMES_PER_DRAIN) {
+                scheduleDrain();
                 break;
             }
         }
         channel.flush();
-        writabilityChanged();
+        onWritabilityChanged();
     }
 
     /**
@@ -68,22 +68,22 @@
      * @return true if it may
      */
     boolean isWritable() {
-        if (hasRoom()) {
+        if (isBelowLimit()) {
             return true;
         }
-        someoneWaits.set(true);
+        writableCallbackPending.set(true);
         // The room may have come between the look and the note; then nobody would be called.
-        return hasRoom();
+        return isBelowLimit();
     }
 
-    private boolean hasRoom() {
-        return channel.isWritable() && bytes.get() < limitBytes;
+    private boolean isBelowLimit() {
+        return channel.isWritable() && queuedBytes.get() < limitBytes;
     }
 
     /** Calls those who wait for room if there is some; runs on the event loop. */
-    void writabilityChanged() {
-        if (hasRoom() && someoneWaits.compareAndSet(true, false)) {
-            whenWritable.run();
+    void onWritabilityChanged() {
+        if (isBelowLimit() && writableCallbackPending.compareAndSet(true, false)) {
+            writableCallback.run();
         }
     }
 }
--- a/link/src/main/java/org/geraniumreach/link/KeptLink.java
+++ b/link/src/main/java/org/geraniumreach/link/ReconnectingLink.java
@@ -15,33 +15,33 @@
  * <p>Invariants: at most one connection of this keeper is being opened at a time, and none while a link to the instance is
  * open, whoever opened it. All state is confined to one event loop; the methods may be called by several threads.
  */
-final class KeptLink {
+final class ReconnectingLink {
 
     private final InstanceId instance;
     private final InetSocketAddress address;
     private final EventLoop loop;
-    private final Opener opener;
+    private final Connector connector;
     private final Backoff backoff;
     private boolean connecting;
-    private boolean waiting;
+    private boolean connectScheduled;
     private boolean released;
 
-    KeptLink(
+    ReconnectingLink(
             InstanceId instance,
             InetSocketAddress address,
             EventLoop loop,
             LinkSettings settings,
-            Opener opener,
+            Connector opener,
             RandomGenerator random) {
         this.instance = instance;
         this.address = address;
         this.loop = loop;
-        this.opener = opener;
+        this.connector = opener;
         this.backoff = new Backoff(settings.leastBackoff(), settings.greatestBackoff(), random);
     }
 
     /** Opens connections. */
-    interface Opener {
+    interface Connector {
         boolean isOpen(InstanceId instance);
 
         /**
@@ -57,36 +57,36 @@
         return address;
     }
 
-    private void onLoop(Runnable task) {
+    private void executeOnLoop(Runnable task) {
         if (!loop.isShuttingDown()) {
             loop.execute(task);
         }
     }
 
     void open() {
-        onLoop(this::connect);
+        executeOnLoop(this::connect);
     }
 
     void release() {
-        onLoop(() -> released = true);
+        executeOnLoop(() -> released = true);
     }
 
-    void opened() {
-        onLoop(backoff::reset);
+    void onLinkOpened() {
+        executeOnLoop(backoff::reset);
     }
 
-    void closed() {
-        onLoop(this::connectLater);
+    void onLinkClosed() {
+        executeOnLoop(this::scheduleConnect);
     }
 
-    private void connectLater() {
-        if (released || waiting || loop.isShuttingDown()) {
+    private void scheduleConnect() {
+        if (released || connectScheduled || loop.isShuttingDown()) {
             return;
         }
-        waiting = true;
+        connectScheduled = true;
         loop.schedule(
                 () -> {
-                    waiting = false;
+                    connectScheduled = false;
                     connect();
                 },
                 backoff.nextNanos(),
@@ -94,20 +94,20 @@
     }
 
     private void connect() {
-        if (released || connecting || opener.isOpen(instance)) {
+        if (released || connecting || connector.isOpen(instance)) {
             return;
         }
         connecting = true;
-        ChannelFuture opening = opener.bootstrap(instance).connect(address);
-        opening.addListener(done -> onLoop(() -> connected(opening)));
+        ChannelFuture opening = connector.bootstrap(instance).connect(address);
+        opening.addListener(done -> executeOnLoop(() -> onConnectCompleted(opening)));
     }
 
-    private void connected(ChannelFuture opening) {
+    private void onConnectCompleted(ChannelFuture opening) {
         connecting = false;
         if (!opening.isSuccess()) {
-            connectLater();
+            scheduleConnect();
             return;
         }
-        opening.channel().closeFuture().addListener(done -> closed());
+        opening.channel().closeFuture().addListener(done -> onLinkClosed());
     }
 }
--- a/link/src/main/java/org/geraniumreach/link/SealTracker.java
+++ b/link/src/main/java/org/geraniumreach/link/SealTracker.java
@@ -22,8 +22,8 @@
     private final long incarnation;
     private final long ageMillis;
     private final AttemptTracker.Limits limits;
-    private final long startedAt;
-    private long askedAt;
+    private final long startNanos;
+    private long lastRequestNanos;
 
     /**
      * Makes a tracker.
@@ -39,12 +39,12 @@
         this.incarnation = incarnation;
         this.ageMillis = ageMillis;
         this.limits = limits;
-        this.startedAt = now;
-        this.askedAt = now;
+        this.startNanos = now;
+        this.lastRequestNanos = now;
     }
 
     /** What companions say of a sealed attempt, by its number in the message. */
-    private static final SealOutcome[] OUTCOMES = {
+    private static final SealOutcome[] OUTCOMES_BY_STATE = {
         SealOutcome.NEVER_STARTED,
         SealOutcome.STARTED,
         SealOutcome.ENDED,
@@ -59,12 +59,12 @@
      * @param now the time
      * @return the frame to send, or empty if the answer is {@link SealOutcome#OTHER_INCARNATION}
      */
-    Optional<Frame> ask(long openIncarnation, long now) {
+    Optional<Frame> nextFrame(long openIncarnation, long now) {
         if (openIncarnation != incarnation) {
             return Optional.empty();
         }
-        askedAt = now;
-        long age = ageMillis < 0 ? -1 : ageMillis + (now - startedAt) / NANOS_PER_MILLI + 1;
+        lastRequestNanos = now;
+        long age = ageMillis < 0 ? -1 : ageMillis + (now - startNanos) / NANOS_PER_MILLI + 1;
         return Optional.of(Frame.newBuilder()
                 .setSeal(Seal.newBuilder()
                         .setAttempt(attempt)
@@ -80,16 +80,16 @@
      * @param now the time
      * @return the outcome, or empty if the answer is not to be believed and the companion is to be asked again
      */
-    Optional<SealOutcome> answered(Sealed sealed, long now) {
-        if (sealed.getState() < 0 || sealed.getState() >= OUTCOMES.length) {
+    Optional<SealOutcome> onSealed(Sealed sealed, long now) {
+        if (sealed.getState() < 0 || sealed.getState() >= OUTCOMES_BY_STATE.length) {
             return Optional.of(SealOutcome.OTHER_INCARNATION);
         }
-        SealOutcome outcome = OUTCOMES[sealed.getState()];
-        boolean late = now - askedAt > limits.answer().toNanos();
+        SealOutcome outcome = OUTCOMES_BY_STATE[sealed.getState()];
+        boolean late = now - lastRequestNanos > limits.answerLimit().toNanos();
         return late && outcome == SealOutcome.NEVER_STARTED ? Optional.empty() : Optional.of(outcome);
     }
 
     boolean isOverdue(long now) {
-        return now - startedAt > limits.resume().toNanos();
+        return now - startNanos > limits.resumeLimit().toNanos();
     }
 }
--- a/link/src/main/java/org/geraniumreach/link/SentAttempt.java
+++ b/link/src/main/java/org/geraniumreach/link/SentAttempt.java
@@ -25,11 +25,11 @@
     private final AttemptListener listener;
     private final MonotonicClock clock;
     private final LinkEventListener events;
-    private final Runnable whenDone;
-    private final Queue<AttemptAction> news = new ArrayDeque<>();
+    private final Runnable doneCallback;
+    private final Queue<AttemptAction> pendingNotifications = new ArrayDeque<>();
     private Peer link;
     private boolean started;
-    private boolean telling;
+    private boolean notifying;
 
     SentAttempt(
             AttemptTracker tracker,
@@ -41,54 +41,54 @@
         this.listener = listener;
         this.clock = clock;
         this.events = events;
-        this.whenDone = whenDone;
+        this.doneCallback = whenDone;
     }
 
     void start(Optional<Peer> open) {
         perform(() -> {
             started = true;
             link = link == null ? open.orElse(null) : link;
-            return link == null ? tracker.noLink(clock.nanos()) : tracker.start(clock.nanos());
+            return link == null ? tracker.onNoLink(clock.nanos()) : tracker.start(clock.nanos());
         });
     }
 
-    void opened(Peer peer) {
+    void onLinkOpened(Peer peer) {
         perform(() -> {
             if (link == peer) {
                 return List.of();
             }
             link = peer;
-            return started ? tracker.linkOpened(peer.hello().getIncarnation(), clock.nanos()) : List.of();
+            return started ? tracker.onLinkOpened(peer.hello().getIncarnation(), clock.nanos()) : List.of();
         });
     }
 
-    void closed(Peer peer, Optional<Peer> other) {
+    void onLinkClosed(Peer peer, Optional<Peer> other) {
         boolean mine;
         synchronized (this) {
             mine = link == peer;
             if (mine && started) {
-                tracker.linkLost(clock.nanos());
+                tracker.onLinkLost(clock.nanos());
             }
         }
         if (mine) {
-            other.ifPresent(this::opened);
+            other.ifPresent(this::onLinkOpened);
         }
     }
 
-    void accepted() {
-        perform(tracker::accepted);
+    void onAccepted() {
+        perform(tracker::onAccepted);
     }
 
-    void chunk(Chunk chunk) {
-        perform(() -> tracker.chunk(chunk, clock.nanos()));
+    void onChunk(Chunk chunk) {
+        perform(() -> tracker.onChunk(chunk, clock.nanos()));
     }
 
-    void ended(End end) {
-        perform(() -> tracker.ended(end, clock.nanos()));
+    void onEnded(End end) {
+        perform(() -> tracker.onEnded(end, clock.nanos()));
     }
 
-    void refused(Refused refused) {
-        perform(() -> tracker.refused(refused, clock.nanos()));
+    void onRefused(Refused refused) {
+        perform(() -> tracker.onRefused(refused, clock.nanos()));
     }
 
     void tick() {
@@ -111,60 +111,60 @@
     private void perform(Supplier<List<AttemptAction>> decision) {
         boolean done;
         synchronized (this) {
-            decision.get().forEach(this::carryOut);
+            decision.get().forEach(this::execute);
             done = tracker.isDone();
         }
         if (done) {
-            whenDone.run();
+            doneCallback.run();
         }
-        tell();
+        notifyListener();
     }
 
-    private void carryOut(AttemptAction action) {
+    private void execute(AttemptAction action) {
         if (!(action instanceof AttemptAction.Send send)) {
-            news.add(action);
+            pendingNotifications.add(action);
             return;
         }
         if (link.send(send.frame())) {
             return;
         }
         if (send.frame().hasRun()) {
-            news.addAll(tracker.neverSent("the link to the companion does not take the request"));
+            pendingNotifications.addAll(tracker.onNeverSent("the link to the companion does not take the request"));
         } else {
-            tracker.linkLost(clock.nanos());
+            tracker.onLinkLost(clock.nanos());
         }
     }
 
-    private void tell() {
-        for (Optional<AttemptAction> next = takeNext(false); next.isPresent(); next = takeNext(true)) {
+    private void notifyListener() {
+        for (Optional<AttemptAction> next = pollNotification(false); next.isPresent(); next = pollNotification(true)) {
             try {
-                tell(next.get());
+                notifyListener(next.get());
             } catch (RuntimeException failure) {
-                events.happened(EventCode.UNEXPECTED_FAILURE, "a listener of an attempt: " + failure);
+                events.onEvent(EventCode.UNEXPECTED_FAILURE, "a listener of an attempt: " + failure);
             }
         }
     }
 
-    private synchronized Optional<AttemptAction> takeNext(boolean mine) {
-        if (telling && !mine) {
+    private synchronized Optional<AttemptAction> pollNotification(boolean mine) {
+        if (notifying && !mine) {
             return Optional.empty();
         }
-        Optional<AttemptAction> next = Optional.ofNullable(news.poll());
-        telling = next.isPresent();
+        Optional<AttemptAction> next = Optional.ofNullable(pendingNotifications.poll());
+        notifying = next.isPresent();
         return next;
     }
 
-    private void tell(AttemptAction action) {
-        if (action instanceof AttemptAction.TellChunk chunk) {
+    private void notifyListener(AttemptAction action) {
+        if (action instanceof AttemptAction.NotifyChunk chunk) {
             listener.chunk(chunk.sequence(), chunk.payload(), chunk.tokens());
-        } else if (action instanceof AttemptAction.TellAccepted) {
+        } else if (action instanceof AttemptAction.NotifyAccepted) {
             listener.accepted();
-        } else if (action instanceof AttemptAction.TellEnded ended) {
+        } else if (action instanceof AttemptAction.NotifyEnded ended) {
             listener.ended(ended.end());
-        } else if (action instanceof AttemptAction.TellRefused refused) {
+        } else if (action instanceof AttemptAction.NotifyRefused refused) {
             listener.refused(refused.refused());
-        } else if (action instanceof AttemptAction.TellLost lost) {
-            listener.lost(lost.ran(), lost.reason());
+        } else if (action instanceof AttemptAction.NotifyLost lost) {
+            listener.lost(lost.executionStatus(), lost.reason());
         }
     }
 }
--- a/link/src/test/java/org/geraniumreach/link/AttemptTrackerTest.java
+++ b/link/src/test/java/org/geraniumreach/link/AttemptTrackerTest.java
@@ -33,12 +33,12 @@
         return Refused.newBuilder().setCode(code.number()).setRan(ran.ordinal()).build();
     }
 
-    private static Optional<ExecutionStatus> told(List<AttemptAction> actions) {
+    private static Optional<ExecutionStatus> reportedStatus(List<AttemptAction> actions) {
         for (AttemptAction action : actions) {
-            if (action instanceof AttemptAction.TellLost lost) {
-                return Optional.of(lost.ran());
+            if (action instanceof AttemptAction.NotifyLost lost) {
+                return Optional.of(lost.executionStatus());
             }
-            if (action instanceof AttemptAction.TellRefused refused) {
+            if (action instanceof AttemptAction.NotifyRefused refused) {
                 return Optional.of(ExecutionStatus.values()[refused.refused().getRan()]);
             }
         }
@@ -46,51 +46,51 @@
     }
 
     @Test
-    void runThatNoLinkTookHasNotRun() {
-        assertThat(told(tracker(false).neverSent("no link"))).contains(ExecutionStatus.NO);
+    void attemptNeverSentIsReportedNotRun() {
+        assertThat(reportedStatus(tracker(false).onNeverSent("no link"))).contains(ExecutionStatus.NO);
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void lossOfTheCompanionAfterSendingIsUnknown(boolean repeatable) {
+    void companionLossAfterSendIsReportedUnknown(boolean repeatable) {
         // The link breaks after the Run was handed over and no new one opens. The Run may have arrived; "not run" could
         // be false, and a booking would be sent again.
         AttemptTracker tracker = tracker(repeatable);
         tracker.start(0);
-        tracker.linkLost(1);
-        assertThat(told(tracker.tick(LIMIT.toNanos()))).isEmpty();
-        assertThat(told(tracker.tick(LIMIT.toNanos() + 2))).contains(ExecutionStatus.UNKNOWN);
+        tracker.onLinkLost(1);
+        assertThat(reportedStatus(tracker.tick(LIMIT.toNanos()))).isEmpty();
+        assertThat(reportedStatus(tracker.tick(LIMIT.toNanos() + 2))).contains(ExecutionStatus.UNKNOWN);
     }
 
     @Test
-    void restartOfTheCompanionIsUnknownForWhatMayNotBeRepeated() {
+    void companionRestartIsUnknownForNonRepeatableAttempt() {
         // The companion comes back as another process, which knows nothing of what the former one started.
         AttemptTracker tracker = tracker(false);
         tracker.start(0);
-        tracker.linkLost(1);
-        assertThat(told(tracker.linkOpened(2, 2))).contains(ExecutionStatus.UNKNOWN);
+        tracker.onLinkLost(1);
+        assertThat(reportedStatus(tracker.onLinkOpened(2, 2))).contains(ExecutionStatus.UNKNOWN);
     }
 
     @ParameterizedTest
     @CsvSource({"1, NO", "10000, NO", "10001, UNKNOWN"})
-    void notRunIsBelievedOnlyWhileTheCompanionStillKnows(long millis, ExecutionStatus expected) {
+    void notRunIsTrustedOnlyWithinAnswerLimit(long millis, ExecutionStatus expected) {
         // The companion answers a Resume that it does not know the attempt. It forgets after a time; an answer that
         // took long may come from a companion that ran the attempt and forgot it.
         AttemptTracker tracker = tracker(false);
         tracker.start(0);
-        tracker.linkLost(1);
-        tracker.linkOpened(1, 1);
+        tracker.onLinkLost(1);
+        tracker.onLinkOpened(1, 1);
         long now = Duration.ofMillis(millis).toNanos() + 1;
-        assertThat(told(tracker.refused(refused(ResultCode.NOT_RUN, ExecutionStatus.NO), now)))
+        assertThat(reportedStatus(tracker.onRefused(refused(ResultCode.NOT_RUN, ExecutionStatus.NO), now)))
                 .contains(expected);
     }
 
     @Test
-    void longWaitInTheQueueIsNotTakenForForgetting() {
+    void lateLoadFailureIsStillReportedNotRun() {
         AttemptTracker tracker = tracker(false);
         tracker.start(0);
         long now = Duration.ofMinutes(5).toNanos();
-        assertThat(told(tracker.refused(refused(ResultCode.LOAD_FAILED, ExecutionStatus.NO), now)))
+        assertThat(reportedStatus(tracker.onRefused(refused(ResultCode.LOAD_FAILED, ExecutionStatus.NO), now)))
                 .contains(ExecutionStatus.NO);
     }
 }
--- a/link/src/test/java/org/geraniumreach/link/FrameDecoderFuzzTest.java
+++ b/link/src/test/java/org/geraniumreach/link/FrameDecoderFuzzTest.java
@@ -31,10 +31,10 @@
         }
 
         @Override
-        public void closed(LinkChannel link, String reason) {}
+        public void onClosed(LinkChannel link, String reason) {}
 
         @Override
-        public void happened(EventCode event, String detail) {
+        public void onEvent(EventCode event, String detail) {
             events.add(event);
         }
     }
@@ -42,16 +42,16 @@
     private EmbeddedChannel channel() {
         events.clear();
         EmbeddedChannel channel = new EmbeddedChannel();
-        LinkPipeline.set(
+        LinkPipeline.configure(
                 channel.pipeline(),
-                TestNode.quick(),
-                new LinkChannel(TestNode.quick(), new HandlerRegistry(), new Owner(), true));
+                TestNode.fastSettings(),
+                new LinkChannel(TestNode.fastSettings(), new HandlerRegistry(), new Owner(), true));
         channel.pipeline().fireChannelActive();
         return channel;
     }
 
     @Property(seed = "6", tries = 3000)
-    void anyBytesLeaveTheProcessRunning(
+    void arbitraryBytesCauseNoUnexpectedFailure(
             @ForAll @Size(max = 8) List<@Size(max = 64) byte[]> pieces, @ForAll boolean helloFirst) {
         // A peer sends anything, cut into any pieces. At worst its own link is closed; no failure gets out.
         EmbeddedChannel channel = channel();
@@ -65,7 +65,7 @@
     }
 
     @Property(seed = "7", tries = 3000)
-    void damagedFramesLeaveTheProcessRunning(
+    void damagedFramesCauseNoUnexpectedFailure(
             @ForAll @IntRange(max = 60) int position, @ForAll byte value, @ForAll @IntRange(max = 60) int length) {
         // A good frame arrives with one byte changed, or cut short.
         EmbeddedChannel channel = channel();
--- a/link/src/test/java/org/geraniumreach/link/LinkNodeTest.java
+++ b/link/src/test/java/org/geraniumreach/link/LinkNodeTest.java
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void framesPassBothWaysWhoeverOpenedTheLink() throws IOException {
+    void framesPassInBothDirections() throws IOException {
         try (TestNode one = TestNode.start("one", 1);
                 TestNode two = TestNode.start("two", 1)) {
             one.node.keep(two.instance, two.address);
@@ -64,12 +64,12 @@
     }
 
     @Test
-    void silentLinkIsReplacedByOneThatWorks() throws IOException {
+    void silentLinkIsReplacedByNewConnection() throws IOException {
         // Something between the two ends loses track of their connection: it stays open, and nothing arrives any
         // more. The pings stay unanswered, the link is given up, and a new connection carries frames again.
         try (TestNode one = TestNode.start("one", 1);
                 TestNode two = TestNode.start("two", 1);
-                Relay relay = Relay.start(two.address)) {
+                SilencingProxy relay = SilencingProxy.start(two.address)) {
             one.node.keep(two.instance, relay.address());
             TestNode.await(() -> one.isLinkedWith(two));
             Peer before = one.node.find(two.instance).orElseThrow();
@@ -80,12 +80,12 @@
                 one.node.find(two.instance).ifPresent(peer -> peer.send(LEAVING));
                 return two.received.contains(LEAVING);
             });
-            assertThat(relay.connections()).isGreaterThan(1);
+            assertThat(relay.connectionCount()).isGreaterThan(1);
         }
     }
 
     @Test
-    void lostConnectionIsOpenedAgain() throws IOException {
+    void lostConnectionIsReopened() throws IOException {
         try (TestNode one = TestNode.start("one", 1);
                 TestNode two = TestNode.start("two", 1)) {
             one.node.keep(two.instance, two.address);
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void newerIncarnationTakesThePlaceOfTheOlder() throws IOException {
+    void newerIncarnationReplacesOlder() throws IOException {
         // A process is replaced under the same name while its former connection is still open at the other end. What is
         // sent to the name must reach the new process, and the old one must not come back.
         try (TestNode two = TestNode.start("two", 1);
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void anotherInstanceAtTheAddressIsNotTakenForTheOneKept() throws IOException {
+    void unexpectedInstanceAtAddressIsRefused() throws IOException {
         try (TestNode one = TestNode.start("one", 1);
                 TestNode two = TestNode.start("two", 1);
                 TestNode three = TestNode.start("three", 1)) {
@@ -162,7 +162,7 @@
 
     @ParameterizedTest(name = "a frame {0}")
     @MethodSource("badInput")
-    void badFrameClosesItsLinkAndNoOther(String what, byte[] bytes) throws IOException {
+    void invalidFrameClosesOnlyItsOwnLink(String what, byte[] bytes) throws IOException {
         // A peer sends what is not a frame. Its link is closed with a numbered event; the links of all others go on.
         try (TestNode one = TestNode.start("one", 1);
                 TestNode two = TestNode.start("two", 1);
@@ -171,7 +171,7 @@
             TestNode.await(() -> two.isLinkedWith(one) && one.isLinkedWith(two));
             raw.getOutputStream().write(hello("raw"));
             raw.getOutputStream().write(bytes);
-            awaitEndOf(raw);
+            awaitClosed(raw);
             TestNode.await(() -> two.events.contains(EventCode.FRAME_REFUSED));
             assertThat(two.isLinkedWith(one)).isTrue();
             one.node.find(two.instance).orElseThrow().send(LEAVING);
@@ -181,24 +181,24 @@
     }
 
     @Test
-    void peerThatSaysNothingIsDropped() throws IOException {
+    void peerWithoutHelloIsDisconnected() throws IOException {
         // A peer connects and sends nothing. Its connection is closed after a limit, so such peers cannot use up what a
         // process has.
         try (TestNode two = TestNode.start("two", 1);
                 Socket raw = new Socket(two.address.getAddress(), two.address.getPort())) {
-            awaitEndOf(raw);
+            awaitClosed(raw);
             TestNode.await(() -> two.events.contains(EventCode.LINK_LOST));
         }
     }
 
     @Test
-    void peerThatStopsInTheMiddleOfAFrameIsDropped() throws IOException {
+    void peerThatStopsMidFrameIsDisconnected() throws IOException {
         // A peer sends half a frame and then nothing. It answers no pings, so its link is given up like a silent one.
         try (TestNode two = TestNode.start("two", 1);
                 Socket raw = new Socket(two.address.getAddress(), two.address.getPort())) {
             raw.getOutputStream().write(hello("raw"));
             raw.getOutputStream().write(framed(new byte[10], 1_000));
-            awaitEndOf(raw);
+            awaitClosed(raw);
             TestNode.await(() -> two.events.contains(EventCode.LINK_LOST));
             assertThat(two.received).isEmpty();
         }
@@ -210,14 +210,14 @@
                 Socket raw = new Socket(two.address.getAddress(), two.address.getPort())) {
             raw.getOutputStream()
                     .write(framed(Frame.newBuilder().setPing(Ping.newBuilder()).build()));
-            awaitEndOf(raw);
+            awaitClosed(raw);
             TestNode.await(() -> two.events.contains(EventCode.FRAME_REFUSED));
             assertThat(two.opened).isEmpty();
         }
     }
 
     @Test
-    void frameAboveTheLimitIsNotSent() throws IOException {
+    void oversizedFrameIsNotSent() throws IOException {
         // Somebody hands over a frame that the other end would refuse, with the whole link. It is not sent, the
         // sender is told, and the link goes on.
         try (TestNode one = TestNode.start("one", 1);
@@ -235,7 +235,7 @@
         }
     }
 
-    private static void awaitEndOf(Socket raw) throws IOException {
+    private static void awaitClosed(Socket raw) throws IOException {
         raw.setSoTimeout(30_000);
         byte[] buffer = new byte[4096];
         try {
--- a/link/src/test/java/org/geraniumreach/link/LinkSettingsTest.java
+++ b/link/src/test/java/org/geraniumreach/link/LinkSettingsTest.java
@@ -9,7 +9,7 @@
 class LinkSettingsTest {
 
     @Test
-    void otherHeartbeatsLeaveTheRest() {
+    void withPingsChangesOnlyPingSettings() {
         LinkSettings defaults = LinkSettings.defaults();
         LinkSettings changed = defaults.withPings(Duration.ofSeconds(1), 2);
         assertThat(changed.pingInterval()).isEqualTo(Duration.ofSeconds(1));
--- a/link/src/test/java/org/geraniumreach/link/Relay.java
+++ b/link/src/test/java/org/geraniumreach/link/SilencingProxy.java
@@ -14,24 +14,24 @@
  * Something between two ends that can lose track of its open connections: it keeps them open and forwards nothing more,
  * while new ones work.
  */
-final class Relay implements AutoCloseable {
+final class SilencingProxy implements AutoCloseable {
 
     private final ServerSocket server;
     private final InetSocketAddress target;
-    private final List<Passage> passages = new CopyOnWriteArrayList<>();
+    private final List<ProxiedConnection> connections = new CopyOnWriteArrayList<>();
 
-    private Relay(ServerSocket server, InetSocketAddress target) {
+    private SilencingProxy(ServerSocket server, InetSocketAddress target) {
         this.server = server;
         this.target = target;
     }
 
-    static Relay start(InetSocketAddress target) throws IOException {
-        Relay relay = new Relay(new ServerSocket(0, 50, InetAddress.getLoopbackAddress()), target);
-        daemon(relay::accept);
+    static SilencingProxy start(InetSocketAddress target) throws IOException {
+        SilencingProxy relay = new SilencingProxy(new ServerSocket(0, 50, InetAddress.getLoopbackAddress()), target);
+        startDaemon(relay::accept);
         return relay;
     }
 
-    private static void daemon(Runnable task) {
+    private static void startDaemon(Runnable task) {
         Thread thread = new Thread(task, "relay");
         thread.setDaemon(true);
         thread.start();
@@ -41,14 +41,14 @@
         return new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
     }
 
-    private static final class Passage {
-        private final Socket near;
-        private final Socket far;
+    private static final class ProxiedConnection {
+        private final Socket client;
+        private final Socket upstream;
         private volatile boolean silent;
 
-        private Passage(Socket near, Socket far) {
-            this.near = near;
-            this.far = far;
+        private ProxiedConnection(Socket near, Socket far) {
+            this.client = near;
+            this.upstream = far;
         }
 
         private void forward(Socket from, Socket to) {
@@ -74,10 +74,10 @@
             while (true) {
                 Socket near = server.accept();
                 Socket far = new Socket(target.getAddress(), target.getPort());
-                Passage passage = new Passage(near, far);
-                passages.add(passage);
-                daemon(() -> passage.forward(near, far));
-                daemon(() -> passage.forward(far, near));
+                ProxiedConnection passage = new ProxiedConnection(near, far);
+                connections.add(passage);
+                startDaemon(() -> passage.forward(near, far));
+                startDaemon(() -> passage.forward(far, near));
             }
         } catch (IOException closed) {
             return;
@@ -86,19 +86,19 @@
 
     /** Loses track of all connections open now. */
     void silenceOpenConnections() {
-        passages.forEach(passage -> passage.silent = true);
+        connections.forEach(passage -> passage.silent = true);
     }
 
-    int connections() {
-        return passages.size();
+    int connectionCount() {
+        return connections.size();
     }
 
     @Override
     public void close() throws IOException {
         server.close();
-        for (Passage passage : passages) {
-            passage.near.close();
-            passage.far.close();
+        for (ProxiedConnection passage : connections) {
+            passage.client.close();
+            passage.upstream.close();
         }
     }
 }
--- a/link/src/test/java/org/geraniumreach/link/TestNode.java
+++ b/link/src/test/java/org/geraniumreach/link/TestNode.java
@@ -17,7 +17,7 @@
 /** A link node with what it has seen. */
 final class TestNode implements FrameHandler, AutoCloseable {
 
-    private static final Duration GENEROUS = Duration.ofSeconds(30);
+    private static final Duration AWAIT_TIMEOUT = Duration.ofSeconds(30);
 
     final InstanceId instance;
     final LinkNode node;
@@ -40,10 +40,10 @@
     }
 
     static TestNode start(String name, long incarnation) throws IOException {
-        return new TestNode(name, incarnation, quick());
+        return new TestNode(name, incarnation, fastSettings());
     }
 
-    static LinkSettings quick() {
+    static LinkSettings fastSettings() {
         LinkSettings defaults = LinkSettings.defaults();
         return new LinkSettings(
                 defaults.connectLimit(),
@@ -81,10 +81,10 @@
     }
 
     static void await(BooleanSupplier condition) {
-        long end = System.nanoTime() + GENEROUS.toNanos();
+        long end = System.nanoTime() + AWAIT_TIMEOUT.toNanos();
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() - end > 0) {
-                throw new AssertionError("waited in vain for " + GENEROUS);
+                throw new AssertionError("waited in vain for " + AWAIT_TIMEOUT);
             }
             try {
                 Thread.sleep(5);
--- a/standalone/src/main/java/org/geraniumreach/standalone/StreamLines.java
+++ b/standalone/src/main/java/org/geraniumreach/standalone/EngineStreamReader.java
@@ -28,26 +28,26 @@
  * nothing more. Safe for use by several threads: fields are guarded by this object's lock, and listeners are called by
  * whichever thread holds the turn, outside the lock.
  */
-final class StreamLines implements BodySubscriber<byte[]> {
+final class EngineStreamReader implements BodySubscriber<byte[]> {
 
     static final int MAXIMUM_LINE_BYTES = 1 << 20;
 
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY_BODY = new byte[0];
 
     private final EngineListener listener;
     private final CompletableFuture<byte[]> body = new CompletableFuture<>();
-    private final ArrayDeque<String> whole = new ArrayDeque<>();
-    private final ByteArrayOutputStream partial = new ByteArrayOutputStream();
+    private final ArrayDeque<String> completeLines = new ArrayDeque<>();
+    private final ByteArrayOutputStream partialLine = new ByteArrayOutputStream();
     private Flow.Subscription subscription;
     private long nextSequence;
     private long demand;
-    private boolean reading;
-    private boolean telling;
+    private boolean readPending;
+    private boolean notifying;
     private boolean done;
     private PlatformException failure;
-    private long lastHeard = System.nanoTime();
+    private long lastReadNanos = System.nanoTime();
 
-    StreamLines(long nextSequence, EngineListener listener) {
+    EngineStreamReader(long nextSequence, EngineListener listener) {
         this.nextSequence = nextSequence;
         this.listener = listener;
     }
@@ -61,37 +61,37 @@
     public void onSubscribe(Flow.Subscription newSubscription) {
         synchronized (this) {
             subscription = newSubscription;
-            lastHeard = System.nanoTime();
+            lastReadNanos = System.nanoTime();
         }
-        proceed();
+        processLines();
     }
 
     @Override
     public void onNext(List<ByteBuffer> buffers) {
         synchronized (this) {
-            reading = false;
-            lastHeard = System.nanoTime();
+            readPending = false;
+            lastReadNanos = System.nanoTime();
             if (done) {
                 return;
             }
-            buffers.forEach(this::split);
-            if (partial.size() > MAXIMUM_LINE_BYTES && failure == null) {
-                failure = broken("line above " + MAXIMUM_LINE_BYTES + " bytes", null);
+            buffers.forEach(this::splitLines);
+            if (partialLine.size() > MAXIMUM_LINE_BYTES && failure == null) {
+                failure = badStream("line above " + MAXIMUM_LINE_BYTES + " bytes", null);
             }
         }
-        proceed();
+        processLines();
     }
 
-    private void split(ByteBuffer buffer) {
+    private void splitLines(ByteBuffer buffer) {
         while (buffer.hasRemaining()) {
             byte next = buffer.get();
             if (next != '\n') {
-                partial.write(next);
+                partialLine.write(next);
                 continue;
             }
-            if (partial.size() > 0) {
-                whole.add(partial.toString(StandardCharsets.UTF_8));
-                partial.reset();
+            if (partialLine.size() > 0) {
+                completeLines.add(partialLine.toString(StandardCharsets.UTF_8));
+                partialLine.reset();
             }
         }
     }
@@ -103,7 +103,7 @@
 
     @Override
     public void onComplete() {
-        body.complete(NOTHING);
+        body.complete(EMPTY_BODY);
     }
 
     void request(int chunks) {
@@ -113,7 +113,7 @@
         synchronized (this) {
             demand += chunks;
         }
-        proceed();
+        processLines();
     }
 
     /**
@@ -127,12 +127,12 @@
                 failure = cause;
             }
         }
-        proceed();
+        processLines();
     }
 
     synchronized void detach() {
         done = true;
-        whole.clear();
+        completeLines.clear();
     }
 
     /**
@@ -140,65 +140,65 @@
      *
      * @return nanoseconds, 0 while it is not read
      */
-    synchronized long silentFor() {
-        if (done || subscription != null && !reading) {
+    synchronized long silentNanos() {
+        if (done || subscription != null && !readPending) {
             return 0;
         }
-        return System.nanoTime() - lastHeard;
+        return System.nanoTime() - lastReadNanos;
     }
 
     /** Tells of what may be told, one thread at a time, then reads on if more is wanted. */
-    private void proceed() {
+    private void processLines() {
         while (true) {
             String line;
             PlatformException ending = null;
             synchronized (this) {
-                if (telling || done) {
+                if (notifying || done) {
                     return;
                 }
-                line = next();
+                line = pollLine();
                 if (line == null) {
-                    ending = endingFailure();
+                    ending = deliverableFailure();
                     if (ending == null) {
-                        readOn();
+                        requestRead();
                         return;
                     }
                     done = true;
                 }
-                telling = true;
+                notifying = true;
             }
             try {
                 if (line != null) {
-                    tell(line);
+                    processLine(line);
                 } else {
                     listener.failed(ending);
                 }
             } finally {
                 synchronized (this) {
-                    telling = false;
+                    notifying = false;
                 }
             }
         }
     }
 
-    private String next() {
-        String line = whole.peek();
+    private String pollLine() {
+        String line = completeLines.peek();
         if (line == null) {
             return null;
         }
         if (demand == 0 && isChunk(line)) {
             return null;
         }
-        return whole.poll();
+        return completeLines.poll();
     }
 
-    private PlatformException endingFailure() {
-        return whole.isEmpty() ? failure : null;
+    private PlatformException deliverableFailure() {
+        return completeLines.isEmpty() ? failure : null;
     }
 
-    private void readOn() {
-        if (whole.isEmpty() && subscription != null && !reading && failure == null) {
-            reading = true;
+    private void requestRead() {
+        if (completeLines.isEmpty() && subscription != null && !readPending && failure == null) {
+            readPending = true;
             subscription.request(1);
         }
     }
@@ -207,39 +207,39 @@
         return !line.startsWith("{\"start\"") && !line.startsWith("{\"end\"") && !line.startsWith("{\"failed\"");
     }
 
-    private void tell(String line) {
+    private void processLine(String line) {
         JsonNode json;
         try {
             json = HttpTransport.JSON.readTree(line);
         } catch (IOException e) {
-            giveUp(broken("line is not JSON", e));
+            abort(badStream("line is not JSON", e));
             return;
         }
         if (json.has("start")) {
-            tellStart(json.get("start"));
+            processStart(json.get("start"));
             return;
         }
         if (json.has("end")) {
-            tellEnd(json.get("end"));
+            processEnd(json.get("end"));
             return;
         }
         if (json.has("failed")) {
-            giveUp(broken(json.get("failed").asText(), null));
+            abort(badStream(json.get("failed").asText(), null));
             return;
         }
-        tellChunk(json);
+        processChunk(json);
     }
 
-    private void tellStart(JsonNode start) {
+    private void processStart(JsonNode start) {
         try {
             listener.started(AdapterReference.of(
                     start.path("adapter").asText(), start.path("version").asText()));
         } catch (IllegalArgumentException e) {
-            giveUp(broken("start names no adapter", e));
+            abort(badStream("start names no adapter", e));
         }
     }
 
-    private void tellChunk(JsonNode json) {
+    private void processChunk(JsonNode json) {
         long sequence = json.path("sequence").asLong(-1);
         synchronized (this) {
             if (sequence == nextSequence) {
@@ -250,19 +250,19 @@
             }
         }
         if (sequence < 0) {
-            giveUp(broken("chunk out of sequence", null));
+            abort(badStream("chunk out of sequence", null));
             return;
         }
         listener.chunk(sequence, json.path("text").asText(), json.path("tokens").asInt(1));
     }
 
-    private void tellEnd(JsonNode end) {
+    private void processEnd(JsonNode end) {
         AdapterReference served;
         try {
             served = AdapterReference.of(
                     end.path("adapter").asText(), end.path("version").asText());
         } catch (IllegalArgumentException e) {
-            giveUp(broken("end names no adapter", e));
+            abort(badStream("end names no adapter", e));
             return;
         }
         long chunks = end.path("chunks").asLong(-1);
@@ -276,7 +276,7 @@
             }
         }
         if (chunks < 0) {
-            giveUp(broken("end out of sequence", null));
+            abort(badStream("end out of sequence", null));
             return;
         }
         listener.ended(new GenerationEnd(
@@ -288,9 +288,9 @@
                 end.path("prefixHit").asBoolean()));
     }
 
-    private void giveUp(PlatformException cause) {
+    private void abort(PlatformException cause) {
         synchronized (this) {
-            whole.clear();
+            completeLines.clear();
             failure = cause;
             if (subscription != null) {
                 subscription.cancel();
@@ -298,7 +298,7 @@
         }
     }
 
-    private static PlatformException broken(String message, Throwable cause) {
+    private static PlatformException badStream(String message, Throwable cause) {
         return new PlatformException(Effect.UNKNOWN, Reason.BAD_ANSWER, "engine stream: " + message, cause);
     }
 }
--- a/standalone/src/main/java/org/geraniumreach/standalone/HttpEngineStream.java
+++ b/standalone/src/main/java/org/geraniumreach/standalone/HttpEngineStream.java
@@ -30,16 +30,16 @@
  */
 final class HttpEngineStream implements EngineStream {
 
-    private static final int CHECKS_PER_LIMIT = 4;
+    private static final int SILENCE_CHECKS_PER_LIMIT = 4;
 
     private final HttpTransport transport;
     private final HttpRequest request;
-    private final UnaryOperator<PlatformException> correction;
+    private final UnaryOperator<PlatformException> failureMapper;
     private final Duration silenceLimit;
-    private final StreamLines lines;
-    private HttpClient used;
+    private final EngineStreamReader reader;
+    private HttpClient client;
     private CompletableFuture<HttpResponse<byte[]>> call;
-    private ScheduledFuture<?> watch;
+    private ScheduledFuture<?> silenceCheck;
 
     private HttpEngineStream(
             HttpTransport transport,
@@ -50,9 +50,9 @@
             EngineListener listener) {
         this.transport = transport;
         this.request = request;
-        this.correction = correction;
+        this.failureMapper = correction;
         this.silenceLimit = silenceLimit;
-        this.lines = new StreamLines(nextSequence, listener);
+        this.reader = new EngineStreamReader(nextSequence, listener);
     }
 
     static HttpEngineStream open(
@@ -70,45 +70,46 @@
     }
 
     private synchronized void start(ScheduledExecutorService timer) {
-        used = transport.current();
-        long interval = Math.max(1, silenceLimit.toMillis() / CHECKS_PER_LIMIT);
-        watch = timer.scheduleWithFixedDelay(this::checkSilence, interval, interval, TimeUnit.MILLISECONDS);
-        call = used.sendAsync(request, this::bodyOf);
-        call.whenComplete(this::completed);
+        client = transport.currentClient();
+        long interval = Math.max(1, silenceLimit.toMillis() / SILENCE_CHECKS_PER_LIMIT);
+        silenceCheck = timer.scheduleWithFixedDelay(this::checkSilence, interval, interval, TimeUnit.MILLISECONDS);
+        call = client.sendAsync(request, this::bodySubscriber);
+        call.whenComplete(this::onCompleted);
     }
 
-    private BodySubscriber<byte[]> bodyOf(HttpResponse.ResponseInfo response) {
+    private BodySubscriber<byte[]> bodySubscriber(HttpResponse.ResponseInfo response) {
         if (response.statusCode() != 200) {
-            return new LimitedBody(StreamLines.MAXIMUM_LINE_BYTES);
+            return new LimitedBodySubscriber(EngineStreamReader.MAXIMUM_LINE_BYTES);
         }
-        return lines;
+        return reader;
     }
 
-    private void completed(HttpResponse<byte[]> response, Throwable failure) {
-        stopWatching();
+    private void onCompleted(HttpResponse<byte[]> response, Throwable failure) {
+        cancelSilenceCheck();
         if (failure instanceof CancellationException) {
             return;
         }
         if (failure != null) {
             transport.discard(client());
             Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
-            lines.fail(correction.apply(HttpTransport.failure(request, cause)));
+            reader.fail(failureMapper.apply(HttpTransport.failure(request, cause)));
             return;
         }
         if (response.statusCode() != 200) {
-            lines.fail(correction.apply(HttpTransport.errorAnswer(request, response.statusCode(), response.body())));
+            reader.fail(
+                    failureMapper.apply(HttpTransport.errorAnswer(request, response.statusCode(), response.body())));
             return;
         }
-        lines.fail(new PlatformException(Effect.UNKNOWN, Reason.NO_ANSWER, "stream ended without its end", null));
+        reader.fail(new PlatformException(Effect.UNKNOWN, Reason.NO_ANSWER, "stream ended without its end", null));
     }
 
     private void checkSilence() {
-        if (lines.silentFor() < silenceLimit.toNanos()) {
+        if (reader.silentNanos() < silenceLimit.toNanos()) {
             return;
         }
-        stopWatching();
+        cancelSilenceCheck();
         transport.discard(client());
-        lines.fail(new PlatformException(
+        reader.fail(new PlatformException(
                 Effect.UNKNOWN,
                 Reason.NO_ANSWER,
                 "engine silent for " + silenceLimit.toMillis() + " ms: "
@@ -118,26 +119,26 @@
     }
 
     private synchronized HttpClient client() {
-        return used;
+        return client;
     }
 
     private synchronized CompletableFuture<HttpResponse<byte[]>> call() {
         return call;
     }
 
-    private synchronized void stopWatching() {
-        watch.cancel(false);
+    private synchronized void cancelSilenceCheck() {
+        silenceCheck.cancel(false);
     }
 
     @Override
     public void request(int chunks) {
-        lines.request(chunks);
+        reader.request(chunks);
     }
 
     @Override
     public void detach() {
-        stopWatching();
-        lines.detach();
+        cancelSilenceCheck();
+        reader.detach();
         call().cancel(true);
     }
 }
--- a/standalone/src/main/java/org/geraniumreach/standalone/HttpModelEngine.java
+++ b/standalone/src/main/java/org/geraniumreach/standalone/HttpModelEngine.java
@@ -22,9 +22,9 @@
  */
 final class HttpModelEngine implements ModelEngine {
 
-    private final HttpTransport calls;
-    private final HttpTransport loads;
-    private final HttpTransport streams;
+    private final HttpTransport callTransport;
+    private final HttpTransport loadTransport;
+    private final HttpTransport streamTransport;
     private final Duration silenceLimit;
     private final ScheduledExecutorService timer;
 
@@ -34,31 +34,37 @@
             HttpTransport streams,
             Duration silenceLimit,
             ScheduledExecutorService timer) {
-        this.calls = calls;
-        this.loads = loads;
-        this.streams = streams;
+        this.callTransport = calls;
+        this.loadTransport = loads;
+        this.streamTransport = streams;
         this.silenceLimit = silenceLimit;
         this.timer = timer;
     }
 
     @Override
     public EngineStream generate(Generation generation, Order order, EngineListener listener) {
-        ObjectNode body = orderJson(generation.adapter(), order)
+        ObjectNode body = commandJson(generation.adapter(), order)
                 .put("attempt", generation.attempt().value())
                 .put("account", generation.account().value())
                 .put("prompt", generation.prompt())
                 .put("maximumTokens", generation.maximumTokens())
                 .put("priority", generation.priority());
-        HttpRequest request = streams.post("/v1/streams", body);
-        return HttpEngineStream.open(streams, request, 0, failure -> failure, silenceLimit, timer, listener);
+        HttpRequest request = streamTransport.post("/v1/streams", body);
+        return HttpEngineStream.open(streamTransport, request, 0, failure -> failure, silenceLimit, timer, listener);
     }
 
     @Override
     public EngineStream resume(AttemptId attempt, long nextSequence, EngineListener listener) {
-        Query path = Query.of("/v1/streams/" + attempt.value()).with("from", nextSequence);
-        HttpRequest request = streams.request(path.text()).GET().build();
+        QueryPath path = QueryPath.of("/v1/streams/" + attempt.value()).with("from", nextSequence);
+        HttpRequest request = streamTransport.request(path.text()).GET().build();
         return HttpEngineStream.open(
-                streams, request, nextSequence, HttpModelEngine::resumeFailure, silenceLimit, timer, listener);
+                streamTransport,
+                request,
+                nextSequence,
+                HttpModelEngine::toResumeFailure,
+                silenceLimit,
+                timer,
+                listener);
     }
 
     /**
@@ -68,42 +74,44 @@
      * @param failure the failure of the call
      * @return the failure of the stream
      */
-    private static PlatformException resumeFailure(PlatformException failure) {
+    private static PlatformException toResumeFailure(PlatformException failure) {
         Effect effect = failure.reason() == Reason.NOT_FOUND ? Effect.NONE : Effect.UNKNOWN;
         return new PlatformException(effect, failure.reason(), failure.getMessage(), failure);
     }
 
     @Override
     public void cancel(AttemptId attempt) throws PlatformException {
-        calls.call(calls.request("/v1/streams/" + attempt.value()).DELETE().build());
+        callTransport.call(
+                callTransport.request("/v1/streams/" + attempt.value()).DELETE().build());
     }
 
     @Override
     public void load(AdapterReference adapter, Order order) throws PlatformException {
-        loads.call(loads.post("/v1/adapters/load", orderJson(adapter, order)));
+        loadTransport.call(loadTransport.post("/v1/adapters/load", commandJson(adapter, order)));
     }
 
     @Override
     public void unload(AdapterReference adapter, Order order) throws PlatformException {
-        calls.call(calls.post("/v1/adapters/unload", orderJson(adapter, order)));
+        callTransport.call(callTransport.post("/v1/adapters/unload", commandJson(adapter, order)));
     }
 
     @Override
     public State state() throws PlatformException {
-        JsonNode answer = calls.callForJson(calls.request("/v1/state").GET().build());
+        JsonNode answer = callTransport.callForJson(
+                callTransport.request("/v1/state").GET().build());
         if (!answer.path("incarnation").canConvertToLong()
                 || !answer.path("resident").isArray()) {
             throw new PlatformException(Effect.UNKNOWN, Reason.BAD_ANSWER, "state lacks incarnation or resident", null);
         }
         return new State(
                 answer.path("incarnation").asLong(),
-                resident(answer.path("resident")),
-                streams(answer.path("streams")),
+                parseAdapters(answer.path("resident")),
+                parseAttempts(answer.path("streams")),
                 answer.path("running").asInt(),
                 answer.path("waiting").asInt());
     }
 
-    private static Set<AdapterReference> resident(JsonNode names) throws PlatformException {
+    private static Set<AdapterReference> parseAdapters(JsonNode names) throws PlatformException {
         Set<AdapterReference> adapters = new HashSet<>();
         for (JsonNode name : names) {
             adapters.add(AdapterReference.parse(name.asText())
@@ -113,13 +121,13 @@
         return Set.copyOf(adapters);
     }
 
-    private static Set<AttemptId> streams(JsonNode names) {
+    private static Set<AttemptId> parseAttempts(JsonNode names) {
         Set<AttemptId> attempts = new HashSet<>();
         names.forEach(name -> attempts.add(AttemptId.of(name.asText())));
         return Set.copyOf(attempts);
     }
 
-    private static ObjectNode orderJson(AdapterReference adapter, Order order) {
+    private static ObjectNode commandJson(AdapterReference adapter, Order order) {
         return HttpTransport.JSON
                 .createObjectNode()
                 .put("adapter", adapter.adapter())
--- a/standalone/src/main/java/org/geraniumreach/standalone/HttpObjectStore.java
+++ b/standalone/src/main/java/org/geraniumreach/standalone/HttpObjectStore.java
@@ -43,6 +43,6 @@
     }
 
     private static String path(String key) {
-        return Query.of("/v1/objects").with("key", key).text();
+        return QueryPath.of("/v1/objects").with("key", key).text();
     }
 }
--- a/standalone/src/main/java/org/geraniumreach/standalone/HttpTableService.java
+++ b/standalone/src/main/java/org/geraniumreach/standalone/HttpTableService.java
@@ -32,7 +32,7 @@
 
     @Override
     public Optional<Row> read(RowKey key) throws PlatformException {
-        Query query = Query.of("/v1/rows").with("table", key.table()).with("key", key.key());
+        QueryPath query = QueryPath.of("/v1/rows").with("table", key.table()).with("key", key.key());
         return rows(key.table(), query).stream().findFirst();
     }
 
@@ -41,7 +41,7 @@
         if (limit < 1) {
             throw new IllegalArgumentException("limit below 1: " + limit);
         }
-        Query query = Query.of("/v1/scan")
+        QueryPath query = QueryPath.of("/v1/scan")
                 .with("table", table)
                 .with("prefix", prefix)
                 .with("after", after)
@@ -59,7 +59,7 @@
         return committed.asBoolean();
     }
 
-    private List<Row> rows(String table, Query query) throws PlatformException {
+    private List<Row> rows(String table, QueryPath query) throws PlatformException {
         JsonNode rows = transport
                 .callForJson(transport.request(query.text()).GET().build())
                 .path("rows");
--- a/standalone/src/main/java/org/geraniumreach/standalone/HttpTransport.java
+++ b/standalone/src/main/java/org/geraniumreach/standalone/HttpTransport.java
@@ -61,7 +61,7 @@
         this.limit = limit;
         this.maximumAnswerBytes = maximumAnswerBytes;
         this.executor = executor;
-        this.client = connectAnew();
+        this.client = createClient();
     }
 
     HttpRequest.Builder request(String path) {
@@ -80,14 +80,15 @@
         try {
             return JSON.readTree(body);
         } catch (IOException e) {
-            throw new PlatformException(Effect.UNKNOWN, Reason.BAD_ANSWER, "answer is not JSON: " + name(request), e);
+            throw new PlatformException(
+                    Effect.UNKNOWN, Reason.BAD_ANSWER, "answer is not JSON: " + describe(request), e);
         }
     }
 
     byte[] call(HttpRequest request) throws PlatformException {
         HttpClient used = client;
         CompletableFuture<HttpResponse<byte[]>> future =
-                used.sendAsync(request, response -> new LimitedBody(maximumAnswerBytes));
+                used.sendAsync(request, response -> new LimitedBodySubscriber(maximumAnswerBytes));
         HttpResponse<byte[]> response = await(request, used, future);
         if (response.statusCode() != STATUS_OK) {
             throw errorAnswer(request, response.statusCode(), response.body());
@@ -104,18 +105,21 @@
             future.cancel(true);
             discard(used);
             throw new PlatformException(
-                    Effect.UNKNOWN, Reason.NO_ANSWER, "no answer in " + limit.toMillis() + " ms: " + name(request), e);
+                    Effect.UNKNOWN,
+                    Reason.NO_ANSWER,
+                    "no answer in " + limit.toMillis() + " ms: " + describe(request),
+                    e);
         } catch (InterruptedException e) {
             future.cancel(true);
             Thread.currentThread().interrupt();
-            throw new PlatformException(Effect.UNKNOWN, Reason.NO_ANSWER, "interrupted: " + name(request), e);
+            throw new PlatformException(Effect.UNKNOWN, Reason.NO_ANSWER, "interrupted: " + describe(request), e);
         } catch (ExecutionException e) {
             discard(used);
             throw failure(request, e.getCause());
         }
     }
 
-    HttpClient current() {
+    HttpClient currentClient() {
         return client;
     }
 
@@ -126,11 +130,11 @@
      */
     synchronized void discard(HttpClient used) {
         if (client == used) {
-            client = connectAnew();
+            client = createClient();
         }
     }
 
-    private HttpClient connectAnew() {
+    private HttpClient createClient() {
         return HttpClient.newBuilder()
                 .version(HttpClient.Version.HTTP_1_1)
                 .followRedirects(HttpClient.Redirect.NEVER)
@@ -141,9 +145,9 @@
 
     static PlatformException failure(HttpRequest request, Throwable cause) {
         if (cause instanceof ConnectException || cause instanceof HttpConnectTimeoutException) {
-            return new PlatformException(Effect.NONE, Reason.UNREACHABLE, "not reachable: " + name(request), cause);
+            return new PlatformException(Effect.NONE, Reason.UNREACHABLE, "not reachable: " + describe(request), cause);
         }
-        return new PlatformException(Effect.UNKNOWN, Reason.NO_ANSWER, "connection broke: " + name(request), cause);
+        return new PlatformException(Effect.UNKNOWN, Reason.NO_ANSWER, "connection broke: " + describe(request), cause);
     }
 
     /**
@@ -160,7 +164,8 @@
         boolean rejected = status >= STATUS_CLIENT_ERROR && status < STATUS_SERVER_ERROR;
         String said = answer.path("effect").asText();
         boolean none = "none".equals(said) || rejected && !"unknown".equals(said);
-        String message = "status " + status + ", " + answer.path("message").asText("no message") + ": " + name(request);
+        String message =
+                "status " + status + ", " + answer.path("message").asText("no message") + ": " + describe(request);
         return new PlatformException(
                 none ? Effect.NONE : Effect.UNKNOWN,
                 reason(answer.path("reason").asText()),
@@ -189,7 +194,7 @@
         };
     }
 
-    private static String name(HttpRequest request) {
+    private static String describe(HttpRequest request) {
         return request.method() + " " + request.uri().getAuthority()
                 + request.uri().getPath();
     }
--- a/standalone/src/main/java/org/geraniumreach/standalone/LimitedBody.java
+++ b/standalone/src/main/java/org/geraniumreach/standalone/LimitedBodySubscriber.java
@@ -15,14 +15,14 @@
  * <p>An answer without end would otherwise fill the memory of a process that has little. Above the limit the connection is
  * closed and the call fails. Invariant: holds at most the limit. The client calls it from one thread at a time.
  */
-final class LimitedBody implements BodySubscriber<byte[]> {
+final class LimitedBodySubscriber implements BodySubscriber<byte[]> {
 
     private final int maximumBytes;
     private final ByteArrayOutputStream received = new ByteArrayOutputStream();
     private final CompletableFuture<byte[]> result = new CompletableFuture<>();
     private Flow.Subscription subscription;
 
-    LimitedBody(int maximumBytes) {
+    LimitedBodySubscriber(int maximumBytes) {
         this.maximumBytes = maximumBytes;
     }
 
--- a/standalone/src/main/java/org/geraniumreach/standalone/PlatformClients.java
+++ b/standalone/src/main/java/org/geraniumreach/standalone/PlatformClients.java
@@ -45,12 +45,12 @@
         if (threads < 1) {
             throw new IllegalArgumentException("threads below 1: " + threads);
         }
-        ScheduledThreadPoolExecutor timer = new ScheduledThreadPoolExecutor(1, threadsNamed("platform-timer"));
+        ScheduledThreadPoolExecutor timer = new ScheduledThreadPoolExecutor(1, threadFactory("platform-timer"));
         timer.setRemoveOnCancelPolicy(true);
-        return new PlatformClients(Executors.newFixedThreadPool(threads, threadsNamed("platform-client")), timer);
+        return new PlatformClients(Executors.newFixedThreadPool(threads, threadFactory("platform-client")), timer);
     }
 
-    private static ThreadFactory threadsNamed(String name) {
+    private static ThreadFactory threadFactory(String name) {
         AtomicInteger number = new AtomicInteger();
         return task -> {
             Thread thread = new Thread(task, name + "-" + number.incrementAndGet());
--- a/standalone/src/main/java/org/geraniumreach/standalone/Query.java
+++ b/standalone/src/main/java/org/geraniumreach/standalone/QueryPath.java
@@ -10,15 +10,16 @@
  *
  * @param text the path and query, encoded
  */
-record Query(String text) {
+record QueryPath(String text) {
 
-    static Query of(String path) {
-        return new Query(path);
+    static QueryPath of(String path) {
+        return new QueryPath(path);
     }
 
-    Query with(String name, Object value) {
+    QueryPath with(String name, Object value) {
         char separator = text.indexOf('?') < 0 ? '?' : '&';
-        return new Query(text + separator + name + '=' + URLEncoder.encode(value.toString(), StandardCharsets.UTF_8));
+        return new QueryPath(
+                text + separator + name + '=' + URLEncoder.encode(value.toString(), StandardCharsets.UTF_8));
     }
 
     @Override
