--- a/link/src/main/java/org/geraniumreach/link/AttemptAction.java
+++ b/link/src/main/java/org/geraniumreach/link/AttemptAction.java
@@ -7,50 +7,50 @@
 import org.geraniumreach.model.ExecutionStatus;
 
 /**
- * What an {@link AttemptTracker} asks its caller to do.
+ * An action that an {@link AttemptTracker} requests from its caller.
  *
  * <p>Implementations are immutable and safe for use by several threads.
  */
 sealed interface AttemptAction {
 
     /**
-     * Send a frame over the link in use.
+     * Send a frame over the current link.
      *
      * @param frame the frame
      */
     record Send(Frame frame) implements AttemptAction {}
 
-    /** Tell the listener that the attempt is queued. */
+    /** Notify the listener that the attempt is queued. */
     record NotifyAccepted() implements AttemptAction {}
 
     /**
-     * Tell the listener of a chunk.
+     * Notify the listener of a chunk.
      *
-     * @param sequence its number
+     * @param sequence its sequence number
      * @param payload its content
-     * @param tokens its tokens
+     * @param tokens the number of tokens in it
      */
     record NotifyChunk(long sequence, ByteString payload, int tokens) implements AttemptAction {}
 
     /**
-     * Tell the listener of the end.
+     * Notify the listener of the end.
      *
      * @param end the end
      */
     record NotifyEnded(End end) implements AttemptAction {}
 
     /**
-     * Tell the listener of a refusal.
+     * Notify the listener of a refusal.
      *
      * @param refused the refusal
      */
     record NotifyRefused(Refused refused) implements AttemptAction {}
 
     /**
-     * Tell the listener that the companion is lost.
+     * Notify the listener that the companion is lost.
      *
      * @param executionStatus whether the attempt ran
-     * @param reason what happened
+     * @param reason why the companion counts as lost
      */
     record NotifyLost(ExecutionStatus executionStatus, String reason) implements AttemptAction {}
 }
--- a/link/src/main/java/org/geraniumreach/link/AttemptHandle.java
+++ b/link/src/main/java/org/geraniumreach/link/AttemptHandle.java
@@ -1,23 +1,23 @@
 package org.geraniumreach.link;
 
 /**
- * An attempt that an entry has sent.
+ * Controls an attempt that an entry has sent.
  *
- * <p>Contract: safe for use by several threads; every call is harmless after the attempt's end.
+ * <p>Contract: safe for use by several threads; calls after the attempt's end have no effect.
  */
 public interface AttemptHandle {
 
     /**
-     * Lets more chunks come.
+     * Grants credit for more chunks.
      *
-     * @param chunks how many more, at least 1
+     * @param chunks the number of additional chunks, at least 1
      */
     void request(int chunks);
 
     /**
-     * Gives the attempt up: the companion cancels it at its target.
+     * Cancels the attempt: the companion cancels it at its target.
      *
-     * @param reason why, for the log, not null
+     * @param reason why it is cancelled, for the log, not null
      */
     void cancel(String reason);
 }
--- a/link/src/main/java/org/geraniumreach/link/AttemptTracker.java
+++ b/link/src/main/java/org/geraniumreach/link/AttemptTracker.java
@@ -16,12 +16,12 @@
 import org.geraniumreach.model.ResultCode;
 
 /**
- * Decides, at the entry that sent an attempt, what its frames and the loss of its links mean.
+ * The state machine of one attempt at the entry that sent it: turns frames and link events into actions.
  *
- * <p>Invariants: chunks are told in the order of their sequence, each once; exactly one end is told and nothing after it;
- * {@link ExecutionStatus#NO} is told only if the Run was never handed to a link, or the companion that it went to has said so in time
- * to still know. No I/O, threads or clock of its own: times are given in nanoseconds of one monotonic clock. Not safe for
- * use by several threads.
+ * <p>Invariants: chunks are reported in sequence order, each once; exactly one end is reported and nothing after it;
+ * {@link ExecutionStatus#NO} is reported only if the Run was never handed to a link, or the companion that received it
+ * has said so within the time that it remembers attempts. No I/O, threads or clock of its own: times are given in
+ * nanoseconds of one monotonic clock. Not safe for use by several threads.
  */
 final class AttemptTracker {
 
@@ -50,11 +50,11 @@
     private String cancelReason;
 
     private AttemptTracker(
-            Run run, long incarnation, Limits limits, boolean resumedFromElsewhere, long nextSequence, long now) {
+            Run run, long incarnation, Limits limits, boolean startedEarlier, long nextSequence, long now) {
         this.run = run;
         this.incarnation = incarnation;
         this.limits = limits;
-        this.startedEarlier = resumedFromElsewhere;
+        this.startedEarlier = startedEarlier;
         this.nextSequence = nextSequence;
         this.startNanos = now;
         this.lastRequestNanos = now;
@@ -65,21 +65,21 @@
     }
 
     /**
-     * The limits of waiting.
+     * Time limits of an attempt.
      *
-     * @param resumeLimit how long to wait for a new link
-     * @param answerLimit how long an answer that says "not run" may take to be believed
-     * @param deadlineGrace how long after the deadline an answer may come
+     * @param resumeLimit how long to wait for a new link after a loss
+     * @param answerLimit the maximum delay after which a "not run" answer is still trusted
+     * @param deadlineGrace how long after the deadline an answer is still accepted
      */
     record Limits(Duration resumeLimit, Duration answerLimit, Duration deadlineGrace) {}
 
     /**
-     * Makes the tracker of an attempt that this process starts.
+     * Creates the tracker of an attempt that this process starts.
      *
      * @param run the attempt, not null
-     * @param incarnation the companion's incarnation on the link that the Run is about to be sent over
+     * @param incarnation the companion's incarnation on the link used to send the Run
      * @param limits the limits, not null
-     * @param now the time
+     * @param now the current time
      * @return the tracker, not null
      */
     static AttemptTracker ofRun(Run run, long incarnation, Limits limits, long now) {
@@ -87,24 +87,24 @@
     }
 
     /**
-     * Makes the tracker of an attempt that was started earlier, maybe elsewhere.
+     * Creates the tracker of an attempt that was started earlier, possibly by another process.
      *
-     * @param named what is known of the attempt, at least its id and the credit, not null
-     * @param incarnation the companion's incarnation that it was sent to
-     * @param nextSequence the first chunk wanted
+     * @param run the known fields of the attempt, at least its id and credit, not null
+     * @param incarnation the companion's incarnation that the attempt was sent to
+     * @param nextSequence the sequence number of the first chunk to receive
      * @param limits the limits, not null
-     * @param now the time
+     * @param now the current time
      * @return the tracker, not null
      */
-    static AttemptTracker ofResume(Run named, long incarnation, long nextSequence, Limits limits, long now) {
-        return new AttemptTracker(named, incarnation, limits, true, nextSequence, now);
+    static AttemptTracker ofResume(Run run, long incarnation, long nextSequence, Limits limits, long now) {
+        return new AttemptTracker(run, incarnation, limits, true, nextSequence, now);
     }
 
     /**
-     * Sends the first frame.
+     * Returns the first frame to send: a Run, or a Resume if the attempt was started earlier.
      *
-     * @param now the time
-     * @return what to do, not null
+     * @param now the current time
+     * @return the actions to perform, not null
      */
     List<AttemptAction> start(long now) {
         lastRequestNanos = now;
@@ -114,10 +114,10 @@
     }
 
     /**
-     * Notes that the Run was not handed to a link, so no byte of it has left.
+     * Handles that the first frame was not handed to a link, so no byte of it was sent.
      *
-     * @param reason why, not null
-     * @return what to do, not null
+     * @param reason why it was not sent, not null
+     * @return the actions to perform, not null
      */
     List<AttemptAction> onNeverSent(String reason) {
         return finish(
@@ -125,10 +125,10 @@
     }
 
     /**
-     * Notes that there is no link to send the first frame over.
+     * Handles that no link is open for the first frame.
      *
-     * @param now the time
-     * @return what to do, not null
+     * @param now the current time
+     * @return the actions to perform, not null
      */
     List<AttemptAction> onNoLink(long now) {
         if (!startedEarlier) {
@@ -139,9 +139,9 @@
     }
 
     /**
-     * Notes that the link in use is closed. What was sent over it may or may not have arrived.
+     * Handles the loss of the current link. Frames sent over it may or may not have arrived.
      *
-     * @param now the time
+     * @param now the current time
      */
     void onLinkLost(long now) {
         if (linked) {
@@ -151,11 +151,11 @@
     }
 
     /**
-     * Notes that a new link to the companion's instance is open.
+     * Handles a new link to the companion's instance.
      *
-     * @param openIncarnation the incarnation at its other end
-     * @param now the time
-     * @return what to do, not null
+     * @param openIncarnation the companion's incarnation on the new link
+     * @param now the current time
+     * @return the actions to perform, not null
      */
     List<AttemptAction> onLinkOpened(long openIncarnation, long now) {
         if (done) {
@@ -163,8 +163,8 @@
         }
         linked = true;
         if (openIncarnation != incarnation && !run.getRepeatable()) {
-            // Whether the former process had started the attempt died with it. Anything but "unknown" could make an
-            // entry send a booking twice.
+            // Whether the previous process had started the attempt is lost. Any status but UNKNOWN could make an entry
+            // send a booking twice.
             return finish(new AttemptAction.NotifyLost(ExecutionStatus.UNKNOWN, "the companion has restarted"));
         }
         return List.of(cancelReason == null ? resumeFrame(now) : cancelFrame(now));
@@ -175,11 +175,11 @@
     }
 
     /**
-     * Takes a chunk.
+     * Handles a chunk; duplicates are ignored and a gap causes a Resume.
      *
      * @param chunk the chunk, not null
-     * @param now the time
-     * @return what to do, not null
+     * @param now the current time
+     * @return the actions to perform, not null
      */
     List<AttemptAction> onChunk(Chunk chunk, long now) {
         if (done || chunk.getSequence() < nextSequence) {
@@ -200,11 +200,11 @@
     }
 
     /**
-     * Takes the end.
+     * Handles the end of the answer.
      *
      * @param end the end, not null
-     * @param now the time
-     * @return what to do, not null
+     * @param now the current time
+     * @return the actions to perform, not null
      */
     List<AttemptAction> onEnded(End end, long now) {
         if (done) {
@@ -219,7 +219,8 @@
                     "the end counts " + end.getCount() + " chunks and " + nextSequence + " have come"));
         }
         if (droppedChunks) {
-            // The end crossed with the cancel; without the chunks dropped since, the answer is not whole.
+            // The end was sent before the cancel arrived, and chunks received since the cancel were dropped, so the
+            // answer is incomplete.
             return acknowledgeAndFinish(new AttemptAction.NotifyRefused(refusal(ResultCode.CANCELLED, cancelReason)));
         }
         if (!isRequestedAdapter(end)) {
@@ -231,10 +232,11 @@
     }
 
     /**
-     * Ends the attempt with what its companion said, and lets the companion drop what it keeps.
+     * Ends the attempt with its companion's answer and acknowledges it, so that the companion can discard the attempt's
+     * state.
      *
-     * @param last what to tell, not null
-     * @return what to do, not null
+     * @param last the final notification, not null
+     * @return the actions to perform, not null
      */
     private List<AttemptAction> acknowledgeAndFinish(AttemptAction last) {
         List<AttemptAction> actions = new ArrayList<>();
@@ -260,11 +262,11 @@
     }
 
     /**
-     * Takes a refusal.
+     * Handles a refusal; a "not run" that cannot be trusted is reported as unknown.
      *
      * @param refused the refusal, not null
-     * @param now the time
-     * @return what to do, not null
+     * @param now the current time
+     * @return the actions to perform, not null
      */
     List<AttemptAction> onRefused(Refused refused, long now) {
         if (done) {
@@ -278,24 +280,24 @@
     }
 
     /**
-     * Decides whether "not run" is shown. A companion keeps what it knows of an attempt for a limited time, counted from
-     * when it was asked; after that an attempt that ran looks like one that it never saw. So an answer that took longer
-     * is not believed, and neither is one that contradicts chunks already here.
+     * Decides whether a "not run" answer is trusted. A companion remembers an attempt for a limited time, counted from
+     * the last request; after that, an attempt that ran looks like one that it never received. So an answer that took
+     * longer is not trusted, nor is one that contradicts chunks already received.
      *
      * @param refused a refusal that says "not run", not null
-     * @param now the time
-     * @return true if it is shown
+     * @param now the current time
+     * @return true if the answer is reported to the listener unchanged
      */
     private boolean isNotRunTrusted(Refused refused, long now) {
-        boolean inTime = now - lastRequestNanos <= limits.answerLimit().toNanos();
-        return nextSequence == 0 && (inTime || refused.getCode() != ResultCode.NOT_RUN.number());
+        boolean withinLimit = now - lastRequestNanos <= limits.answerLimit().toNanos();
+        return nextSequence == 0 && (withinLimit || refused.getCode() != ResultCode.NOT_RUN.number());
     }
 
     /**
-     * Lets more chunks come.
+     * Grants credit for more chunks.
      *
-     * @param chunks how many more, at least 1
-     * @return what to do, not null
+     * @param chunks the number of additional chunks, at least 1
+     * @return the actions to perform, not null
      */
     List<AttemptAction> request(int chunks) {
         if (done) {
@@ -308,10 +310,10 @@
     }
 
     /**
-     * Announces credit when half of the window is used up, and acknowledges now and then: fewer frames than one for each
-     * chunk, yet never a halt while the caller reads on.
+     * Adds an Acknowledge frame when half of the credit window is used up or enough chunks are unacknowledged. This
+     * needs fewer frames than one for each chunk and never stalls the stream while the caller reads.
      *
-     * @param actions to which the frame is added
+     * @param actions the list that the frame is added to
      */
     private void addAcknowledgementIfDue(List<AttemptAction> actions) {
         boolean needsCredit = grantedUpTo > announcedUpTo && announcedUpTo - nextSequence <= creditWindow / 2;
@@ -329,11 +331,11 @@
     }
 
     /**
-     * Gives the attempt up; its end still comes from the companion, or from its loss.
+     * Cancels the attempt. Its end is still reported by the companion or by the companion's loss.
      *
-     * @param reason why, not null
-     * @param now the time
-     * @return what to do, not null
+     * @param reason why it is cancelled, not null
+     * @param now the current time
+     * @return the actions to perform, not null
      */
     List<AttemptAction> cancel(String reason, long now) {
         if (done || cancelReason != null) {
@@ -344,10 +346,10 @@
     }
 
     /**
-     * Notes that time has passed.
+     * Checks the time limits.
      *
-     * @param now the time
-     * @return what to do, not null
+     * @param now the current time
+     * @return the actions to perform, not null
      */
     List<AttemptAction> tick(long now) {
         if (done) {
--- a/link/src/main/java/org/geraniumreach/link/Backoff.java
+++ b/link/src/main/java/org/geraniumreach/link/Backoff.java
@@ -4,10 +4,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Chooses how long to wait before the next connection.
+ * Computes randomized exponential back-off delays between connection attempts.
  *
- * <p>Invariant: each wait is drawn evenly from zero to a bound, which doubles with each failure up to the greatest, so that
- * many peers of a restarted instance do not all return at once. Not safe for use by several threads.
+ * <p>Invariant: each delay is uniformly distributed between zero and a bound, which doubles with each failure up to the
+ * maximum, so that the peers of a restarted instance do not all reconnect at once. Not safe for use by several threads.
  */
 final class Backoff {
 
@@ -16,22 +16,22 @@
     private final RandomGenerator random;
     private long boundNanos;
 
-    Backoff(Duration least, Duration greatest, RandomGenerator random) {
-        this.minimumNanos = least.toNanos();
-        this.maximumNanos = greatest.toNanos();
+    Backoff(Duration minimum, Duration maximum, RandomGenerator random) {
+        this.minimumNanos = minimum.toNanos();
+        this.maximumNanos = maximum.toNanos();
         this.random = random;
         this.boundNanos = minimumNanos;
     }
 
     /**
-     * Draws the next wait.
+     * Returns the next delay and doubles the bound.
      *
-     * @return the wait in nanoseconds
+     * @return the delay in nanoseconds, at minimum 0
      */
     long nextNanos() {
-        long wait = random.nextLong(boundNanos + 1);
+        long delay = random.nextLong(boundNanos + 1);
         boundNanos = Math.min(maximumNanos, 2 * boundNanos);
-        return wait;
+        return delay;
     }
 
     void reset() {
--- a/link/src/main/java/org/geraniumreach/link/CompanionAttempts.java
+++ b/link/src/main/java/org/geraniumreach/link/CompanionAttempts.java
@@ -13,10 +13,10 @@
 import org.geraniumreach.model.MonotonicClock;
 
 /**
- * The attempts and seals under way at one companion.
+ * The attempts and seal requests in progress at one companion.
  *
- * <p>Invariant: an attempt is here from before its first frame is sent until its end is told. Safe for use by several
- * threads.
+ * <p>Invariant: an attempt is registered before its first frame is sent and removed when it has ended. Safe for use by
+ * several threads.
  */
 final class CompanionAttempts {
 
@@ -35,32 +35,31 @@
     }
 
     /**
-     * A seal that waits for its answer.
+     * A seal request that waits for its answer.
      *
-     * @param tracker decides; used under its own monitor
-     * @param listener told of the answer
+     * @param tracker the state of the request, guarded by its own monitor
+     * @param listener receives the answer
      */
     private record PendingSeal(SealTracker tracker, SealListener listener) {}
 
     AttemptHandle run(Optional<Peer> link, Run run, AttemptListener listener) {
         long incarnation = link.map(peer -> peer.hello().getIncarnation()).orElse(0L);
-        Run named = run.getCompanionIncarnation() != 0 || link.isEmpty()
+        Run withIncarnation = run.getCompanionIncarnation() != 0 || link.isEmpty()
                 ? run
                 : run.toBuilder().setCompanionIncarnation(incarnation).build();
-        AttemptTracker tracker = AttemptTracker.ofRun(named, incarnation, limits, clock.nanos());
-        return start(named.getAttempt(), tracker, link, listener);
+        AttemptTracker tracker = AttemptTracker.ofRun(withIncarnation, incarnation, limits, clock.nanos());
+        return start(withIncarnation.getAttempt(), tracker, link, listener);
     }
 
-    AttemptHandle resume(
-            Optional<Peer> link, Run named, long incarnation, long nextSequence, AttemptListener listener) {
-        AttemptTracker tracker = AttemptTracker.ofResume(named, incarnation, nextSequence, limits, clock.nanos());
-        return start(named.getAttempt(), tracker, link, listener);
+    AttemptHandle resume(Optional<Peer> link, Run run, long incarnation, long nextSequence, AttemptListener listener) {
+        AttemptTracker tracker = AttemptTracker.ofResume(run, incarnation, nextSequence, limits, clock.nanos());
+        return start(run.getAttempt(), tracker, link, listener);
     }
 
     private AttemptHandle start(String attempt, AttemptTracker tracker, Optional<Peer> link, AttemptListener listener) {
         SentAttempt sent = new SentAttempt(tracker, listener, clock, events, () -> attempts.remove(attempt));
         if (attempts.putIfAbsent(attempt, sent) != null) {
-            throw new IllegalArgumentException("attempt is under way: " + attempt);
+            throw new IllegalArgumentException("attempt is already in progress: " + attempt);
         }
         sent.start(link);
         return sent;
@@ -71,17 +70,17 @@
         PendingSeal pending =
                 new PendingSeal(new SealTracker(attempt, incarnation, ageMillis, limits, clock.nanos()), listener);
         if (seals.putIfAbsent(attempt, pending) != null) {
-            throw new IllegalArgumentException("attempt is being sealed: " + attempt);
+            throw new IllegalArgumentException("attempt is already being sealed: " + attempt);
         }
         link.ifPresent(peer -> sendSeal(attempt, pending, peer));
     }
 
     private void sendSeal(String attempt, PendingSeal pending, Peer peer) {
-        Optional<Frame> question;
+        Optional<Frame> frame;
         synchronized (pending.tracker()) {
-            question = pending.tracker().nextFrame(peer.hello().getIncarnation(), clock.nanos());
+            frame = pending.tracker().nextFrame(peer.hello().getIncarnation(), clock.nanos());
         }
-        question.ifPresentOrElse(peer::send, () -> complete(attempt, pending, SealOutcome.OTHER_INCARNATION));
+        frame.ifPresentOrElse(peer::send, () -> complete(attempt, pending, SealOutcome.OTHER_INCARNATION));
     }
 
     private void complete(String attempt, PendingSeal pending, SealOutcome outcome) {
@@ -96,10 +95,10 @@
     }
 
     /**
-     * Notes that a link is closed.
+     * Handles the loss of a link.
      *
-     * @param peer the link, not null
-     * @param other another open link to the same companion, not null
+     * @param peer the closed link, not null
+     * @param other another open link to the same companion, or empty, not null
      */
     void onLinkClosed(Peer peer, Optional<Peer> other) {
         attempts.values().forEach(attempt -> attempt.onLinkClosed(peer, other));
@@ -113,7 +112,7 @@
             case REFUSED -> find(frame.getRefused().getAttempt())
                     .ifPresent(attempt -> attempt.onRefused(frame.getRefused()));
             case SEALED -> onSealed(peer, frame.getSealed());
-            default -> throw new IllegalArgumentException("not an answer: " + frame.getBodyCase());
+            default -> throw new IllegalArgumentException("unexpected frame kind: " + frame.getBodyCase());
         }
     }
 
@@ -131,7 +130,7 @@
             outcome = pending.tracker().onSealed(sealed, clock.nanos());
         }
         outcome.ifPresentOrElse(
-                known -> complete(sealed.getAttempt(), pending, known),
+                result -> complete(sealed.getAttempt(), pending, result),
                 () -> sendSeal(sealed.getAttempt(), pending, peer));
     }
 
--- a/link/src/main/java/org/geraniumreach/link/FrameHandler.java
+++ b/link/src/main/java/org/geraniumreach/link/FrameHandler.java
@@ -3,21 +3,21 @@
 import org.geraniumreach.messages.Frame;
 
 /**
- * Is told of what happens on links; heartbeats and Hello are dealt with beneath it.
+ * Receives the events and frames of links, except for Hello and heartbeats, which the link handles itself.
  *
  * <p>Contract: for one link, calls come one at a time and in order, on an event loop; they must not block.
  */
 public interface FrameHandler {
 
     /**
-     * Tells that a link is open and both ends have said Hello.
+     * Called when a link is open and both ends have sent Hello.
      *
-     * @param peer the other end, not null
+     * @param peer the remote end, not null
      */
     void opened(Peer peer);
 
     /**
-     * Tells of a frame.
+     * Called for each frame of the registered kinds.
      *
      * @param peer the sender, not null
      * @param frame the frame, not null
@@ -25,17 +25,17 @@
     void received(Peer peer, Frame frame);
 
     /**
-     * Tells that a link's outbound buffer has room again.
+     * Called when a link becomes writable again after {@link Peer#isWritable} has returned false.
      *
-     * @param peer the other end, not null
+     * @param peer the remote end, not null
      */
     default void writable(Peer peer) {}
 
     /**
-     * Tells that a link is closed; a new one is a new peer.
+     * Called when a link is closed. A new link to the instance is a new {@link Peer}.
      *
-     * @param peer the other end, not null
-     * @param reason why, not null
+     * @param peer the remote end, not null
+     * @param reason why it was closed, not null
      */
     void closed(Peer peer, String reason);
 }
--- a/link/src/main/java/org/geraniumreach/link/HandlerRegistry.java
+++ b/link/src/main/java/org/geraniumreach/link/HandlerRegistry.java
@@ -9,7 +9,7 @@
 import org.geraniumreach.messages.Frame;
 
 /**
- * Who is told of which kinds of frame.
+ * The registered handlers by kind of frame.
  *
  * <p>Invariant: handlers are kept in the order of their registration and are never removed. Safe for use by several
  * threads.
--- a/link/src/main/java/org/geraniumreach/link/LinkAttempts.java
+++ b/link/src/main/java/org/geraniumreach/link/LinkAttempts.java
@@ -18,11 +18,11 @@
 import org.geraniumreach.model.MonotonicClock;
 
 /**
- * The attempts of this process, sent over {@link Links}.
+ * Sends attempts over {@link Links} and dispatches the answers to them.
  *
- * <p>Invariant: a frame is given only to the attempt that it names, and only if it comes from the companion that the
- * attempt was sent to; what matches none is dropped. State is kept by companion, and each attempt's under its own lock.
- * Safe for use by several threads.
+ * <p>Invariant: a frame is passed only to the attempt that it names, and only if it comes from the companion that the
+ * attempt was sent to; other frames are dropped. State is kept by companion, and each attempt has its own lock. Safe
+ * for use by several threads.
  */
 public final class LinkAttempts implements Attempts, AutoCloseable {
 
@@ -58,13 +58,13 @@
     }
 
     /**
-     * Starts to serve attempts over links.
+     * Creates an instance and starts its timer.
      *
-     * @param links the links, which the caller keeps to each companion used, not null
-     * @param settings the limits, not null
+     * @param links the links; the caller keeps one open to each companion used, not null
+     * @param settings the time limits, not null
      * @param clock the clock, not null
-     * @param timer runs short tasks, not null
-     * @param events told of what an operator should see, not null
+     * @param timer executes short tasks that check time limits, not null
+     * @param events receives events for operators, not null
      * @return the attempts, not null
      */
     public static LinkAttempts start(
@@ -82,7 +82,7 @@
     }
 
     private CompanionAttempts attemptsAt(InstanceId companion) {
-        return companions.computeIfAbsent(companion, name -> new CompanionAttempts(limits, clock, events));
+        return companions.computeIfAbsent(companion, id -> new CompanionAttempts(limits, clock, events));
     }
 
     @Override
@@ -97,8 +97,8 @@
             long companionIncarnation,
             long nextSequence,
             AttemptListener listener) {
-        Run named = Run.newBuilder().setAttempt(attempt).build();
-        return attemptsAt(companion).resume(links.find(companion), named, companionIncarnation, nextSequence, listener);
+        Run run = Run.newBuilder().setAttempt(attempt).build();
+        return attemptsAt(companion).resume(links.find(companion), run, companionIncarnation, nextSequence, listener);
     }
 
     @Override
@@ -111,12 +111,12 @@
         try {
             companions.values().forEach(CompanionAttempts::tick);
         } catch (RuntimeException failure) {
-            // A task that throws is never run again: attempts would then wait for good for what has been lost.
-            events.onEvent(EventCode.UNEXPECTED_FAILURE, "the timer of attempts: " + failure);
+            // A periodic task that throws is not run again, and attempts without a link would then never end.
+            events.onEvent(EventCode.UNEXPECTED_FAILURE, "checking the time limits of attempts failed: " + failure);
         }
     }
 
-    /** Passes what links bring to the attempts of the companion at the other end. */
+    /** Passes frames and link events to the attempts at the companion concerned. */
     private final class Handler implements FrameHandler {
 
         private InstanceId instanceOf(Peer peer) {
--- a/link/src/main/java/org/geraniumreach/link/LinkChannel.java
+++ b/link/src/main/java/org/geraniumreach/link/LinkChannel.java
@@ -21,12 +21,12 @@
 import org.geraniumreach.model.InstanceId;
 
 /**
- * One connection: Hello, heartbeats, and the passing on of frames.
+ * The protocol handler of one connection: exchanges Hello and heartbeats and dispatches other frames to handlers.
  *
- * <p>Invariants: handlers are told of nothing before both Hellos, of {@link FrameHandler#opened} first and of {@link
- * FrameHandler#closed} last. A frame that cannot be read closes this connection and touches nothing else. What is not
- * final is confined to the channel's event loop, but for the fields marked volatile; {@link Peer}'s methods are safe for
- * use by several threads.
+ * <p>Invariants: handlers are not called before both Hellos have been exchanged; {@link FrameHandler#opened} is called
+ * first and {@link FrameHandler#closed} last. A frame that cannot be decoded closes only this connection. Fields that
+ * are neither final nor volatile are confined to the channel's event loop; {@link Peer}'s methods are safe for use by
+ * several threads.
  */
 final class LinkChannel extends SimpleChannelInboundHandler<Frame> implements Peer, LinkTable.Connection {
 
@@ -55,16 +55,16 @@
         this.health = new LinkHealth(settings.unansweredPings());
     }
 
-    /** What a connection asks of the node that it belongs to. */
+    /** The node that a connection belongs to. */
     interface Owner {
 
         Hello localHello();
 
         /**
-         * Decides on a connection that has said Hello.
+         * Decides whether to accept a connection whose Hello has been received.
          *
          * @param link the connection, not null
-         * @return why it is refused, empty if it stays, not null
+         * @return why it is refused, empty if it is accepted, not null
          */
         String admit(LinkChannel link);
 
@@ -82,8 +82,8 @@
     }
 
     /**
-     * A peer that connects and says nothing would hold a connection, and its memory, for good; it gets no more than the
-     * limit.
+     * Closes the connection if no Hello has arrived; otherwise a silent peer would hold the connection and its memory
+     * forever.
      */
     private void closeIfNoHello() {
         if (hello == null) {
@@ -112,13 +112,13 @@
     }
 
     private void dispatch(Frame frame) {
-        List<FrameHandler> interested = handlers.forKind(frame.getBodyCase());
-        if (interested.isEmpty() && REQUEST_KINDS.contains(frame.getBodyCase())) {
-            // A request passed over in silence would be waited for until its deadline; a lost link is noticed.
-            close("nobody here answers a " + frame.getBodyCase());
+        List<FrameHandler> matching = handlers.forKind(frame.getBodyCase());
+        if (matching.isEmpty() && REQUEST_KINDS.contains(frame.getBodyCase())) {
+            // If the request were ignored, its sender would wait until the deadline; it notices a closed link at once.
+            close("no handler for " + frame.getBodyCase());
             return;
         }
-        for (FrameHandler handler : interested) {
+        for (FrameHandler handler : matching) {
             notifyOpened(handler);
             callHandler(() -> handler.received(this, frame));
         }
@@ -129,18 +129,18 @@
             refuse("the first frame is not a Hello");
             return;
         }
-        Hello said = frame.getHello();
-        if (said.getProtocolVersion() < MINIMUM_PROTOCOL_VERSION) {
-            refuse("protocol version " + said.getProtocolVersion());
+        Hello received = frame.getHello();
+        if (received.getProtocolVersion() < MINIMUM_PROTOCOL_VERSION) {
+            refuse("protocol version " + received.getProtocolVersion());
             return;
         }
         try {
-            instance = InstanceId.of(said.getInstance());
+            instance = InstanceId.of(received.getInstance());
         } catch (IllegalArgumentException invalid) {
             refuse(invalid.getMessage());
             return;
         }
-        hello = said;
+        hello = received;
         String refusal = owner.admit(this);
         if (!refusal.isEmpty()) {
             close(refusal);
@@ -151,7 +151,10 @@
         scheduleTick();
     }
 
-    /** All links of a process ping at the same moments, so that many links wake it no more often than one; processes differ. */
+    /**
+     * Schedules the next ping. All links of a process ping at the same moments, so many links wake it no more often
+     * than one. The phase differs between processes.
+     */
     private void scheduleTick() {
         long interval = settings.pingInterval().toNanos();
         long phase = owner.localHello().getInstance().hashCode() * PHASE_STEP_NANOS;
@@ -164,7 +167,7 @@
             return;
         }
         if (health.tick() == LinkHealth.Action.CLOSE) {
-            close(settings.unansweredPings() + " pings without an answer");
+            close(settings.unansweredPings() + " unanswered pings");
             return;
         }
         send(Frame.newBuilder()
@@ -174,7 +177,7 @@
     }
 
     /**
-     * Tells a handler that was registered late of this link.
+     * Notifies a handler that was registered after this link was opened.
      *
      * @param handler the handler, not null
      */
@@ -199,7 +202,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        String reason = closeReason != null ? closeReason : "closed by the other end";
+        String reason = closeReason != null ? closeReason : "closed by the peer";
         closeReason = reason;
         owner.onClosed(this, reason);
         notifyHandlers(handler -> handler.closed(this, reason));
@@ -214,23 +217,24 @@
             close(String.valueOf(cause.getMessage()));
         } else {
             owner.onEvent(EventCode.UNEXPECTED_FAILURE, description() + ": " + cause);
-            close("failure of this end");
+            close("unexpected failure in this process");
         }
     }
 
-    private void refuse(String what) {
-        owner.onEvent(EventCode.FRAME_REFUSED, description() + ": " + what);
-        close("refused " + what);
+    private void refuse(String problem) {
+        owner.onEvent(EventCode.FRAME_REFUSED, description() + ": " + problem);
+        close("refused " + problem);
     }
 
-    private void notifyHandlers(Consumer<FrameHandler> news) {
-        notifiedHandlers.forEach(handler -> callHandler(() -> news.accept(handler)));
+    private void notifyHandlers(Consumer<FrameHandler> notification) {
+        notifiedHandlers.forEach(handler -> callHandler(() -> notification.accept(handler)));
     }
 
     /**
-     * Runs a handler's code. A fault in one handler must not end the link, which carries the work of all others.
+     * Calls a handler and reports its exceptions as events. A fault in one handler must not close the link, which all
+     * handlers share.
      *
-     * @param call the handler's code, not null
+     * @param call the call to the handler, not null
      */
     private void callHandler(Runnable call) {
         try {
@@ -265,7 +269,8 @@
         if (closeReason != null || !channel.isActive()) {
             return false;
         }
-        // The other end would close the link over a frame above its limit, and with it the streams of everyone else.
+        // The peer would close the link when it receives a frame above its limit, which would break all other streams
+        // on it.
         if (frame.getSerializedSize() > settings.maximumFrameBytes()) {
             owner.onEvent(
                     EventCode.FRAME_REFUSED,
--- a/link/src/main/java/org/geraniumreach/link/LinkEventListener.java
+++ b/link/src/main/java/org/geraniumreach/link/LinkEventListener.java
@@ -3,7 +3,7 @@
 import org.geraniumreach.model.EventCode;
 
 /**
- * Is told of what an operator should see of links.
+ * Receives link events to be reported to operators.
  *
  * <p>Contract: calls may come from several threads at once and must not block.
  */
@@ -11,10 +11,10 @@
 public interface LinkEventListener {
 
     /**
-     * Tells of an event.
+     * Called for each event.
      *
      * @param event the event, not null
-     * @param detail what happened to which link, without any content of frames, not null
+     * @param detail the link and what happened to it, without any content of frames, not null
      */
     void onEvent(EventCode event, String detail);
 }
--- a/link/src/main/java/org/geraniumreach/link/LinkHealth.java
+++ b/link/src/main/java/org/geraniumreach/link/LinkHealth.java
@@ -1,14 +1,14 @@
 package org.geraniumreach.link;
 
 /**
- * Decides from pings and pongs whether a link is alive.
+ * Detects dead links by counting unanswered pings.
  *
- * <p>Only a pong counts as a sign of life: it alone shows that both directions work. Frames that merely arrive do not
- * show that anything sent still gets through. Unanswered pings are counted rather than time, so a process that was frozen
- * itself does not take its peers for dead when it goes on.
+ * <p>Only a pong shows that both directions work; other received frames do not show that sent frames still arrive.
+ * Unanswered pings are counted instead of elapsed time, so a process that was suspended does not consider its peers
+ * dead when it resumes.
  *
- * <p>Invariant: between two verdicts of {@link Action#CLOSE} at least the limit of pings went unanswered. Not safe for use
- * by several threads.
+ * <p>Invariant: {@link Action#CLOSE} is returned only after at least the limit of pings went unanswered. Not safe for
+ * use by several threads.
  */
 final class LinkHealth {
 
@@ -22,14 +22,14 @@
 
     /** What to do with a link. */
     enum Action {
-        /** Send a ping with {@link #pingNumber}. */
+        /** Send a ping with the number {@link #pingNumber}. */
         PING,
-        /** Give it up. */
+        /** Close the link. */
         CLOSE
     }
 
     /**
-     * Decides at the end of an interval.
+     * Decides what to do at the end of a ping interval.
      *
      * @return what to do, not null
      */
@@ -46,9 +46,9 @@
     }
 
     /**
-     * Notes a pong.
+     * Records a pong.
      *
-     * @param number the ping's number; one that was never sent is ignored
+     * @param number the number of the answered ping; a number that was never sent is ignored
      */
     void onPong(long number) {
         if (number <= lastSentPing && number > lastAnsweredPing) {
--- a/link/src/main/java/org/geraniumreach/link/LinkNode.java
+++ b/link/src/main/java/org/geraniumreach/link/LinkNode.java
@@ -32,10 +32,11 @@
 import org.geraniumreach.model.InstanceId;
 
 /**
- * The links of one process: it accepts connections, and opens and keeps those that it is asked to.
+ * The links of one process: accepts connections and maintains outgoing ones.
  *
- * <p>Invariants: a link is used in both directions, whoever opened it; of two incarnations of an instance only the newer
- * has links. No input from a peer ends the process or another peer's link. Safe for use by several threads.
+ * <p>Invariants: a link is used in both directions, whichever side opened it; of two incarnations of an instance only
+ * the newer has links. No input from a peer can stop the process or close another peer's link. Safe for use by several
+ * threads.
  */
 public final class LinkNode implements Links, AutoCloseable {
 
@@ -57,48 +58,48 @@
             LinkSettings settings,
             Supplier<Hello> localHello,
             LinkEventListener events,
-            EventLoopGroup loops,
-            boolean ownsLoops) {
+            EventLoopGroup eventLoops,
+            boolean ownsEventLoops) {
         this.settings = Objects.requireNonNull(settings, "settings");
         this.localHello = Objects.requireNonNull(localHello, "localHello");
         this.events = Objects.requireNonNull(events, "events");
-        this.eventLoops = Objects.requireNonNull(loops, "loops");
-        this.ownsEventLoops = ownsLoops;
+        this.eventLoops = Objects.requireNonNull(eventLoops, "eventLoops");
+        this.ownsEventLoops = ownsEventLoops;
     }
 
     /**
-     * Makes a node that neither listens nor connects yet, so that handlers can be registered before the first frame.
+     * Creates a node that neither listens nor connects yet, so that handlers can be registered before the first frame.
      *
-     * @param settings how links behave, not null
-     * @param localHello gives what this process says of itself on each new connection, not null
-     * @param events told of what an operator should see, not null
+     * @param settings the settings of links, not null
+     * @param localHello supplies the Hello to send on each new connection, not null
+     * @param events receives events for operators, not null
      * @return the node, not null
      */
     public static LinkNode create(LinkSettings settings, Supplier<Hello> localHello, LinkEventListener events) {
-        EventLoopGroup own = new NioEventLoopGroup(settings.threads(), new DefaultThreadFactory("link", true));
-        return new LinkNode(settings, localHello, events, own, true);
+        EventLoopGroup ownLoops = new NioEventLoopGroup(settings.threads(), new DefaultThreadFactory("link", true));
+        return new LinkNode(settings, localHello, events, ownLoops, true);
     }
 
     /**
-     * Makes a node on event loops that serve other things too, and that it does not stop.
+     * Creates a node on shared event loops, which it does not shut down.
      *
-     * @param settings how links behave, not null
-     * @param localHello gives what this process says of itself on each new connection, not null
-     * @param events told of what an operator should see, not null
-     * @param loops the event loops, not null
+     * @param settings the settings of links, not null
+     * @param localHello supplies the Hello to send on each new connection, not null
+     * @param events receives events for operators, not null
+     * @param eventLoops the event loops, not null
      * @return the node, not null
      */
     public static LinkNode createOn(
-            LinkSettings settings, Supplier<Hello> localHello, LinkEventListener events, EventLoopGroup loops) {
-        return new LinkNode(settings, localHello, events, loops, false);
+            LinkSettings settings, Supplier<Hello> localHello, LinkEventListener events, EventLoopGroup eventLoops) {
+        return new LinkNode(settings, localHello, events, eventLoops, false);
     }
 
     /**
      * Starts to accept connections.
      *
-     * @param address where to listen; port 0 takes any free one, not null
-     * @return where it listens, not null
-     * @throws IOException if the address cannot be had
+     * @param address the address to listen on; port 0 selects any free port, not null
+     * @return the address listened on, not null
+     * @throws IOException if the address cannot be bound
      */
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
         ServerBootstrap bootstrap = new ServerBootstrap()
@@ -121,7 +122,7 @@
         return new WriteBufferWaterMark(settings.writeBufferLow(), settings.writeBufferHigh());
     }
 
-    /** Sets up a new connection. */
+    /** Initializes the pipeline of a new connection. */
     private final class ConnectionInitializer extends ChannelInitializer<Channel> {
         private final Optional<InstanceId> expected;
 
@@ -138,7 +139,7 @@
         }
     }
 
-    /** What this node decides about one connection. */
+    /** Applies this node's rules to one connection. */
     private final class ConnectionOwner implements LinkChannel.Owner {
         private final Optional<InstanceId> expected;
 
@@ -154,7 +155,7 @@
         @Override
         public String admit(LinkChannel link) {
             if (expected.isPresent() && !expected.get().equals(link.instance())) {
-                return "another instance than " + expected.get();
+                return "not the expected instance " + expected.get();
             }
             LinkTable.Admission<LinkChannel> admission = table.add(link);
             if (!admission.admitted()) {
@@ -182,7 +183,7 @@
         }
     }
 
-    /** Opens the connections of kept links. */
+    /** Opens connections for reconnecting links. */
     private final class NodeConnector implements ReconnectingLink.Connector {
 
         @Override
@@ -253,7 +254,7 @@
     }
 
     /**
-     * Gets a timer that runs tasks on the event loops; they must not block.
+     * Returns a timer that runs tasks on the event loops. The tasks must not block.
      *
      * @return the timer, not null
      */
@@ -270,7 +271,7 @@
         if (listening != null) {
             listening.close();
         }
-        table.all().forEach(link -> link.close("this end stops"));
+        table.all().forEach(link -> link.close("this process is shutting down"));
         if (ownsEventLoops) {
             eventLoops.shutdownGracefully(0, SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
--- a/link/src/main/java/org/geraniumreach/link/LinkPipeline.java
+++ b/link/src/main/java/org/geraniumreach/link/LinkPipeline.java
@@ -8,10 +8,10 @@
 import org.geraniumreach.messages.Frame;
 
 /**
- * Sets up what a connection's bytes pass through.
+ * Configures the channel pipeline of a connection.
  *
- * <p>A frame's length is checked before anything of the frame is kept, so a peer cannot make the process hold more than
- * the greatest frame. Stateless and safe for use by several threads.
+ * <p>A frame's length is checked before its content is buffered, so a peer cannot make the process buffer more than the
+ * maximum frame length. Stateless and safe for use by several threads.
  */
 final class LinkPipeline {
 
--- a/link/src/main/java/org/geraniumreach/link/LinkSettings.java
+++ b/link/src/main/java/org/geraniumreach/link/LinkSettings.java
@@ -4,24 +4,24 @@
 import java.util.Objects;
 
 /**
- * How links and attempts behave.
+ * Settings of links and of the attempts sent over them.
  *
- * <p>Invariant: every component is positive, the least backoff is not above the greatest, and the lower mark of the write
- * buffer is below the higher one. Immutable and safe for use by several threads.
+ * <p>Invariant: every component is positive, the least backoff is not above the greatest, and the low water mark of the
+ * write buffer is below the high one. Immutable and safe for use by several threads.
  *
- * @param connectLimit how long a connection may take to open
- * @param helloLimit how long the other end may take to say Hello
+ * @param connectLimit the time limit for opening a connection
+ * @param helloLimit the time limit for receiving the peer's Hello
  * @param pingInterval the time between two pings
- * @param unansweredPings the number of pings without an answer after which a link is given up
- * @param leastBackoff the greatest wait before the first new connection
- * @param greatestBackoff the greatest wait before any new connection
- * @param maximumFrameBytes the greatest length of a frame, in both directions
- * @param writeBufferLow the bytes waiting to be sent below which a link is writable again
- * @param writeBufferHigh the bytes waiting to be sent above which a link is not writable
+ * @param unansweredPings the number of unanswered pings after which a link is closed
+ * @param leastBackoff the upper bound of the delay before the first reconnection
+ * @param greatestBackoff the upper bound of the delay before any reconnection
+ * @param maximumFrameBytes the maximum length of a frame in bytes, in both directions
+ * @param writeBufferLow the number of buffered outbound bytes below which a link becomes writable again
+ * @param writeBufferHigh the number of buffered outbound bytes above which a link is not writable
  * @param threads the number of event loops
- * @param resumeLimit how long an attempt waits for a new link to its companion
- * @param answerLimit how long an answer that says "not run" may take to be believed
- * @param deadlineGrace how long after an attempt's deadline its companion may still answer
+ * @param resumeLimit how long an attempt without a link waits for a new one to its companion
+ * @param answerLimit the maximum delay after which a "not run" answer is still trusted
+ * @param deadlineGrace how long after an attempt's deadline an answer is still accepted
  */
 public record LinkSettings(
         Duration connectLimit,
@@ -65,7 +65,7 @@
     }
 
     /**
-     * Obtains the defaults.
+     * Returns the default settings.
      *
      * @return the settings, not null
      */
@@ -87,10 +87,10 @@
     }
 
     /**
-     * Returns settings with other heartbeats.
+     * Returns a copy with different ping settings.
      *
      * @param interval the time between two pings, not null
-     * @param unanswered the number of pings without an answer after which a link is given up
+     * @param unanswered the number of unanswered pings after which a link is closed
      * @return the settings, not null
      */
     public LinkSettings withPings(Duration interval, int unanswered) {
@@ -111,9 +111,9 @@
     }
 
     /**
-     * Returns settings with another greatest backoff.
+     * Returns a copy with a different maximum back-off.
      *
-     * @param backoff the greatest wait before any new connection, not null
+     * @param backoff the upper bound of the delay before any reconnection, not null
      * @return the settings, not null
      */
     public LinkSettings withGreatestBackoff(Duration backoff) {
--- a/link/src/main/java/org/geraniumreach/link/LinkTable.java
+++ b/link/src/main/java/org/geraniumreach/link/LinkTable.java
@@ -9,11 +9,11 @@
 import org.geraniumreach.model.InstanceId;
 
 /**
- * The open links by instance.
+ * The open links, indexed by instance.
  *
- * <p>Invariants: all links of one instance have the same incarnation, and no two of them the same direction. The link
- * opened last is the one found: where one end has given up a silent link that the other still believes in, the new one is
- * the one that works. Safe for use by several threads.
+ * <p>Invariants: all links of one instance have the same incarnation, and no two of them the same direction. The most
+ * recent link is preferred: when one end has given up a silent link that the other end still considers open, only the
+ * new link works. Safe for use by several threads.
  *
  * @param <L> the type of links
  */
@@ -21,7 +21,7 @@
 
     private final Map<InstanceId, List<L>> links = new HashMap<>();
 
-    /** A link that has said Hello. */
+    /** A link whose Hello has been received. */
     interface Connection {
         InstanceId instance();
 
@@ -31,47 +31,47 @@
     }
 
     /**
-     * The answer to a new link.
+     * The result of adding a link.
      *
-     * @param admitted whether it stays
-     * @param superseded the links that it takes the place of, which the caller closes
+     * @param admitted whether the link was added
+     * @param superseded the links that it replaces, which the caller must close
      * @param <L> the type of links
      */
     record Admission<L>(boolean admitted, List<L> superseded) {}
 
     synchronized Admission<L> add(L link) {
-        List<L> present = links.getOrDefault(link.instance(), List.of());
-        if (present.stream().anyMatch(other -> other.incarnation() > link.incarnation())) {
+        List<L> current = links.getOrDefault(link.instance(), List.of());
+        if (current.stream().anyMatch(other -> other.incarnation() > link.incarnation())) {
             return new Admission<>(false, List.of());
         }
-        List<L> staying = new ArrayList<>();
+        List<L> kept = new ArrayList<>();
         List<L> superseded = new ArrayList<>();
-        staying.add(link);
-        for (L other : present) {
-            boolean stays = other.incarnation() == link.incarnation() && other.isInbound() != link.isInbound();
-            (stays ? staying : superseded).add(other);
+        kept.add(link);
+        for (L other : current) {
+            boolean keep = other.incarnation() == link.incarnation() && other.isInbound() != link.isInbound();
+            (keep ? kept : superseded).add(other);
         }
-        links.put(link.instance(), staying);
+        links.put(link.instance(), kept);
         return new Admission<>(true, superseded);
     }
 
     synchronized void remove(L link) {
-        List<L> present = links.get(link.instance());
-        if (present == null) {
+        List<L> current = links.get(link.instance());
+        if (current == null) {
             return;
         }
-        present.remove(link);
-        if (present.isEmpty()) {
+        current.remove(link);
+        if (current.isEmpty()) {
             links.remove(link.instance());
         }
     }
 
     synchronized Optional<L> find(InstanceId instance) {
-        return Optional.ofNullable(links.get(instance)).map(present -> present.get(0));
+        return Optional.ofNullable(links.get(instance)).map(current -> current.get(0));
     }
 
     synchronized List<L> newest() {
-        return links.values().stream().map(present -> present.get(0)).toList();
+        return links.values().stream().map(current -> current.get(0)).toList();
     }
 
     synchronized List<L> all() {
--- a/link/src/main/java/org/geraniumreach/link/Links.java
+++ b/link/src/main/java/org/geraniumreach/link/Links.java
@@ -11,12 +11,13 @@
 /**
  * The open links of this process.
  *
- * <p>Contract: safe for use by several threads. Of two links with one instance the newer incarnation's stays.
+ * <p>Contract: safe for use by several threads. When two incarnations of an instance connect, only the newer one's
+ * links stay open.
  */
 public interface Links {
 
     /**
-     * Opens a link to an instance and keeps it open, with new connections after losses, until released.
+     * Opens a link to an instance and keeps it open until released, reconnecting after each loss.
      *
      * @param instance the instance, not null
      * @param address its link address, not null
@@ -24,14 +25,14 @@
     void keep(InstanceId instance, InetSocketAddress address);
 
     /**
-     * Stops keeping a link; an open one is closed.
+     * Stops reconnecting to an instance and closes its open link, if any.
      *
      * @param instance the instance, not null
      */
     void release(InstanceId instance);
 
     /**
-     * Finds the open link with an instance, whoever opened it.
+     * Finds the open link to an instance, whichever side opened it.
      *
      * @param instance the instance, not null
      * @return the link, or empty if none is open
@@ -39,16 +40,16 @@
     Optional<Peer> find(InstanceId instance);
 
     /**
-     * Gets all open links.
+     * Returns one open link for each connected instance, the most recent.
      *
      * @return the links, not null
      */
     List<Peer> peers();
 
     /**
-     * Registers who is told of frames of some kinds; every handler is told of links that open and close.
+     * Registers a handler for some kinds of frame. Every handler is notified of all links that open and close.
      *
-     * @param kinds the kinds of frame, not null
+     * @param kinds the kinds of frame passed to the handler, not null
      * @param handler the handler, not null
      */
     void handle(Set<Frame.BodyCase> kinds, FrameHandler handler);
--- a/link/src/main/java/org/geraniumreach/link/OutboundFrames.java
+++ b/link/src/main/java/org/geraniumreach/link/OutboundFrames.java
@@ -9,12 +9,12 @@
 import org.geraniumreach.messages.Frame;
 
 /**
- * The frames on their way into one channel, in the order in which they were added by whatever threads.
+ * An outbound queue of frames for one channel, shared by several threads.
  *
- * <p>A channel writes at once for its event loop but later for other threads, so a frame of the event loop would overtake
- * one that another thread sent before it: a Resume would arrive before its Run, and the companion would seal the attempt.
- * Here the event loop queues like all others. Invariant: frames are written in the order of {@link #add}. Safe for use by
- * several threads.
+ * <p>A channel writes immediately when called on its event loop but defers writes from other threads, so a frame sent
+ * on the event loop could overtake one that another thread sent earlier: a Resume would arrive before its Run, and the
+ * companion would seal the attempt. Therefore frames sent on the event loop are queued too. Invariant: frames are
+ * written in the order of {@link #add}. Safe for use by several threads.
  */
 final class OutboundFrames {
 
@@ -28,10 +28,10 @@
     private final AtomicBoolean drainScheduled = new AtomicBoolean();
     private final AtomicBoolean writableCallbackPending = new AtomicBoolean();
 
-    OutboundFrames(Channel channel, long limitBytes, Runnable whenWritable) {
+    OutboundFrames(Channel channel, long limitBytes, Runnable writableCallback) {
         this.channel = channel;
         this.limitBytes = limitBytes;
-        this.writableCallback = whenWritable;
+        this.writableCallback = writableCallback;
     }
 
     void add(Frame frame) {
@@ -63,16 +63,17 @@
     }
 
     /**
-     * Queries whether more bulk may be added; whoever is told that it may not is called once it may.
+     * Queries whether more bulk data may be added. If this returns false, the writable callback is called once when it
+     * may.
      *
-     * @return true if it may
+     * @return true if the queue and the channel's buffer are below their limits
      */
     boolean isWritable() {
         if (isBelowLimit()) {
             return true;
         }
         writableCallbackPending.set(true);
-        // The room may have come between the look and the note; then nobody would be called.
+        // The queue may have drained between the check and setting the flag, and then no callback would follow.
         return isBelowLimit();
     }
 
@@ -80,7 +81,7 @@
         return channel.isWritable() && queuedBytes.get() < limitBytes;
     }
 
-    /** Calls those who wait for room if there is some; runs on the event loop. */
+    /** Calls the writable callback if it is pending and the queue is below its limit; runs on the event loop. */
     void onWritabilityChanged() {
         if (isBelowLimit() && writableCallbackPending.compareAndSet(true, false)) {
             writableCallback.run();
--- a/link/src/main/java/org/geraniumreach/link/ReconnectingLink.java
+++ b/link/src/main/java/org/geraniumreach/link/ReconnectingLink.java
@@ -10,10 +10,11 @@
 import org.geraniumreach.model.InstanceId;
 
 /**
- * Keeps a link to one instance open: whenever there is none, it opens a new connection after a wait.
+ * Keeps a link to one instance open by reconnecting with back-off whenever there is none.
  *
- * <p>Invariants: at most one connection of this keeper is being opened at a time, and none while a link to the instance is
- * open, whoever opened it. All state is confined to one event loop; the methods may be called by several threads.
+ * <p>Invariants: at most one connection attempt is in progress at a time, and none is made while a link to the instance
+ * is open, whichever side opened it. All state is confined to one event loop; the methods may be called by several
+ * threads.
  */
 final class ReconnectingLink {
 
@@ -31,23 +32,23 @@
             InetSocketAddress address,
             EventLoop loop,
             LinkSettings settings,
-            Connector opener,
+            Connector connector,
             RandomGenerator random) {
         this.instance = instance;
         this.address = address;
         this.loop = loop;
-        this.connector = opener;
+        this.connector = connector;
         this.backoff = new Backoff(settings.leastBackoff(), settings.greatestBackoff(), random);
     }
 
-    /** Opens connections. */
+    /** Provides connections to instances. */
     interface Connector {
         boolean isOpen(InstanceId instance);
 
         /**
-         * Makes what opens a connection to an instance.
+         * Creates the bootstrap of a connection to an instance.
          *
-         * @param instance the instance expected at the other end, not null
+         * @param instance the instance expected at the remote end, not null
          * @return the bootstrap, not null
          */
         Bootstrap bootstrap(InstanceId instance);
@@ -98,16 +99,16 @@
             return;
         }
         connecting = true;
-        ChannelFuture opening = connector.bootstrap(instance).connect(address);
-        opening.addListener(done -> executeOnLoop(() -> onConnectCompleted(opening)));
+        ChannelFuture connectFuture = connector.bootstrap(instance).connect(address);
+        connectFuture.addListener(future -> executeOnLoop(() -> onConnectCompleted(connectFuture)));
     }
 
-    private void onConnectCompleted(ChannelFuture opening) {
+    private void onConnectCompleted(ChannelFuture connectFuture) {
         connecting = false;
-        if (!opening.isSuccess()) {
+        if (!connectFuture.isSuccess()) {
             scheduleConnect();
             return;
         }
-        opening.channel().closeFuture().addListener(done -> onLinkClosed());
+        connectFuture.channel().closeFuture().addListener(future -> onLinkClosed());
     }
 }
--- a/link/src/main/java/org/geraniumreach/link/SealTracker.java
+++ b/link/src/main/java/org/geraniumreach/link/SealTracker.java
@@ -8,11 +8,11 @@
 import org.geraniumreach.messages.Sealed;
 
 /**
- * Decides what becomes of one request to seal an attempt.
+ * The state machine of one request to seal an attempt.
  *
- * <p>Invariant: {@link SealOutcome#NEVER_STARTED} is given only if the incarnation that the attempt was sent to said so
- * within the limit since it was last asked, as it keeps what it knows for a limited time. Not safe for use by several
- * threads.
+ * <p>Invariant: {@link SealOutcome#NEVER_STARTED} is returned only if the incarnation that the attempt was sent to
+ * answered so within the answer limit after the last request, since a companion remembers attempts for a limited time.
+ * Not safe for use by several threads.
  */
 final class SealTracker {
 
@@ -26,13 +26,13 @@
     private long lastRequestNanos;
 
     /**
-     * Makes a tracker.
+     * Creates a tracker.
      *
      * @param attempt the attempt's id, not null
      * @param incarnation the companion's incarnation that it was sent to
-     * @param ageMillis the time since then, negative if unknown
-     * @param limits the limits, not null
-     * @param now the time
+     * @param ageMillis the time since it was sent, in milliseconds; negative if unknown
+     * @param limits the time limits, not null
+     * @param now the current time
      */
     SealTracker(String attempt, long incarnation, long ageMillis, AttemptTracker.Limits limits, long now) {
         this.attempt = attempt;
@@ -43,7 +43,7 @@
         this.lastRequestNanos = now;
     }
 
-    /** What companions say of a sealed attempt, by its number in the message. */
+    /** The outcomes by their number in {@link Sealed#getState}. */
     private static final SealOutcome[] OUTCOMES_BY_STATE = {
         SealOutcome.NEVER_STARTED,
         SealOutcome.STARTED,
@@ -53,10 +53,10 @@
     };
 
     /**
-     * Decides what to ask over a link that is open.
+     * Returns the Seal frame to send over an open link.
      *
-     * @param openIncarnation the incarnation at its other end
-     * @param now the time
+     * @param openIncarnation the companion's incarnation on the link
+     * @param now the current time
      * @return the frame to send, or empty if the answer is {@link SealOutcome#OTHER_INCARNATION}
      */
     Optional<Frame> nextFrame(long openIncarnation, long now) {
@@ -74,11 +74,11 @@
     }
 
     /**
-     * Takes the companion's answer.
+     * Handles the companion's answer.
      *
      * @param sealed the answer, not null
-     * @param now the time
-     * @return the outcome, or empty if the answer is not to be believed and the companion is to be asked again
+     * @param now the current time
+     * @return the outcome, or empty if the answer is too old to be trusted and the request must be repeated
      */
     Optional<SealOutcome> onSealed(Sealed sealed, long now) {
         if (sealed.getState() < 0 || sealed.getState() >= OUTCOMES_BY_STATE.length) {
--- a/link/src/main/java/org/geraniumreach/link/SentAttempt.java
+++ b/link/src/main/java/org/geraniumreach/link/SentAttempt.java
@@ -13,11 +13,11 @@
 import org.geraniumreach.model.MonotonicClock;
 
 /**
- * One attempt under way: its decisions, the link that it uses, and the telling of its listener.
+ * An attempt in progress: it performs its tracker's actions on the current link and notifies its listener.
  *
- * <p>Invariants: decisions and sending happen under this object's lock, so frames leave in the order decided; the listener
- * is told outside of it and by one thread at a time, so a listener may take locks of its own and call back. Safe for use by
- * several threads.
+ * <p>Invariants: the tracker is called and frames are sent under this object's lock, so frames are sent in the order of
+ * the actions; the listener is called outside the lock and by one thread at a time, so it may take its own locks and
+ * call back. Safe for use by several threads.
  */
 final class SentAttempt implements AttemptHandle {
 
@@ -36,12 +36,12 @@
             AttemptListener listener,
             MonotonicClock clock,
             LinkEventListener events,
-            Runnable whenDone) {
+            Runnable doneCallback) {
         this.tracker = tracker;
         this.listener = listener;
         this.clock = clock;
         this.events = events;
-        this.doneCallback = whenDone;
+        this.doneCallback = doneCallback;
     }
 
     void start(Optional<Peer> open) {
@@ -63,14 +63,14 @@
     }
 
     void onLinkClosed(Peer peer, Optional<Peer> other) {
-        boolean mine;
+        boolean current;
         synchronized (this) {
-            mine = link == peer;
-            if (mine && started) {
+            current = link == peer;
+            if (current && started) {
                 tracker.onLinkLost(clock.nanos());
             }
         }
-        if (mine) {
+        if (current) {
             other.ifPresent(this::onLinkOpened);
         }
     }
@@ -140,13 +140,13 @@
             try {
                 notifyListener(next.get());
             } catch (RuntimeException failure) {
-                events.onEvent(EventCode.UNEXPECTED_FAILURE, "a listener of an attempt: " + failure);
+                events.onEvent(EventCode.UNEXPECTED_FAILURE, "attempt listener failed: " + failure);
             }
         }
     }
 
-    private synchronized Optional<AttemptAction> pollNotification(boolean mine) {
-        if (notifying && !mine) {
+    private synchronized Optional<AttemptAction> pollNotification(boolean isNotifier) {
+        if (notifying && !isNotifier) {
             return Optional.empty();
         }
         Optional<AttemptAction> next = Optional.ofNullable(pendingNotifications.poll());
--- a/link/src/main/java/org/geraniumreach/link/package-info.java
+++ b/link/src/main/java/org/geraniumreach/link/package-info.java
@@ -1,8 +1,8 @@
 /**
- * The link between the processes of the system: protobuf frames over TCP by Netty.
+ * The link between the processes of the system: protobuf frames over TCP, implemented with Netty.
  *
- * <p>A link says Hello, carries heartbeats, and is given up and replaced when three heartbeats stay unanswered, since
- * something between two ends can lose track of a connection for good while new ones work. Answers are matched by attempt
- * and sequence, so late and crossed ones go to nobody.
+ * <p>Both ends of a link send Hello and exchange heartbeats. A link is closed and replaced after a number of unanswered
+ * heartbeats (three by default), since a device between two ends can drop the state of a connection for good while new
+ * connections work. Answers are matched by attempt and sequence number, so late or misdirected answers are dropped.
  */
 package org.geraniumreach.link;
--- a/link/src/test/java/org/geraniumreach/link/AttemptTrackerTest.java
+++ b/link/src/test/java/org/geraniumreach/link/AttemptTrackerTest.java
@@ -29,8 +29,11 @@
         return AttemptTracker.ofRun(run, 1, LIMITS, 0);
     }
 
-    private static Refused refused(ResultCode code, ExecutionStatus ran) {
-        return Refused.newBuilder().setCode(code.number()).setRan(ran.ordinal()).build();
+    private static Refused refused(ResultCode code, ExecutionStatus status) {
+        return Refused.newBuilder()
+                .setCode(code.number())
+                .setRan(status.ordinal())
+                .build();
     }
 
     private static Optional<ExecutionStatus> reportedStatus(List<AttemptAction> actions) {
@@ -53,8 +56,8 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void companionLossAfterSendIsReportedUnknown(boolean repeatable) {
-        // The link breaks after the Run was handed over and no new one opens. The Run may have arrived; "not run" could
-        // be false, and a booking would be sent again.
+        // The link is lost after the Run was handed to it, and no new one opens. The Run may have arrived: reporting
+        // "not run" could make an entry send a booking twice.
         AttemptTracker tracker = tracker(repeatable);
         tracker.start(0);
         tracker.onLinkLost(1);
@@ -64,7 +67,7 @@
 
     @Test
     void companionRestartIsUnknownForNonRepeatableAttempt() {
-        // The companion comes back as another process, which knows nothing of what the former one started.
+        // The companion is restarted, and the new process does not know what the previous one started.
         AttemptTracker tracker = tracker(false);
         tracker.start(0);
         tracker.onLinkLost(1);
@@ -74,8 +77,8 @@
     @ParameterizedTest
     @CsvSource({"1, NO", "10000, NO", "10001, UNKNOWN"})
     void notRunIsTrustedOnlyWithinAnswerLimit(long millis, ExecutionStatus expected) {
-        // The companion answers a Resume that it does not know the attempt. It forgets after a time; an answer that
-        // took long may come from a companion that ran the attempt and forgot it.
+        // The companion answers a Resume that it does not know the attempt. It discards attempts after a time, so a
+        // late answer may come from a companion that ran the attempt and discarded it.
         AttemptTracker tracker = tracker(false);
         tracker.start(0);
         tracker.onLinkLost(1);
--- a/link/src/test/java/org/geraniumreach/link/FrameDecoderFuzzTest.java
+++ b/link/src/test/java/org/geraniumreach/link/FrameDecoderFuzzTest.java
@@ -53,7 +53,7 @@
     @Property(seed = "6", tries = 3000)
     void arbitraryBytesCauseNoUnexpectedFailure(
             @ForAll @Size(max = 8) List<@Size(max = 64) byte[]> pieces, @ForAll boolean helloFirst) {
-        // A peer sends anything, cut into any pieces. At worst its own link is closed; no failure gets out.
+        // A peer sends arbitrary bytes in arbitrary pieces. At worst its own link is closed; no exception escapes.
         EmbeddedChannel channel = channel();
         if (helloFirst) {
             write(channel, helloBytes());
@@ -67,13 +67,13 @@
     @Property(seed = "7", tries = 3000)
     void damagedFramesCauseNoUnexpectedFailure(
             @ForAll @IntRange(max = 60) int position, @ForAll byte value, @ForAll @IntRange(max = 60) int length) {
-        // A good frame arrives with one byte changed, or cut short.
+        // A valid frame arrives with one byte changed or truncated.
         EmbeddedChannel channel = channel();
         byte[] bytes = helloBytes();
         bytes[position % bytes.length] = value;
-        byte[] cut = new byte[Math.min(bytes.length, length)];
-        System.arraycopy(bytes, 0, cut, 0, cut.length);
-        write(channel, cut);
+        byte[] truncated = new byte[Math.min(bytes.length, length)];
+        System.arraycopy(bytes, 0, truncated, 0, truncated.length);
+        write(channel, truncated);
         write(channel, helloBytes());
         channel.checkException();
         channel.finishAndReleaseAll();
--- a/link/src/test/java/org/geraniumreach/link/LinkNodeTest.java
+++ b/link/src/test/java/org/geraniumreach/link/LinkNodeTest.java
@@ -65,22 +65,22 @@
 
     @Test
     void silentLinkIsReplacedByNewConnection() throws IOException {
-        // Something between the two ends loses track of their connection: it stays open, and nothing arrives any
-        // more. The pings stay unanswered, the link is given up, and a new connection carries frames again.
+        // A network device between the two ends stops forwarding on their open connection without closing it. The pings
+        // stay unanswered, the link is closed, and a new connection carries frames again.
         try (TestNode one = TestNode.start("one", 1);
                 TestNode two = TestNode.start("two", 1);
-                SilencingProxy relay = SilencingProxy.start(two.address)) {
-            one.node.keep(two.instance, relay.address());
+                SilencingProxy proxy = SilencingProxy.start(two.address)) {
+            one.node.keep(two.instance, proxy.address());
             TestNode.await(() -> one.isLinkedWith(two));
-            Peer before = one.node.find(two.instance).orElseThrow();
-            relay.silenceOpenConnections();
+            Peer silenced = one.node.find(two.instance).orElseThrow();
+            proxy.silenceOpenConnections();
             TestNode.await(() -> one.opened.size() > 1 && one.isLinkedWith(two));
-            assertThat(before.send(LEAVING)).isFalse();
+            assertThat(silenced.send(LEAVING)).isFalse();
             TestNode.await(() -> {
                 one.node.find(two.instance).ifPresent(peer -> peer.send(LEAVING));
                 return two.received.contains(LEAVING);
             });
-            assertThat(relay.connectionCount()).isGreaterThan(1);
+            assertThat(proxy.connectionCount()).isGreaterThan(1);
         }
     }
 
@@ -89,11 +89,11 @@
         try (TestNode one = TestNode.start("one", 1);
                 TestNode two = TestNode.start("two", 1)) {
             one.node.keep(two.instance, two.address);
-            for (int times = 1; times <= 5; times++) {
-                int least = times;
+            for (int round = 1; round <= 5; round++) {
+                int previous = round;
                 TestNode.await(() -> {
                     two.node.find(one.instance).ifPresent(peer -> peer.close("test"));
-                    return one.opened.size() > least;
+                    return one.opened.size() > previous;
                 });
             }
         }
@@ -113,8 +113,8 @@
 
     @Test
     void newerIncarnationReplacesOlder() throws IOException {
-        // A process is replaced under the same name while its former connection is still open at the other end. What is
-        // sent to the name must reach the new process, and the old one must not come back.
+        // A process is replaced under the same instance name while its previous connection is still open at the peer.
+        // Frames sent to the instance must reach the new process, and the old one must not reconnect.
         try (TestNode two = TestNode.start("two", 1);
                 TestNode older = TestNode.start("one", 1);
                 TestNode newer = TestNode.start("one", 2)) {
@@ -162,8 +162,8 @@
 
     @ParameterizedTest(name = "a frame {0}")
     @MethodSource("badInput")
-    void invalidFrameClosesOnlyItsOwnLink(String what, byte[] bytes) throws IOException {
-        // A peer sends what is not a frame. Its link is closed with a numbered event; the links of all others go on.
+    void invalidFrameClosesOnlyItsOwnLink(String description, byte[] bytes) throws IOException {
+        // A peer sends an invalid frame. Its link is closed and FRAME_REFUSED is reported; other links stay open.
         try (TestNode one = TestNode.start("one", 1);
                 TestNode two = TestNode.start("two", 1);
                 Socket raw = new Socket(two.address.getAddress(), two.address.getPort())) {
@@ -182,8 +182,8 @@
 
     @Test
     void peerWithoutHelloIsDisconnected() throws IOException {
-        // A peer connects and sends nothing. Its connection is closed after a limit, so such peers cannot use up what a
-        // process has.
+        // A peer connects and sends nothing. Its connection is closed after the Hello limit, so such peers cannot
+        // exhaust the process's resources.
         try (TestNode two = TestNode.start("two", 1);
                 Socket raw = new Socket(two.address.getAddress(), two.address.getPort())) {
             awaitClosed(raw);
@@ -193,7 +193,7 @@
 
     @Test
     void peerThatStopsMidFrameIsDisconnected() throws IOException {
-        // A peer sends half a frame and then nothing. It answers no pings, so its link is given up like a silent one.
+        // A peer sends half a frame and then nothing. It answers no pings, so its link is closed like a silent one.
         try (TestNode two = TestNode.start("two", 1);
                 Socket raw = new Socket(two.address.getAddress(), two.address.getPort())) {
             raw.getOutputStream().write(hello("raw"));
@@ -218,8 +218,8 @@
 
     @Test
     void oversizedFrameIsNotSent() throws IOException {
-        // Somebody hands over a frame that the other end would refuse, with the whole link. It is not sent, the
-        // sender is told, and the link goes on.
+        // The peer would close the whole link when it receives such a frame. It is not sent, send() returns false, and
+        // the link stays open.
         try (TestNode one = TestNode.start("one", 1);
                 TestNode two = TestNode.start("two", 1)) {
             one.node.keep(two.instance, two.address);
--- a/link/src/test/java/org/geraniumreach/link/SilencingProxy.java
+++ b/link/src/test/java/org/geraniumreach/link/SilencingProxy.java
@@ -10,29 +10,27 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/**
- * Something between two ends that can lose track of its open connections: it keeps them open and forwards nothing more,
- * while new ones work.
- */
+/** A TCP proxy that can stop forwarding on its open connections without closing them, while new connections work. */
 final class SilencingProxy implements AutoCloseable {
 
     private final ServerSocket server;
-    private final InetSocketAddress target;
+    private final InetSocketAddress upstreamAddress;
     private final List<ProxiedConnection> connections = new CopyOnWriteArrayList<>();
 
-    private SilencingProxy(ServerSocket server, InetSocketAddress target) {
+    private SilencingProxy(ServerSocket server, InetSocketAddress upstreamAddress) {
         this.server = server;
-        this.target = target;
+        this.upstreamAddress = upstreamAddress;
     }
 
-    static SilencingProxy start(InetSocketAddress target) throws IOException {
-        SilencingProxy relay = new SilencingProxy(new ServerSocket(0, 50, InetAddress.getLoopbackAddress()), target);
-        startDaemon(relay::accept);
-        return relay;
+    static SilencingProxy start(InetSocketAddress upstreamAddress) throws IOException {
+        SilencingProxy proxy =
+                new SilencingProxy(new ServerSocket(0, 50, InetAddress.getLoopbackAddress()), upstreamAddress);
+        startDaemon(proxy::accept);
+        return proxy;
     }
 
     private static void startDaemon(Runnable task) {
-        Thread thread = new Thread(task, "relay");
+        Thread thread = new Thread(task, "proxy");
         thread.setDaemon(true);
         thread.start();
     }
@@ -46,9 +44,9 @@
         private final Socket upstream;
         private volatile boolean silent;
 
-        private ProxiedConnection(Socket near, Socket far) {
-            this.client = near;
-            this.upstream = far;
+        private ProxiedConnection(Socket client, Socket upstream) {
+            this.client = client;
+            this.upstream = upstream;
         }
 
         private void forward(Socket from, Socket to) {
@@ -72,21 +70,21 @@
     private void accept() {
         try {
             while (true) {
-                Socket near = server.accept();
-                Socket far = new Socket(target.getAddress(), target.getPort());
-                ProxiedConnection passage = new ProxiedConnection(near, far);
-                connections.add(passage);
-                startDaemon(() -> passage.forward(near, far));
-                startDaemon(() -> passage.forward(far, near));
+                Socket client = server.accept();
+                Socket upstream = new Socket(upstreamAddress.getAddress(), upstreamAddress.getPort());
+                ProxiedConnection connection = new ProxiedConnection(client, upstream);
+                connections.add(connection);
+                startDaemon(() -> connection.forward(client, upstream));
+                startDaemon(() -> connection.forward(upstream, client));
             }
         } catch (IOException closed) {
             return;
         }
     }
 
-    /** Loses track of all connections open now. */
+    /** Stops forwarding on all connections that are open now. */
     void silenceOpenConnections() {
-        connections.forEach(passage -> passage.silent = true);
+        connections.forEach(connection -> connection.silent = true);
     }
 
     int connectionCount() {
@@ -96,9 +94,9 @@
     @Override
     public void close() throws IOException {
         server.close();
-        for (ProxiedConnection passage : connections) {
-            passage.client.close();
-            passage.upstream.close();
+        for (ProxiedConnection connection : connections) {
+            connection.client.close();
+            connection.upstream.close();
         }
     }
 }
--- a/link/src/test/java/org/geraniumreach/link/TestNode.java
+++ b/link/src/test/java/org/geraniumreach/link/TestNode.java
@@ -14,7 +14,7 @@
 import org.geraniumreach.model.EventCode;
 import org.geraniumreach.model.InstanceId;
 
-/** A link node with what it has seen. */
+/** A link node that records the events, frames and links that it receives. */
 final class TestNode implements FrameHandler, AutoCloseable {
 
     private static final Duration AWAIT_TIMEOUT = Duration.ofSeconds(30);
@@ -81,15 +81,15 @@
     }
 
     static void await(BooleanSupplier condition) {
-        long end = System.nanoTime() + AWAIT_TIMEOUT.toNanos();
+        long deadline = System.nanoTime() + AWAIT_TIMEOUT.toNanos();
         while (!condition.getAsBoolean()) {
-            if (System.nanoTime() - end > 0) {
-                throw new AssertionError("waited in vain for " + AWAIT_TIMEOUT);
+            if (System.nanoTime() - deadline > 0) {
+                throw new AssertionError("condition not met within " + AWAIT_TIMEOUT);
             }
             try {
                 Thread.sleep(5);
-            } catch (InterruptedException stopped) {
-                throw new AssertionError(stopped);
+            } catch (InterruptedException interrupted) {
+                throw new AssertionError(interrupted);
             }
         }
     }
--- a/ports/src/main/java/org/geraniumreach/ports/InstanceList.java
+++ b/ports/src/main/java/org/geraniumreach/ports/InstanceList.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * The platform's list of instances, which lags.
+ * The platform's list of instances, which lags behind the actual state.
  *
  * <p>Contract: calls block for at most their timeout; implementations are safe for use by several threads.
  */
@@ -14,7 +14,7 @@
      * Reads the list.
      *
      * @return the instances listed, not null
-     * @throws PlatformException if there was no answer
+     * @throws PlatformException if the call failed or got no answer
      */
     List<ListedInstance> read() throws PlatformException;
 }
--- a/ports/src/main/java/org/geraniumreach/ports/ListedInstance.java
+++ b/ports/src/main/java/org/geraniumreach/ports/ListedInstance.java
@@ -12,10 +12,10 @@
  * <p>Immutable and safe for use by several threads.
  *
  * @param instance its name
- * @param role what runs there
- * @param failureDomain where it is
- * @param linkAddress where other processes of the system reach it
- * @param leaving whether the platform is taking it away
+ * @param role the process that runs on it
+ * @param failureDomain its failure domain
+ * @param linkAddress the address at which other processes of the system connect to it
+ * @param leaving whether the platform is removing it
  */
 public record ListedInstance(
         InstanceId instance, Role role, FailureDomain failureDomain, InetSocketAddress linkAddress, boolean leaving) {
@@ -27,7 +27,7 @@
         Objects.requireNonNull(linkAddress, "linkAddress");
     }
 
-    /** What runs on an instance. */
+    /** The process that runs on an instance. */
     public enum Role {
         ENTRY,
         COMPANION
--- a/ports/src/main/java/org/geraniumreach/ports/ModelEngine.java
+++ b/ports/src/main/java/org/geraniumreach/ports/ModelEngine.java
@@ -8,76 +8,77 @@
 import org.geraniumreach.model.AttemptId;
 
 /**
- * A model engine, as its companion speaks to it.
+ * The interface of a companion to its model engine.
  *
- * <p>Contract: calls other than {@link #generate} and {@link #resume} block for at most their timeout. Implementations are
- * safe for use by several threads. No call carries a caller's key.
+ * <p>Contract: calls other than {@link #generate} and {@link #resume} block for at most their timeout. Implementations
+ * are safe for use by several threads. No call carries a caller's key.
  */
 public interface ModelEngine {
 
     /**
      * Starts a stream.
      *
-     * @param generation what to generate, not null
-     * @param order the fence of the companion, not null
-     * @param listener told of what comes, in order, by one thread at a time, not null
+     * @param generation the generation request, not null
+     * @param fence the companion's fencing token and the command's validity, not null
+     * @param listener receives the stream, in order, called by one thread at a time, not null
      * @return the running stream, not null
      */
-    EngineStream generate(Generation generation, Order order, EngineListener listener);
+    EngineStream generate(Generation generation, Order fence, EngineListener listener);
 
     /**
-     * Goes on with a stream that the engine is running or has run.
+     * Resumes a stream that the engine is running or has run.
      *
-     * @param attempt the stream, not null
-     * @param nextSequence the first chunk wanted
-     * @param listener told of what comes; {@link EngineListener#failed} with NONE if the engine does not know it, not null
+     * @param attempt the stream's attempt, not null
+     * @param nextSequence the sequence number of the first chunk to receive
+     * @param listener receives the stream; {@link EngineListener#failed} is called with effect NONE if the engine does
+     *     not know the stream, not null
      * @return the running stream, not null
      */
     EngineStream resume(AttemptId attempt, long nextSequence, EngineListener listener);
 
     /**
-     * Ends a stream at the engine; harmless if it is not there.
+     * Cancels a stream at the engine; has no effect if the engine does not know it.
      *
-     * @param attempt the stream, not null
-     * @throws PlatformException if there was no answer
+     * @param attempt the stream's attempt, not null
+     * @throws PlatformException if the call failed or got no answer
      */
     void cancel(AttemptId attempt) throws PlatformException;
 
     /**
-     * Loads an adapter into a free slot, waiting until it is there.
+     * Loads an adapter into a free slot and waits until it is loaded.
      *
      * @param adapter the adapter, not null
-     * @param order the fence, not null
-     * @throws PlatformException if it was not loaded
+     * @param fence the companion's fencing token and the command's validity, not null
+     * @throws PlatformException if it was not loaded, or the call got no answer
      */
-    void load(AdapterReference adapter, Order order) throws PlatformException;
+    void load(AdapterReference adapter, Order fence) throws PlatformException;
 
     /**
-     * Unloads an adapter; harmless if it is not there.
+     * Unloads an adapter; has no effect if it is not loaded.
      *
      * @param adapter the adapter, not null
-     * @param order the fence, not null
-     * @throws PlatformException if there was no answer
+     * @param fence the companion's fencing token and the command's validity, not null
+     * @throws PlatformException if the call failed or got no answer
      */
-    void unload(AdapterReference adapter, Order order) throws PlatformException;
+    void unload(AdapterReference adapter, Order fence) throws PlatformException;
 
     /**
      * Reads the engine's state.
      *
      * @return the state, not null
-     * @throws PlatformException if there was no answer
+     * @throws PlatformException if the call failed or got no answer
      */
     State state() throws PlatformException;
 
     /**
-     * What to generate.
+     * A generation request.
      *
-     * @param attempt the stream's name
-     * @param account for whom
-     * @param adapter on what
+     * @param attempt the attempt, which identifies the stream
+     * @param account the client account that the request belongs to
+     * @param adapter the adapter to generate with
      * @param prompt the prompt
-     * @param maximumTokens the most tokens to generate
-     * @param priority 0 to 9, 9 first
+     * @param maximumTokens the maximum number of tokens to generate
+     * @param priority the priority, from 0 to 9 (highest)
      */
     record Generation(
             AttemptId attempt,
@@ -88,21 +89,21 @@
             int priority) {}
 
     /**
-     * The standing of an order.
+     * The fencing token and validity of a command to an engine.
      *
-     * @param fence the companion's fence; a target that checks refuses lower ones
-     * @param validFor how long from now the order may be carried out
+     * @param fence the companion's fencing token; a target that checks it refuses lower ones
+     * @param validFor how long from now the command may be executed
      */
     record Order(long fence, Duration validFor) {}
 
     /**
      * An engine's state.
      *
-     * @param incarnation a new number at each start of the engine
-     * @param resident the adapters that it holds
-     * @param streams the streams that it is running, or holds the end of
-     * @param running the number of streams in its batch
-     * @param waiting the number of streams waiting for the batch
+     * @param incarnation a number that is new at each start of the engine
+     * @param resident the loaded adapters
+     * @param streams the streams that are running, or have ended but are still kept
+     * @param running the number of streams in the current batch
+     * @param waiting the number of streams waiting to enter the batch
      */
     record State(long incarnation, Set<AdapterReference> resident, Set<AttemptId> streams, int running, int waiting) {}
 
@@ -110,47 +111,47 @@
     interface EngineStream {
 
         /**
-         * Lets more chunks come.
+         * Allows the engine's stream to deliver more chunks.
          *
-         * @param chunks how many more, at least 1
+         * @param chunks the number of additional chunks, at least 1
          */
         void request(int chunks);
 
-        /** Stops listening; the engine goes on until {@link ModelEngine#cancel}. */
+        /** Stops receiving; the engine continues the stream until {@link ModelEngine#cancel}. */
         void detach();
     }
 
-    /** Is told of what a stream brings. */
+    /** Receives the events of a stream. */
     interface EngineListener {
 
         /**
-         * Tells, before the first chunk, what the engine runs the stream on; an engine that does not name it at the
-         * stream's start names it only in {@link GenerationEnd#served}.
+         * Called before the first chunk with the adapter that the engine uses. An engine that does not report it at the
+         * stream's start reports it only in {@link GenerationEnd#served}.
          *
          * @param served the adapter and version, not null
          */
         default void started(AdapterReference served) {}
 
         /**
-         * Tells of a chunk.
+         * Called for each chunk.
          *
-         * @param sequence its number, from 0 and one apart
-         * @param text the text generated
+         * @param sequence its sequence number; consecutive, from 0
+         * @param text the generated text
          * @param tokens the number of tokens in it
          */
         void chunk(long sequence, String text, int tokens);
 
         /**
-         * Tells of the end; nothing follows.
+         * Called when the stream has ended; this is the last call.
          *
          * @param end the end, not null
          */
         void ended(GenerationEnd end);
 
         /**
-         * Tells that the stream broke off; nothing follows.
+         * Called when the stream has failed; this is the last call.
          *
-         * @param failure what happened; its effect tells whether the stream may have started, not null
+         * @param failure the failure; its effect tells whether the stream may have started, not null
          */
         void failed(PlatformException failure);
     }
@@ -158,11 +159,11 @@
     /**
      * The end of a stream.
      *
-     * @param chunks the number of chunks in all
-     * @param served what the engine says it ran
-     * @param promptTokens the tokens of the prompt
-     * @param generatedTokens the tokens generated
-     * @param finishReason stop or length
+     * @param chunks the total number of chunks
+     * @param served the adapter and version that the engine reports to have used
+     * @param promptTokens the number of tokens in the prompt
+     * @param generatedTokens the number of generated tokens
+     * @param finishReason {@code stop} or {@code length}
      * @param prefixHit whether the prompt's prefix was cached
      */
     record GenerationEnd(
--- a/ports/src/main/java/org/geraniumreach/ports/PlatformException.java
+++ b/ports/src/main/java/org/geraniumreach/ports/PlatformException.java
@@ -3,40 +3,40 @@
 import java.util.Objects;
 
 /**
- * A call to the platform or to a target that gave no answer, or one that says it failed.
+ * Thrown if a call to the platform or to a target fails or gets no answer.
  *
- * <p>Invariant: {@link Effect#NONE} is carried only where the call cannot have taken effect, such as a refused connection
- * or an error answer that says so. Immutable.
+ * <p>Invariant: the effect is {@link Effect#NONE} only if the call cannot have taken effect, such as after a refused
+ * connection or an error answer that says so. Immutable.
  */
 public final class PlatformException extends Exception {
 
     /** Whether a failed call may have taken effect. */
     public enum Effect {
-        /** It has not and will not. */
+        /** It has not taken effect and will not. */
         NONE,
-        /** It may have, or may yet. */
+        /** It may have taken effect, or may still do so. */
         UNKNOWN
     }
 
-    /** What went wrong, as far as a caller may act on it. */
+    /** The kinds of failure that callers distinguish. */
     public enum Reason {
         /** No connection could be made. */
         UNREACHABLE,
-        /** The connection broke or stayed silent. */
+        /** The connection broke or no answer arrived in time. */
         NO_ANSWER,
-        /** The answer cannot be read. */
+        /** The answer is malformed. */
         BAD_ANSWER,
-        /** The other end is above its rate; later it may take the call. */
+        /** The server is rate limiting; the call may succeed later. */
         THROTTLED,
-        /** A target has seen a newer fence. */
+        /** A target has seen a higher fencing token. */
         FENCED,
-        /** The engine does not hold the adapter. */
+        /** The adapter is not loaded in the engine. */
         NOT_RESIDENT,
-        /** The engine has no free slot. */
+        /** The engine has no free adapter slot. */
         NO_FREE_SLOT,
-        /** The other end does not know what was named. */
+        /** The object of the call does not exist at the server. */
         NOT_FOUND,
-        /** The other end says that the call failed. */
+        /** The server reported that the call failed. */
         FAILED
     }
 
@@ -44,23 +44,23 @@
     private final Reason reason;
 
     /**
-     * Makes an exception whose reason is the likeliest for its effect.
+     * Creates an exception with the most likely reason for its effect: FAILED for NONE, else NO_ANSWER.
      *
      * @param effect whether the call may have taken effect, not null
      * @param message what was called and what went wrong, not null
-     * @param cause the failure beneath, may be null
+     * @param cause the underlying failure, may be null
      */
     public PlatformException(Effect effect, String message, Throwable cause) {
         this(effect, effect == Effect.NONE ? Reason.FAILED : Reason.NO_ANSWER, message, cause);
     }
 
     /**
-     * Makes an exception.
+     * Creates an exception.
      *
      * @param effect whether the call may have taken effect, not null
      * @param reason what went wrong, not null
      * @param message what was called and what went wrong, not null
-     * @param cause the failure beneath, may be null
+     * @param cause the underlying failure, may be null
      */
     public PlatformException(Effect effect, Reason reason, String message, Throwable cause) {
         super(message, cause);
--- a/standalone/src/main/java/org/geraniumreach/standalone/EngineStreamReader.java
+++ b/standalone/src/main/java/org/geraniumreach/standalone/EngineStreamReader.java
@@ -20,13 +20,13 @@
 import org.geraniumreach.ports.PlatformException.Reason;
 
 /**
- * Reads an engine's stream, lines of JSON, and tells a listener of no more chunks than it asked for.
+ * Reads an engine's stream of JSON lines and passes no more chunks to a listener than it requested.
  *
- * <p>Invariant: the connection is read only while no whole line is held, so a slow listener holds at most one read's worth
- * of bytes and slows its engine's connection, and yet hears of the end without asking for a chunk more. Chunks are told of in the order of
- * their sequence, each once; one out of sequence ends the stream as failed. After the end or a failure the listener hears
- * nothing more. Safe for use by several threads: fields are guarded by this object's lock, and listeners are called by
- * whichever thread holds the turn, outside the lock.
+ * <p>Invariant: the connection is read only while no complete line is buffered. So a slow listener causes at most one
+ * read to be buffered and applies backpressure to the engine's connection, yet it receives the end without requesting
+ * another chunk. Chunks are delivered in sequence order, each once; a chunk out of sequence fails the stream. After the
+ * end or a failure the listener is not called again. Safe for use by several threads: fields are guarded by this
+ * object's lock, and the listener is called outside the lock, by one thread at a time.
  */
 final class EngineStreamReader implements BodySubscriber<byte[]> {
 
@@ -117,7 +117,7 @@
     }
 
     /**
-     * Ends the stream as failed once the whole lines before it are told of.
+     * Fails the stream after the complete lines received so far have been delivered.
      *
      * @param cause the failure
      */
@@ -136,9 +136,9 @@
     }
 
     /**
-     * Gets how long nothing has come although the connection is being read.
+     * Returns the time since the last bytes arrived while a read is pending.
      *
-     * @return nanoseconds, 0 while it is not read
+     * @return the time in nanoseconds, 0 while no read is pending
      */
     synchronized long silentNanos() {
         if (done || subscription != null && !readPending) {
@@ -147,7 +147,9 @@
         return System.nanoTime() - lastReadNanos;
     }
 
-    /** Tells of what may be told, one thread at a time, then reads on if more is wanted. */
+    /**
+     * Delivers the lines that may be delivered, by one thread at a time, then requests another read if none is left.
+     */
     private void processLines() {
         while (true) {
             String line;
@@ -271,7 +273,7 @@
                 chunks = -1;
             } else {
                 done = true;
-                // The connection goes back to its pool only when the answer's last bytes are read.
+                // The connection returns to its pool only after the response has been read completely.
                 subscription.request(Long.MAX_VALUE);
             }
         }
--- a/standalone/src/main/java/org/geraniumreach/standalone/HttpEngineStream.java
+++ b/standalone/src/main/java/org/geraniumreach/standalone/HttpEngineStream.java
@@ -20,13 +20,13 @@
 import org.geraniumreach.ports.PlatformException.Reason;
 
 /**
- * One answer that an engine is sending.
+ * A stream that an engine sends as an HTTP response.
  *
- * <p>An engine that waits sends empty lines, so a connection without any byte within the silence limit has been lost track
- * of; it is given up, and the caller may resume the stream on a new one. While a slow listener keeps the connection from
- * being read, silence proves nothing and is not counted.
+ * <p>An idle engine sends empty lines, so a connection without any byte within the silence limit is treated as dead. It
+ * is closed, and the caller may resume the stream on a new one. Time during which a slow listener prevents reading from
+ * the connection is not counted.
  *
- * <p>Safe for use by several threads; the listener is called by one at a time.
+ * <p>Safe for use by several threads; the listener is called by one thread at a time.
  */
 final class HttpEngineStream implements EngineStream {
 
@@ -45,12 +45,12 @@
             HttpTransport transport,
             HttpRequest request,
             long nextSequence,
-            UnaryOperator<PlatformException> correction,
+            UnaryOperator<PlatformException> failureMapper,
             Duration silenceLimit,
             EngineListener listener) {
         this.transport = transport;
         this.request = request;
-        this.failureMapper = correction;
+        this.failureMapper = failureMapper;
         this.silenceLimit = silenceLimit;
         this.reader = new EngineStreamReader(nextSequence, listener);
     }
@@ -59,12 +59,12 @@
             HttpTransport transport,
             HttpRequest request,
             long nextSequence,
-            UnaryOperator<PlatformException> correction,
+            UnaryOperator<PlatformException> failureMapper,
             Duration silenceLimit,
             ScheduledExecutorService timer,
             EngineListener listener) {
         HttpEngineStream stream =
-                new HttpEngineStream(transport, request, nextSequence, correction, silenceLimit, listener);
+                new HttpEngineStream(transport, request, nextSequence, failureMapper, silenceLimit, listener);
         stream.start(timer);
         return stream;
     }
--- a/standalone/src/main/java/org/geraniumreach/standalone/HttpInstanceList.java
+++ b/standalone/src/main/java/org/geraniumreach/standalone/HttpInstanceList.java
@@ -15,10 +15,10 @@
 import org.geraniumreach.ports.PlatformException.Reason;
 
 /**
- * The instance list over HTTP.
+ * Reads the instance list over HTTP.
  *
- * <p>Invariant: a list with an entry that cannot be read is a failure; leaving it out would look like an instance gone.
- * Safe for use by several threads.
+ * <p>Invariant: a list with a malformed entry is a failure, since omitting the entry would look as if the instance had
+ * been removed. Safe for use by several threads.
  */
 final class HttpInstanceList implements InstanceList {
 
@@ -36,11 +36,11 @@
         if (!instances.isArray()) {
             throw new PlatformException(Effect.UNKNOWN, Reason.BAD_ANSWER, "answer lacks 'instances'", null);
         }
-        List<ListedInstance> read = new ArrayList<>(instances.size());
+        List<ListedInstance> result = new ArrayList<>(instances.size());
         for (JsonNode instance : instances) {
-            read.add(toInstance(instance));
+            result.add(toInstance(instance));
         }
-        return read;
+        return result;
     }
 
     private static ListedInstance toInstance(JsonNode json) throws PlatformException {
--- a/standalone/src/main/java/org/geraniumreach/standalone/HttpModelEngine.java
+++ b/standalone/src/main/java/org/geraniumreach/standalone/HttpModelEngine.java
@@ -16,9 +16,10 @@
 import org.geraniumreach.ports.PlatformException.Reason;
 
 /**
- * A model engine over HTTP; its streams are lines of JSON.
+ * Controls a model engine over HTTP; streams are JSON lines.
  *
- * <p>Orders and streams have connections apart, since a load takes longer than a call. Safe for use by several threads.
+ * <p>Loads and streams use connection pools of their own, since a load takes longer than other calls. Safe for use by
+ * several threads.
  */
 final class HttpModelEngine implements ModelEngine {
 
@@ -29,21 +30,21 @@
     private final ScheduledExecutorService timer;
 
     HttpModelEngine(
-            HttpTransport calls,
-            HttpTransport loads,
-            HttpTransport streams,
+            HttpTransport callTransport,
+            HttpTransport loadTransport,
+            HttpTransport streamTransport,
             Duration silenceLimit,
             ScheduledExecutorService timer) {
-        this.callTransport = calls;
-        this.loadTransport = loads;
-        this.streamTransport = streams;
+        this.callTransport = callTransport;
+        this.loadTransport = loadTransport;
+        this.streamTransport = streamTransport;
         this.silenceLimit = silenceLimit;
         this.timer = timer;
     }
 
     @Override
-    public EngineStream generate(Generation generation, Order order, EngineListener listener) {
-        ObjectNode body = commandJson(generation.adapter(), order)
+    public EngineStream generate(Generation generation, Order fence, EngineListener listener) {
+        ObjectNode body = commandJson(generation.adapter(), fence)
                 .put("attempt", generation.attempt().value())
                 .put("account", generation.account().value())
                 .put("prompt", generation.prompt())
@@ -68,8 +69,8 @@
     }
 
     /**
-     * Corrects the effect of a failed resume: only an engine that does not know the stream shows that it is not running;
-     * one that cannot be reached may well be running it.
+     * Corrects the effect of a failed resume: the stream is known not to run only if the engine does not know it; an
+     * engine that cannot be reached may be running it.
      *
      * @param failure the failure of the call
      * @return the failure of the stream
@@ -86,13 +87,13 @@
     }
 
     @Override
-    public void load(AdapterReference adapter, Order order) throws PlatformException {
-        loadTransport.call(loadTransport.post("/v1/adapters/load", commandJson(adapter, order)));
+    public void load(AdapterReference adapter, Order fence) throws PlatformException {
+        loadTransport.call(loadTransport.post("/v1/adapters/load", commandJson(adapter, fence)));
     }
 
     @Override
-    public void unload(AdapterReference adapter, Order order) throws PlatformException {
-        callTransport.call(callTransport.post("/v1/adapters/unload", commandJson(adapter, order)));
+    public void unload(AdapterReference adapter, Order fence) throws PlatformException {
+        callTransport.call(callTransport.post("/v1/adapters/unload", commandJson(adapter, fence)));
     }
 
     @Override
@@ -127,12 +128,12 @@
         return Set.copyOf(attempts);
     }
 
-    private static ObjectNode commandJson(AdapterReference adapter, Order order) {
+    private static ObjectNode commandJson(AdapterReference adapter, Order fence) {
         return HttpTransport.JSON
                 .createObjectNode()
                 .put("adapter", adapter.adapter())
                 .put("version", adapter.version())
-                .put("fence", order.fence())
-                .put("validForMillis", order.validFor().toMillis());
+                .put("fence", fence.fence())
+                .put("validForMillis", fence.validFor().toMillis());
     }
 }
--- a/standalone/src/main/java/org/geraniumreach/standalone/HttpObjectStore.java
+++ b/standalone/src/main/java/org/geraniumreach/standalone/HttpObjectStore.java
@@ -9,7 +9,7 @@
 import org.geraniumreach.ports.PlatformException.Reason;
 
 /**
- * The object store over HTTP.
+ * Accesses the object store over HTTP.
  *
  * <p>Safe for use by several threads.
  */
--- a/standalone/src/main/java/org/geraniumreach/standalone/HttpPlainService.java
+++ b/standalone/src/main/java/org/geraniumreach/standalone/HttpPlainService.java
@@ -10,7 +10,7 @@
 import org.geraniumreach.ports.PlatformException;
 
 /**
- * A plain service's worker over HTTP.
+ * Calls a plain service's worker over HTTP.
  *
  * <p>Safe for use by several threads.
  */
--- a/standalone/src/main/java/org/geraniumreach/standalone/HttpTableService.java
+++ b/standalone/src/main/java/org/geraniumreach/standalone/HttpTableService.java
@@ -17,10 +17,10 @@
 import org.geraniumreach.ports.TableService;
 
 /**
- * The table service over HTTP.
+ * Accesses the table service over HTTP.
  *
- * <p>Invariant: an answer that lacks a field is a failure, never an absent row or a refused commit. Safe for use by
- * several threads.
+ * <p>Invariant: a response that lacks a field is a failure; it is never treated as an absent row or a rejected commit.
+ * Safe for use by several threads.
  */
 final class HttpTableService implements TableService {
 
@@ -66,11 +66,11 @@
         if (!rows.isArray()) {
             throw new PlatformException(Effect.UNKNOWN, Reason.BAD_ANSWER, "answer lacks 'rows'", null);
         }
-        List<Row> read = new ArrayList<>(rows.size());
+        List<Row> result = new ArrayList<>(rows.size());
         for (JsonNode row : rows) {
-            read.add(toRow(table, row));
+            result.add(toRow(table, row));
         }
-        return read;
+        return result;
     }
 
     private static Row toRow(String table, JsonNode row) throws PlatformException {
--- a/standalone/src/main/java/org/geraniumreach/standalone/HttpTransport.java
+++ b/standalone/src/main/java/org/geraniumreach/standalone/HttpTransport.java
@@ -23,13 +23,15 @@
 import org.geraniumreach.ports.PlatformException.Reason;
 
 /**
- * Calls one HTTP server, each call within a time limit, over pooled connections that are dropped after any failure.
+ * Sends requests to one HTTP server with a time limit for each, over a connection pool that is replaced after any
+ * failure.
  *
- * <p>Something between two ends can lose track of open connections: a call on one gets no answer for ever, while a new
- * connection works. A pool that keeps the others would fail as many calls as it has connections. So a call that fails or
- * runs out of time discards the whole pool; calls running on it end as they will, and the next call connects anew.
+ * <p>A device between two ends can drop the state of open connections: calls on them never get an answer, while new
+ * connections work. If only the failed connection were dropped, as many calls would fail as the pool has connections.
+ * So a call that fails or times out discards the whole pool; calls in progress on it continue, and the next call opens
+ * a new connection.
  *
- * <p>Invariant: of failures with the same pool the first replaces it. Safe for use by several threads.
+ * <p>Invariant: only the first failure on a pool replaces it. Safe for use by several threads.
  */
 final class HttpTransport {
 
@@ -43,8 +45,8 @@
     private static final int STATUS_SERVER_ERROR = 500;
 
     static {
-        // A server closes a connection that idles for long. A call that meets the closing has an unknown outcome,
-        // although it never ran. Giving idle connections up sooner than servers do keeps calls off them.
+        // Servers close idle connections. A call sent while the server closes its connection has an unknown outcome,
+        // although it never ran. Closing idle connections before the servers do avoids this.
         if (System.getProperty(KEEP_ALIVE_PROPERTY) == null) {
             System.setProperty(KEEP_ALIVE_PROPERTY, KEEP_ALIVE_SECONDS);
         }
@@ -86,10 +88,10 @@
     }
 
     byte[] call(HttpRequest request) throws PlatformException {
-        HttpClient used = client;
+        HttpClient pool = client;
         CompletableFuture<HttpResponse<byte[]>> future =
-                used.sendAsync(request, response -> new LimitedBodySubscriber(maximumAnswerBytes));
-        HttpResponse<byte[]> response = await(request, used, future);
+                pool.sendAsync(request, response -> new LimitedBodySubscriber(maximumAnswerBytes));
+        HttpResponse<byte[]> response = await(request, pool, future);
         if (response.statusCode() != STATUS_OK) {
             throw errorAnswer(request, response.statusCode(), response.body());
         }
@@ -97,13 +99,13 @@
     }
 
     private HttpResponse<byte[]> await(
-            HttpRequest request, HttpClient used, CompletableFuture<HttpResponse<byte[]>> future)
+            HttpRequest request, HttpClient pool, CompletableFuture<HttpResponse<byte[]>> future)
             throws PlatformException {
         try {
             return future.get(limit.toNanos(), TimeUnit.NANOSECONDS);
         } catch (TimeoutException e) {
             future.cancel(true);
-            discard(used);
+            discard(pool);
             throw new PlatformException(
                     Effect.UNKNOWN,
                     Reason.NO_ANSWER,
@@ -114,7 +116,7 @@
             Thread.currentThread().interrupt();
             throw new PlatformException(Effect.UNKNOWN, Reason.NO_ANSWER, "interrupted: " + describe(request), e);
         } catch (ExecutionException e) {
-            discard(used);
+            discard(pool);
             throw failure(request, e.getCause());
         }
     }
@@ -124,12 +126,12 @@
     }
 
     /**
-     * Drops the pool that a failed call has used.
+     * Replaces the connection pool after a failed call, unless another call has already replaced it.
      *
-     * @param used the pool
+     * @param pool the pool that the call used
      */
-    synchronized void discard(HttpClient used) {
-        if (client == used) {
+    synchronized void discard(HttpClient pool) {
+        if (client == pool) {
             client = createClient();
         }
     }
@@ -151,23 +153,23 @@
     }
 
     /**
-     * Reads an error answer: a request that the other end found wrong took no effect, and of other failures it says so
-     * itself.
+     * Converts an error response. The effect is the one that the response states; without one, status 4xx means no
+     * effect and any other status an unknown effect.
      *
-     * @param request what was asked
+     * @param request the request
      * @param status the HTTP status
-     * @param body the answer
+     * @param body the response body
      * @return the failure
      */
     static PlatformException errorAnswer(HttpRequest request, int status, byte[] body) {
         JsonNode answer = readError(body);
         boolean rejected = status >= STATUS_CLIENT_ERROR && status < STATUS_SERVER_ERROR;
-        String said = answer.path("effect").asText();
-        boolean none = "none".equals(said) || rejected && !"unknown".equals(said);
+        String effect = answer.path("effect").asText();
+        boolean noEffect = "none".equals(effect) || rejected && !"unknown".equals(effect);
         String message =
                 "status " + status + ", " + answer.path("message").asText("no message") + ": " + describe(request);
         return new PlatformException(
-                none ? Effect.NONE : Effect.UNKNOWN,
+                noEffect ? Effect.NONE : Effect.UNKNOWN,
                 reason(answer.path("reason").asText()),
                 message,
                 null);
@@ -179,12 +181,12 @@
         } catch (JsonProcessingException e) {
             return JSON.createObjectNode();
         } catch (IOException e) {
-            throw new IllegalStateException("reading from memory failed", e);
+            throw new IllegalStateException("reading a byte array failed", e);
         }
     }
 
-    private static Reason reason(String text) {
-        return switch (text) {
+    private static Reason reason(String name) {
+        return switch (name) {
             case "throttled" -> Reason.THROTTLED;
             case "fenced" -> Reason.FENCED;
             case "not-resident" -> Reason.NOT_RESIDENT;
--- a/standalone/src/main/java/org/geraniumreach/standalone/LimitedBodySubscriber.java
+++ b/standalone/src/main/java/org/geraniumreach/standalone/LimitedBodySubscriber.java
@@ -10,10 +10,10 @@
 import java.util.concurrent.Flow;
 
 /**
- * Collects an answer's body up to a limit.
+ * Collects a response body up to a size limit.
  *
- * <p>An answer without end would otherwise fill the memory of a process that has little. Above the limit the connection is
- * closed and the call fails. Invariant: holds at most the limit. The client calls it from one thread at a time.
+ * <p>An endless response could otherwise exhaust the process's small memory. Above the limit the connection is closed
+ * and the call fails. Invariant: buffers at most the limit. The HTTP client calls it from one thread at a time.
  */
 final class LimitedBodySubscriber implements BodySubscriber<byte[]> {
 
--- a/standalone/src/main/java/org/geraniumreach/standalone/PlatformClients.java
+++ b/standalone/src/main/java/org/geraniumreach/standalone/PlatformClients.java
@@ -16,13 +16,13 @@
 import org.geraniumreach.ports.TableService;
 
 /**
- * Makes clients of the platform's services and of targets, which share a few threads.
+ * Creates HTTP clients of the platform's services and of targets, which share a thread pool.
  *
  * <p>Listeners of engine streams run on these threads and must not block. Safe for use by several threads.
  */
 public final class PlatformClients implements AutoCloseable {
 
-    /** The greatest answer that is read, but for objects. */
+    /** The maximum response size, except for objects. */
     private static final int MAXIMUM_ANSWER_BYTES = 8 << 20;
 
     private static final int MAXIMUM_OBJECT_BYTES = 64 << 20;
@@ -36,10 +36,10 @@
     }
 
     /**
-     * Makes the clients' threads.
+     * Creates a factory of clients and its threads.
      *
-     * @param threads how many threads read answers, at least 1
-     * @return the clients, not null
+     * @param threads the number of threads that process responses, at least 1
+     * @return the factory, not null
      */
     public static PlatformClients create(int threads) {
         if (threads < 1) {
@@ -60,7 +60,7 @@
     }
 
     /**
-     * Makes a client of the table service.
+     * Creates a client of the table service.
      *
      * @param base its URL, not null
      * @param limit the time limit of a call, not null
@@ -71,7 +71,7 @@
     }
 
     /**
-     * Makes a client of the object store.
+     * Creates a client of the object store.
      *
      * @param base its URL, not null
      * @param limit the time limit of a call, not null
@@ -82,7 +82,7 @@
     }
 
     /**
-     * Makes a client of the instance list.
+     * Creates a client of the instance list.
      *
      * @param base its URL, not null
      * @param limit the time limit of a call, not null
@@ -93,7 +93,7 @@
     }
 
     /**
-     * Makes a client of a plain service's worker.
+     * Creates a client of a plain service's worker.
      *
      * @param base its URL, not null
      * @param limit the time limit of a call, not null
@@ -104,7 +104,7 @@
     }
 
     /**
-     * Makes a client of a model engine.
+     * Creates a client of a model engine.
      *
      * @param base its URL, not null
      * @param limits its time limits, not null
@@ -130,11 +130,11 @@
     }
 
     /**
-     * The time limits towards an engine.
+     * The time limits of calls to an engine.
      *
-     * @param call of a call other than a load
-     * @param load of a load
-     * @param silence the time without any byte after which a stream's connection is given up
+     * @param call the limit of a call other than a load
+     * @param load the limit of a load
+     * @param silence the time without any byte after which a stream's connection is closed
      */
     public record EngineLimits(Duration call, Duration load, Duration silence) {
 
--- a/standalone/src/main/java/org/geraniumreach/standalone/QueryPath.java
+++ b/standalone/src/main/java/org/geraniumreach/standalone/QueryPath.java
@@ -8,7 +8,7 @@
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param text the path and query, encoded
+ * @param text the URL-encoded path and query
  */
 record QueryPath(String text) {
 
--- a/standalone/src/main/java/org/geraniumreach/standalone/package-info.java
+++ b/standalone/src/main/java/org/geraniumreach/standalone/package-info.java
@@ -1,6 +1,6 @@
 /**
- * HTTP clients of the platform's services and of targets; docs/STANDINS.md describes what they speak.
+ * HTTP clients of the platform's services and of targets; docs/STANDINS.md describes the protocols.
  *
- * <p>Whatever broke or went silent once is not used again: the call after a failure opens a connection of its own.
+ * <p>Connections that failed or timed out are not reused: the call after a failure opens a new connection.
  */
 package org.geraniumreach.standalone;
