--- a/link/src/main/java/org/geraniumreach/link/AttemptTracker.java
+++ b/link/src/main/java/org/geraniumreach/link/AttemptTracker.java
@@ -16,70 +16,70 @@
 import org.geraniumreach.model.ResultCode;
 
 /**
- * Decides, at the entry that sent an attempt, what its frames and the loss of its links mean.
+ * The state machine of one attempt at the entry that sent it: turns frames and link events into actions.
  *
- * <p>Invariants: chunks are told in the order of their sequence, each once; exactly one end is told and nothing after it;
- * {@link ExecutionStatus#NO} is told only if the Run was never handed to a link, or the companion that it went to has said so in time
- * to still know. No I/O, threads or clock of its own: times are given in nanoseconds of one monotonic clock. Not safe for
- * use by several threads.
+ * <p>Invariants: chunks are reported in sequence order, each once; exactly one end is reported and nothing after it;
+ * {@link ExecutionStatus#NO} is reported only if the Run was never handed to a link, or the companion that received it
+ * has said so within the time that it remembers attempts. No I/O, threads or clock of its own: times are given in
+ * nanoseconds of one monotonic clock. Not safe for use by several threads.
  */
 final class AttemptTracker {
 
     private static final long NANOS_PER_MILLI = 1_000_000;
-    private static final int UNKNOWN_AGE = -1;
-    private static final long NOWHERE = -1;
-    private static final long ALL = Long.MAX_VALUE;
-    private static final int ACKNOWLEDGE_EVERY = 32;
+    private static final int UNKNOWN_AGE_MILLIS = -1;
+    private static final long NO_GAP = -1;
+    private static final long ALL_CHUNKS = Long.MAX_VALUE;
+    private static final int CHUNKS_PER_ACKNOWLEDGEMENT = 32;
 
     private final Run run;
     private final long incarnation;
     private final Limits limits;
-    private final boolean resumedFromElsewhere;
-    private final long startedAt;
-    private final long window;
+    private final boolean startedEarlier;
+    private final long startNanos;
+    private final long creditWindow;
     private long nextSequence;
-    private long granted;
-    private long announced;
-    private long acknowledged;
-    private long gapAt = NOWHERE;
-    private long unlinkedSince;
-    private long askedAt;
+    private long grantedUpTo;
+    private long announcedUpTo;
+    private long acknowledgedUpTo;
+    private long requestedGap = NO_GAP;
+    private long unlinkedSinceNanos;
+    private long lastRequestNanos;
     private boolean linked = true;
     private boolean done;
-    private boolean isIncomplete;
+    private boolean droppedChunks;
     private String cancelReason;
 
     private AttemptTracker(
-            Run run, long incarnation, Limits limits, boolean resumedFromElsewhere, long nextSequence, long now) {
+            Run run, long incarnation, Limits limits, boolean startedEarlier, long nextSequence, long now) {
         this.run = run;
         this.incarnation = incarnation;
         this.limits = limits;
-        this.resumedFromElsewhere = resumedFromElsewhere;
+        this.startedEarlier = startedEarlier;
         this.nextSequence = nextSequence;
-        this.startedAt = now;
-        this.askedAt = now;
-        this.window = Math.max(1, run.getCredit());
-        this.granted = nextSequence + run.getCredit();
-        this.announced = granted;
-        this.acknowledged = nextSequence;
+        this.startNanos = now;
+        this.lastRequestNanos = now;
+        this.creditWindow = Math.max(1, run.getCredit());
+        this.grantedUpTo = nextSequence + run.getCredit();
+        this.announcedUpTo = grantedUpTo;
+        this.acknowledgedUpTo = nextSequence;
     }
 
     /**
-     * The limits of waiting.
+     * Time limits of an attempt.
      *
-     * @param resume how long to wait for a new link
-     * @param answer how long an answer that says "not run" may take to be believed
-     * @param deadlineGrace how long after the deadline an answer may come
+     * @param resumeLimit how long to wait for a new link after a loss
+     * @param answerLimit the maximum delay after which a "not run" answer is still trusted
+     * @param deadlineGrace how long after the deadline an answer is still accepted
      */
-    record Limits(Duration resume, Duration answer, Duration deadlineGrace) {}
+    record Limits(Duration resumeLimit, Duration answerLimit, Duration deadlineGrace) {}
 
     /**
-     * Makes the tracker of an attempt that this process starts.
+     * Creates the tracker of an attempt that this process starts.
      *
      * @param run the attempt, not null
-     * @param incarnation the companion's incarnation on the link that the Run is about to be sent over
+     * @param incarnation the companion's incarnation on the link used to send the Run
      * @param limits the limits, not null
-     * @param now the time
+     * @param now the current time
      * @return the tracker, not null
      */
     static AttemptTracker ofRun(Run run, long incarnation, Limits limits, long now) {
@@ -87,164 +87,167 @@
     }
 
     /**
-     * Makes the tracker of an attempt that was started earlier, maybe elsewhere.
+     * Creates the tracker of an attempt that was started earlier, possibly by another process.
      *
-     * @param named what is known of the attempt, at least its id and the credit, not null
-     * @param incarnation the companion's incarnation that it was sent to
-     * @param nextSequence the first chunk wanted
+     * @param run the known fields of the attempt, at least its id and credit, not null
+     * @param incarnation the companion's incarnation that the attempt was sent to
+     * @param nextSequence the sequence number of the first chunk to receive
      * @param limits the limits, not null
-     * @param now the time
+     * @param now the current time
      * @return the tracker, not null
      */
-    static AttemptTracker ofResume(Run named, long incarnation, long nextSequence, Limits limits, long now) {
-        return new AttemptTracker(named, incarnation, limits, true, nextSequence, now);
+    static AttemptTracker ofResume(Run run, long incarnation, long nextSequence, Limits limits, long now) {
+        return new AttemptTracker(run, incarnation, limits, true, nextSequence, now);
     }
 
     /**
-     * Sends the first frame.
+     * Returns the first frame to send: a Run, or a Resume if the attempt was started earlier.
      *
-     * @param now the time
-     * @return what to do, not null
+     * @param now the current time
+     * @return the actions to perform, not null
      */
     List<AttemptAction> start(long now) {
-        askedAt = now;
-        return resumedFromElsewhere
-                ? List.of(resume(now))
+        lastRequestNanos = now;
+        return startedEarlier
+                ? List.of(resumeFrame(now))
                 : List.of(send(Frame.newBuilder().setRun(run)));
     }
 
     /**
-     * Notes that the Run was not handed to a link, so no byte of it has left.
+     * Handles that the first frame was not handed to a link, so no byte of it was sent.
      *
-     * @param reason why, not null
-     * @return what to do, not null
+     * @param reason why it was not sent, not null
+     * @return the actions to perform, not null
      */
-    List<AttemptAction> neverSent(String reason) {
-        return end(new AttemptAction.TellLost(
-                resumedFromElsewhere ? ExecutionStatus.UNKNOWN : ExecutionStatus.NO, reason));
+    List<AttemptAction> onNeverSent(String reason) {
+        return finish(
+                new AttemptAction.NotifyLost(startedEarlier ? ExecutionStatus.UNKNOWN : ExecutionStatus.NO, reason));
     }
 
     /**
-     * Notes that there is no link to send the first frame over.
+     * Handles that no link is open for the first frame.
      *
-     * @param now the time
-     * @return what to do, not null
+     * @param now the current time
+     * @return the actions to perform, not null
      */
-    List<AttemptAction> noLink(long now) {
-        if (!resumedFromElsewhere) {
-            return neverSent("no link to the companion");
+    List<AttemptAction> onNoLink(long now) {
+        if (!startedEarlier) {
+            return onNeverSent("no link to the companion");
         }
-        linkLost(now);
+        onLinkLost(now);
         return List.of();
     }
 
     /**
-     * Notes that the link in use is closed. What was sent over it may or may not have arrived.
+     * Handles the loss of the current link. Frames sent over it may or may not have arrived.
      *
-     * @param now the time
+     * @param now the current time
      */
-    void linkLost(long now) {
+    void onLinkLost(long now) {
         if (linked) {
             linked = false;
-            unlinkedSince = now;
+            unlinkedSinceNanos = now;
         }
     }
 
     /**
-     * Notes that a new link to the companion's instance is open.
+     * Handles a new link to the companion's instance.
      *
-     * @param openIncarnation the incarnation at its other end
-     * @param now the time
-     * @return what to do, not null
+     * @param openIncarnation the companion's incarnation on the new link
+     * @param now the current time
+     * @return the actions to perform, not null
      */
-    List<AttemptAction> linkOpened(long openIncarnation, long now) {
+    List<AttemptAction> onLinkOpened(long openIncarnation, long now) {
         if (done) {
             return List.of();
         }
         linked = true;
         if (openIncarnation != incarnation && !run.getRepeatable()) {
-            // Whether the former process had started the attempt died with it. Anything but "unknown" could make an
-            // entry send a booking twice.
-            return end(new AttemptAction.TellLost(ExecutionStatus.UNKNOWN, "the companion has restarted"));
+            // Whether the previous process had started the attempt is lost. Any status but UNKNOWN could make an entry
+            // send a booking twice.
+            return finish(new AttemptAction.NotifyLost(ExecutionStatus.UNKNOWN, "the companion has restarted"));
         }
-        return List.of(cancelReason == null ? resume(now) : cancelFrame(now));
+        return List.of(cancelReason == null ? resumeFrame(now) : cancelFrame(now));
     }
 
-    List<AttemptAction> accepted() {
-        return done ? List.of() : List.of(new AttemptAction.TellAccepted());
+    List<AttemptAction> onAccepted() {
+        return done ? List.of() : List.of(new AttemptAction.NotifyAccepted());
     }
 
     /**
-     * Takes a chunk.
+     * Handles a chunk; duplicates are ignored and a gap causes a Resume.
      *
      * @param chunk the chunk, not null
-     * @param now the time
-     * @return what to do, not null
+     * @param now the current time
+     * @return the actions to perform, not null
      */
-    List<AttemptAction> chunk(Chunk chunk, long now) {
+    List<AttemptAction> onChunk(Chunk chunk, long now) {
         if (done || chunk.getSequence() < nextSequence) {
             return List.of();
         }
         if (chunk.getSequence() > nextSequence) {
-            return askAgain(now);
+            return resumeAtGap(now);
         }
         nextSequence++;
         if (cancelReason != null) {
-            isIncomplete = true;
+            droppedChunks = true;
             return List.of();
         }
         List<AttemptAction> actions = new ArrayList<>();
-        actions.add(new AttemptAction.TellChunk(chunk.getSequence(), chunk.getPayload(), chunk.getTokens()));
-        announceCredit(actions);
+        actions.add(new AttemptAction.NotifyChunk(chunk.getSequence(), chunk.getPayload(), chunk.getTokens()));
+        addAcknowledgementIfDue(actions);
         return actions;
     }
 
     /**
-     * Takes the end.
+     * Handles the end of the answer.
      *
      * @param end the end, not null
-     * @param now the time
-     * @return what to do, not null
+     * @param now the current time
+     * @return the actions to perform, not null
      */
-    List<AttemptAction> ended(End end, long now) {
+    List<AttemptAction> onEnded(End end, long now) {
         if (done) {
             return List.of();
         }
         if (end.getCount() > nextSequence) {
-            return askAgain(now);
+            return resumeAtGap(now);
         }
         if (end.getCount() < nextSequence) {
-            return end(new AttemptAction.TellLost(
+            return finish(new AttemptAction.NotifyLost(
                     ExecutionStatus.UNKNOWN,
                     "the end counts " + end.getCount() + " chunks and " + nextSequence + " have come"));
         }
-        if (isIncomplete) {
-            // The end crossed with the cancel; without the chunks dropped since, the answer is not whole.
-            return acknowledgedEnd(new AttemptAction.TellRefused(refusal(ResultCode.CANCELLED, cancelReason)));
+        if (droppedChunks) {
+            // The end was sent before the cancel arrived, and chunks received since the cancel were dropped, so the
+            // answer is incomplete.
+            return acknowledgeAndFinish(new AttemptAction.NotifyRefused(refusal(ResultCode.CANCELLED, cancelReason)));
         }
-        if (!isNamed(end)) {
+        if (!isRequestedAdapter(end)) {
             String message = "the target ran " + end.getAdapter() + "@" + end.getVersion();
-            return acknowledgedEnd(new AttemptAction.TellRefused(refusal(ResultCode.WRONG_ADAPTER_SERVED, message)));
+            return acknowledgeAndFinish(
+                    new AttemptAction.NotifyRefused(refusal(ResultCode.WRONG_ADAPTER_SERVED, message)));
         }
-        return acknowledgedEnd(new AttemptAction.TellEnded(end));
+        return acknowledgeAndFinish(new AttemptAction.NotifyEnded(end));
     }
 
     /**
-     * Ends the attempt with what its companion said, and lets the companion drop what it keeps.
+     * Ends the attempt with its companion's answer and acknowledges it, so that the companion can discard the attempt's
+     * state.
      *
-     * @param last what to tell, not null
-     * @return what to do, not null
+     * @param last the final notification, not null
+     * @return the actions to perform, not null
      */
-    private List<AttemptAction> acknowledgedEnd(AttemptAction last) {
+    private List<AttemptAction> acknowledgeAndFinish(AttemptAction last) {
         List<AttemptAction> actions = new ArrayList<>();
         actions.add(send(Frame.newBuilder()
                 .setAcknowledge(
-                        Acknowledge.newBuilder().setAttempt(run.getAttempt()).setNextSequence(ALL))));
-        actions.addAll(end(last));
+                        Acknowledge.newBuilder().setAttempt(run.getAttempt()).setNextSequence(ALL_CHUNKS))));
+        actions.addAll(finish(last));
         return actions;
     }
 
-    private boolean isNamed(End end) {
+    private boolean isRequestedAdapter(End end) {
         return run.getAdapter().isEmpty()
                 || run.getAdapter().equals(end.getAdapter()) && run.getVersion().equals(end.getVersion());
     }
@@ -259,80 +262,80 @@
     }
 
     /**
-     * Takes a refusal.
+     * Handles a refusal; a "not run" that cannot be trusted is reported as unknown.
      *
      * @param refused the refusal, not null
-     * @param now the time
-     * @return what to do, not null
+     * @param now the current time
+     * @return the actions to perform, not null
      */
-    List<AttemptAction> refused(Refused refused, long now) {
+    List<AttemptAction> onRefused(Refused refused, long now) {
         if (done) {
             return List.of();
         }
-        if (refused.getRan() != ExecutionStatus.NO.ordinal() || isBelieved(refused, now)) {
-            return acknowledgedEnd(new AttemptAction.TellRefused(refused));
+        if (refused.getRan() != ExecutionStatus.NO.ordinal() || isNotRunTrusted(refused, now)) {
+            return acknowledgeAndFinish(new AttemptAction.NotifyRefused(refused));
         }
-        return acknowledgedEnd(new AttemptAction.TellRefused(
+        return acknowledgeAndFinish(new AttemptAction.NotifyRefused(
                 refused.toBuilder().setRan(ExecutionStatus.UNKNOWN.ordinal()).build()));
     }
 
     /**
-     * Decides whether "not run" is shown. A companion keeps what it knows of an attempt for a limited time, counted from
-     * when it was asked; after that an attempt that ran looks like one that it never saw. So an answer that took longer
-     * is not believed, and neither is one that contradicts chunks already here.
+     * Decides whether a "not run" answer is trusted. A companion remembers an attempt for a limited time, counted from
+     * the last request; after that, an attempt that ran looks like one that it never received. So an answer that took
+     * longer is not trusted, nor is one that contradicts chunks already received.
      *
      * @param refused a refusal that says "not run", not null
-     * @param now the time
-     * @return true if it is shown
+     * @param now the current time
+     * @return true if the answer is reported to the listener unchanged
      */
-    private boolean isBelieved(Refused refused, long now) {
-        boolean inTime = now - askedAt <= limits.answer().toNanos();
-        return nextSequence == 0 && (inTime || refused.getCode() != ResultCode.NOT_RUN.number());
+    private boolean isNotRunTrusted(Refused refused, long now) {
+        boolean withinLimit = now - lastRequestNanos <= limits.answerLimit().toNanos();
+        return nextSequence == 0 && (withinLimit || refused.getCode() != ResultCode.NOT_RUN.number());
     }
 
     /**
-     * Lets more chunks come.
+     * Grants credit for more chunks.
      *
-     * @param chunks how many more, at least 1
-     * @return what to do, not null
+     * @param chunks the number of additional chunks, at least 1
+     * @return the actions to perform, not null
      */
     List<AttemptAction> request(int chunks) {
         if (done) {
             return List.of();
         }
-        granted += chunks;
+        grantedUpTo += chunks;
         List<AttemptAction> actions = new ArrayList<>();
-        announceCredit(actions);
+        addAcknowledgementIfDue(actions);
         return actions;
     }
 
     /**
-     * Announces credit when half of the window is used up, and acknowledges now and then: fewer frames than one for each
-     * chunk, yet never a halt while the caller reads on.
+     * Adds an Acknowledge frame when half of the credit window is used up or enough chunks are unacknowledged. This
+     * needs fewer frames than one for each chunk and never stalls the stream while the caller reads.
      *
-     * @param actions to which the frame is added
+     * @param actions the list that the frame is added to
      */
-    private void announceCredit(List<AttemptAction> actions) {
-        boolean needsCredit = granted > announced && announced - nextSequence <= window / 2;
-        boolean needsAcknowledgement = nextSequence - acknowledged >= ACKNOWLEDGE_EVERY;
+    private void addAcknowledgementIfDue(List<AttemptAction> actions) {
+        boolean needsCredit = grantedUpTo > announcedUpTo && announcedUpTo - nextSequence <= creditWindow / 2;
+        boolean needsAcknowledgement = nextSequence - acknowledgedUpTo >= CHUNKS_PER_ACKNOWLEDGEMENT;
         if (!linked || !needsCredit && !needsAcknowledgement) {
             return;
         }
-        announced = granted;
-        acknowledged = nextSequence;
+        announcedUpTo = grantedUpTo;
+        acknowledgedUpTo = nextSequence;
         actions.add(send(Frame.newBuilder()
                 .setAcknowledge(Acknowledge.newBuilder()
                         .setAttempt(run.getAttempt())
                         .setNextSequence(nextSequence)
-                        .setCredit(credit()))));
+                        .setCredit(remainingCredit()))));
     }
 
     /**
-     * Gives the attempt up; its end still comes from the companion, or from its loss.
+     * Cancels the attempt. Its end is still reported by the companion or by the companion's loss.
      *
-     * @param reason why, not null
-     * @param now the time
-     * @return what to do, not null
+     * @param reason why it is cancelled, not null
+     * @param now the current time
+     * @return the actions to perform, not null
      */
     List<AttemptAction> cancel(String reason, long now) {
         if (done || cancelReason != null) {
@@ -343,24 +346,24 @@
     }
 
     /**
-     * Notes that time has passed.
+     * Checks the time limits.
      *
-     * @param now the time
-     * @return what to do, not null
+     * @param now the current time
+     * @return the actions to perform, not null
      */
     List<AttemptAction> tick(long now) {
         if (done) {
             return List.of();
         }
-        if (!linked && now - unlinkedSince > limits.resume().toNanos()) {
-            return end(new AttemptAction.TellLost(ExecutionStatus.UNKNOWN, "no link to the companion"));
+        if (!linked && now - unlinkedSinceNanos > limits.resumeLimit().toNanos()) {
+            return finish(new AttemptAction.NotifyLost(ExecutionStatus.UNKNOWN, "no link to the companion"));
         }
         long answerBy = run.getDeadlineLeftMillis() * NANOS_PER_MILLI
                 + limits.deadlineGrace().toNanos();
-        if (run.getDeadlineLeftMillis() > 0 && now - startedAt > answerBy) {
+        if (run.getDeadlineLeftMillis() > 0 && now - startNanos > answerBy) {
             List<AttemptAction> actions = new ArrayList<>();
             actions.add(cancelFrame(now));
-            actions.addAll(end(new AttemptAction.TellLost(ExecutionStatus.UNKNOWN, "no end by the deadline")));
+            actions.addAll(finish(new AttemptAction.NotifyLost(ExecutionStatus.UNKNOWN, "no end by the deadline")));
             return actions;
         }
         return List.of();
@@ -370,15 +373,15 @@
         return done;
     }
 
-    private List<AttemptAction> askAgain(long now) {
-        if (gapAt == nextSequence || cancelReason != null) {
+    private List<AttemptAction> resumeAtGap(long now) {
+        if (requestedGap == nextSequence || cancelReason != null) {
             return List.of();
         }
-        gapAt = nextSequence;
-        return List.of(resume(now));
+        requestedGap = nextSequence;
+        return List.of(resumeFrame(now));
     }
 
-    private List<AttemptAction> end(AttemptAction last) {
+    private List<AttemptAction> finish(AttemptAction last) {
         if (done) {
             return List.of();
         }
@@ -386,15 +389,15 @@
         return List.of(last);
     }
 
-    private AttemptAction resume(long now) {
-        askedAt = now;
-        announced = granted;
-        acknowledged = nextSequence;
+    private AttemptAction resumeFrame(long now) {
+        lastRequestNanos = now;
+        announcedUpTo = grantedUpTo;
+        acknowledgedUpTo = nextSequence;
         return send(Frame.newBuilder()
                 .setResume(Resume.newBuilder()
                         .setAttempt(run.getAttempt())
                         .setNextSequence(nextSequence)
-                        .setCredit(credit())
+                        .setCredit(remainingCredit())
                         .setAgeMillis(ageMillis(now))
                         .setCompanionIncarnation(incarnation)
                         .setAccount(run.getAccount())
@@ -406,7 +409,7 @@
     }
 
     private AttemptAction cancelFrame(long now) {
-        askedAt = now;
+        lastRequestNanos = now;
         return send(Frame.newBuilder()
                 .setCancel(Cancel.newBuilder()
                         .setAttempt(run.getAttempt())
@@ -415,19 +418,19 @@
                         .setAgeMillis(ageMillis(now))));
     }
 
-    private int credit() {
-        return (int) Math.min(Integer.MAX_VALUE, Math.max(0, granted - nextSequence));
+    private int remainingCredit() {
+        return (int) Math.min(Integer.MAX_VALUE, Math.max(0, grantedUpTo - nextSequence));
     }
 
     private long ageMillis(long now) {
-        return resumedFromElsewhere ? UNKNOWN_AGE : (now - startedAt) / NANOS_PER_MILLI + 1;
+        return startedEarlier ? UNKNOWN_AGE_MILLIS : (now - startNanos) / NANOS_PER_MILLI + 1;
     }
 
     private long deadlineLeftMillis(long now) {
         if (run.getDeadlineLeftMillis() == 0) {
             return 0;
         }
-        return Math.max(1, run.getDeadlineLeftMillis() - (now - startedAt) / NANOS_PER_MILLI);
+        return Math.max(1, run.getDeadlineLeftMillis() - (now - startNanos) / NANOS_PER_MILLI);
     }
 
     private static AttemptAction send(Frame.Builder frame) {
--- a/link/src/main/java/org/geraniumreach/link/CompanionAttempts.java
+++ b/link/src/main/java/org/geraniumreach/link/CompanionAttempts.java
@@ -13,14 +13,14 @@
 import org.geraniumreach.model.MonotonicClock;
 
 /**
- * The attempts and seals under way at one companion.
+ * The attempts and seal requests in progress at one companion.
  *
- * <p>Invariant: an attempt is here from before its first frame is sent until its end is told. Safe for use by several
- * threads.
+ * <p>Invariant: an attempt is registered before its first frame is sent and removed when it has ended. Safe for use by
+ * several threads.
  */
 final class CompanionAttempts {
 
-    private static final long AGE_UNKNOWN = -1;
+    private static final long UNKNOWN_AGE_MILLIS = -1;
 
     private final AttemptTracker.Limits limits;
     private final MonotonicClock clock;
@@ -35,85 +35,84 @@
     }
 
     /**
-     * A seal that waits for its answer.
+     * A seal request that waits for its answer.
      *
-     * @param tracker decides; used under its own monitor
-     * @param listener told of the answer
+     * @param tracker the state of the request, guarded by its own monitor
+     * @param listener receives the answer
      */
     private record PendingSeal(SealTracker tracker, SealListener listener) {}
 
     AttemptHandle run(Optional<Peer> link, Run run, AttemptListener listener) {
         long incarnation = link.map(peer -> peer.hello().getIncarnation()).orElse(0L);
-        Run named = run.getCompanionIncarnation() != 0 || link.isEmpty()
+        Run withIncarnation = run.getCompanionIncarnation() != 0 || link.isEmpty()
                 ? run
                 : run.toBuilder().setCompanionIncarnation(incarnation).build();
-        AttemptTracker tracker = AttemptTracker.ofRun(named, incarnation, limits, clock.nanos());
-        return start(named.getAttempt(), tracker, link, listener);
+        AttemptTracker tracker = AttemptTracker.ofRun(withIncarnation, incarnation, limits, clock.nanos());
+        return start(withIncarnation.getAttempt(), tracker, link, listener);
     }
 
-    AttemptHandle resume(
-            Optional<Peer> link, Run named, long incarnation, long nextSequence, AttemptListener listener) {
-        AttemptTracker tracker = AttemptTracker.ofResume(named, incarnation, nextSequence, limits, clock.nanos());
-        return start(named.getAttempt(), tracker, link, listener);
+    AttemptHandle resume(Optional<Peer> link, Run run, long incarnation, long nextSequence, AttemptListener listener) {
+        AttemptTracker tracker = AttemptTracker.ofResume(run, incarnation, nextSequence, limits, clock.nanos());
+        return start(run.getAttempt(), tracker, link, listener);
     }
 
     private AttemptHandle start(String attempt, AttemptTracker tracker, Optional<Peer> link, AttemptListener listener) {
         SentAttempt sent = new SentAttempt(tracker, listener, clock, events, () -> attempts.remove(attempt));
         if (attempts.putIfAbsent(attempt, sent) != null) {
-            throw new IllegalArgumentException("attempt is under way: " + attempt);
+            throw new IllegalArgumentException("attempt is already in progress: " + attempt);
         }
         sent.start(link);
         return sent;
     }
 
     void seal(Optional<Peer> link, String attempt, long incarnation, Duration age, SealListener listener) {
-        long ageMillis = age.isNegative() ? AGE_UNKNOWN : age.toMillis();
+        long ageMillis = age.isNegative() ? UNKNOWN_AGE_MILLIS : age.toMillis();
         PendingSeal pending =
                 new PendingSeal(new SealTracker(attempt, incarnation, ageMillis, limits, clock.nanos()), listener);
         if (seals.putIfAbsent(attempt, pending) != null) {
-            throw new IllegalArgumentException("attempt is being sealed: " + attempt);
+            throw new IllegalArgumentException("attempt is already being sealed: " + attempt);
         }
-        link.ifPresent(peer -> ask(attempt, pending, peer));
+        link.ifPresent(peer -> sendSeal(attempt, pending, peer));
     }
 
-    private void ask(String attempt, PendingSeal pending, Peer peer) {
-        Optional<Frame> question;
+    private void sendSeal(String attempt, PendingSeal pending, Peer peer) {
+        Optional<Frame> frame;
         synchronized (pending.tracker()) {
-            question = pending.tracker().ask(peer.hello().getIncarnation(), clock.nanos());
+            frame = pending.tracker().nextFrame(peer.hello().getIncarnation(), clock.nanos());
         }
-        question.ifPresentOrElse(peer::send, () -> settle(attempt, pending, SealOutcome.OTHER_INCARNATION));
+        frame.ifPresentOrElse(peer::send, () -> complete(attempt, pending, SealOutcome.OTHER_INCARNATION));
     }
 
-    private void settle(String attempt, PendingSeal pending, SealOutcome outcome) {
+    private void complete(String attempt, PendingSeal pending, SealOutcome outcome) {
         if (seals.remove(attempt, pending)) {
             pending.listener().sealed(outcome);
         }
     }
 
-    void opened(Peer peer) {
-        attempts.values().forEach(attempt -> attempt.opened(peer));
-        seals.forEach((attempt, pending) -> ask(attempt, pending, peer));
+    void onLinkOpened(Peer peer) {
+        attempts.values().forEach(attempt -> attempt.onLinkOpened(peer));
+        seals.forEach((attempt, pending) -> sendSeal(attempt, pending, peer));
     }
 
     /**
-     * Notes that a link is closed.
+     * Handles the loss of a link.
      *
-     * @param peer the link, not null
-     * @param other another open link to the same companion, not null
+     * @param peer the closed link, not null
+     * @param other another open link to the same companion, or empty, not null
      */
-    void closed(Peer peer, Optional<Peer> other) {
-        attempts.values().forEach(attempt -> attempt.closed(peer, other));
+    void onLinkClosed(Peer peer, Optional<Peer> other) {
+        attempts.values().forEach(attempt -> attempt.onLinkClosed(peer, other));
     }
 
-    void received(Peer peer, Frame frame) {
+    void onFrame(Peer peer, Frame frame) {
         switch (frame.getBodyCase()) {
-            case ACCEPTED -> find(frame.getAccepted().getAttempt()).ifPresent(SentAttempt::accepted);
-            case CHUNK -> find(frame.getChunk().getAttempt()).ifPresent(attempt -> attempt.chunk(frame.getChunk()));
-            case END -> find(frame.getEnd().getAttempt()).ifPresent(attempt -> attempt.ended(frame.getEnd()));
+            case ACCEPTED -> find(frame.getAccepted().getAttempt()).ifPresent(SentAttempt::onAccepted);
+            case CHUNK -> find(frame.getChunk().getAttempt()).ifPresent(attempt -> attempt.onChunk(frame.getChunk()));
+            case END -> find(frame.getEnd().getAttempt()).ifPresent(attempt -> attempt.onEnded(frame.getEnd()));
             case REFUSED -> find(frame.getRefused().getAttempt())
-                    .ifPresent(attempt -> attempt.refused(frame.getRefused()));
-            case SEALED -> sealed(peer, frame.getSealed());
-            default -> throw new IllegalArgumentException("not an answer: " + frame.getBodyCase());
+                    .ifPresent(attempt -> attempt.onRefused(frame.getRefused()));
+            case SEALED -> onSealed(peer, frame.getSealed());
+            default -> throw new IllegalArgumentException("unexpected frame kind: " + frame.getBodyCase());
         }
     }
 
@@ -121,17 +120,18 @@
         return Optional.ofNullable(attempts.get(attempt));
     }
 
-    private void sealed(Peer peer, Sealed sealed) {
+    private void onSealed(Peer peer, Sealed sealed) {
         PendingSeal pending = seals.get(sealed.getAttempt());
         if (pending == null) {
             return;
         }
         Optional<SealOutcome> outcome;
         synchronized (pending.tracker()) {
-            outcome = pending.tracker().answered(sealed, clock.nanos());
+            outcome = pending.tracker().onSealed(sealed, clock.nanos());
         }
         outcome.ifPresentOrElse(
-                known -> settle(sealed.getAttempt(), pending, known), () -> ask(sealed.getAttempt(), pending, peer));
+                result -> complete(sealed.getAttempt(), pending, result),
+                () -> sendSeal(sealed.getAttempt(), pending, peer));
     }
 
     void tick() {
@@ -139,7 +139,7 @@
         long now = clock.nanos();
         seals.forEach((attempt, pending) -> {
             if (isOverdue(pending, now)) {
-                settle(attempt, pending, SealOutcome.UNREACHABLE);
+                complete(attempt, pending, SealOutcome.UNREACHABLE);
             }
         });
     }
--- a/link/src/main/java/org/geraniumreach/link/LinkAttempts.java
+++ b/link/src/main/java/org/geraniumreach/link/LinkAttempts.java
@@ -18,28 +18,28 @@
 import org.geraniumreach.model.MonotonicClock;
 
 /**
- * The attempts of this process, sent over {@link Links}.
+ * Sends attempts over {@link Links} and dispatches the answers to them.
  *
- * <p>Invariant: a frame is given only to the attempt that it names, and only if it comes from the companion that the
- * attempt was sent to; what matches none is dropped. State is kept by companion, and each attempt's under its own lock.
- * Safe for use by several threads.
+ * <p>Invariant: a frame is passed only to the attempt that it names, and only if it comes from the companion that the
+ * attempt was sent to; other frames are dropped. State is kept by companion, and each attempt has its own lock. Safe
+ * for use by several threads.
  */
 public final class LinkAttempts implements Attempts, AutoCloseable {
 
-    private static final Set<Frame.BodyCase> KINDS = EnumSet.of(
+    private static final Set<Frame.BodyCase> ANSWER_KINDS = EnumSet.of(
             Frame.BodyCase.ACCEPTED,
             Frame.BodyCase.CHUNK,
             Frame.BodyCase.END,
             Frame.BodyCase.REFUSED,
             Frame.BodyCase.SEALED);
-    private static final Duration TICK = Duration.ofMillis(250);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(250);
 
     private final Links links;
     private final AttemptTracker.Limits limits;
     private final MonotonicClock clock;
     private final LinkEventListener events;
     private final Map<InstanceId, CompanionAttempts> companions = new ConcurrentHashMap<>();
-    private final Future<?> ticking;
+    private final Future<?> tickTask;
 
     private LinkAttempts(
             Links links,
@@ -52,18 +52,19 @@
         this.limits =
                 new AttemptTracker.Limits(settings.resumeLimit(), settings.answerLimit(), settings.deadlineGrace());
         this.clock = clock;
-        links.handle(KINDS, new Handler());
-        this.ticking = timer.scheduleWithFixedDelay(this::tick, TICK.toNanos(), TICK.toNanos(), TimeUnit.NANOSECONDS);
+        links.handle(ANSWER_KINDS, new Handler());
+        this.tickTask = timer.scheduleWithFixedDelay(
+                this::tick, TICK_INTERVAL.toNanos(), TICK_INTERVAL.toNanos(), TimeUnit.NANOSECONDS);
     }
 
     /**
-     * Starts to serve attempts over links.
+     * Creates an instance and starts its timer.
      *
-     * @param links the links, which the caller keeps to each companion used, not null
-     * @param settings the limits, not null
+     * @param links the links; the caller keeps one open to each companion used, not null
+     * @param settings the time limits, not null
      * @param clock the clock, not null
-     * @param timer runs short tasks, not null
-     * @param events told of what an operator should see, not null
+     * @param timer executes short tasks that check time limits, not null
+     * @param events receives events for operators, not null
      * @return the attempts, not null
      */
     public static LinkAttempts start(
@@ -80,13 +81,13 @@
                 Objects.requireNonNull(events, "events"));
     }
 
-    private CompanionAttempts of(InstanceId companion) {
-        return companions.computeIfAbsent(companion, name -> new CompanionAttempts(limits, clock, events));
+    private CompanionAttempts attemptsAt(InstanceId companion) {
+        return companions.computeIfAbsent(companion, id -> new CompanionAttempts(limits, clock, events));
     }
 
     @Override
     public AttemptHandle run(InstanceId companion, Run run, AttemptListener listener) {
-        return of(companion).run(links.find(companion), run, listener);
+        return attemptsAt(companion).run(links.find(companion), run, listener);
     }
 
     @Override
@@ -96,54 +97,54 @@
             long companionIncarnation,
             long nextSequence,
             AttemptListener listener) {
-        Run named = Run.newBuilder().setAttempt(attempt).build();
-        return of(companion).resume(links.find(companion), named, companionIncarnation, nextSequence, listener);
+        Run run = Run.newBuilder().setAttempt(attempt).build();
+        return attemptsAt(companion).resume(links.find(companion), run, companionIncarnation, nextSequence, listener);
     }
 
     @Override
     public void seal(
             InstanceId companion, String attempt, long companionIncarnation, Duration age, SealListener listener) {
-        of(companion).seal(links.find(companion), attempt, companionIncarnation, age, listener);
+        attemptsAt(companion).seal(links.find(companion), attempt, companionIncarnation, age, listener);
     }
 
     private void tick() {
         try {
             companions.values().forEach(CompanionAttempts::tick);
         } catch (RuntimeException failure) {
-            // A task that throws is never run again: attempts would then wait for good for what has been lost.
-            events.happened(EventCode.UNEXPECTED_FAILURE, "the timer of attempts: " + failure);
+            // A periodic task that throws is not run again, and attempts without a link would then never end.
+            events.onEvent(EventCode.UNEXPECTED_FAILURE, "checking the time limits of attempts failed: " + failure);
         }
     }
 
-    /** Passes what links bring to the attempts of the companion at the other end. */
+    /** Passes frames and link events to the attempts at the companion concerned. */
     private final class Handler implements FrameHandler {
 
         private InstanceId instanceOf(Peer peer) {
             return InstanceId.of(peer.hello().getInstance());
         }
 
-        private Optional<CompanionAttempts> from(Peer peer) {
+        private Optional<CompanionAttempts> attemptsAt(Peer peer) {
             return Optional.ofNullable(companions.get(instanceOf(peer)));
         }
 
         @Override
         public void opened(Peer peer) {
-            from(peer).ifPresent(attempts -> attempts.opened(peer));
+            attemptsAt(peer).ifPresent(attempts -> attempts.onLinkOpened(peer));
         }
 
         @Override
         public void received(Peer peer, Frame frame) {
-            from(peer).ifPresent(attempts -> attempts.received(peer, frame));
+            attemptsAt(peer).ifPresent(attempts -> attempts.onFrame(peer, frame));
         }
 
         @Override
         public void closed(Peer peer, String reason) {
-            from(peer).ifPresent(attempts -> attempts.closed(peer, links.find(instanceOf(peer))));
+            attemptsAt(peer).ifPresent(attempts -> attempts.onLinkClosed(peer, links.find(instanceOf(peer))));
         }
     }
 
     @Override
     public void close() {
-        ticking.cancel(false);
+        tickTask.cancel(false);
     }
 }
--- a/link/src/main/java/org/geraniumreach/link/LinkChannel.java
+++ b/link/src/main/java/org/geraniumreach/link/LinkChannel.java
@@ -21,18 +21,18 @@
 import org.geraniumreach.model.InstanceId;
 
 /**
- * One connection: Hello, heartbeats, and the passing on of frames.
+ * The protocol handler of one connection: exchanges Hello and heartbeats and dispatches other frames to handlers.
  *
- * <p>Invariants: handlers are told of nothing before both Hellos, of {@link FrameHandler#opened} first and of {@link
- * FrameHandler#closed} last. A frame that cannot be read closes this connection and touches nothing else. What is not
- * final is confined to the channel's event loop, but for the fields marked volatile; {@link Peer}'s methods are safe for
- * use by several threads.
+ * <p>Invariants: handlers are not called before both Hellos have been exchanged; {@link FrameHandler#opened} is called
+ * first and {@link FrameHandler#closed} last. A frame that cannot be decoded closes only this connection. Fields that
+ * are neither final nor volatile are confined to the channel's event loop; {@link Peer}'s methods are safe for use by
+ * several threads.
  */
-final class LinkChannel extends SimpleChannelInboundHandler<Frame> implements Peer, LinkTable.Member {
+final class LinkChannel extends SimpleChannelInboundHandler<Frame> implements Peer, LinkTable.Connection {
 
-    private static final int OLDEST_PROTOCOL = 1;
+    private static final int MINIMUM_PROTOCOL_VERSION = 1;
     private static final long PHASE_STEP_NANOS = 100_003;
-    private static final Set<Frame.BodyCase> REQUESTS =
+    private static final Set<Frame.BodyCase> REQUEST_KINDS =
             EnumSet.of(Frame.BodyCase.RUN, Frame.BodyCase.RESUME, Frame.BodyCase.CANCEL, Frame.BodyCase.SEAL);
 
     private final LinkSettings settings;
@@ -40,7 +40,7 @@
     private final Owner owner;
     private final boolean inbound;
     private final LinkHealth health;
-    private final Set<FrameHandler> announced = new LinkedHashSet<>();
+    private final Set<FrameHandler> notifiedHandlers = new LinkedHashSet<>();
     private volatile Channel channel;
     private volatile OutboundFrames outbound;
     private volatile Hello hello;
@@ -55,37 +55,37 @@
         this.health = new LinkHealth(settings.unansweredPings());
     }
 
-    /** What a connection asks of the node that it belongs to. */
+    /** The node that a connection belongs to. */
     interface Owner {
 
         Hello localHello();
 
         /**
-         * Decides on a connection that has said Hello.
+         * Decides whether to accept a connection whose Hello has been received.
          *
          * @param link the connection, not null
-         * @return why it is refused, empty if it stays, not null
+         * @return why it is refused, empty if it is accepted, not null
          */
         String admit(LinkChannel link);
 
-        void closed(LinkChannel link, String reason);
+        void onClosed(LinkChannel link, String reason);
 
-        void happened(EventCode event, String detail);
+        void onEvent(EventCode event, String detail);
     }
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
         channel = context.channel();
-        outbound = new OutboundFrames(channel, settings.writeBufferHigh(), this::tellWritable);
+        outbound = new OutboundFrames(channel, settings.writeBufferHigh(), this::notifyWritable);
         send(Frame.newBuilder().setHello(owner.localHello()).build());
-        context.executor().schedule(this::checkHello, settings.helloLimit().toNanos(), TimeUnit.NANOSECONDS);
+        context.executor().schedule(this::closeIfNoHello, settings.helloLimit().toNanos(), TimeUnit.NANOSECONDS);
     }
 
     /**
-     * A peer that connects and says nothing would hold a connection, and its memory, for good; it gets no more than the
-     * limit.
+     * Closes the connection if no Hello has arrived; otherwise a silent peer would hold the connection and its memory
+     * forever.
      */
-    private void checkHello() {
+    private void closeIfNoHello() {
         if (hello == null) {
             close("no Hello within " + settings.helloLimit());
         }
@@ -97,61 +97,64 @@
             return;
         }
         if (hello == null) {
-            readHello(frame);
+            onHello(frame);
             return;
         }
         switch (frame.getBodyCase()) {
             case PING -> send(Frame.newBuilder()
                     .setPong(Pong.newBuilder().setNumber(frame.getPing().getNumber()))
                     .build());
-            case PONG -> health.pong(frame.getPong().getNumber());
+            case PONG -> health.onPong(frame.getPong().getNumber());
             case HELLO -> refuse("a second Hello");
             case BODY_NOT_SET -> refuse("a frame of unknown type");
-            default -> handle(frame);
+            default -> dispatch(frame);
         }
     }
 
-    private void handle(Frame frame) {
-        List<FrameHandler> interested = handlers.of(frame.getBodyCase());
-        if (interested.isEmpty() && REQUESTS.contains(frame.getBodyCase())) {
-            // A request passed over in silence would be waited for until its deadline; a lost link is noticed.
-            close("nobody here answers a " + frame.getBodyCase());
+    private void dispatch(Frame frame) {
+        List<FrameHandler> matching = handlers.forKind(frame.getBodyCase());
+        if (matching.isEmpty() && REQUEST_KINDS.contains(frame.getBodyCase())) {
+            // If the request were ignored, its sender would wait until the deadline; it notices a closed link at once.
+            close("no handler for " + frame.getBodyCase());
             return;
         }
-        for (FrameHandler handler : interested) {
-            announce(handler);
-            guard(() -> handler.received(this, frame));
+        for (FrameHandler handler : matching) {
+            notifyOpened(handler);
+            callHandler(() -> handler.received(this, frame));
         }
     }
 
-    private void readHello(Frame frame) {
+    private void onHello(Frame frame) {
         if (frame.getBodyCase() != Frame.BodyCase.HELLO) {
             refuse("the first frame is not a Hello");
             return;
         }
-        Hello said = frame.getHello();
-        if (said.getProtocolVersion() < OLDEST_PROTOCOL) {
-            refuse("protocol version " + said.getProtocolVersion());
+        Hello received = frame.getHello();
+        if (received.getProtocolVersion() < MINIMUM_PROTOCOL_VERSION) {
+            refuse("protocol version " + received.getProtocolVersion());
             return;
         }
         try {
-            instance = InstanceId.of(said.getInstance());
+            instance = InstanceId.of(received.getInstance());
         } catch (IllegalArgumentException invalid) {
             refuse(invalid.getMessage());
             return;
         }
-        hello = said;
+        hello = received;
         String refusal = owner.admit(this);
         if (!refusal.isEmpty()) {
             close(refusal);
             return;
         }
-        owner.happened(EventCode.LINK_OPENED, description());
-        handlers.all().forEach(this::announce);
+        owner.onEvent(EventCode.LINK_OPENED, description());
+        handlers.all().forEach(this::notifyOpened);
         scheduleTick();
     }
 
-    /** All links of a process ping at the same moments, so that many links wake it no more often than one; processes differ. */
+    /**
+     * Schedules the next ping. All links of a process ping at the same moments, so many links wake it no more often
+     * than one. The phase differs between processes.
+     */
     private void scheduleTick() {
         long interval = settings.pingInterval().toNanos();
         long phase = owner.localHello().getInstance().hashCode() * PHASE_STEP_NANOS;
@@ -163,8 +166,8 @@
         if (!channel.isActive()) {
             return;
         }
-        if (health.tick() == LinkHealth.Verdict.SILENT) {
-            close(settings.unansweredPings() + " pings without an answer");
+        if (health.tick() == LinkHealth.Action.CLOSE) {
+            close(settings.unansweredPings() + " unanswered pings");
             return;
         }
         send(Frame.newBuilder()
@@ -174,36 +177,36 @@
     }
 
     /**
-     * Tells a handler that was registered late of this link.
+     * Notifies a handler that was registered after this link was opened.
      *
      * @param handler the handler, not null
      */
-    void announceLater(FrameHandler handler) {
-        channel.eventLoop().execute(() -> announce(handler));
+    void scheduleNotifyOpened(FrameHandler handler) {
+        channel.eventLoop().execute(() -> notifyOpened(handler));
     }
 
-    private void announce(FrameHandler handler) {
-        if (closeReason == null && channel.isActive() && announced.add(handler)) {
-            guard(() -> handler.opened(this));
+    private void notifyOpened(FrameHandler handler) {
+        if (closeReason == null && channel.isActive() && notifiedHandlers.add(handler)) {
+            callHandler(() -> handler.opened(this));
         }
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
-        outbound.writabilityChanged();
+        outbound.onWritabilityChanged();
     }
 
-    private void tellWritable() {
-        tellAll(handler -> handler.writable(this));
+    private void notifyWritable() {
+        notifyHandlers(handler -> handler.writable(this));
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        String reason = closeReason != null ? closeReason : "closed by the other end";
+        String reason = closeReason != null ? closeReason : "closed by the peer";
         closeReason = reason;
-        owner.closed(this, reason);
-        tellAll(handler -> handler.closed(this, reason));
-        announced.clear();
+        owner.onClosed(this, reason);
+        notifyHandlers(handler -> handler.closed(this, reason));
+        notifiedHandlers.clear();
     }
 
     @Override
@@ -213,30 +216,31 @@
         } else if (cause instanceof IOException) {
             close(String.valueOf(cause.getMessage()));
         } else {
-            owner.happened(EventCode.UNEXPECTED_FAILURE, description() + ": " + cause);
-            close("failure of this end");
+            owner.onEvent(EventCode.UNEXPECTED_FAILURE, description() + ": " + cause);
+            close("unexpected failure in this process");
         }
     }
 
-    private void refuse(String what) {
-        owner.happened(EventCode.FRAME_REFUSED, description() + ": " + what);
-        close("refused " + what);
+    private void refuse(String problem) {
+        owner.onEvent(EventCode.FRAME_REFUSED, description() + ": " + problem);
+        close("refused " + problem);
     }
 
-    private void tellAll(Consumer<FrameHandler> news) {
-        announced.forEach(handler -> guard(() -> news.accept(handler)));
+    private void notifyHandlers(Consumer<FrameHandler> notification) {
+        notifiedHandlers.forEach(handler -> callHandler(() -> notification.accept(handler)));
     }
 
     /**
-     * Runs a handler's code. A fault in one handler must not end the link, which carries the work of all others.
+     * Calls a handler and reports its exceptions as events. A fault in one handler must not close the link, which all
+     * handlers share.
      *
-     * @param call the handler's code, not null
+     * @param call the call to the handler, not null
      */
-    private void guard(Runnable call) {
+    private void callHandler(Runnable call) {
         try {
             call.run();
         } catch (RuntimeException failure) {
-            owner.happened(EventCode.UNEXPECTED_FAILURE, description() + ": " + failure);
+            owner.onEvent(EventCode.UNEXPECTED_FAILURE, description() + ": " + failure);
         }
     }
 
@@ -265,9 +269,10 @@
         if (closeReason != null || !channel.isActive()) {
             return false;
         }
-        // The other end would close the link over a frame above its limit, and with it the streams of everyone else.
+        // The peer would close the link when it receives a frame above its limit, which would break all other streams
+        // on it.
         if (frame.getSerializedSize() > settings.maximumFrameBytes()) {
-            owner.happened(
+            owner.onEvent(
                     EventCode.FRAME_REFUSED,
                     description() + ": not sent, " + frame.getSerializedSize() + " bytes of " + frame.getBodyCase());
             return false;
--- a/link/src/main/java/org/geraniumreach/link/LinkNode.java
+++ b/link/src/main/java/org/geraniumreach/link/LinkNode.java
@@ -32,24 +32,25 @@
 import org.geraniumreach.model.InstanceId;
 
 /**
- * The links of one process: it accepts connections, and opens and keeps those that it is asked to.
+ * The links of one process: accepts connections and maintains outgoing ones.
  *
- * <p>Invariants: a link is used in both directions, whoever opened it; of two incarnations of an instance only the newer
- * has links. No input from a peer ends the process or another peer's link. Safe for use by several threads.
+ * <p>Invariants: a link is used in both directions, whichever side opened it; of two incarnations of an instance only
+ * the newer has links. No input from a peer can stop the process or close another peer's link. Safe for use by several
+ * threads.
  */
 public final class LinkNode implements Links, AutoCloseable {
 
-    private static final int BACKLOG = 1024;
-    private static final long CLOSE_SECONDS = 2;
+    private static final int ACCEPT_BACKLOG = 1024;
+    private static final long SHUTDOWN_TIMEOUT_SECONDS = 2;
 
     private final LinkSettings settings;
     private final Supplier<Hello> localHello;
     private final LinkEventListener events;
-    private final EventLoopGroup loops;
-    private final boolean ownsLoops;
+    private final EventLoopGroup eventLoops;
+    private final boolean ownsEventLoops;
     private final HandlerRegistry handlers = new HandlerRegistry();
     private final LinkTable<LinkChannel> table = new LinkTable<>();
-    private final Map<InstanceId, KeptLink> kept = new ConcurrentHashMap<>();
+    private final Map<InstanceId, ReconnectingLink> reconnectingLinks = new ConcurrentHashMap<>();
     private volatile Channel server;
     private volatile boolean closed;
 
@@ -57,58 +58,58 @@
             LinkSettings settings,
             Supplier<Hello> localHello,
             LinkEventListener events,
-            EventLoopGroup loops,
-            boolean ownsLoops) {
+            EventLoopGroup eventLoops,
+            boolean ownsEventLoops) {
         this.settings = Objects.requireNonNull(settings, "settings");
         this.localHello = Objects.requireNonNull(localHello, "localHello");
         this.events = Objects.requireNonNull(events, "events");
-        this.loops = Objects.requireNonNull(loops, "loops");
-        this.ownsLoops = ownsLoops;
+        this.eventLoops = Objects.requireNonNull(eventLoops, "eventLoops");
+        this.ownsEventLoops = ownsEventLoops;
     }
 
     /**
-     * Makes a node that neither listens nor connects yet, so that handlers can be registered before the first frame.
+     * Creates a node that neither listens nor connects yet, so that handlers can be registered before the first frame.
      *
-     * @param settings how links behave, not null
-     * @param localHello gives what this process says of itself on each new connection, not null
-     * @param events told of what an operator should see, not null
+     * @param settings the settings of links, not null
+     * @param localHello supplies the Hello to send on each new connection, not null
+     * @param events receives events for operators, not null
      * @return the node, not null
      */
     public static LinkNode create(LinkSettings settings, Supplier<Hello> localHello, LinkEventListener events) {
-        EventLoopGroup own = new NioEventLoopGroup(settings.threads(), new DefaultThreadFactory("link", true));
-        return new LinkNode(settings, localHello, events, own, true);
+        EventLoopGroup ownLoops = new NioEventLoopGroup(settings.threads(), new DefaultThreadFactory("link", true));
+        return new LinkNode(settings, localHello, events, ownLoops, true);
     }
 
     /**
-     * Makes a node on event loops that serve other things too, and that it does not stop.
+     * Creates a node on shared event loops, which it does not shut down.
      *
-     * @param settings how links behave, not null
-     * @param localHello gives what this process says of itself on each new connection, not null
-     * @param events told of what an operator should see, not null
-     * @param loops the event loops, not null
+     * @param settings the settings of links, not null
+     * @param localHello supplies the Hello to send on each new connection, not null
+     * @param events receives events for operators, not null
+     * @param eventLoops the event loops, not null
      * @return the node, not null
      */
     public static LinkNode createOn(
-            LinkSettings settings, Supplier<Hello> localHello, LinkEventListener events, EventLoopGroup loops) {
-        return new LinkNode(settings, localHello, events, loops, false);
+            LinkSettings settings, Supplier<Hello> localHello, LinkEventListener events, EventLoopGroup eventLoops) {
+        return new LinkNode(settings, localHello, events, eventLoops, false);
     }
 
     /**
      * Starts to accept connections.
      *
-     * @param address where to listen; port 0 takes any free one, not null
-     * @return where it listens, not null
-     * @throws IOException if the address cannot be had
+     * @param address the address to listen on; port 0 selects any free port, not null
+     * @return the address listened on, not null
+     * @throws IOException if the address cannot be bound
      */
     public InetSocketAddress listen(InetSocketAddress address) throws IOException {
         ServerBootstrap bootstrap = new ServerBootstrap()
-                .group(loops)
+                .group(eventLoops)
                 .channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, waterMark())
-                .childHandler(new Pipeline(Optional.empty()));
+                .childHandler(new ConnectionInitializer(Optional.empty()));
         ChannelFuture bound = bootstrap.bind(address).awaitUninterruptibly();
         if (!bound.isSuccess()) {
             throw new IOException("cannot listen on " + address, bound.cause());
@@ -121,28 +122,28 @@
         return new WriteBufferWaterMark(settings.writeBufferLow(), settings.writeBufferHigh());
     }
 
-    /** Sets up a new connection. */
-    private final class Pipeline extends ChannelInitializer<Channel> {
+    /** Initializes the pipeline of a new connection. */
+    private final class ConnectionInitializer extends ChannelInitializer<Channel> {
         private final Optional<InstanceId> expected;
 
-        private Pipeline(Optional<InstanceId> expected) {
+        private ConnectionInitializer(Optional<InstanceId> expected) {
             this.expected = expected;
         }
 
         @Override
         protected void initChannel(Channel channel) {
-            LinkPipeline.set(
+            LinkPipeline.configure(
                     channel.pipeline(),
                     settings,
-                    new LinkChannel(settings, handlers, new Ownership(expected), expected.isEmpty()));
+                    new LinkChannel(settings, handlers, new ConnectionOwner(expected), expected.isEmpty()));
         }
     }
 
-    /** What this node decides about one connection. */
-    private final class Ownership implements LinkChannel.Owner {
+    /** Applies this node's rules to one connection. */
+    private final class ConnectionOwner implements LinkChannel.Owner {
         private final Optional<InstanceId> expected;
 
-        private Ownership(Optional<InstanceId> expected) {
+        private ConnectionOwner(Optional<InstanceId> expected) {
             this.expected = expected;
         }
 
@@ -154,36 +155,36 @@
         @Override
         public String admit(LinkChannel link) {
             if (expected.isPresent() && !expected.get().equals(link.instance())) {
-                return "another instance than " + expected.get();
+                return "not the expected instance " + expected.get();
             }
             LinkTable.Admission<LinkChannel> admission = table.add(link);
             if (!admission.admitted()) {
                 return "a newer incarnation is connected";
             }
             admission.superseded().forEach(old -> old.close("superseded by a new connection"));
-            Optional.ofNullable(kept.get(link.instance())).ifPresent(KeptLink::opened);
+            Optional.ofNullable(reconnectingLinks.get(link.instance())).ifPresent(ReconnectingLink::onLinkOpened);
             return "";
         }
 
         @Override
-        public void closed(LinkChannel link, String reason) {
+        public void onClosed(LinkChannel link, String reason) {
             if (link.instance() != null) {
                 table.remove(link);
-                Optional.ofNullable(kept.get(link.instance())).ifPresent(KeptLink::closed);
+                Optional.ofNullable(reconnectingLinks.get(link.instance())).ifPresent(ReconnectingLink::onLinkClosed);
             }
             if (!closed) {
-                happened(EventCode.LINK_LOST, link.description() + ": " + reason);
+                onEvent(EventCode.LINK_LOST, link.description() + ": " + reason);
             }
         }
 
         @Override
-        public void happened(EventCode event, String detail) {
-            events.happened(event, detail);
+        public void onEvent(EventCode event, String detail) {
+            events.onEvent(event, detail);
         }
     }
 
-    /** Opens the connections of kept links. */
-    private final class Connector implements KeptLink.Opener {
+    /** Opens connections for reconnecting links. */
+    private final class NodeConnector implements ReconnectingLink.Connector {
 
         @Override
         public boolean isOpen(InstanceId instance) {
@@ -193,13 +194,13 @@
         @Override
         public Bootstrap bootstrap(InstanceId instance) {
             return new Bootstrap()
-                    .group(loops)
+                    .group(eventLoops)
                     .channel(NioSocketChannel.class)
                     .option(ChannelOption.TCP_NODELAY, true)
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int)
                             settings.connectLimit().toMillis())
                     .option(ChannelOption.WRITE_BUFFER_WATER_MARK, waterMark())
-                    .handler(new Pipeline(Optional.of(instance)));
+                    .handler(new ConnectionInitializer(Optional.of(instance)));
         }
     }
 
@@ -207,7 +208,7 @@
     public void keep(InstanceId instance, InetSocketAddress address) {
         Objects.requireNonNull(instance, "instance");
         Objects.requireNonNull(address, "address");
-        kept.compute(instance, (name, present) -> {
+        reconnectingLinks.compute(instance, (name, present) -> {
             if (present != null && present.address().equals(address)) {
                 return present;
             }
@@ -215,12 +216,12 @@
                 present.release();
                 table.find(instance).ifPresent(open -> open.close("its address has changed"));
             }
-            KeptLink link = new KeptLink(
+            ReconnectingLink link = new ReconnectingLink(
                     instance,
                     address,
-                    loops.next(),
+                    eventLoops.next(),
                     settings,
-                    new Connector(),
+                    new NodeConnector(),
                     new SplittableRandom(ThreadLocalRandom.current().nextLong()));
             link.open();
             return link;
@@ -229,7 +230,7 @@
 
     @Override
     public void release(InstanceId instance) {
-        KeptLink link = kept.remove(Objects.requireNonNull(instance, "instance"));
+        ReconnectingLink link = reconnectingLinks.remove(Objects.requireNonNull(instance, "instance"));
         if (link != null) {
             link.release();
         }
@@ -249,30 +250,30 @@
     @Override
     public void handle(Set<Frame.BodyCase> kinds, FrameHandler handler) {
         handlers.add(kinds, Objects.requireNonNull(handler, "handler"));
-        table.all().forEach(link -> link.announceLater(handler));
+        table.all().forEach(link -> link.scheduleNotifyOpened(handler));
     }
 
     /**
-     * Gets a timer that runs tasks on the event loops; they must not block.
+     * Returns a timer that runs tasks on the event loops. The tasks must not block.
      *
      * @return the timer, not null
      */
     public ScheduledExecutorService timer() {
-        return loops;
+        return eventLoops;
     }
 
     @Override
     public void close() {
         closed = true;
-        kept.values().forEach(KeptLink::release);
-        kept.clear();
+        reconnectingLinks.values().forEach(ReconnectingLink::release);
+        reconnectingLinks.clear();
         Channel listening = server;
         if (listening != null) {
             listening.close();
         }
-        table.all().forEach(link -> link.close("this end stops"));
-        if (ownsLoops) {
-            loops.shutdownGracefully(0, CLOSE_SECONDS, TimeUnit.SECONDS);
+        table.all().forEach(link -> link.close("this process is shutting down"));
+        if (ownsEventLoops) {
+            eventLoops.shutdownGracefully(0, SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         }
     }
 }
--- a/link/src/main/java/org/geraniumreach/link/SealTracker.java
+++ b/link/src/main/java/org/geraniumreach/link/SealTracker.java
@@ -8,11 +8,11 @@
 import org.geraniumreach.messages.Sealed;
 
 /**
- * Decides what becomes of one request to seal an attempt.
+ * The state machine of one request to seal an attempt.
  *
- * <p>Invariant: {@link SealOutcome#NEVER_STARTED} is given only if the incarnation that the attempt was sent to said so
- * within the limit since it was last asked, as it keeps what it knows for a limited time. Not safe for use by several
- * threads.
+ * <p>Invariant: {@link SealOutcome#NEVER_STARTED} is returned only if the incarnation that the attempt was sent to
+ * answered so within the answer limit after the last request, since a companion remembers attempts for a limited time.
+ * Not safe for use by several threads.
  */
 final class SealTracker {
 
@@ -22,29 +22,29 @@
     private final long incarnation;
     private final long ageMillis;
     private final AttemptTracker.Limits limits;
-    private final long startedAt;
-    private long askedAt;
+    private final long startNanos;
+    private long lastRequestNanos;
 
     /**
-     * Makes a tracker.
+     * Creates a tracker.
      *
      * @param attempt the attempt's id, not null
      * @param incarnation the companion's incarnation that it was sent to
-     * @param ageMillis the time since then, negative if unknown
-     * @param limits the limits, not null
-     * @param now the time
+     * @param ageMillis the time since it was sent, in milliseconds; negative if unknown
+     * @param limits the time limits, not null
+     * @param now the current time
      */
     SealTracker(String attempt, long incarnation, long ageMillis, AttemptTracker.Limits limits, long now) {
         this.attempt = attempt;
         this.incarnation = incarnation;
         this.ageMillis = ageMillis;
         this.limits = limits;
-        this.startedAt = now;
-        this.askedAt = now;
+        this.startNanos = now;
+        this.lastRequestNanos = now;
     }
 
-    /** What companions say of a sealed attempt, by its number in the message. */
-    private static final SealOutcome[] OUTCOMES = {
+    /** The outcomes by their number in {@link Sealed#getState}. */
+    private static final SealOutcome[] OUTCOMES_BY_STATE = {
         SealOutcome.NEVER_STARTED,
         SealOutcome.STARTED,
         SealOutcome.ENDED,
@@ -53,18 +53,18 @@
     };
 
     /**
-     * Decides what to ask over a link that is open.
+     * Returns the Seal frame to send over an open link.
      *
-     * @param openIncarnation the incarnation at its other end
-     * @param now the time
+     * @param openIncarnation the companion's incarnation on the link
+     * @param now the current time
      * @return the frame to send, or empty if the answer is {@link SealOutcome#OTHER_INCARNATION}
      */
-    Optional<Frame> ask(long openIncarnation, long now) {
+    Optional<Frame> nextFrame(long openIncarnation, long now) {
         if (openIncarnation != incarnation) {
             return Optional.empty();
         }
-        askedAt = now;
-        long age = ageMillis < 0 ? -1 : ageMillis + (now - startedAt) / NANOS_PER_MILLI + 1;
+        lastRequestNanos = now;
+        long age = ageMillis < 0 ? -1 : ageMillis + (now - startNanos) / NANOS_PER_MILLI + 1;
         return Optional.of(Frame.newBuilder()
                 .setSeal(Seal.newBuilder()
                         .setAttempt(attempt)
@@ -74,22 +74,22 @@
     }
 
     /**
-     * Takes the companion's answer.
+     * Handles the companion's answer.
      *
      * @param sealed the answer, not null
-     * @param now the time
-     * @return the outcome, or empty if the answer is not to be believed and the companion is to be asked again
+     * @param now the current time
+     * @return the outcome, or empty if the answer is too old to be trusted and the request must be repeated
      */
-    Optional<SealOutcome> answered(Sealed sealed, long now) {
-        if (sealed.getState() < 0 || sealed.getState() >= OUTCOMES.length) {
+    Optional<SealOutcome> onSealed(Sealed sealed, long now) {
+        if (sealed.getState() < 0 || sealed.getState() >= OUTCOMES_BY_STATE.length) {
             return Optional.of(SealOutcome.OTHER_INCARNATION);
         }
-        SealOutcome outcome = OUTCOMES[sealed.getState()];
-        boolean late = now - askedAt > limits.answer().toNanos();
+        SealOutcome outcome = OUTCOMES_BY_STATE[sealed.getState()];
+        boolean late = now - lastRequestNanos > limits.answerLimit().toNanos();
         return late && outcome == SealOutcome.NEVER_STARTED ? Optional.empty() : Optional.of(outcome);
     }
 
     boolean isOverdue(long now) {
-        return now - startedAt > limits.resume().toNanos();
+        return now - startNanos > limits.resumeLimit().toNanos();
     }
 }
--- a/link/src/main/java/org/geraniumreach/link/SentAttempt.java
+++ b/link/src/main/java/org/geraniumreach/link/SentAttempt.java
@@ -13,11 +13,11 @@
 import org.geraniumreach.model.MonotonicClock;
 
 /**
- * One attempt under way: its decisions, the link that it uses, and the telling of its listener.
+ * An attempt in progress: it performs its tracker's actions on the current link and notifies its listener.
  *
- * <p>Invariants: decisions and sending happen under this object's lock, so frames leave in the order decided; the listener
- * is told outside of it and by one thread at a time, so a listener may take locks of its own and call back. Safe for use by
- * several threads.
+ * <p>Invariants: the tracker is called and frames are sent under this object's lock, so frames are sent in the order of
+ * the actions; the listener is called outside the lock and by one thread at a time, so it may take its own locks and
+ * call back. Safe for use by several threads.
  */
 final class SentAttempt implements AttemptHandle {
 
@@ -25,70 +25,70 @@
     private final AttemptListener listener;
     private final MonotonicClock clock;
     private final LinkEventListener events;
-    private final Runnable whenDone;
-    private final Queue<AttemptAction> news = new ArrayDeque<>();
+    private final Runnable doneCallback;
+    private final Queue<AttemptAction> pendingNotifications = new ArrayDeque<>();
     private Peer link;
     private boolean started;
-    private boolean telling;
+    private boolean notifying;
 
     SentAttempt(
             AttemptTracker tracker,
             AttemptListener listener,
             MonotonicClock clock,
             LinkEventListener events,
-            Runnable whenDone) {
+            Runnable doneCallback) {
         this.tracker = tracker;
         this.listener = listener;
         this.clock = clock;
         this.events = events;
-        this.whenDone = whenDone;
+        this.doneCallback = doneCallback;
     }
 
     void start(Optional<Peer> open) {
         perform(() -> {
             started = true;
             link = link == null ? open.orElse(null) : link;
-            return link == null ? tracker.noLink(clock.nanos()) : tracker.start(clock.nanos());
+            return link == null ? tracker.onNoLink(clock.nanos()) : tracker.start(clock.nanos());
         });
     }
 
-    void opened(Peer peer) {
+    void onLinkOpened(Peer peer) {
         perform(() -> {
             if (link == peer) {
                 return List.of();
             }
             link = peer;
-            return started ? tracker.linkOpened(peer.hello().getIncarnation(), clock.nanos()) : List.of();
+            return started ? tracker.onLinkOpened(peer.hello().getIncarnation(), clock.nanos()) : List.of();
         });
     }
 
-    void closed(Peer peer, Optional<Peer> other) {
-        boolean mine;
+    void onLinkClosed(Peer peer, Optional<Peer> other) {
+        boolean current;
         synchronized (this) {
-            mine = link == peer;
-            if (mine && started) {
-                tracker.linkLost(clock.nanos());
+            current = link == peer;
+            if (current && started) {
+                tracker.onLinkLost(clock.nanos());
             }
         }
-        if (mine) {
-            other.ifPresent(this::opened);
+        if (current) {
+            other.ifPresent(this::onLinkOpened);
         }
     }
 
-    void accepted() {
-        perform(tracker::accepted);
+    void onAccepted() {
+        perform(tracker::onAccepted);
     }
 
-    void chunk(Chunk chunk) {
-        perform(() -> tracker.chunk(chunk, clock.nanos()));
+    void onChunk(Chunk chunk) {
+        perform(() -> tracker.onChunk(chunk, clock.nanos()));
     }
 
-    void ended(End end) {
-        perform(() -> tracker.ended(end, clock.nanos()));
+    void onEnded(End end) {
+        perform(() -> tracker.onEnded(end, clock.nanos()));
     }
 
-    void refused(Refused refused) {
-        perform(() -> tracker.refused(refused, clock.nanos()));
+    void onRefused(Refused refused) {
+        perform(() -> tracker.onRefused(refused, clock.nanos()));
     }
 
     void tick() {
@@ -111,60 +111,60 @@
     private void perform(Supplier<List<AttemptAction>> decision) {
         boolean done;
         synchronized (this) {
-            decision.get().forEach(this::carryOut);
+            decision.get().forEach(this::execute);
             done = tracker.isDone();
         }
         if (done) {
-            whenDone.run();
+            doneCallback.run();
         }
-        tell();
+        notifyListener();
     }
 
-    private void carryOut(AttemptAction action) {
+    private void execute(AttemptAction action) {
         if (!(action instanceof AttemptAction.Send send)) {
-            news.add(action);
+            pendingNotifications.add(action);
             return;
         }
         if (link.send(send.frame())) {
             return;
         }
         if (send.frame().hasRun()) {
-            news.addAll(tracker.neverSent("the link to the companion does not take the request"));
+            pendingNotifications.addAll(tracker.onNeverSent("the link to the companion does not take the request"));
         } else {
-            tracker.linkLost(clock.nanos());
+            tracker.onLinkLost(clock.nanos());
         }
     }
 
-    private void tell() {
-        for (Optional<AttemptAction> next = takeNext(false); next.isPresent(); next = takeNext(true)) {
+    private void notifyListener() {
+        for (Optional<AttemptAction> next = pollNotification(false); next.isPresent(); next = pollNotification(true)) {
             try {
-                tell(next.get());
+                notifyListener(next.get());
             } catch (RuntimeException failure) {
-                events.happened(EventCode.UNEXPECTED_FAILURE, "a listener of an attempt: " + failure);
+                events.onEvent(EventCode.UNEXPECTED_FAILURE, "attempt listener failed: " + failure);
             }
         }
     }
 
-    private synchronized Optional<AttemptAction> takeNext(boolean mine) {
-        if (telling && !mine) {
+    private synchronized Optional<AttemptAction> pollNotification(boolean isNotifier) {
+        if (notifying && !isNotifier) {
             return Optional.empty();
         }
-        Optional<AttemptAction> next = Optional.ofNullable(news.poll());
-        telling = next.isPresent();
+        Optional<AttemptAction> next = Optional.ofNullable(pendingNotifications.poll());
+        notifying = next.isPresent();
         return next;
     }
 
-    private void tell(AttemptAction action) {
-        if (action instanceof AttemptAction.TellChunk chunk) {
+    private void notifyListener(AttemptAction action) {
+        if (action instanceof AttemptAction.NotifyChunk chunk) {
             listener.chunk(chunk.sequence(), chunk.payload(), chunk.tokens());
-        } else if (action instanceof AttemptAction.TellAccepted) {
+        } else if (action instanceof AttemptAction.NotifyAccepted) {
             listener.accepted();
-        } else if (action instanceof AttemptAction.TellEnded ended) {
+        } else if (action instanceof AttemptAction.NotifyEnded ended) {
             listener.ended(ended.end());
-        } else if (action instanceof AttemptAction.TellRefused refused) {
+        } else if (action instanceof AttemptAction.NotifyRefused refused) {
             listener.refused(refused.refused());
-        } else if (action instanceof AttemptAction.TellLost lost) {
-            listener.lost(lost.ran(), lost.reason());
+        } else if (action instanceof AttemptAction.NotifyLost lost) {
+            listener.lost(lost.executionStatus(), lost.reason());
         }
     }
 }
--- a/link/src/test/java/org/geraniumreach/link/AttemptTrackerTest.java
+++ b/link/src/test/java/org/geraniumreach/link/AttemptTrackerTest.java
@@ -29,16 +29,19 @@
         return AttemptTracker.ofRun(run, 1, LIMITS, 0);
     }
 
-    private static Refused refused(ResultCode code, ExecutionStatus ran) {
-        return Refused.newBuilder().setCode(code.number()).setRan(ran.ordinal()).build();
+    private static Refused refused(ResultCode code, ExecutionStatus status) {
+        return Refused.newBuilder()
+                .setCode(code.number())
+                .setRan(status.ordinal())
+                .build();
     }
 
-    private static Optional<ExecutionStatus> told(List<AttemptAction> actions) {
+    private static Optional<ExecutionStatus> reportedStatus(List<AttemptAction> actions) {
         for (AttemptAction action : actions) {
-            if (action instanceof AttemptAction.TellLost lost) {
-                return Optional.of(lost.ran());
+            if (action instanceof AttemptAction.NotifyLost lost) {
+                return Optional.of(lost.executionStatus());
             }
-            if (action instanceof AttemptAction.TellRefused refused) {
+            if (action instanceof AttemptAction.NotifyRefused refused) {
                 return Optional.of(ExecutionStatus.values()[refused.refused().getRan()]);
             }
         }
@@ -46,51 +49,51 @@
     }
 
     @Test
-    void runThatNoLinkTookHasNotRun() {
-        assertThat(told(tracker(false).neverSent("no link"))).contains(ExecutionStatus.NO);
+    void attemptNeverSentIsReportedNotRun() {
+        assertThat(reportedStatus(tracker(false).onNeverSent("no link"))).contains(ExecutionStatus.NO);
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void lossOfTheCompanionAfterSendingIsUnknown(boolean repeatable) {
-        // The link breaks after the Run was handed over and no new one opens. The Run may have arrived; "not run" could
-        // be false, and a booking would be sent again.
+    void companionLossAfterSendIsReportedUnknown(boolean repeatable) {
+        // The link is lost after the Run was handed to it, and no new one opens. The Run may have arrived: reporting
+        // "not run" could make an entry send a booking twice.
         AttemptTracker tracker = tracker(repeatable);
         tracker.start(0);
-        tracker.linkLost(1);
-        assertThat(told(tracker.tick(LIMIT.toNanos()))).isEmpty();
-        assertThat(told(tracker.tick(LIMIT.toNanos() + 2))).contains(ExecutionStatus.UNKNOWN);
+        tracker.onLinkLost(1);
+        assertThat(reportedStatus(tracker.tick(LIMIT.toNanos()))).isEmpty();
+        assertThat(reportedStatus(tracker.tick(LIMIT.toNanos() + 2))).contains(ExecutionStatus.UNKNOWN);
     }
 
     @Test
-    void restartOfTheCompanionIsUnknownForWhatMayNotBeRepeated() {
-        // The companion comes back as another process, which knows nothing of what the former one started.
+    void companionRestartIsUnknownForNonRepeatableAttempt() {
+        // The companion is restarted, and the new process does not know what the previous one started.
         AttemptTracker tracker = tracker(false);
         tracker.start(0);
-        tracker.linkLost(1);
-        assertThat(told(tracker.linkOpened(2, 2))).contains(ExecutionStatus.UNKNOWN);
+        tracker.onLinkLost(1);
+        assertThat(reportedStatus(tracker.onLinkOpened(2, 2))).contains(ExecutionStatus.UNKNOWN);
     }
 
     @ParameterizedTest
     @CsvSource({"1, NO", "10000, NO", "10001, UNKNOWN"})
-    void notRunIsBelievedOnlyWhileTheCompanionStillKnows(long millis, ExecutionStatus expected) {
-        // The companion answers a Resume that it does not know the attempt. It forgets after a time; an answer that
-        // took long may come from a companion that ran the attempt and forgot it.
+    void notRunIsTrustedOnlyWithinAnswerLimit(long millis, ExecutionStatus expected) {
+        // The companion answers a Resume that it does not know the attempt. It discards attempts after a time, so a
+        // late answer may come from a companion that ran the attempt and discarded it.
         AttemptTracker tracker = tracker(false);
         tracker.start(0);
-        tracker.linkLost(1);
-        tracker.linkOpened(1, 1);
+        tracker.onLinkLost(1);
+        tracker.onLinkOpened(1, 1);
         long now = Duration.ofMillis(millis).toNanos() + 1;
-        assertThat(told(tracker.refused(refused(ResultCode.NOT_RUN, ExecutionStatus.NO), now)))
+        assertThat(reportedStatus(tracker.onRefused(refused(ResultCode.NOT_RUN, ExecutionStatus.NO), now)))
                 .contains(expected);
     }
 
     @Test
-    void longWaitInTheQueueIsNotTakenForForgetting() {
+    void lateLoadFailureIsStillReportedNotRun() {
         AttemptTracker tracker = tracker(false);
         tracker.start(0);
         long now = Duration.ofMinutes(5).toNanos();
-        assertThat(told(tracker.refused(refused(ResultCode.LOAD_FAILED, ExecutionStatus.NO), now)))
+        assertThat(reportedStatus(tracker.onRefused(refused(ResultCode.LOAD_FAILED, ExecutionStatus.NO), now)))
                 .contains(ExecutionStatus.NO);
     }
 }
--- a/standalone/src/main/java/org/geraniumreach/standalone/HttpEngineStream.java
+++ b/standalone/src/main/java/org/geraniumreach/standalone/HttpEngineStream.java
@@ -20,95 +20,96 @@
 import org.geraniumreach.ports.PlatformException.Reason;
 
 /**
- * One answer that an engine is sending.
+ * A stream that an engine sends as an HTTP response.
  *
- * <p>An engine that waits sends empty lines, so a connection without any byte within the silence limit has been lost track
- * of; it is given up, and the caller may resume the stream on a new one. While a slow listener keeps the connection from
- * being read, silence proves nothing and is not counted.
+ * <p>An idle engine sends empty lines, so a connection without any byte within the silence limit is treated as dead. It
+ * is closed, and the caller may resume the stream on a new one. Time during which a slow listener prevents reading from
+ * the connection is not counted.
  *
- * <p>Safe for use by several threads; the listener is called by one at a time.
+ * <p>Safe for use by several threads; the listener is called by one thread at a time.
  */
 final class HttpEngineStream implements EngineStream {
 
-    private static final int CHECKS_PER_LIMIT = 4;
+    private static final int SILENCE_CHECKS_PER_LIMIT = 4;
 
     private final HttpTransport transport;
     private final HttpRequest request;
-    private final UnaryOperator<PlatformException> correction;
+    private final UnaryOperator<PlatformException> failureMapper;
     private final Duration silenceLimit;
-    private final StreamLines lines;
-    private HttpClient used;
+    private final EngineStreamReader reader;
+    private HttpClient client;
     private CompletableFuture<HttpResponse<byte[]>> call;
-    private ScheduledFuture<?> watch;
+    private ScheduledFuture<?> silenceCheck;
 
     private HttpEngineStream(
             HttpTransport transport,
             HttpRequest request,
             long nextSequence,
-            UnaryOperator<PlatformException> correction,
+            UnaryOperator<PlatformException> failureMapper,
             Duration silenceLimit,
             EngineListener listener) {
         this.transport = transport;
         this.request = request;
-        this.correction = correction;
+        this.failureMapper = failureMapper;
         this.silenceLimit = silenceLimit;
-        this.lines = new StreamLines(nextSequence, listener);
+        this.reader = new EngineStreamReader(nextSequence, listener);
     }
 
     static HttpEngineStream open(
             HttpTransport transport,
             HttpRequest request,
             long nextSequence,
-            UnaryOperator<PlatformException> correction,
+            UnaryOperator<PlatformException> failureMapper,
             Duration silenceLimit,
             ScheduledExecutorService timer,
             EngineListener listener) {
         HttpEngineStream stream =
-                new HttpEngineStream(transport, request, nextSequence, correction, silenceLimit, listener);
+                new HttpEngineStream(transport, request, nextSequence, failureMapper, silenceLimit, listener);
         stream.start(timer);
         return stream;
     }
 
     private synchronized void start(ScheduledExecutorService timer) {
-        used = transport.current();
-        long interval = Math.max(1, silenceLimit.toMillis() / CHECKS_PER_LIMIT);
-        watch = timer.scheduleWithFixedDelay(this::checkSilence, interval, interval, TimeUnit.MILLISECONDS);
-        call = used.sendAsync(request, this::bodyOf);
-        call.whenComplete(this::completed);
+        client = transport.currentClient();
+        long interval = Math.max(1, silenceLimit.toMillis() / SILENCE_CHECKS_PER_LIMIT);
+        silenceCheck = timer.scheduleWithFixedDelay(this::checkSilence, interval, interval, TimeUnit.MILLISECONDS);
+        call = client.sendAsync(request, this::bodySubscriber);
+        call.whenComplete(this::onCompleted);
     }
 
-    private BodySubscriber<byte[]> bodyOf(HttpResponse.ResponseInfo response) {
+    private BodySubscriber<byte[]> bodySubscriber(HttpResponse.ResponseInfo response) {
         if (response.statusCode() != 200) {
-            return new LimitedBody(StreamLines.MAXIMUM_LINE_BYTES);
+            return new LimitedBodySubscriber(EngineStreamReader.MAXIMUM_LINE_BYTES);
         }
-        return lines;
+        return reader;
     }
 
-    private void completed(HttpResponse<byte[]> response, Throwable failure) {
-        stopWatching();
+    private void onCompleted(HttpResponse<byte[]> response, Throwable failure) {
+        cancelSilenceCheck();
         if (failure instanceof CancellationException) {
             return;
         }
         if (failure != null) {
             transport.discard(client());
             Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
-            lines.fail(correction.apply(HttpTransport.failure(request, cause)));
+            reader.fail(failureMapper.apply(HttpTransport.failure(request, cause)));
             return;
         }
         if (response.statusCode() != 200) {
-            lines.fail(correction.apply(HttpTransport.errorAnswer(request, response.statusCode(), response.body())));
+            reader.fail(
+                    failureMapper.apply(HttpTransport.errorAnswer(request, response.statusCode(), response.body())));
             return;
         }
-        lines.fail(new PlatformException(Effect.UNKNOWN, Reason.NO_ANSWER, "stream ended without its end", null));
+        reader.fail(new PlatformException(Effect.UNKNOWN, Reason.NO_ANSWER, "stream ended without its end", null));
     }
 
     private void checkSilence() {
-        if (lines.silentFor() < silenceLimit.toNanos()) {
+        if (reader.silentNanos() < silenceLimit.toNanos()) {
             return;
         }
-        stopWatching();
+        cancelSilenceCheck();
         transport.discard(client());
-        lines.fail(new PlatformException(
+        reader.fail(new PlatformException(
                 Effect.UNKNOWN,
                 Reason.NO_ANSWER,
                 "engine silent for " + silenceLimit.toMillis() + " ms: "
@@ -118,26 +119,26 @@
     }
 
     private synchronized HttpClient client() {
-        return used;
+        return client;
     }
 
     private synchronized CompletableFuture<HttpResponse<byte[]>> call() {
         return call;
     }
 
-    private synchronized void stopWatching() {
-        watch.cancel(false);
+    private synchronized void cancelSilenceCheck() {
+        silenceCheck.cancel(false);
     }
 
     @Override
     public void request(int chunks) {
-        lines.request(chunks);
+        reader.request(chunks);
     }
 
     @Override
     public void detach() {
-        stopWatching();
-        lines.detach();
+        cancelSilenceCheck();
+        reader.detach();
         call().cancel(true);
     }
 }
--- a/standalone/src/main/java/org/geraniumreach/standalone/HttpObjectStore.java
+++ b/standalone/src/main/java/org/geraniumreach/standalone/HttpObjectStore.java
@@ -9,7 +9,7 @@
 import org.geraniumreach.ports.PlatformException.Reason;
 
 /**
- * The object store over HTTP.
+ * Accesses the object store over HTTP.
  *
  * <p>Safe for use by several threads.
  */
@@ -43,6 +43,6 @@
     }
 
     private static String path(String key) {
-        return Query.of("/v1/objects").with("key", key).text();
+        return QueryPath.of("/v1/objects").with("key", key).text();
     }
 }
--- a/standalone/src/main/java/org/geraniumreach/standalone/HttpTableService.java
+++ b/standalone/src/main/java/org/geraniumreach/standalone/HttpTableService.java
@@ -17,10 +17,10 @@
 import org.geraniumreach.ports.TableService;
 
 /**
- * The table service over HTTP.
+ * Accesses the table service over HTTP.
  *
- * <p>Invariant: an answer that lacks a field is a failure, never an absent row or a refused commit. Safe for use by
- * several threads.
+ * <p>Invariant: a response that lacks a field is a failure; it is never treated as an absent row or a rejected commit.
+ * Safe for use by several threads.
  */
 final class HttpTableService implements TableService {
 
@@ -32,7 +32,7 @@
 
     @Override
     public Optional<Row> read(RowKey key) throws PlatformException {
-        Query query = Query.of("/v1/rows").with("table", key.table()).with("key", key.key());
+        QueryPath query = QueryPath.of("/v1/rows").with("table", key.table()).with("key", key.key());
         return rows(key.table(), query).stream().findFirst();
     }
 
@@ -41,7 +41,7 @@
         if (limit < 1) {
             throw new IllegalArgumentException("limit below 1: " + limit);
         }
-        Query query = Query.of("/v1/scan")
+        QueryPath query = QueryPath.of("/v1/scan")
                 .with("table", table)
                 .with("prefix", prefix)
                 .with("after", after)
@@ -59,18 +59,18 @@
         return committed.asBoolean();
     }
 
-    private List<Row> rows(String table, Query query) throws PlatformException {
+    private List<Row> rows(String table, QueryPath query) throws PlatformException {
         JsonNode rows = transport
                 .callForJson(transport.request(query.text()).GET().build())
                 .path("rows");
         if (!rows.isArray()) {
             throw new PlatformException(Effect.UNKNOWN, Reason.BAD_ANSWER, "answer lacks 'rows'", null);
         }
-        List<Row> read = new ArrayList<>(rows.size());
+        List<Row> result = new ArrayList<>(rows.size());
         for (JsonNode row : rows) {
-            read.add(toRow(table, row));
+            result.add(toRow(table, row));
         }
-        return read;
+        return result;
     }
 
     private static Row toRow(String table, JsonNode row) throws PlatformException {
