--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/BudgetTrial.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/BudgetTrial.java
@@ -34,36 +34,37 @@
 final class BudgetTrial {
 
     private static final AccountId ACCOUNT = AccountId.of("account");
-    private static final double LINK_SECONDS = 0.0005;
-    private static final double STORE_SECONDS = 0.005;
-    private static final double TICK_SECONDS = 0.02;
+    private static final double LINK_LATENCY_SECONDS = 0.0005;
+    private static final double STORE_LATENCY_SECONDS = 0.005;
+    private static final double TICK_INTERVAL_SECONDS = 0.02;
     private static final double WARM_UP_SECONDS = 30;
-    private static final double SHIFT_SECONDS = 120;
-    private static final long NEVER = Long.MAX_VALUE / 4;
+    private static final double SHIFT_INTERVAL_SECONDS = 120;
+    private static final long UNLIMITED_NANOS = Long.MAX_VALUE / 4;
 
     private final BudgetTrialPlan plan;
-    private final VirtualTime time = new VirtualTime();
-    private final MemoryTable table = new MemoryTable();
+    private final VirtualTimeScheduler scheduler = new VirtualTimeScheduler();
+    private final InMemoryTable table = new InMemoryTable();
     private final List<Entry> entries = new ArrayList<>();
-    private final AccountBudget central;
+    private final AccountBudget centralBudget;
     private final Map<Long, Request> requests = new HashMap<>();
     private final BudgetTrialResult result = new BudgetTrialResult();
     private long lastTicket;
-    private int mostLoaded;
+    private int mostLoadedEntry;
 
     BudgetTrial(BudgetTrialPlan plan) {
         this.plan = plan;
-        HoldingProof always = new HoldingProof(NEVER);
+        HoldingProof always = new HoldingProof(UNLIMITED_NANOS);
         always.renewed(0);
-        this.central = new AccountBudget(ACCOUNT, policy(SharingPolicy.staticSplit()), always, time, new Random(0));
-        central.setRate(plan.rate(), plan.burst());
-        central.setOwnParts(ShareParts.WHOLE, true);
+        this.centralBudget =
+                new AccountBudget(ACCOUNT, createPolicy(SharingPolicy.staticSplit()), always, scheduler, new Random(0));
+        centralBudget.setRate(plan.rate(), plan.burst());
+        centralBudget.setOwnParts(ShareParts.WHOLE, true);
         for (int index = 0; index < plan.entries(); index++) {
             entries.add(new Entry(index));
         }
     }
 
-    private static BudgetPolicy policy(SharingPolicy sharing) {
+    private static BudgetPolicy createPolicy(SharingPolicy sharing) {
         return new BudgetPolicy(
                 sharing,
                 Duration.ofSeconds(5),
@@ -79,15 +80,15 @@
 
     /** A request, as the central bucket decided on it. */
     private static final class Request {
-        private final double arrived;
-        private final double seconds;
-        private final long actual;
+        private final double arrivedAtSeconds;
+        private final double durationSeconds;
+        private final long actualTokens;
         private boolean centrallyAdmitted;
 
         private Request(double arrived, double seconds, long actual) {
-            this.arrived = arrived;
-            this.seconds = seconds;
-            this.actual = actual;
+            this.arrivedAtSeconds = arrived;
+            this.durationSeconds = seconds;
+            this.actualTokens = actual;
         }
     }
 
@@ -95,21 +96,21 @@
     private final class Entry {
         private final InstanceId instance;
         private final EntryBudget budget;
-        private final AccountBudget fixed;
-        private long nextWake = Long.MAX_VALUE;
+        private final AccountBudget staticBudget;
+        private long nextWakeNanos = Long.MAX_VALUE;
 
         private Entry(int index) {
             instance = InstanceId.of("entry" + index);
             SharingPolicy sharing = plan.byDemand() ? SharingPolicy.byDemand() : SharingPolicy.staticSplit();
             budget = new EntryBudget(
-                    new HolderId(instance, "address" + index, 1), policy(sharing), time, new Random(index));
+                    new HolderId(instance, "address" + index, 1), createPolicy(sharing), scheduler, new Random(index));
             budget.setAccounts(Set.of(ACCOUNT));
             budget.setRate(ACCOUNT, plan.rate(), plan.burst());
-            HoldingProof always = new HoldingProof(NEVER);
+            HoldingProof always = new HoldingProof(UNLIMITED_NANOS);
             always.renewed(0);
-            fixed = new AccountBudget(ACCOUNT, policy(sharing), always, time, new Random(index));
-            fixed.setRate(plan.rate(), plan.burst());
-            fixed.setOwnParts(ShareParts.WHOLE / plan.entries(), true);
+            staticBudget = new AccountBudget(ACCOUNT, createPolicy(sharing), always, scheduler, new Random(index));
+            staticBudget.setRate(plan.rate(), plan.burst());
+            staticBudget.setOwnParts(ShareParts.WHOLE / plan.entries(), true);
         }
 
         private void tick() {
@@ -121,25 +122,25 @@
             for (int index = 0; index < plan.entries(); index++) {
                 listed.add(new HolderId.ListedHolder(entries.get(index).instance, "address" + index));
             }
-            budget.listed(listed, time.nanos());
+            budget.listed(listed, scheduler.nanos());
             callStore();
-            time.after(TICK_SECONDS, this::tick);
+            scheduler.scheduleAfter(TICK_INTERVAL_SECONDS, this::tick);
         }
 
         private void callStore() {
-            budget.publish().forEach(changed -> carryOut(changed.step()));
+            budget.publish().forEach(changed -> execute(changed.step()));
             budget.keeper()
                     .next()
-                    .ifPresent(call -> time.after(STORE_SECONDS, () -> {
-                        Runnable answer = effect(call);
-                        time.after(STORE_SECONDS, () -> {
+                    .ifPresent(call -> scheduler.scheduleAfter(STORE_LATENCY_SECONDS, () -> {
+                        Runnable answer = applyToTable(call);
+                        scheduler.scheduleAfter(STORE_LATENCY_SECONDS, () -> {
                             answer.run();
                             callStore();
                         });
                     }));
         }
 
-        private Runnable effect(StoreCall call) {
+        private Runnable applyToTable(StoreCall call) {
             if (call instanceof StoreCall.Read read) {
                 var row = table.read(read.key());
                 return () -> budget.keeper().read(row);
@@ -153,30 +154,30 @@
         }
 
         private void reserve(long ticket, long tokens, Duration deadline) {
-            carryOut(
+            execute(
                     plan.byDemand()
                             ? budget.reserve(ACCOUNT, ticket, tokens, deadline)
-                            : fixed.reserve(ticket, tokens, deadline));
+                            : staticBudget.reserve(ticket, tokens, deadline));
         }
 
         private void settle(Grant grant, long actual) {
-            carryOut(plan.byDemand() ? budget.settle(ACCOUNT, grant, actual) : fixed.settle(grant, actual));
+            execute(plan.byDemand() ? budget.settle(ACCOUNT, grant, actual) : staticBudget.settle(grant, actual));
         }
 
         private void receive(InstanceId from, Object content) {
-            carryOut(
+            execute(
                     content instanceof LoanWish wish
                             ? budget.loanAsked(from, wish)
                             : budget.loanAnswered(from, (Loan) content));
         }
 
-        private void carryOut(BudgetStep step) {
-            step.wakeAt().ifPresent(this::wakeAt);
+        private void execute(BudgetStep step) {
+            step.wakeAt().ifPresent(this::scheduleWake);
             for (BudgetAction action : step.actions()) {
                 if (action instanceof BudgetAction.Granted granted) {
-                    granted(granted);
+                    onGranted(granted);
                 } else if (action instanceof BudgetAction.Refused refused) {
-                    refused(requests.remove(refused.ticket()));
+                    onRefused(requests.remove(refused.ticket()));
                 } else if (action instanceof BudgetAction.AskLoan ask) {
                     send(ask.peer(), ask.wish());
                 } else if (action instanceof BudgetAction.GiveLoan give) {
@@ -185,88 +186,90 @@
             }
         }
 
-        private void wakeAt(long at) {
-            if (nextWake <= at) {
+        private void scheduleWake(long at) {
+            if (nextWakeNanos <= at) {
                 return;
             }
-            nextWake = at;
-            time.at(at, () -> {
-                if (nextWake == at) {
-                    nextWake = Long.MAX_VALUE;
-                    carryOut(plan.byDemand() ? budget.wake(ACCOUNT) : fixed.wake());
+            nextWakeNanos = at;
+            scheduler.scheduleAt(at, () -> {
+                if (nextWakeNanos == at) {
+                    nextWakeNanos = Long.MAX_VALUE;
+                    execute(plan.byDemand() ? budget.wake(ACCOUNT) : staticBudget.wake());
                 }
             });
         }
 
-        private void granted(BudgetAction.Granted granted) {
+        private void onGranted(BudgetAction.Granted granted) {
             Request request = requests.remove(granted.ticket());
             if (isMeasured(request)) {
-                result.admitted(time.seconds() - request.arrived, request.centrallyAdmitted);
+                result.recordAdmitted(scheduler.seconds() - request.arrivedAtSeconds, request.centrallyAdmitted);
             }
-            time.after(request.seconds, () -> settle(granted.grant(), request.actual));
+            scheduler.scheduleAfter(request.durationSeconds, () -> settle(granted.grant(), request.actualTokens));
         }
 
-        private void refused(Request request) {
+        private void onRefused(Request request) {
             if (isMeasured(request)) {
-                result.refused(request.centrallyAdmitted);
+                result.recordRefused(request.centrallyAdmitted);
             }
         }
 
         private void send(InstanceId to, Object content) {
-            result.message();
-            time.after(LINK_SECONDS, () -> entries.stream()
+            result.recordMessage();
+            scheduler.scheduleAfter(LINK_LATENCY_SECONDS, () -> entries.stream()
                     .filter(entry -> entry.instance.equals(to))
                     .forEach(entry -> entry.receive(instance, content)));
         }
     }
 
     private static boolean isMeasured(Request request) {
-        return request.arrived > WARM_UP_SECONDS;
+        return request.arrivedAtSeconds > WARM_UP_SECONDS;
     }
 
     BudgetTrialResult run() {
         entries.forEach(Entry::tick);
         // The requests come from generators of their own, so that no policy changes what another one meets.
         Random arrivals = new Random(plan.seed());
-        time.after(0, () -> arrive(arrivals));
+        scheduler.scheduleAfter(0, () -> onRequestArrived(arrivals));
         if (plan.shifting()) {
-            time.after(SHIFT_SECONDS, this::shift);
+            scheduler.scheduleAfter(SHIFT_INTERVAL_SECONDS, this::shiftMostLoadedEntry);
         }
-        time.runUntil(plan.seconds());
-        result.commits(table.commits());
+        scheduler.runUntil(plan.durationSeconds());
+        result.setCommits(table.commitAttempts());
         return result;
     }
 
-    private void shift() {
-        mostLoaded = (mostLoaded + 1) % plan.entries();
-        time.after(SHIFT_SECONDS, this::shift);
+    private void shiftMostLoadedEntry() {
+        mostLoadedEntry = (mostLoadedEntry + 1) % plan.entries();
+        scheduler.scheduleAfter(SHIFT_INTERVAL_SECONDS, this::shiftMostLoadedEntry);
     }
 
-    private void arrive(Random random) {
+    private void onRequestArrived(Random random) {
         long prompt = 50 + random.nextInt(400);
         long maximum = 50 + random.nextInt(500);
         long actual = prompt + (long) (maximum * random.nextDouble());
         double meanActual = 249.5 + 0.5 * 299.5;
-        Request request = new Request(time.seconds(), 0.05 * (actual - prompt), actual);
-        centralDecision(request, prompt + maximum);
+        Request request = new Request(scheduler.seconds(), 0.05 * (actual - prompt), actual);
+        decideCentrally(request, prompt + maximum);
         lastTicket++;
         requests.put(lastTicket, request);
         entries.get(entryFor(random.nextInt(plan.entries() + plan.skew() - 1)))
                 .reserve(lastTicket, prompt + maximum, Duration.ofSeconds(30));
-        double perSecond = plan.load() * plan.rate() / meanActual;
-        time.after(-Math.log(1 - random.nextDouble()) / perSecond, () -> arrive(random));
+        double perSecond = plan.loadFraction() * plan.rate() / meanActual;
+        scheduler.scheduleAfter(-Math.log(1 - random.nextDouble()) / perSecond, () -> onRequestArrived(random));
     }
 
     /** Gets the entry of a draw: the most loaded one has as many numbers as the skew says, the others one each. */
     private int entryFor(int draw) {
-        return draw < plan.skew() ? mostLoaded : (mostLoaded + 1 + draw - plan.skew()) % plan.entries();
+        return draw < plan.skew() ? mostLoadedEntry : (mostLoadedEntry + 1 + draw - plan.skew()) % plan.entries();
     }
 
-    private void centralDecision(Request request, long tokens) {
-        for (BudgetAction action : central.reserve(0, tokens, Duration.ZERO).actions()) {
+    private void decideCentrally(Request request, long tokens) {
+        for (BudgetAction action :
+                centralBudget.reserve(0, tokens, Duration.ZERO).actions()) {
             if (action instanceof BudgetAction.Granted granted) {
                 request.centrallyAdmitted = true;
-                time.after(request.seconds, () -> central.settle(granted.grant(), request.actual));
+                scheduler.scheduleAfter(
+                        request.durationSeconds, () -> centralBudget.settle(granted.grant(), request.actualTokens));
             }
         }
     }
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/BudgetTrialMain.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/BudgetTrialMain.java
@@ -7,13 +7,13 @@
 /** Runs the static split and the shares by demand on the same requests, and prints a line for each trial. */
 public final class BudgetTrialMain {
 
-    private static final int SEEDS = 5;
-    private static final List<Double> LOADS = List.of(0.5, 0.7, 0.8);
-    private static final int ENTRIES = 3;
+    private static final int SEED_COUNT = 5;
+    private static final List<Double> LOAD_FRACTIONS = List.of(0.5, 0.7, 0.8);
+    private static final int ENTRY_COUNT = 3;
     private static final int SKEW = 4;
-    private static final long RATE = 10_000;
-    private static final long BURST = 30_000;
-    private static final double SECONDS = 2000;
+    private static final long TOKENS_PER_SECOND = 10_000;
+    private static final long BURST_TOKENS = 30_000;
+    private static final double DURATION_SECONDS = 2000;
 
     private BudgetTrialMain() {}
 
@@ -24,7 +24,7 @@
      */
     public static void main(String[] arguments) {
         for (boolean shifting : List.of(false, true)) {
-            for (double load : LOADS) {
+            for (double load : LOAD_FRACTIONS) {
                 for (boolean byDemand : List.of(false, true)) {
                     runSeeds(shifting, load, byDemand);
                 }
@@ -35,14 +35,22 @@
     private static void runSeeds(boolean shifting, double load, boolean byDemand) {
         String name = String.format(
                 "%s, %d entries, skew %d:1%s, load %.1f",
-                byDemand ? "by demand" : "static split", ENTRIES, SKEW, shifting ? " moving" : "", load);
+                byDemand ? "by demand" : "static split", ENTRY_COUNT, SKEW, shifting ? " moving" : "", load);
         DescriptiveStatistics wrongful = new DescriptiveStatistics();
-        for (int seed = 1; seed <= SEEDS; seed++) {
-            BudgetTrialPlan plan =
-                    new BudgetTrialPlan(byDemand, ENTRIES, SKEW, shifting, load, RATE, BURST, SECONDS, seed);
+        for (int seed = 1; seed <= SEED_COUNT; seed++) {
+            BudgetTrialPlan plan = new BudgetTrialPlan(
+                    byDemand,
+                    ENTRY_COUNT,
+                    SKEW,
+                    shifting,
+                    load,
+                    TOKENS_PER_SECOND,
+                    BURST_TOKENS,
+                    DURATION_SECONDS,
+                    seed);
             BudgetTrialResult result = new BudgetTrial(plan).run();
-            wrongful.addValue(result.wrongfulPercent());
-            System.out.println(name + ", seed " + seed + ": " + result.line());
+            wrongful.addValue(result.wronglyRefusedPercent());
+            System.out.println(name + ", seed " + seed + ": " + result.summary());
         }
         System.out.printf(
                 "%s: wrongly refused %.4f%% (%.4f to %.4f)%n",
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/BudgetTrialPlan.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/BudgetTrialPlan.java
@@ -9,10 +9,10 @@
  * @param entries the number of entries
  * @param skew how many times the requests of another entry one entry gets
  * @param shifting whether it is another entry every two minutes
- * @param load the tokens used a second, as a part of the rate
+ * @param loadFraction the tokens used a second, as a part of the rate
  * @param rate the account's rate
  * @param burst its burst
- * @param seconds how long the trial lasts, in virtual time
+ * @param durationSeconds how long the trial lasts, in virtual time
  * @param seed the seed of the requests
  */
 record BudgetTrialPlan(
@@ -20,8 +20,8 @@
         int entries,
         int skew,
         boolean shifting,
-        double load,
+        double loadFraction,
         long rate,
         long burst,
-        double seconds,
+        double durationSeconds,
         long seed) {}
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/BudgetTrialResult.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/BudgetTrialResult.java
@@ -7,47 +7,47 @@
     private long centrallyAdmitted;
     private long refused;
     private long wronglyRefused;
-    private double waited;
-    private double longestWait;
+    private double totalWaitSeconds;
+    private double longestWaitSeconds;
     private long messages;
     private long commits;
 
-    void admitted(double waitSeconds, boolean centrally) {
+    void recordAdmitted(double waitSeconds, boolean centrally) {
         requests++;
         centrallyAdmitted += centrally ? 1 : 0;
-        waited += waitSeconds;
-        longestWait = Math.max(longestWait, waitSeconds);
+        totalWaitSeconds += waitSeconds;
+        longestWaitSeconds = Math.max(longestWaitSeconds, waitSeconds);
     }
 
-    void refused(boolean centrally) {
+    void recordRefused(boolean centrally) {
         requests++;
         refused++;
         centrallyAdmitted += centrally ? 1 : 0;
         wronglyRefused += centrally ? 1 : 0;
     }
 
-    void message() {
+    void recordMessage() {
         messages++;
     }
 
-    void commits(int count) {
+    void setCommits(int count) {
         commits = count;
     }
 
-    double wrongfulPercent() {
+    double wronglyRefusedPercent() {
         return 100.0 * wronglyRefused / requests;
     }
 
-    String line() {
+    String summary() {
         return String.format(
                 "requests %d, central admits %.3f%%, refused %.3f%%, wrongly %.4f%%, mean wait %.2f ms, longest %.0f ms,"
                         + " loan frames per request %.3f, commits %d",
                 requests,
                 100.0 * centrallyAdmitted / requests,
                 100.0 * refused / requests,
-                wrongfulPercent(),
-                1000 * waited / (requests - refused),
-                1000 * longestWait,
+                wronglyRefusedPercent(),
+                1000 * totalWaitSeconds / (requests - refused),
+                1000 * longestWaitSeconds,
                 (double) messages / requests,
                 commits);
     }
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/MemoryTable.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/InMemoryTable.java
@@ -10,11 +10,11 @@
 import org.geraniumreach.model.table.Transaction;
 
 /** A table service in memory; confined to one thread. */
-final class MemoryTable {
+final class InMemoryTable {
 
     private final Map<RowKey, Row> rows = new HashMap<>();
     private long lastVersion;
-    private int commits;
+    private int commitAttempts;
 
     Optional<Row> read(RowKey key) {
         return Optional.ofNullable(rows.get(key));
@@ -27,7 +27,7 @@
     }
 
     boolean commit(Transaction transaction) {
-        commits++;
+        commitAttempts++;
         for (Transaction.Condition condition : transaction.conditions()) {
             long version = read(condition.key()).map(Row::version).orElse(Transaction.ABSENT_VERSION);
             if (version != condition.version()) {
@@ -47,7 +47,7 @@
         return true;
     }
 
-    int commits() {
-        return commits;
+    int commitAttempts() {
+        return commitAttempts;
     }
 }
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/CompanionBenchmark.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/CompanionBenchmark.java
@@ -37,7 +37,7 @@
 public class CompanionBenchmark {
 
     private static final int PRIORITY = 5;
-    private static final int TOKENS = 300;
+    private static final int TOKENS_PER_REQUEST = 300;
 
     /** The requests that wait. */
     @Param({"16", "128", "1024"})
@@ -47,52 +47,55 @@
     @Param({"5", "50"})
     int accounts;
 
-    private final AdapterReference[] adapters = Fleets.adapters(FleetSize.SLOTS);
+    private final AdapterReference[] adapters = Fleets.createAdapters(FleetSize.SLOTS_PER_TARGET);
     private RequestQueue<Integer> queue;
     private Residency residency;
     private Residency coldResidency;
-    private int next;
+    private int nextNumber;
 
     /** Fills the queue, and makes all adapters resident. */
     @Setup
     public void setUp() {
         queue = RequestQueue.create(
                 QueuePolicy.FAIR, QueueWeights.fullBatches(), ConcurrencyLimit.fixed(4), MonotonicClock.system());
-        residency = residency();
+        residency = createResidency();
         residency.synchronise(1, Set.of(adapters), 0);
-        coldResidency = residency();
+        coldResidency = createResidency();
         coldResidency.synchronise(1, Set.of(), 0);
         for (int index = 0; index < waiting; index++) {
-            queue.offer(request());
+            queue.offer(nextRequest());
             coldResidency.request(
-                    attempt(), account(), AdapterReference.of("cold-" + index % (waiting / 2), "1"), TOKENS);
+                    nextAttempt(),
+                    nextAccount(),
+                    AdapterReference.of("cold-" + index % (waiting / 2), "1"),
+                    TOKENS_PER_REQUEST);
         }
     }
 
-    private static Residency residency() {
+    private static Residency createResidency() {
         MonotonicClock clock = MonotonicClock.system();
         FleetLoads fleet = FleetLoads.create(clock, Duration.ofDays(1));
         fleet.onReport(TargetId.of("other"), Integer.MAX_VALUE / 2, 0, 0);
-        return Residency.create(ResidencySettings.standard(FleetSize.SLOTS), fleet, clock);
+        return Residency.create(ResidencySettings.standard(FleetSize.SLOTS_PER_TARGET), fleet, clock);
     }
 
-    private AttemptId attempt() {
-        return AttemptId.of("attempt-" + next++);
+    private AttemptId nextAttempt() {
+        return AttemptId.of("attempt-" + nextNumber++);
     }
 
-    private AccountId account() {
-        return AccountId.of("account-" + next % accounts);
+    private AccountId nextAccount() {
+        return AccountId.of("account-" + nextNumber % accounts);
     }
 
-    private QueuedRequest<Integer> request() {
+    private QueuedRequest<Integer> nextRequest() {
         return new QueuedRequest<>(
-                attempt(),
-                account(),
-                Optional.of(adapters[next % adapters.length]),
-                TOKENS,
+                nextAttempt(),
+                nextAccount(),
+                Optional.of(adapters[nextNumber % adapters.length]),
+                TOKENS_PER_REQUEST,
                 PRIORITY,
                 Long.MAX_VALUE,
-                next);
+                nextNumber);
     }
 
     /**
@@ -102,16 +105,16 @@
      */
     @Benchmark
     public QueuedRequest<Integer> throughQueueAndResidency() {
-        QueuedRequest<Integer> arriving = request();
+        QueuedRequest<Integer> arriving = nextRequest();
         residency.request(
-                arriving.attempt(), arriving.account(), arriving.adapter().orElseThrow(), TOKENS);
+                arriving.attempt(), arriving.account(), arriving.adapter().orElseThrow(), TOKENS_PER_REQUEST);
         queue.offer(arriving);
         QueuedRequest<Integer> running = queue.take(residency::isReady).orElseThrow();
         Pin pin = residency
                 .pin(running.attempt(), running.adapter().orElseThrow())
                 .orElseThrow();
         pin.release();
-        queue.onFinished(running.attempt(), TOKENS, 1);
+        queue.onFinished(running.attempt(), TOKENS_PER_REQUEST, 1);
         return running;
     }
 
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/ConfigurationBenchmark.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/ConfigurationBenchmark.java
@@ -34,20 +34,20 @@
     /** Makes the configuration. */
     @Setup
     public void setUp() {
-        List<LogEntry> records = records(size.adapters());
+        List<LogEntry> records = adapterEntries(size.adapters());
         configuration = Configuration.ofSnapshot(records.size(), records);
-        change = adapter(records.size() + 1, 0);
+        change = adapterEntry(records.size() + 1, 0);
     }
 
-    static List<LogEntry> records(int adapters) {
+    static List<LogEntry> adapterEntries(int adapters) {
         List<LogEntry> records = new ArrayList<>();
         for (int number = 0; number < adapters; number++) {
-            records.add(adapter(number + 1, number));
+            records.add(adapterEntry(number + 1, number));
         }
         return records;
     }
 
-    private static LogEntry adapter(long revision, int number) {
+    private static LogEntry adapterEntry(long revision, int number) {
         String body = "{\"schemaVersion\":1,\"baseModel\":\"" + Fleets.MODEL + "\",\"versions\":[\"1\",\"2\"]}";
         RecordKey key = RecordKey.of(RecordKind.ADAPTER, "adapter-" + number);
         return new LogEntry(revision, "operation-" + revision, key, Optional.of(body));
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/FleetSize.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/FleetSize.java
@@ -10,7 +10,7 @@
     DESIGNED_FOR(760, 22_000);
 
     /** The adapters that an engine holds. */
-    static final int SLOTS = 16;
+    static final int SLOTS_PER_TARGET = 16;
 
     private final int targets;
     private final int adapters;
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/Fleets.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/Fleets.java
@@ -20,15 +20,15 @@
 final class Fleets {
 
     static final String MODEL = "model";
-    static final int CONCURRENCY = 16;
+    static final int CONCURRENCY_LIMIT = 16;
 
     private static final int FAILURE_DOMAINS = 6;
-    private static final long SEED = 1;
+    private static final long RANDOM_SEED = 1;
     private static final double ZIPF_EXPONENT = 1.1;
 
     private Fleets() {}
 
-    static AdapterReference[] adapters(int count) {
+    static AdapterReference[] createAdapters(int count) {
         AdapterReference[] adapters = new AdapterReference[count];
         for (int number = 0; number < count; number++) {
             adapters[number] = AdapterReference.of("adapter-" + number, "1");
@@ -36,41 +36,41 @@
         return adapters;
     }
 
-    static TargetId target(int number) {
+    static TargetId targetId(int number) {
         return TargetId.of("target-" + number);
     }
 
-    static void join(FleetView fleet, int number) {
+    static void joinTarget(FleetView fleet, int number) {
         fleet.join(
                 new Target(
-                        target(number),
+                        targetId(number),
                         FailureDomain.of("domain-" + number % FAILURE_DOMAINS),
                         Optional.of(MODEL),
                         Optional.empty(),
-                        FleetSize.SLOTS,
+                        FleetSize.SLOTS_PER_TARGET,
                         true),
                 InstanceId.of("instance-" + number));
     }
 
-    static FleetView fleet(FleetSize size, AdapterReference[] adapters) {
+    static FleetView createFleet(FleetSize size, AdapterReference[] adapters) {
         FleetView fleet = FleetView.create(MonotonicClock.system());
-        Random random = new Random(SEED);
+        Random random = new Random(RANDOM_SEED);
         for (int number = 0; number < size.targets(); number++) {
-            join(fleet, number);
+            joinTarget(fleet, number);
             Set<AdapterReference> resident = new HashSet<>();
-            for (int slot = 0; slot < FleetSize.SLOTS; slot++) {
+            for (int slot = 0; slot < FleetSize.SLOTS_PER_TARGET; slot++) {
                 resident.add(adapters[(slot * size.targets() + number) % adapters.length]);
             }
-            fleet.apply(status(number, 1, random.nextInt(CONCURRENCY), true, resident, Set.of()));
+            fleet.apply(createStatus(number, 1, random.nextInt(CONCURRENCY_LIMIT), true, resident, Set.of()));
         }
         return fleet;
     }
 
-    static ZipfDistribution popularity(int adapters) {
-        return new ZipfDistribution(new Well19937c(SEED), adapters, ZIPF_EXPONENT);
+    static ZipfDistribution adapterPopularity(int adapters) {
+        return new ZipfDistribution(new Well19937c(RANDOM_SEED), adapters, ZIPF_EXPONENT);
     }
 
-    static TargetStatus status(
+    static TargetStatus createStatus(
             int number,
             long sequence,
             int running,
@@ -78,14 +78,14 @@
             Set<AdapterReference> resident,
             Set<AdapterReference> removed) {
         return new TargetStatus(
-                target(number),
+                targetId(number),
                 sequence,
                 1,
                 running,
                 0,
                 0,
-                CONCURRENCY,
-                FleetSize.SLOTS,
+                CONCURRENCY_LIMIT,
+                FleetSize.SLOTS_PER_TARGET,
                 complete,
                 resident,
                 removed,
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/MemoryMain.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/MemoryMain.java
@@ -30,9 +30,9 @@
 /** Measures the heap that the decisions' state holds, and prints it as JSON lines. */
 public final class MemoryMain {
 
-    private static final int COLLECTIONS = 4;
-    private static final int PREFIXES = 32_768;
-    private static final int WAITERS = 10_000;
+    private static final int GC_RUNS = 4;
+    private static final int PREFIX_COUNT = 32_768;
+    private static final int WAITING_REQUEST_COUNT = 10_000;
 
     private MemoryMain() {}
 
@@ -43,10 +43,10 @@
      */
     public static void main(String[] arguments) {
         for (FleetSize size : FleetSize.values()) {
-            AdapterReference[] adapters = Fleets.adapters(size.adapters());
-            print("fleet view, by target", size, size.targets(), () -> Fleets.fleet(size, adapters));
-            FleetView fleet = Fleets.fleet(size, adapters);
-            print("router after one request for each adapter, by adapter", size, size.adapters(), () -> {
+            AdapterReference[] adapters = Fleets.createAdapters(size.adapters());
+            measureAndPrint("fleet view, by target", size, size.targets(), () -> Fleets.createFleet(size, adapters));
+            FleetView fleet = Fleets.createFleet(size, adapters);
+            measureAndPrint("router after one request for each adapter, by adapter", size, size.adapters(), () -> {
                 Router router = RoutingPolicy.AFFINITY.createRouter(
                         fleet,
                         TargetFilter.all(),
@@ -58,48 +58,55 @@
                 }
                 return router;
             });
-            List<LogEntry> records = ConfigurationBenchmark.records(size.adapters());
-            print(
+            List<LogEntry> records = ConfigurationBenchmark.adapterEntries(size.adapters());
+            measureAndPrint(
                     "configuration beside its entries, by adapter",
                     size,
                     size.adapters(),
                     () -> Configuration.ofSnapshot(records.size(), records));
-            print(
+            measureAndPrint(
                     "configuration with its entries, by adapter",
                     size,
                     size.adapters(),
-                    () -> Configuration.ofSnapshot(size.adapters(), ConfigurationBenchmark.records(size.adapters())));
+                    () -> Configuration.ofSnapshot(
+                            size.adapters(), ConfigurationBenchmark.adapterEntries(size.adapters())));
         }
-        print("prefix beliefs, by belief", FleetSize.TODAY, PREFIXES, MemoryMain::prefixes);
-        print("waiting requests in residency, by request", FleetSize.TODAY, WAITERS, MemoryMain::waiters);
+        measureAndPrint("prefix beliefs, by belief", FleetSize.TODAY, PREFIX_COUNT, MemoryMain::createPrefixDirectory);
+        measureAndPrint(
+                "waiting requests in residency, by request",
+                FleetSize.TODAY,
+                WAITING_REQUEST_COUNT,
+                MemoryMain::createResidencyWithWaitingRequests);
     }
 
-    private static Object prefixes() {
+    private static Object createPrefixDirectory() {
         PrefixDirectory directory =
-                DecayingPrefixDirectory.create(MonotonicClock.system(), Duration.ofMinutes(1), 2 * PREFIXES);
-        for (int number = 0; number < PREFIXES; number++) {
-            directory.onRequestEnded(new PrefixDigest(number * 0x9E3779B97F4A7C15L, number), Fleets.target(0), true);
+                DecayingPrefixDirectory.create(MonotonicClock.system(), Duration.ofMinutes(1), 2 * PREFIX_COUNT);
+        for (int number = 0; number < PREFIX_COUNT; number++) {
+            directory.onRequestEnded(new PrefixDigest(number * 0x9E3779B97F4A7C15L, number), Fleets.targetId(0), true);
         }
         return directory;
     }
 
-    private static Object waiters() {
+    private static Object createResidencyWithWaitingRequests() {
         MonotonicClock clock = MonotonicClock.system();
         Residency residency = Residency.create(
-                ResidencySettings.standard(FleetSize.SLOTS), FleetLoads.create(clock, Duration.ofSeconds(1)), clock);
+                ResidencySettings.standard(FleetSize.SLOTS_PER_TARGET),
+                FleetLoads.create(clock, Duration.ofSeconds(1)),
+                clock);
         residency.synchronise(1, Set.of(), 0);
-        AdapterReference[] adapters = Fleets.adapters(WAITERS / 2);
-        for (int number = 0; number < WAITERS; number++) {
+        AdapterReference[] adapters = Fleets.createAdapters(WAITING_REQUEST_COUNT / 2);
+        for (int number = 0; number < WAITING_REQUEST_COUNT; number++) {
             residency.request(AttemptId.of("attempt-" + number), adapters[number / 2], 1);
         }
         return residency;
     }
 
-    private static void print(String what, FleetSize size, int count, Supplier<Object> maker) {
+    private static void measureAndPrint(String what, FleetSize size, int count, Supplier<Object> maker) {
         maker.get();
-        long before = used();
+        long before = usedHeapBytes();
         Object held = maker.get();
-        long bytes = used() - before;
+        long bytes = usedHeapBytes() - before;
         System.out.printf(
                 Locale.ROOT,
                 "{\"what\": \"%s\", \"size\": \"%s\", \"count\": %d, \"bytes\": %d, \"bytesEach\": %.0f}%n",
@@ -113,8 +120,8 @@
         }
     }
 
-    private static long used() {
-        for (int collection = 0; collection < COLLECTIONS; collection++) {
+    private static long usedHeapBytes() {
+        for (int collection = 0; collection < GC_RUNS; collection++) {
             System.gc();
         }
         return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/RoutingBenchmark.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/RoutingBenchmark.java
@@ -31,36 +31,36 @@
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
 public class RoutingBenchmark {
 
-    private static final int REQUESTS = 1 << 14;
+    private static final int REQUEST_COUNT = 1 << 14;
 
     /** How large the fleet is. */
     @Param
     FleetSize size;
 
-    private final RouteRequest[] requests = new RouteRequest[REQUESTS];
+    private final RouteRequest[] requests = new RouteRequest[REQUEST_COUNT];
     private FleetView fleet;
     private AdapterReference[] adapters;
     private Router affinity;
     private Router plainHashing;
     private Router leastLoaded;
-    private int next;
+    private int nextNumber;
     private long sequence = 1;
 
     /** Makes the fleet, the routers and the requests. */
     @Setup
     public void setUp() {
-        adapters = Fleets.adapters(size.adapters());
-        fleet = Fleets.fleet(size, adapters);
-        affinity = router(RoutingPolicy.AFFINITY);
-        plainHashing = router(RoutingPolicy.PLAIN_HASHING);
-        leastLoaded = router(RoutingPolicy.LEAST_LOADED);
-        ZipfDistribution popularity = Fleets.popularity(adapters.length);
-        for (int index = 0; index < REQUESTS; index++) {
+        adapters = Fleets.createAdapters(size.adapters());
+        fleet = Fleets.createFleet(size, adapters);
+        affinity = createRouter(RoutingPolicy.AFFINITY);
+        plainHashing = createRouter(RoutingPolicy.PLAIN_HASHING);
+        leastLoaded = createRouter(RoutingPolicy.LEAST_LOADED);
+        ZipfDistribution popularity = Fleets.adapterPopularity(adapters.length);
+        for (int index = 0; index < REQUEST_COUNT; index++) {
             requests[index] = RouteRequest.ofAdapter(Fleets.MODEL, adapters[popularity.sample() - 1]);
         }
     }
 
-    private Router router(RoutingPolicy policy) {
+    private Router createRouter(RoutingPolicy policy) {
         return policy.createRouter(
                 fleet,
                 TargetFilter.all(),
@@ -69,8 +69,8 @@
                 new Random(1));
     }
 
-    private RouteRequest request() {
-        return requests[next++ & REQUESTS - 1];
+    private RouteRequest nextRequest() {
+        return requests[nextNumber++ & REQUEST_COUNT - 1];
     }
 
     /**
@@ -80,7 +80,7 @@
      */
     @Benchmark
     public Optional<Route> affinity() {
-        return affinity.route(request());
+        return affinity.route(nextRequest());
     }
 
     /**
@@ -90,7 +90,7 @@
      */
     @Benchmark
     public Optional<Route> plainHashing() {
-        return plainHashing.route(request());
+        return plainHashing.route(nextRequest());
     }
 
     /**
@@ -100,7 +100,7 @@
      */
     @Benchmark
     public Optional<Route> leastLoaded() {
-        return leastLoaded.route(request());
+        return leastLoaded.route(nextRequest());
     }
 
     /**
@@ -110,12 +110,12 @@
      */
     @Benchmark
     public boolean statusWithAChange() {
-        int number = next++ % size.targets();
+        int number = nextNumber++ % size.targets();
         AdapterReference coming = adapters[adapters.length - 1];
-        boolean there = next / size.targets() % 2 == 0;
+        boolean there = nextNumber / size.targets() % 2 == 0;
         Set<AdapterReference> added = there ? Set.of() : Set.of(coming);
         Set<AdapterReference> removed = there ? Set.of(coming) : Set.of();
-        return fleet.apply(Fleets.status(number, ++sequence, 3, false, added, removed));
+        return fleet.apply(Fleets.createStatus(number, ++sequence, 3, false, added, removed));
     }
 
     /**
@@ -125,16 +125,16 @@
      */
     @Benchmark
     public boolean statusOfLoadOnly() {
-        int number = next++ % size.targets();
-        return fleet.apply(Fleets.status(number, ++sequence, 3, false, Set.of(), Set.of()));
+        int number = nextNumber++ % size.targets();
+        return fleet.apply(Fleets.createStatus(number, ++sequence, 3, false, Set.of(), Set.of()));
     }
 
     /** A target leaves and comes back: what the choice after it pays is in {@link #affinityAfterAChange}. */
     @Benchmark
     public void targetLeavesAndJoins() {
-        int number = next++ % size.targets();
-        fleet.leave(Fleets.target(number));
-        Fleets.join(fleet, number);
+        int number = nextNumber++ % size.targets();
+        fleet.leave(Fleets.targetId(number));
+        Fleets.joinTarget(fleet, number);
     }
 
     /**
@@ -145,6 +145,6 @@
     @Benchmark
     public Optional<Route> affinityAfterAChange() {
         targetLeavesAndJoins();
-        return affinity.route(request());
+        return affinity.route(nextRequest());
     }
 }
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/CompanionModel.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/CompanionModel.java
@@ -36,10 +36,10 @@
     private final FleetLoads fleetLoads;
     private final Residency residency;
     private final RequestQueue<TrialRequest> queue;
-    private final Map<AttemptId, TrialRequest> waiting = new HashMap<>();
-    private Consumer<TrialRequest> ended = request -> {};
-    private Consumer<TrialRequest> accepted = request -> {};
-    private Runnable changed = () -> {};
+    private final Map<AttemptId, TrialRequest> waitingRequests = new HashMap<>();
+    private Consumer<TrialRequest> endListener = request -> {};
+    private Consumer<TrialRequest> acceptanceListener = request -> {};
+    private Runnable statusChangeListener = () -> {};
     private long sequence;
 
     CompanionModel(
@@ -62,75 +62,75 @@
         residency.synchronise(1, Set.of(), 0);
     }
 
-    void listen(Consumer<TrialRequest> whenAccepted, Consumer<TrialRequest> whenEnded, Runnable whenChanged) {
-        accepted = whenAccepted;
-        ended = whenEnded;
-        changed = whenChanged;
+    void setListeners(Consumer<TrialRequest> whenAccepted, Consumer<TrialRequest> whenEnded, Runnable whenChanged) {
+        acceptanceListener = whenAccepted;
+        endListener = whenEnded;
+        statusChangeListener = whenChanged;
     }
 
     void receive(TrialRequest request) {
-        request.queuedAt = loop.nanos();
+        request.queuedAtNanos = loop.nanos();
         AdapterRequestResult answer =
                 residency.request(request.attempt, request.accountId, request.adapter, request.tokens());
         request.stalled = answer.state() == AdapterRequestResult.State.WAITING;
-        waiting.put(request.attempt, request);
+        waitingRequests.put(request.attempt, request);
         queue.offer(new QueuedRequest<>(
                 request.attempt,
                 request.accountId,
                 Optional.of(request.adapter),
                 request.tokens(),
                 PRIORITY,
-                request.bornAt + (long) (Workload.DEADLINE_SECONDS * 1e9),
+                request.createdAtNanos + (long) (Workload.DEADLINE_SECONDS * 1e9),
                 request));
-        accepted.accept(request);
-        pump();
+        acceptanceListener.accept(request);
+        startRequestsAndLoads();
     }
 
     void tick() {
         for (QueuedRequest<TrialRequest> expired : queue.removeExpired()) {
             residency.cancel(expired.attempt());
-            waiting.remove(expired.attempt());
-            metrics.expired(expired.payload(), loop.nanos());
-            ended.accept(expired.payload());
+            waitingRequests.remove(expired.attempt());
+            metrics.onExpired(expired.payload(), loop.nanos());
+            endListener.accept(expired.payload());
         }
-        pump();
+        startRequestsAndLoads();
     }
 
-    private void pump() {
+    private void startRequestsAndLoads() {
         for (Optional<QueuedRequest<TrialRequest>> next = queue.take(residency::isReady);
                 next.isPresent();
                 next = queue.take(residency::isReady)) {
             start(next.get().payload());
         }
         List<AdapterLoadCommand> orders = residency.startLoads();
-        orders.forEach(order -> store.load(() -> loaded(order)));
+        orders.forEach(order -> store.load(() -> onLoaded(order)));
         if (orders.stream().anyMatch(order -> order.evicted().isPresent())) {
-            changed.run();
+            statusChangeListener.run();
         }
     }
 
     private void start(TrialRequest request) {
         Pin pin = residency.pin(request.attempt, request.adapter).orElseThrow();
-        waiting.remove(request.attempt);
+        waitingRequests.remove(request.attempt);
         engine.start(request, done -> {
             pin.release();
             queue.onFinished(done.attempt, done.tokens(), done.generatedTokens);
-            metrics.ended(done, loop.nanos());
-            ended.accept(done);
-            pump();
+            metrics.onEnded(done, loop.nanos());
+            endListener.accept(done);
+            startRequestsAndLoads();
         });
     }
 
-    private void loaded(AdapterLoadCommand order) {
+    private void onLoaded(AdapterLoadCommand order) {
         residency.onLoaded(order);
-        metrics.loaded(loop.nanos());
-        for (TrialRequest request : new ArrayList<>(waiting.values())) {
-            if (request.adapter.equals(order.adapter()) && request.readyAt < 0) {
-                request.readyAt = loop.nanos();
+        metrics.onLoaded(loop.nanos());
+        for (TrialRequest request : new ArrayList<>(waitingRequests.values())) {
+            if (request.adapter.equals(order.adapter()) && request.readyAtNanos < 0) {
+                request.readyAtNanos = loop.nanos();
             }
         }
-        pump();
-        changed.run();
+        startRequestsAndLoads();
+        statusChangeListener.run();
     }
 
     TargetStatus status() {
@@ -151,7 +151,7 @@
                 0);
     }
 
-    void tell(Collection<CompanionModel> companions) {
+    void reportLoadsTo(Collection<CompanionModel> companions) {
         int inTransit = residency.loadsInProgress();
         int waitingLoads = residency.waitingLoads();
         long waitingWork = residency.waitingWorkNanos();
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/EngineModel.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/EngineModel.java
@@ -14,65 +14,67 @@
  */
 final class EngineModel {
 
-    private static final double STEP_SECONDS = 0.008;
-    private static final double REQUEST_SECONDS = 0.000_05;
-    private static final double ADAPTER_SECONDS = 0.000_3;
-    private static final double PREFILL_SECONDS = 0.000_03;
+    private static final double BASE_STEP_SECONDS = 0.008;
+    private static final double STEP_SECONDS_PER_REQUEST = 0.000_05;
+    private static final double STEP_SECONDS_PER_ADAPTER = 0.000_3;
+    private static final double PREFILL_SECONDS_PER_TOKEN = 0.000_03;
 
     private final EventLoop loop;
     private final TrialMetrics metrics;
-    private final PriorityQueue<Member> batch = new PriorityQueue<>(Comparator.comparingDouble(Member::endsAt));
-    private final Map<AdapterReference, Integer> adapters = new HashMap<>();
-    private double progress;
-    private long advancedAt;
-    private long version;
+    private final PriorityQueue<Member> batch = new PriorityQueue<>(Comparator.comparingDouble(Member::endsAtStep));
+    private final Map<AdapterReference, Integer> requestsByAdapter = new HashMap<>();
+    private double completedSteps;
+    private long lastAdvanceNanos;
+    private long scheduleVersion;
 
     EngineModel(EventLoop loop, TrialMetrics metrics) {
         this.loop = loop;
         this.metrics = metrics;
     }
 
-    private record Member(TrialRequest request, double endsAt, Consumer<TrialRequest> ended) {}
+    private record Member(TrialRequest request, double endsAtStep, Consumer<TrialRequest> onEnded) {}
 
     void start(TrialRequest request, Consumer<TrialRequest> ended) {
         advance();
-        double steps = request.generatedTokens + request.promptTokens * PREFILL_SECONDS / STEP_SECONDS;
-        batch.add(new Member(request, progress + steps, ended));
-        adapters.merge(request.adapter, 1, Integer::sum);
-        schedule();
+        double steps = request.generatedTokens + request.promptTokens * PREFILL_SECONDS_PER_TOKEN / BASE_STEP_SECONDS;
+        batch.add(new Member(request, completedSteps + steps, ended));
+        requestsByAdapter.merge(request.adapter, 1, Integer::sum);
+        scheduleNextEnd();
     }
 
     private double stepSeconds() {
-        return STEP_SECONDS + REQUEST_SECONDS * batch.size() + ADAPTER_SECONDS * adapters.size();
+        return BASE_STEP_SECONDS
+                + STEP_SECONDS_PER_REQUEST * batch.size()
+                + STEP_SECONDS_PER_ADAPTER * requestsByAdapter.size();
     }
 
     private void advance() {
-        double seconds = (loop.nanos() - advancedAt) / 1e9;
-        advancedAt = loop.nanos();
+        double seconds = (loop.nanos() - lastAdvanceNanos) / 1e9;
+        lastAdvanceNanos = loop.nanos();
         if (batch.isEmpty()) {
             return;
         }
         double steps = seconds / stepSeconds();
-        progress += steps;
-        metrics.ran(seconds, batch.size(), adapters.size(), steps * batch.size());
+        completedSteps += steps;
+        metrics.onEngineRan(seconds, batch.size(), requestsByAdapter.size(), steps * batch.size());
     }
 
-    private void schedule() {
-        long scheduled = ++version;
+    private void scheduleNextEnd() {
+        long scheduled = ++scheduleVersion;
         if (!batch.isEmpty()) {
-            double steps = Math.max(0, batch.peek().endsAt - progress);
-            loop.after(steps * stepSeconds(), () -> endFirst(scheduled));
+            double steps = Math.max(0, batch.peek().endsAtStep - completedSteps);
+            loop.scheduleAfter(steps * stepSeconds(), () -> finishFirst(scheduled));
         }
     }
 
-    private void endFirst(long scheduled) {
-        if (scheduled != version) {
+    private void finishFirst(long scheduled) {
+        if (scheduled != scheduleVersion) {
             return;
         }
         advance();
         Member first = batch.poll();
-        adapters.computeIfPresent(first.request.adapter, (adapter, count) -> count == 1 ? null : count - 1);
-        schedule();
-        first.ended.accept(first.request);
+        requestsByAdapter.computeIfPresent(first.request.adapter, (adapter, count) -> count == 1 ? null : count - 1);
+        scheduleNextEnd();
+        first.onEnded.accept(first.request);
     }
 }
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/EntryModel.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/EntryModel.java
@@ -26,7 +26,7 @@
 
     private final FleetView fleet;
     private final Router router;
-    private final Map<AttemptId, SentRequest> sendings = new HashMap<>();
+    private final Map<AttemptId, SentRequest> sentRequests = new HashMap<>();
 
     EntryModel(EventLoop loop, Policies policies, long seed) {
         this.fleet = FleetView.create(loop);
@@ -54,15 +54,15 @@
         TargetId target = router.route(RouteRequest.ofAdapter(MODEL, request.adapter))
                 .orElseThrow()
                 .target();
-        sendings.put(request.attempt, fleet.recordSent(target));
+        sentRequests.put(request.attempt, fleet.recordSent(target));
         return target;
     }
 
-    void accepted(TrialRequest request) {
-        sendings.get(request.attempt).onAccepted();
+    void onAccepted(TrialRequest request) {
+        sentRequests.get(request.attempt).onAccepted();
     }
 
-    void ended(TrialRequest request) {
-        sendings.remove(request.attempt).onEnded();
+    void onEnded(TrialRequest request) {
+        sentRequests.remove(request.attempt).onEnded();
     }
 }
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/EventLoop.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/EventLoop.java
@@ -10,24 +10,24 @@
 
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingLong(Event::atNanos).thenComparingLong(Event::number));
-    private long now;
-    private long number;
+    private long nowNanos;
+    private long nextEventNumber;
 
     private record Event(long atNanos, long number, Runnable action) {}
 
     @Override
     public long nanos() {
-        return now;
+        return nowNanos;
     }
 
-    void after(double seconds, Runnable action) {
-        events.add(new Event(now + Math.round(seconds * 1e9), number++, action));
+    void scheduleAfter(double seconds, Runnable action) {
+        events.add(new Event(nowNanos + Math.round(seconds * 1e9), nextEventNumber++, action));
     }
 
-    void every(double seconds, Runnable action) {
-        after(seconds, () -> {
+    void scheduleEvery(double seconds, Runnable action) {
+        scheduleAfter(seconds, () -> {
             action.run();
-            every(seconds, action);
+            scheduleEvery(seconds, action);
         });
     }
 
@@ -35,9 +35,9 @@
         long end = Math.round(seconds * 1e9);
         while (!events.isEmpty() && events.peek().atNanos <= end) {
             Event event = events.poll();
-            now = event.atNanos;
+            nowNanos = event.atNanos;
             event.action.run();
         }
-        now = end;
+        nowNanos = end;
     }
 }
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/Policies.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/Policies.java
@@ -26,7 +26,7 @@
         QueueWeights queueWeights,
         ResidencySettings residency) {
 
-    static Policies plain(String name, RoutingPolicy routing, RoutingWeights weights) {
+    static Policies baseline(String name, RoutingPolicy routing, RoutingWeights weights) {
         ResidencySettings residency = ResidencySettings.standard(1)
                 .withEviction(EvictionPolicy.LEAST_RECENTLY_USED)
                 .withLoading(LoadPolicy.FIRST_COME);
@@ -39,7 +39,7 @@
                 name, RoutingPolicy.AFFINITY, weights, QueuePolicy.FAIR, queueWeights, ResidencySettings.standard(1));
     }
 
-    Policies named(String other) {
+    Policies withName(String other) {
         return new Policies(other, routing, routingWeights, queue, queueWeights, residency);
     }
 
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/Trial.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/Trial.java
@@ -15,22 +15,22 @@
 /** One run of a workload under some policies, from one seed; confined to its thread. */
 final class Trial {
 
-    private static final double LINK_SECONDS = 0.001;
-    private static final double STATUS_SECONDS = 0.25;
-    private static final double NEWS_SECONDS = 0.1;
-    private static final double TICK_SECONDS = 0.1;
-    private static final double AWAKENING_SHARE_PER_SECOND = 0.086 / 3600;
+    private static final double LINK_LATENCY_SECONDS = 0.001;
+    private static final double STATUS_INTERVAL_SECONDS = 0.25;
+    private static final double LOAD_REPORT_INTERVAL_SECONDS = 0.1;
+    private static final double TICK_INTERVAL_SECONDS = 0.1;
+    private static final double POPULARITY_SWAPS_PER_ADAPTER_SECOND = 0.086 / 3600;
 
     private final Workload workload;
     private final EventLoop loop = new EventLoop();
     private final TrialMetrics metrics;
     private final Random random;
     private final ZipfDistribution popularity;
-    private final List<AdapterReference> ranking = new ArrayList<>();
+    private final List<AdapterReference> adaptersByRank = new ArrayList<>();
     private final List<EntryModel> entries = new ArrayList<>();
     private final Map<TargetId, CompanionModel> companions = new HashMap<>();
-    private final Map<AttemptId, EntryModel> senders = new HashMap<>();
-    private long requests;
+    private final Map<AttemptId, EntryModel> entriesByAttempt = new HashMap<>();
+    private long requestCount;
 
     private Trial(Workload workload, Policies policies, long seed) {
         this.workload = workload;
@@ -39,7 +39,7 @@
         this.popularity = new ZipfDistribution(new Well19937c(seed), workload.adapters(), workload.zipfExponent());
         WeightStore store = new WeightStore(loop, workload.storeLoadsPerSecond());
         for (int number = 0; number < workload.adapters(); number++) {
-            ranking.add(AdapterReference.of("adapter-" + number, "1"));
+            adaptersByRank.add(AdapterReference.of("adapter-" + number, "1"));
         }
         for (int number = 0; number < workload.entries(); number++) {
             entries.add(new EntryModel(loop, policies, seed + number));
@@ -53,8 +53,8 @@
         Trial trial = new Trial(workload, policies, seed);
         trial.schedule();
         trial.loop.runUntil(Workload.WARM_UP_SECONDS);
-        trial.metrics.warm();
-        trial.loop.runUntil(Workload.SECONDS);
+        trial.metrics.endWarmUp();
+        trial.loop.runUntil(Workload.DURATION_SECONDS);
         return trial.metrics.result();
     }
 
@@ -63,78 +63,83 @@
         CompanionModel companion = new CompanionModel(target, workload, policies, loop, store, metrics);
         companions.put(target, companion);
         entries.forEach(entry -> entry.join(target, number, workload.slots()));
-        companion.listen(
-                request -> loop.after(
-                        LINK_SECONDS, () -> senders.get(request.attempt).accepted(request)),
-                request -> loop.after(
-                        LINK_SECONDS, () -> senders.remove(request.attempt).ended(request)),
-                () -> report(companion));
+        companion.setListeners(
+                request -> loop.scheduleAfter(
+                        LINK_LATENCY_SECONDS,
+                        () -> entriesByAttempt.get(request.attempt).onAccepted(request)),
+                request -> loop.scheduleAfter(
+                        LINK_LATENCY_SECONDS,
+                        () -> entriesByAttempt.remove(request.attempt).onEnded(request)),
+                () -> sendStatus(companion));
     }
 
     private void schedule() {
         for (int account = 0; account < workload.accountShares().size(); account++) {
-            scheduleNext(account);
+            scheduleNextRequest(account);
         }
         int number = 0;
         for (CompanionModel companion : companions.values()) {
-            double offset = STATUS_SECONDS * number++ / companions.size();
-            loop.after(offset, () -> loop.every(STATUS_SECONDS, () -> report(companion)));
-            loop.after(offset, () -> loop.every(TICK_SECONDS, companion::tick));
-            loop.after(offset, () -> loop.every(NEWS_SECONDS, () -> tellOthers(companion)));
+            double offset = STATUS_INTERVAL_SECONDS * number++ / companions.size();
+            loop.scheduleAfter(offset, () -> loop.scheduleEvery(STATUS_INTERVAL_SECONDS, () -> sendStatus(companion)));
+            loop.scheduleAfter(offset, () -> loop.scheduleEvery(TICK_INTERVAL_SECONDS, companion::tick));
+            loop.scheduleAfter(
+                    offset, () -> loop.scheduleEvery(LOAD_REPORT_INTERVAL_SECONDS, () -> reportLoads(companion)));
         }
-        loop.every(1 / (AWAKENING_SHARE_PER_SECOND * workload.adapters()), this::swapTwo);
+        loop.scheduleEvery(1 / (POPULARITY_SWAPS_PER_ADAPTER_SECOND * workload.adapters()), this::swapPopularity);
     }
 
-    private void scheduleNext(int account) {
-        double wait = -Math.log(1 - random.nextDouble()) / workload.rateOf(account);
-        loop.after(wait, () -> {
-            send(account);
-            scheduleNext(account);
+    private void scheduleNextRequest(int account) {
+        double wait = -Math.log(1 - random.nextDouble()) / workload.requestsPerSecondOf(account);
+        loop.scheduleAfter(wait, () -> {
+            sendRequest(account);
+            scheduleNextRequest(account);
         });
     }
 
-    private void send(int account) {
+    private void sendRequest(int account) {
         TrialRequest request = new TrialRequest(
-                requests++,
+                requestCount++,
                 account,
-                adapterOf(account),
-                tokens(Workload.MEAN_PROMPT_TOKENS),
-                tokens(Workload.MEAN_GENERATED_TOKENS),
+                drawAdapter(account),
+                drawTokenCount(Workload.MEAN_PROMPT_TOKENS),
+                drawTokenCount(Workload.MEAN_GENERATED_TOKENS),
                 loop.nanos());
-        metrics.born(request);
+        metrics.onCreated(request);
         EntryModel entry = entries.get(random.nextInt(entries.size()));
         TargetId target = entry.send(request);
-        senders.put(request.attempt, entry);
-        loop.after(LINK_SECONDS, () -> companions.get(target).receive(request));
+        entriesByAttempt.put(request.attempt, entry);
+        loop.scheduleAfter(LINK_LATENCY_SECONDS, () -> companions.get(target).receive(request));
     }
 
     /* Each account has its own adapters: of the popularity ranking, those that its share of the ranks falls on. */
-    private AdapterReference adapterOf(int account) {
+    private AdapterReference drawAdapter(int account) {
         int accounts = workload.accountShares().size();
         int rank = popularity.sample() - 1;
-        return ranking.get(Math.min(ranking.size() - 1, rank / accounts * accounts + account));
+        return adaptersByRank.get(Math.min(adaptersByRank.size() - 1, rank / accounts * accounts + account));
     }
 
-    private int tokens(double mean) {
+    private int drawTokenCount(double mean) {
         return 1 + (int) (-Math.log(1 - random.nextDouble()) * (mean - 1));
     }
 
-    private void swapTwo() {
+    private void swapPopularity() {
         int accounts = workload.accountShares().size();
-        int awakes = random.nextInt(ranking.size());
-        int steps = random.nextInt(ranking.size() / accounts);
-        int idles = (awakes + steps * accounts) % ranking.size();
-        AdapterReference adapter = ranking.get(awakes);
-        ranking.set(awakes, ranking.get(idles));
-        ranking.set(idles, adapter);
+        int awakes = random.nextInt(adaptersByRank.size());
+        int steps = random.nextInt(adaptersByRank.size() / accounts);
+        int idles = (awakes + steps * accounts) % adaptersByRank.size();
+        AdapterReference adapter = adaptersByRank.get(awakes);
+        adaptersByRank.set(awakes, adaptersByRank.get(idles));
+        adaptersByRank.set(idles, adapter);
     }
 
-    private void report(CompanionModel companion) {
+    private void sendStatus(CompanionModel companion) {
         var status = companion.status();
-        loop.after(LINK_SECONDS, () -> entries.forEach(entry -> entry.fleet().apply(status)));
+        loop.scheduleAfter(
+                LINK_LATENCY_SECONDS,
+                () -> entries.forEach(entry -> entry.fleet().apply(status)));
     }
 
-    private void tellOthers(CompanionModel companion) {
-        companion.tell(companions.values());
+    private void reportLoads(CompanionModel companion) {
+        companion.reportLoadsTo(companions.values());
     }
 }
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/TrialMain.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/TrialMain.java
@@ -15,7 +15,7 @@
 /** Runs all trials: arguments are the JSON file to write and the number of seeds. */
 public final class TrialMain {
 
-    private static final double FLOOD = 5;
+    private static final double FLOOD_FACTOR = 5;
 
     private TrialMain() {}
 
@@ -31,29 +31,33 @@
         Workload siam = Workload.siam();
         RoutingWeights sabarmatiWeights = RoutingWeights.fewestStalls();
         RoutingWeights siamWeights = RoutingWeights.worstAccountFirst();
-        report.run(sabarmati, variants(sabarmatiWeights, QueueWeights.fullBatches()));
-        report.run(siam, variants(siamWeights, QueueWeights.worstAccountFirst()));
-        report.run(sabarmati.withFlood(FLOOD), ends(sabarmatiWeights, QueueWeights.fullBatches()));
-        report.run(siam.withFlood(FLOOD), ends(siamWeights, QueueWeights.worstAccountFirst()));
-        report.run(sabarmati.withTokensShort().withFlood(FLOOD), ends(sabarmatiWeights, QueueWeights.fullBatches()));
-        report.run(siam.withTokensShort().withFlood(FLOOD), ends(siamWeights, QueueWeights.worstAccountFirst()));
+        report.run(sabarmati, policyVariants(sabarmatiWeights, QueueWeights.fullBatches()));
+        report.run(siam, policyVariants(siamWeights, QueueWeights.worstAccountFirst()));
+        report.run(sabarmati.withFlood(FLOOD_FACTOR), floodVariants(sabarmatiWeights, QueueWeights.fullBatches()));
+        report.run(siam.withFlood(FLOOD_FACTOR), floodVariants(siamWeights, QueueWeights.worstAccountFirst()));
+        report.run(
+                sabarmati.withScarceTokens().withFlood(FLOOD_FACTOR),
+                floodVariants(sabarmatiWeights, QueueWeights.fullBatches()));
+        report.run(
+                siam.withScarceTokens().withFlood(FLOOD_FACTOR),
+                floodVariants(siamWeights, QueueWeights.worstAccountFirst()));
         report.writeJson(Path.of(arguments[0]));
         System.out.print(report.markdown());
     }
 
-    private static List<Policies> variants(RoutingWeights weights, QueueWeights queueWeights) {
-        Policies hashing = Policies.plain("plain hashing", RoutingPolicy.PLAIN_HASHING, weights);
-        Policies affinity = Policies.plain("affinity", RoutingPolicy.AFFINITY, weights);
+    private static List<Policies> policyVariants(RoutingWeights weights, QueueWeights queueWeights) {
+        Policies hashing = Policies.baseline("plain hashing", RoutingPolicy.PLAIN_HASHING, weights);
+        Policies affinity = Policies.baseline("affinity", RoutingPolicy.AFFINITY, weights);
         ResidencySettings lru = affinity.residency();
         Policies eviction =
-                affinity.named("+ eviction by worth").withResidency(lru.withEviction(EvictionPolicy.LEAST_WORTH));
-        Policies loading = eviction.named("+ loads by waiting work")
+                affinity.withName("+ eviction by worth").withResidency(lru.withEviction(EvictionPolicy.LEAST_WORTH));
+        Policies loading = eviction.withName("+ loads by waiting work")
                 .withResidency(eviction.residency().withLoading(LoadPolicy.WAITING_WORK));
-        Policies fairLoads =
-                loading.named("+ loads fair over accounts, 4 in transit").withResidency(ResidencySettings.standard(1));
+        Policies fairLoads = loading.withName("+ loads fair over accounts, 4 in transit")
+                .withResidency(ResidencySettings.standard(1));
         return List.of(
-                Policies.plain("random", RoutingPolicy.RANDOM, weights),
-                Policies.plain("least loaded", RoutingPolicy.LEAST_LOADED, weights),
+                Policies.baseline("random", RoutingPolicy.RANDOM, weights),
+                Policies.baseline("least loaded", RoutingPolicy.LEAST_LOADED, weights),
                 hashing,
                 affinity,
                 eviction,
@@ -64,9 +68,9 @@
                         .withRouting(RoutingPolicy.PLAIN_HASHING));
     }
 
-    private static List<Policies> ends(RoutingWeights weights, QueueWeights queueWeights) {
+    private static List<Policies> floodVariants(RoutingWeights weights, QueueWeights queueWeights) {
         return List.of(
-                Policies.plain("plain hashing", RoutingPolicy.PLAIN_HASHING, weights),
+                Policies.baseline("plain hashing", RoutingPolicy.PLAIN_HASHING, weights),
                 Policies.full("all, but first come", weights, queueWeights).withQueue(QueuePolicy.FIRST_COME),
                 Policies.full("all", weights, queueWeights));
     }
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/TrialMetrics.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/TrialMetrics.java
@@ -14,102 +14,106 @@
     private final DescriptiveStatistics stalls = new DescriptiveStatistics();
     private final DescriptiveStatistics latencies = new DescriptiveStatistics();
     private final DescriptiveStatistics[] accountLatencies;
-    private final double[] due;
-    private final double[] served;
-    private long stalled;
-    private long loads;
-    private long expired;
-    private double busy;
-    private double requestTime;
-    private double adapterTime;
-    private double tokens;
-    private boolean warm;
+    private final double[] requestedTokens;
+    private final double[] servedTokens;
+    private long stalledCount;
+    private long loadCount;
+    private long expiredCount;
+    private double busySeconds;
+    private double requestSeconds;
+    private double adapterSeconds;
+    private double generatedTokens;
+    private boolean warmedUp;
 
     TrialMetrics(Workload workload) {
         this.workload = workload;
         int accounts = workload.accountShares().size();
-        this.due = new double[accounts];
-        this.served = new double[accounts];
+        this.requestedTokens = new double[accounts];
+        this.servedTokens = new double[accounts];
         this.accountLatencies = new DescriptiveStatistics[accounts];
         Arrays.setAll(accountLatencies, account -> new DescriptiveStatistics());
     }
 
-    void warm() {
-        warm = true;
+    void endWarmUp() {
+        warmedUp = true;
     }
 
-    private boolean counts(TrialRequest request) {
-        double born = request.bornAt / 1e9;
-        return born >= Workload.WARM_UP_SECONDS && born <= Workload.SECONDS - Workload.DEADLINE_SECONDS;
+    private boolean isMeasured(TrialRequest request) {
+        double born = request.createdAtNanos / 1e9;
+        return born >= Workload.WARM_UP_SECONDS && born <= Workload.DURATION_SECONDS - Workload.DEADLINE_SECONDS;
     }
 
-    void born(TrialRequest request) {
-        if (counts(request)) {
-            due[request.account] += request.tokens();
+    void onCreated(TrialRequest request) {
+        if (isMeasured(request)) {
+            requestedTokens[request.accountIndex] += request.tokens();
         }
     }
 
-    void ended(TrialRequest request, long now) {
-        if (counts(request)) {
-            served[request.account] += request.tokens();
-            double latency = (now - request.bornAt) / 1e9;
+    void onEnded(TrialRequest request, long now) {
+        if (isMeasured(request)) {
+            servedTokens[request.accountIndex] += request.tokens();
+            double latency = (now - request.createdAtNanos) / 1e9;
             latencies.addValue(latency);
-            accountLatencies[request.account].addValue(latency);
-            stall(request, now);
+            accountLatencies[request.accountIndex].addValue(latency);
+            recordStall(request, now);
         }
     }
 
-    void expired(TrialRequest request, long now) {
-        if (counts(request)) {
-            expired++;
+    void onExpired(TrialRequest request, long now) {
+        if (isMeasured(request)) {
+            expiredCount++;
             latencies.addValue(Workload.DEADLINE_SECONDS);
-            accountLatencies[request.account].addValue(Workload.DEADLINE_SECONDS);
-            stall(request, now);
+            accountLatencies[request.accountIndex].addValue(Workload.DEADLINE_SECONDS);
+            recordStall(request, now);
         }
     }
 
-    private void stall(TrialRequest request, long now) {
+    private void recordStall(TrialRequest request, long now) {
         stalls.addValue(request.stallSeconds(now));
-        stalled += request.stalled ? 1 : 0;
+        stalledCount += request.stalled ? 1 : 0;
     }
 
-    void loaded(long now) {
+    void onLoaded(long now) {
         double at = now / 1e9;
-        loads += at >= Workload.WARM_UP_SECONDS && at <= Workload.SECONDS - Workload.DEADLINE_SECONDS ? 1 : 0;
+        loadCount +=
+                at >= Workload.WARM_UP_SECONDS && at <= Workload.DURATION_SECONDS - Workload.DEADLINE_SECONDS ? 1 : 0;
     }
 
-    void ran(double seconds, int batch, int adapters, double generated) {
-        if (warm) {
-            busy += seconds;
-            requestTime += seconds * batch;
-            adapterTime += seconds * adapters;
-            tokens += generated;
+    void onEngineRan(double seconds, int batch, int adapters, double generated) {
+        if (warmedUp) {
+            busySeconds += seconds;
+            requestSeconds += seconds * batch;
+            adapterSeconds += seconds * adapters;
+            generatedTokens += generated;
         }
     }
 
     TrialResult result() {
         double requests = stalls.getN();
-        int worst = worstServed();
+        int worst = worstServedAccount();
         return new TrialResult(
-                stalled / requests,
+                stalledCount / requests,
                 stalls.getMean(),
                 stalls.getPercentile(PERCENTILE_95),
                 stalls.getPercentile(PERCENTILE_99),
-                1000 * loads / requests,
-                requestTime / busy,
-                adapterTime / busy,
-                tokens / busy,
-                served[worst] / due[worst],
+                1000 * loadCount / requests,
+                requestSeconds / busySeconds,
+                adapterSeconds / busySeconds,
+                generatedTokens / busySeconds,
+                servedTokens[worst] / requestedTokens[worst],
                 accountLatencies[worst].getPercentile(PERCENTILE_99),
                 latencies.getPercentile(PERCENTILE_95),
-                expired / requests);
+                expiredCount / requests);
     }
 
-    private int worstServed() {
+    private int worstServedAccount() {
         int worst = -1;
-        for (int account = 0; account < due.length; account++) {
+        for (int account = 0; account < requestedTokens.length; account++) {
             boolean floods = account == workload.floodAccount() && workload.floodFactor() > 1;
-            if (!floods && (worst < 0 || served[account] / due[account] < served[worst] / due[worst])) {
+            if (!floods
+                    && (worst < 0
+                            || servedTokens[account] / requestedTokens[account]
+                                    < servedTokens[worst] / requestedTokens[worst])) {
                 worst = account;
             }
         }
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/TrialReport.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/TrialReport.java
@@ -20,52 +20,52 @@
  * but for the seeds, which run side by side. */
 final class TrialReport {
 
-    private static final String HEADER =
+    private static final String TABLE_HEADER =
             "| policies | stalled % | mean stall s | stall p95 s | stall p99 s | loads/1000 "
                     + "| batch | adapters/batch | tokens/busy s | worst served % | its p99 s | p95 s | expired % |\n"
                     + "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
 
-    private final int seeds;
+    private final int seedCount;
     private final List<Row> rows = new ArrayList<>();
     private final StringBuilder markdown = new StringBuilder();
 
     TrialReport(int seeds) {
-        this.seeds = seeds;
+        this.seedCount = seeds;
     }
 
     /** The results of some policies on a workload, one for each seed. */
     record Row(Workload workload, Policies policies, List<TrialResult> results) {}
 
     void run(Workload workload, List<Policies> variants) {
-        markdown.append("\n### ").append(workload.name()).append("\n\n").append(HEADER);
+        markdown.append("\n### ").append(workload.name()).append("\n\n").append(TABLE_HEADER);
         for (Policies policies : variants) {
-            List<TrialResult> results = LongStream.rangeClosed(1, seeds)
+            List<TrialResult> results = LongStream.rangeClosed(1, seedCount)
                     .parallel()
                     .mapToObj(seed -> Trial.run(workload, policies, seed))
                     .toList();
             rows.add(new Row(workload, policies, results));
-            markdown.append(line(policies.name(), results));
+            markdown.append(tableRow(policies.name(), results));
         }
     }
 
-    private static String line(String name, List<TrialResult> results) {
+    private static String tableRow(String name, List<TrialResult> results) {
         return "| " + name
-                + cell(results, result -> 100 * result.stalledShare())
-                + cell(results, TrialResult::stallMean)
-                + cell(results, TrialResult::stall95)
-                + cell(results, TrialResult::stall99)
-                + cell(results, TrialResult::loadsPerThousand)
-                + cell(results, TrialResult::batch)
-                + cell(results, TrialResult::adaptersPerBatch)
-                + cell(results, TrialResult::tokensPerBusySecond)
-                + cell(results, result -> 100 * result.worstServed())
-                + cell(results, TrialResult::worstLatency99)
-                + cell(results, TrialResult::latency95)
-                + cell(results, result -> 100 * result.expiredShare())
+                + tableCell(results, result -> 100 * result.stalledShare())
+                + tableCell(results, TrialResult::stallMean)
+                + tableCell(results, TrialResult::stall95)
+                + tableCell(results, TrialResult::stall99)
+                + tableCell(results, TrialResult::loadsPerThousand)
+                + tableCell(results, TrialResult::batch)
+                + tableCell(results, TrialResult::adaptersPerBatch)
+                + tableCell(results, TrialResult::tokensPerBusySecond)
+                + tableCell(results, result -> 100 * result.worstServed())
+                + tableCell(results, TrialResult::worstLatency99)
+                + tableCell(results, TrialResult::latency95)
+                + tableCell(results, result -> 100 * result.expiredShare())
                 + " |\n";
     }
 
-    private static String cell(List<TrialResult> results, ToDoubleFunction<TrialResult> figure) {
+    private static String tableCell(List<TrialResult> results, ToDoubleFunction<TrialResult> figure) {
         SummaryStatistics statistics = new SummaryStatistics();
         results.forEach(result -> statistics.addValue(figure.applyAsDouble(result)));
         return String.format(Locale.ROOT, " | %.2f ±%.2f", statistics.getMean(), statistics.getStandardDeviation());
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/TrialRequest.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/TrialRequest.java
@@ -8,25 +8,25 @@
 final class TrialRequest {
 
     final AttemptId attempt;
-    final int account;
+    final int accountIndex;
     final AccountId accountId;
     final AdapterReference adapter;
     final int promptTokens;
     final int generatedTokens;
-    final long bornAt;
-    long queuedAt;
-    long readyAt = -1;
+    final long createdAtNanos;
+    long queuedAtNanos;
+    long readyAtNanos = -1;
     boolean stalled;
 
     TrialRequest(
             long number, int account, AdapterReference adapter, int promptTokens, int generatedTokens, long bornAt) {
         this.attempt = AttemptId.of("attempt-" + number);
-        this.account = account;
+        this.accountIndex = account;
         this.accountId = AccountId.of("account-" + account);
         this.adapter = adapter;
         this.promptTokens = promptTokens;
         this.generatedTokens = generatedTokens;
-        this.bornAt = bornAt;
+        this.createdAtNanos = bornAt;
     }
 
     int tokens() {
@@ -37,6 +37,6 @@
         if (!stalled) {
             return 0;
         }
-        return ((readyAt >= 0 ? readyAt : now) - queuedAt) / 1e9;
+        return ((readyAtNanos >= 0 ? readyAtNanos : now) - queuedAtNanos) / 1e9;
     }
 }
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/WeightStore.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/WeightStore.java
@@ -6,50 +6,50 @@
 /** The rate-limited store of weights: transfers begin in order at its rate, and slow down beyond eight in transit. */
 final class WeightStore {
 
-    private static final double FULL_SPEED_SECONDS = 0.25;
-    private static final double AT_FULL_SPEED = 8;
+    private static final double FULL_SPEED_TRANSFER_SECONDS = 0.25;
+    private static final double MAX_FULL_SPEED_TRANSFERS = 8;
 
     private final EventLoop loop;
-    private final double secondsBetween;
+    private final double secondsBetweenStarts;
     private final Deque<Runnable> waiting = new ArrayDeque<>();
-    private boolean beginning;
-    private double freeAt;
+    private boolean startScheduled;
+    private double nextStartSeconds;
     private int inTransit;
-    private long begun;
+    private long startedCount;
 
     WeightStore(EventLoop loop, double loadsPerSecond) {
         this.loop = loop;
-        this.secondsBetween = 1 / loadsPerSecond;
+        this.secondsBetweenStarts = 1 / loadsPerSecond;
     }
 
     void load(Runnable arrived) {
         waiting.add(arrived);
-        beginNext();
+        scheduleNextStart();
     }
 
-    private void beginNext() {
-        if (beginning || waiting.isEmpty()) {
+    private void scheduleNextStart() {
+        if (startScheduled || waiting.isEmpty()) {
             return;
         }
-        beginning = true;
+        startScheduled = true;
         double now = loop.nanos() / 1e9;
-        loop.after(Math.max(0, freeAt - now), this::begin);
+        loop.scheduleAfter(Math.max(0, nextStartSeconds - now), this::startNext);
     }
 
-    private void begin() {
-        beginning = false;
-        freeAt = loop.nanos() / 1e9 + secondsBetween;
+    private void startNext() {
+        startScheduled = false;
+        nextStartSeconds = loop.nanos() / 1e9 + secondsBetweenStarts;
         Runnable arrived = waiting.poll();
         inTransit++;
-        begun++;
-        loop.after(FULL_SPEED_SECONDS * Math.max(1, inTransit / AT_FULL_SPEED), () -> {
+        startedCount++;
+        loop.scheduleAfter(FULL_SPEED_TRANSFER_SECONDS * Math.max(1, inTransit / MAX_FULL_SPEED_TRANSFERS), () -> {
             inTransit--;
             arrived.run();
         });
-        beginNext();
+        scheduleNextStart();
     }
 
-    long begun() {
-        return begun;
+    long startedCount() {
+        return startedCount;
     }
 }
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/Workload.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/Workload.java
@@ -32,22 +32,22 @@
         int floodAccount,
         double floodFactor) {
 
-    static final double SECONDS = 600;
+    static final double DURATION_SECONDS = 600;
     static final double WARM_UP_SECONDS = 120;
     static final double DEADLINE_SECONDS = 30;
     static final double MEAN_GENERATED_TOKENS = 128;
     static final double MEAN_PROMPT_TOKENS = 200;
 
-    private static final List<Double> SHARES = List.of(0.4, 0.3, 0.15, 0.1, 0.05);
-    private static final int FLOOD_ACCOUNT = 1;
-    private static final int FEW_ADAPTERS = 120;
+    private static final List<Double> ACCOUNT_SHARES = List.of(0.4, 0.3, 0.15, 0.1, 0.05);
+    private static final int FLOOD_ACCOUNT_INDEX = 1;
+    private static final int SCARCE_TOKENS_ADAPTERS = 120;
 
     static Workload sabarmati() {
-        return new Workload("Sabarmati", 13, 16, 16, 3, 3000, 1.1, 4.5, 16, SHARES, FLOOD_ACCOUNT, 1);
+        return new Workload("Sabarmati", 13, 16, 16, 3, 3000, 1.1, 4.5, 16, ACCOUNT_SHARES, FLOOD_ACCOUNT_INDEX, 1);
     }
 
     static Workload siam() {
-        return new Workload("Siam", 6, 16, 16, 3, 3000, 1.1, 2, 6, SHARES, FLOOD_ACCOUNT, 1);
+        return new Workload("Siam", 6, 16, 16, 3, 3000, 1.1, 2, 6, ACCOUNT_SHARES, FLOOD_ACCOUNT_INDEX, 1);
     }
 
     Workload withFlood(double factor) {
@@ -71,14 +71,14 @@
      *
      * @return the copy
      */
-    Workload withTokensShort() {
+    Workload withScarceTokens() {
         return new Workload(
                 name + ", tokens short",
                 targets,
                 slots,
                 4,
                 entries,
-                FEW_ADAPTERS,
+                SCARCE_TOKENS_ADAPTERS,
                 zipfExponent,
                 storeLoadsPerSecond,
                 2.2 * targets,
@@ -103,7 +103,7 @@
                 floodFactor);
     }
 
-    double rateOf(int account) {
+    double requestsPerSecondOf(int account) {
         double rate = requestsPerSecond * accountShares.get(account);
         return account == floodAccount ? rate * floodFactor : rate;
     }
