--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/BudgetTrial.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/BudgetTrial.java
@@ -27,9 +27,10 @@
 import org.geraniumreach.model.InstanceId;
 
 /**
- * One account's callers at several entries, beside one central bucket that sees the same requests.
+ * Simulates one account that sends requests recipient several entries, and one central token bucket that decides on the same
+ * requests for comparison.
  *
- * <p>Confined to one thread. The same seed gives the same requests whatever the policy.
+ * <p>Confined recipient one thread. The requests depend on the seed only, not on the policy.
  */
 final class BudgetTrial {
 
@@ -53,10 +54,10 @@
 
     BudgetTrial(BudgetTrialPlan plan) {
         this.plan = plan;
-        HoldingProof always = new HoldingProof(UNLIMITED_NANOS);
-        always.renewed(0);
+        HoldingProof proof = new HoldingProof(UNLIMITED_NANOS);
+        proof.renewed(0);
         this.centralBudget =
-                new AccountBudget(ACCOUNT, createPolicy(SharingPolicy.staticSplit()), always, scheduler, new Random(0));
+                new AccountBudget(ACCOUNT, createPolicy(SharingPolicy.staticSplit()), proof, scheduler, new Random(0));
         centralBudget.setRate(plan.rate(), plan.burst());
         centralBudget.setOwnParts(ShareParts.WHOLE, true);
         for (int index = 0; index < plan.entries(); index++) {
@@ -78,21 +79,21 @@
                 0);
     }
 
-    /** A request, as the central bucket decided on it. */
+    /** A request, and whether the central bucket admitted it. */
     private static final class Request {
         private final double arrivedAtSeconds;
         private final double durationSeconds;
         private final long actualTokens;
         private boolean centrallyAdmitted;
 
-        private Request(double arrived, double seconds, long actual) {
-            this.arrivedAtSeconds = arrived;
-            this.durationSeconds = seconds;
-            this.actualTokens = actual;
+        private Request(double arrivedAtSeconds, double durationSeconds, long actualTokens) {
+            this.arrivedAtSeconds = arrivedAtSeconds;
+            this.durationSeconds = durationSeconds;
+            this.actualTokens = actualTokens;
         }
     }
 
-    /** One entry: by demand, its shares come through the table; by a static split, it has its part from the start. */
+    /** An entry. Under sharing by demand it gets its shares through the table; under a static split its share is fixed. */
     private final class Entry {
         private final InstanceId instance;
         private final EntryBudget budget;
@@ -106,9 +107,9 @@
                     new HolderId(instance, "address" + index, 1), createPolicy(sharing), scheduler, new Random(index));
             budget.setAccounts(Set.of(ACCOUNT));
             budget.setRate(ACCOUNT, plan.rate(), plan.burst());
-            HoldingProof always = new HoldingProof(UNLIMITED_NANOS);
-            always.renewed(0);
-            staticBudget = new AccountBudget(ACCOUNT, createPolicy(sharing), always, scheduler, new Random(index));
+            HoldingProof proof = new HoldingProof(UNLIMITED_NANOS);
+            proof.renewed(0);
+            staticBudget = new AccountBudget(ACCOUNT, createPolicy(sharing), proof, scheduler, new Random(index));
             staticBudget.setRate(plan.rate(), plan.burst());
             staticBudget.setOwnParts(ShareParts.WHOLE / plan.entries(), true);
         }
@@ -118,11 +119,11 @@
                     .mapToObj(other -> entries.get(other).instance)
                     .filter(other -> !other.equals(instance))
                     .toList());
-            Set<HolderId.ListedHolder> listed = new HashSet<>();
+            Set<HolderId.ListedHolder> listedEntries = new HashSet<>();
             for (int index = 0; index < plan.entries(); index++) {
-                listed.add(new HolderId.ListedHolder(entries.get(index).instance, "address" + index));
+                listedEntries.add(new HolderId.ListedHolder(entries.get(index).instance, "address" + index));
             }
-            budget.listed(listed, scheduler.nanos());
+            budget.listed(listedEntries, scheduler.nanos());
             callStore();
             scheduler.scheduleAfter(TICK_INTERVAL_SECONDS, this::tick);
         }
@@ -149,8 +150,8 @@
                 var rows = table.scan(scan.table());
                 return () -> budget.keeper().scanned(rows);
             }
-            boolean effective = table.commit(((StoreCall.Commit) call).transaction());
-            return () -> budget.keeper().committed(effective);
+            boolean committed = table.commit(((StoreCall.Commit) call).transaction());
+            return () -> budget.keeper().committed(committed);
         }
 
         private void reserve(long ticket, long tokens, Duration deadline) {
@@ -160,15 +161,18 @@
                             : staticBudget.reserve(ticket, tokens, deadline));
         }
 
-        private void settle(Grant grant, long actual) {
-            execute(plan.byDemand() ? budget.settle(ACCOUNT, grant, actual) : staticBudget.settle(grant, actual));
+        private void settle(Grant grant, long actualTokens) {
+            execute(
+                    plan.byDemand()
+                            ? budget.settle(ACCOUNT, grant, actualTokens)
+                            : staticBudget.settle(grant, actualTokens));
         }
 
-        private void receive(InstanceId from, Object content) {
+        private void receive(InstanceId sender, Object message) {
             execute(
-                    content instanceof LoanWish wish
-                            ? budget.loanAsked(from, wish)
-                            : budget.loanAnswered(from, (Loan) content));
+                    message instanceof LoanWish loanRequest
+                            ? budget.loanAsked(sender, loanRequest)
+                            : budget.loanAnswered(sender, (Loan) message));
         }
 
         private void execute(BudgetStep step) {
@@ -178,21 +182,21 @@
                     onGranted(granted);
                 } else if (action instanceof BudgetAction.Refused refused) {
                     onRefused(requests.remove(refused.ticket()));
-                } else if (action instanceof BudgetAction.AskLoan ask) {
-                    send(ask.peer(), ask.wish());
-                } else if (action instanceof BudgetAction.GiveLoan give) {
-                    send(give.peer(), give.loan());
+                } else if (action instanceof BudgetAction.AskLoan loanRequestAction) {
+                    send(loanRequestAction.peer(), loanRequestAction.wish());
+                } else if (action instanceof BudgetAction.GiveLoan loanAction) {
+                    send(loanAction.peer(), loanAction.loan());
                 }
             }
         }
 
-        private void scheduleWake(long at) {
-            if (nextWakeNanos <= at) {
+        private void scheduleWake(long atNanos) {
+            if (nextWakeNanos <= atNanos) {
                 return;
             }
-            nextWakeNanos = at;
-            scheduler.scheduleAt(at, () -> {
-                if (nextWakeNanos == at) {
+            nextWakeNanos = atNanos;
+            scheduler.scheduleAt(atNanos, () -> {
+                if (nextWakeNanos == atNanos) {
                     nextWakeNanos = Long.MAX_VALUE;
                     execute(plan.byDemand() ? budget.wake(ACCOUNT) : staticBudget.wake());
                 }
@@ -213,11 +217,11 @@
             }
         }
 
-        private void send(InstanceId to, Object content) {
+        private void send(InstanceId recipient, Object message) {
             result.recordMessage();
             scheduler.scheduleAfter(LINK_LATENCY_SECONDS, () -> entries.stream()
-                    .filter(entry -> entry.instance.equals(to))
-                    .forEach(entry -> entry.receive(instance, content)));
+                    .filter(entry -> entry.instance.equals(recipient))
+                    .forEach(entry -> entry.receive(instance, message)));
         }
     }
 
@@ -227,7 +231,7 @@
 
     BudgetTrialResult run() {
         entries.forEach(Entry::tick);
-        // The requests come from generators of their own, so that no policy changes what another one meets.
+        // Requests have their own random generator, so that they are the same under every policy.
         Random arrivals = new Random(plan.seed());
         scheduler.scheduleAfter(0, () -> onRequestArrived(arrivals));
         if (plan.shifting()) {
@@ -244,21 +248,21 @@
     }
 
     private void onRequestArrived(Random random) {
-        long prompt = 50 + random.nextInt(400);
-        long maximum = 50 + random.nextInt(500);
-        long actual = prompt + (long) (maximum * random.nextDouble());
-        double meanActual = 249.5 + 0.5 * 299.5;
-        Request request = new Request(scheduler.seconds(), 0.05 * (actual - prompt), actual);
-        decideCentrally(request, prompt + maximum);
+        long promptTokens = 50 + random.nextInt(400);
+        long maxGeneratedTokens = 50 + random.nextInt(500);
+        long actualTokens = promptTokens + (long) (maxGeneratedTokens * random.nextDouble());
+        double meanActualTokens = 249.5 + 0.5 * 299.5;
+        Request request = new Request(scheduler.seconds(), 0.05 * (actualTokens - promptTokens), actualTokens);
+        decideCentrally(request, promptTokens + maxGeneratedTokens);
         lastTicket++;
         requests.put(lastTicket, request);
         entries.get(entryFor(random.nextInt(plan.entries() + plan.skew() - 1)))
-                .reserve(lastTicket, prompt + maximum, Duration.ofSeconds(30));
-        double perSecond = plan.loadFraction() * plan.rate() / meanActual;
-        scheduler.scheduleAfter(-Math.log(1 - random.nextDouble()) / perSecond, () -> onRequestArrived(random));
+                .reserve(lastTicket, promptTokens + maxGeneratedTokens, Duration.ofSeconds(30));
+        double requestsPerSecond = plan.loadFraction() * plan.rate() / meanActualTokens;
+        scheduler.scheduleAfter(-Math.log(1 - random.nextDouble()) / requestsPerSecond, () -> onRequestArrived(random));
     }
 
-    /** Gets the entry of a draw: the most loaded one has as many numbers as the skew says, the others one each. */
+    /** Maps a random number recipient an entry. The most loaded entry has {@code skew} of the numbers, each other entry has one. */
     private int entryFor(int draw) {
         return draw < plan.skew() ? mostLoadedEntry : (mostLoadedEntry + 1 + draw - plan.skew()) % plan.entries();
     }
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/BudgetTrialMain.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/BudgetTrialMain.java
@@ -4,7 +4,7 @@
 
 import org.apache.commons.math3.stat.descriptive.DescriptiveStatistics;
 
-/** Runs the static split and the shares by demand on the same requests, and prints a line for each trial. */
+/** Runs a static split and shares by demand on the same requests, and prints a line per trial and a summary of all seeds. */
 public final class BudgetTrialMain {
 
     private static final int SEED_COUNT = 5;
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/BudgetTrialPlan.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/BudgetTrialPlan.java
@@ -1,19 +1,17 @@
 package org.geraniumreach.benchmarks.budget;
 
 /**
- * What a trial runs.
+ * The parameters of a trial; immutable.
  *
- * <p>Immutable.
- *
- * @param byDemand whether shares follow demand, else a static split
+ * @param byDemand whether shares follow demand; otherwise they are a static split
  * @param entries the number of entries
- * @param skew how many times the requests of another entry one entry gets
- * @param shifting whether it is another entry every two minutes
- * @param loadFraction the tokens used a second, as a part of the rate
- * @param rate the account's rate
- * @param burst its burst
- * @param durationSeconds how long the trial lasts, in virtual time
- * @param seed the seed of the requests
+ * @param skew the ratio of the requests of the most loaded entry to those of each other entry
+ * @param shifting whether the most loaded entry changes every two minutes
+ * @param loadFraction the mean tokens used per second, as a fraction of the rate
+ * @param rate the account's rate, in tokens per second
+ * @param burst the account's burst, in tokens
+ * @param durationSeconds the length of the trial in virtual time
+ * @param seed the seed of the random requests
  */
 record BudgetTrialPlan(
         boolean byDemand,
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/BudgetTrialResult.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/BudgetTrialResult.java
@@ -1,6 +1,6 @@
 package org.geraniumreach.benchmarks.budget;
 
-/** The counts of a trial; confined to one thread. */
+/** Counts the outcomes of the requests of a trial; confined to one thread. */
 final class BudgetTrialResult {
 
     private long requests;
@@ -12,18 +12,18 @@
     private long messages;
     private long commits;
 
-    void recordAdmitted(double waitSeconds, boolean centrally) {
+    void recordAdmitted(double waitSeconds, boolean admittedCentrally) {
         requests++;
-        centrallyAdmitted += centrally ? 1 : 0;
+        centrallyAdmitted += admittedCentrally ? 1 : 0;
         totalWaitSeconds += waitSeconds;
         longestWaitSeconds = Math.max(longestWaitSeconds, waitSeconds);
     }
 
-    void recordRefused(boolean centrally) {
+    void recordRefused(boolean admittedCentrally) {
         requests++;
         refused++;
-        centrallyAdmitted += centrally ? 1 : 0;
-        wronglyRefused += centrally ? 1 : 0;
+        centrallyAdmitted += admittedCentrally ? 1 : 0;
+        wronglyRefused += admittedCentrally ? 1 : 0;
     }
 
     void recordMessage() {
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/InMemoryTable.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/InMemoryTable.java
@@ -9,7 +9,7 @@
 import org.geraniumreach.model.table.RowKey;
 import org.geraniumreach.model.table.Transaction;
 
-/** A table service in memory; confined to one thread. */
+/** A transactional table service in memory; confined to one thread. */
 final class InMemoryTable {
 
     private final Map<RowKey, Row> rows = new HashMap<>();
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/VirtualTimeScheduler.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/VirtualTimeScheduler.java
@@ -5,7 +5,7 @@
 
 import org.geraniumreach.model.MonotonicClock;
 
-/** Virtual time and what is to happen in it; confined to one thread. */
+/** Runs scheduled actions in virtual time, and is the clock of that time; confined to one thread. */
 final class VirtualTimeScheduler implements MonotonicClock {
 
     private static final double NANOS_PER_SECOND = 1e9;
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/package-info.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Trials of the budget core in virtual time: how many requests are refused that one central bucket would have admitted.
+ * Simulations of the shared token budget in virtual time. They count the requests that are refused although one central
+ * token bucket would have admitted them.
  *
  * <p>Run {@link org.geraniumreach.benchmarks.budget.BudgetTrialMain}; its output is the only source of figures.
  */
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/CompanionBenchmark.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/CompanionBenchmark.java
@@ -30,7 +30,7 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 
-/** A request's way through a companion's queue and residency, with others waiting; one thread. */
+/** Measures a companion's request queue and adapter residency while other requests wait; one thread. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -39,11 +39,11 @@
     private static final int PRIORITY = 5;
     private static final int TOKENS_PER_REQUEST = 300;
 
-    /** The requests that wait. */
+    /** The number of waiting requests. */
     @Param({"16", "128", "1024"})
     int waiting;
 
-    /** The client accounts among which they are spread. */
+    /** The number of client accounts that the waiting requests are spread over. */
     @Param({"5", "50"})
     int accounts;
 
@@ -53,7 +53,7 @@
     private Residency coldResidency;
     private int nextNumber;
 
-    /** Fills the queue, and makes all adapters resident. */
+    /** Fills the queue and makes all adapters resident. */
     @Setup
     public void setUp() {
         queue = RequestQueue.create(
@@ -99,9 +99,9 @@
     }
 
     /**
-     * Takes a request in, runs the next one and ends it.
+     * Enqueues a request, then takes the next one from the queue, pins its adapter and finishes it.
      *
-     * @return the request that ran
+     * @return the finished request
      */
     @Benchmark
     public QueuedRequest<Integer> throughQueueAndResidency() {
@@ -119,9 +119,9 @@
     }
 
     /**
-     * Decides on the next load while the fleet is at its limit, with half as many cold adapters as waiting requests.
+     * Looks for loads to start while the fleet is at its load limit, with half as many cold adapters as waiting requests.
      *
-     * @return no orders
+     * @return an empty list
      */
     @Benchmark
     public List<AdapterLoadCommand> ordersAmongColdAdapters() {
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/ConfigurationBenchmark.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/ConfigurationBenchmark.java
@@ -18,33 +18,33 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 
-/** One change of the configuration at a node that applies it; one thread. */
+/** Measures applying one change to a configuration; one thread. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
 public class ConfigurationBenchmark {
 
-    /** How many adapters the configuration holds. */
+    /** The fleet size, which gives the number of adapters in the configuration. */
     @Param
     FleetSize size;
 
     private Configuration configuration;
     private LogEntry change;
 
-    /** Makes the configuration. */
+    /** Creates the configuration and the change. */
     @Setup
     public void setUp() {
-        List<LogEntry> records = adapterEntries(size.adapters());
-        configuration = Configuration.ofSnapshot(records.size(), records);
-        change = adapterEntry(records.size() + 1, 0);
+        List<LogEntry> entries = adapterEntries(size.adapters());
+        configuration = Configuration.ofSnapshot(entries.size(), entries);
+        change = adapterEntry(entries.size() + 1, 0);
     }
 
     static List<LogEntry> adapterEntries(int adapters) {
-        List<LogEntry> records = new ArrayList<>();
+        List<LogEntry> entries = new ArrayList<>();
         for (int number = 0; number < adapters; number++) {
-            records.add(adapterEntry(number + 1, number));
+            entries.add(adapterEntry(number + 1, number));
         }
-        return records;
+        return entries;
     }
 
     private static LogEntry adapterEntry(long revision, int number) {
@@ -56,7 +56,7 @@
     /**
      * Applies one change.
      *
-     * @return the configuration after it
+     * @return the changed configuration
      */
     @Benchmark
     public Configuration plusOneChange() {
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/FleetSize.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/FleetSize.java
@@ -1,15 +1,15 @@
 package org.geraniumreach.benchmarks.jmh;
 
-/** The sizes at which decisions are measured. */
+/** The fleet sizes that the benchmarks measure. */
 public enum FleetSize {
-    /** A small site's workers and adapters, rounded up. */
+    /** The targets and adapters of a small site, rounded up. */
     TODAY(16, 3_000),
-    /** Half of the size designed for, for the slope. */
+    /** Half of the design size, to show how costs grow with size. */
     HALF(380, 11_000),
-    /** The size designed for. */
+    /** The design size. */
     DESIGNED_FOR(760, 22_000);
 
-    /** The adapters that an engine holds. */
+    /** The number of adapters that one engine can hold. */
     static final int SLOTS_PER_TARGET = 16;
 
     private final int targets;
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/Fleets.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/Fleets.java
@@ -16,7 +16,7 @@
 import org.geraniumreach.serving.routing.FleetView;
 import org.geraniumreach.serving.routing.TargetStatus;
 
-/** Makes fleets for benchmarks; stateless. */
+/** Creates fleets, targets and adapters for benchmarks; stateless. */
 final class Fleets {
 
     static final String MODEL = "model";
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/MemoryMain.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/MemoryMain.java
@@ -27,7 +27,7 @@
 import org.geraniumreach.serving.routing.RoutingWeights;
 import org.geraniumreach.serving.routing.TargetFilter;
 
-/** Measures the heap that the decisions' state holds, and prints it as JSON lines. */
+/** Measures the heap used by the state of routing, configuration and residency, and prints it as JSON lines. */
 public final class MemoryMain {
 
     private static final int GC_RUNS = 4;
@@ -37,7 +37,7 @@
     private MemoryMain() {}
 
     /**
-     * Measures.
+     * Runs the measurements.
      *
      * @param arguments none
      */
@@ -58,12 +58,12 @@
                 }
                 return router;
             });
-            List<LogEntry> records = ConfigurationBenchmark.adapterEntries(size.adapters());
+            List<LogEntry> entries = ConfigurationBenchmark.adapterEntries(size.adapters());
             measureAndPrint(
                     "configuration beside its entries, by adapter",
                     size,
                     size.adapters(),
-                    () -> Configuration.ofSnapshot(records.size(), records));
+                    () -> Configuration.ofSnapshot(entries.size(), entries));
             measureAndPrint(
                     "configuration with its entries, by adapter",
                     size,
@@ -102,10 +102,10 @@
         return residency;
     }
 
-    private static void measureAndPrint(String what, FleetSize size, int count, Supplier<Object> maker) {
-        maker.get();
+    private static void measureAndPrint(String what, FleetSize size, int count, Supplier<Object> factory) {
+        factory.get();
         long before = usedHeapBytes();
-        Object held = maker.get();
+        Object retained = factory.get();
         long bytes = usedHeapBytes() - before;
         System.out.printf(
                 Locale.ROOT,
@@ -115,7 +115,7 @@
                 count,
                 bytes,
                 (double) bytes / count);
-        if (held.hashCode() == 0) {
+        if (retained.hashCode() == 0) {
             System.out.println();
         }
     }
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/RoutingBenchmark.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/RoutingBenchmark.java
@@ -25,7 +25,7 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 
-/** The choice of a target, and the taking in of a companion's news; one thread. */
+/** Measures routing, and applying target status messages and membership changes to the fleet view; one thread. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -33,7 +33,7 @@
 
     private static final int REQUEST_COUNT = 1 << 14;
 
-    /** How large the fleet is. */
+    /** The size of the fleet. */
     @Param
     FleetSize size;
 
@@ -46,7 +46,7 @@
     private int nextNumber;
     private long sequence = 1;
 
-    /** Makes the fleet, the routers and the requests. */
+    /** Creates the fleet, the routers and the requests. */
     @Setup
     public void setUp() {
         adapters = Fleets.createAdapters(size.adapters());
@@ -74,9 +74,9 @@
     }
 
     /**
-     * Chooses by residency, load and demand.
+     * Routes a request by residency, load and demand.
      *
-     * @return the choice
+     * @return the route
      */
     @Benchmark
     public Optional<Route> affinity() {
@@ -84,9 +84,9 @@
     }
 
     /**
-     * Chooses by plain hashing.
+     * Routes a request by plain hashing.
      *
-     * @return the choice
+     * @return the route
      */
     @Benchmark
     public Optional<Route> plainHashing() {
@@ -94,9 +94,9 @@
     }
 
     /**
-     * Chooses by the least load.
+     * Routes a request to the least loaded target.
      *
-     * @return the choice
+     * @return the route
      */
     @Benchmark
     public Optional<Route> leastLoaded() {
@@ -104,24 +104,24 @@
     }
 
     /**
-     * Takes in a Status with one adapter more or less.
+     * Applies a Status with one adapter added or removed.
      *
-     * @return whether it was new
+     * @return whether the Status was newer than the last one
      */
     @Benchmark
     public boolean statusWithAChange() {
         int number = nextNumber++ % size.targets();
-        AdapterReference coming = adapters[adapters.length - 1];
-        boolean there = nextNumber / size.targets() % 2 == 0;
-        Set<AdapterReference> added = there ? Set.of() : Set.of(coming);
-        Set<AdapterReference> removed = there ? Set.of(coming) : Set.of();
+        AdapterReference changed = adapters[adapters.length - 1];
+        boolean resident = nextNumber / size.targets() % 2 == 0;
+        Set<AdapterReference> added = resident ? Set.of() : Set.of(changed);
+        Set<AdapterReference> removed = resident ? Set.of(changed) : Set.of();
         return fleet.apply(Fleets.createStatus(number, ++sequence, 3, false, added, removed));
     }
 
     /**
-     * Takes in a Status that holds only load.
+     * Applies a Status that changes only the load.
      *
-     * @return whether it was new
+     * @return whether the Status was newer than the last one
      */
     @Benchmark
     public boolean statusOfLoadOnly() {
@@ -129,7 +129,7 @@
         return fleet.apply(Fleets.createStatus(number, ++sequence, 3, false, Set.of(), Set.of()));
     }
 
-    /** A target leaves and comes back: what the choice after it pays is in {@link #affinityAfterAChange}. */
+    /** Removes a target and adds it again. {@link #affinityAfterAChange} includes the cost to the next routing. */
     @Benchmark
     public void targetLeavesAndJoins() {
         int number = nextNumber++ % size.targets();
@@ -138,9 +138,9 @@
     }
 
     /**
-     * Chooses after a target has left and come back, when no order is remembered.
+     * Routes a request after a target has left and rejoined, when no order of targets is cached.
      *
-     * @return the choice
+     * @return the route
      */
     @Benchmark
     public Optional<Route> affinityAfterAChange() {
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/package-info.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/package-info.java
@@ -1,2 +1,2 @@
-/** JMH benchmarks of the decisions at today's sizes and at the size designed for. */
+/** JMH benchmarks of routing, queueing, residency and configuration at the sizes of {@link FleetSize}. */
 package org.geraniumreach.benchmarks.jmh;
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/CompanionModel.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/CompanionModel.java
@@ -22,7 +22,7 @@
 import org.geraniumreach.serving.residency.Residency;
 import org.geraniumreach.serving.routing.TargetStatus;
 
-/** A companion and its engine; confined to the trial's thread. */
+/** Simulates a companion and its engine; confined to the trial's thread. */
 final class CompanionModel {
 
     private static final int PRIORITY = 5;
@@ -62,17 +62,17 @@
         residency.synchronise(1, Set.of(), 0);
     }
 
-    void setListeners(Consumer<TrialRequest> whenAccepted, Consumer<TrialRequest> whenEnded, Runnable whenChanged) {
-        acceptanceListener = whenAccepted;
-        endListener = whenEnded;
-        statusChangeListener = whenChanged;
+    void setListeners(Consumer<TrialRequest> onAccepted, Consumer<TrialRequest> onEnded, Runnable onStatusChanged) {
+        acceptanceListener = onAccepted;
+        endListener = onEnded;
+        statusChangeListener = onStatusChanged;
     }
 
     void receive(TrialRequest request) {
         request.queuedAtNanos = loop.nanos();
-        AdapterRequestResult answer =
+        AdapterRequestResult result =
                 residency.request(request.attempt, request.accountId, request.adapter, request.tokens());
-        request.stalled = answer.state() == AdapterRequestResult.State.WAITING;
+        request.stalled = result.state() == AdapterRequestResult.State.WAITING;
         waitingRequests.put(request.attempt, request);
         queue.offer(new QueuedRequest<>(
                 request.attempt,
@@ -102,9 +102,9 @@
                 next = queue.take(residency::isReady)) {
             start(next.get().payload());
         }
-        List<AdapterLoadCommand> orders = residency.startLoads();
-        orders.forEach(order -> store.load(() -> onLoaded(order)));
-        if (orders.stream().anyMatch(order -> order.evicted().isPresent())) {
+        List<AdapterLoadCommand> commands = residency.startLoads();
+        commands.forEach(command -> store.load(() -> onLoaded(command)));
+        if (commands.stream().anyMatch(command -> command.evicted().isPresent())) {
             statusChangeListener.run();
         }
     }
@@ -112,20 +112,20 @@
     private void start(TrialRequest request) {
         Pin pin = residency.pin(request.attempt, request.adapter).orElseThrow();
         waitingRequests.remove(request.attempt);
-        engine.start(request, done -> {
+        engine.start(request, ended -> {
             pin.release();
-            queue.onFinished(done.attempt, done.tokens(), done.generatedTokens);
-            metrics.onEnded(done, loop.nanos());
-            endListener.accept(done);
+            queue.onFinished(ended.attempt, ended.tokens(), ended.generatedTokens);
+            metrics.onEnded(ended, loop.nanos());
+            endListener.accept(ended);
             startRequestsAndLoads();
         });
     }
 
-    private void onLoaded(AdapterLoadCommand order) {
-        residency.onLoaded(order);
+    private void onLoaded(AdapterLoadCommand command) {
+        residency.onLoaded(command);
         metrics.onLoaded(loop.nanos());
         for (TrialRequest request : new ArrayList<>(waitingRequests.values())) {
-            if (request.adapter.equals(order.adapter()) && request.readyAtNanos < 0) {
+            if (request.adapter.equals(command.adapter()) && request.readyAtNanos < 0) {
                 request.readyAtNanos = loop.nanos();
             }
         }
@@ -152,12 +152,12 @@
     }
 
     void reportLoadsTo(Collection<CompanionModel> companions) {
-        int inTransit = residency.loadsInProgress();
+        int loadsInProgress = residency.loadsInProgress();
         int waitingLoads = residency.waitingLoads();
-        long waitingWork = residency.waitingWorkNanos();
+        long waitingWorkNanos = residency.waitingWorkNanos();
         for (CompanionModel other : companions) {
             if (other != this) {
-                other.fleetLoads.onReport(target, inTransit, waitingLoads, waitingWork);
+                other.fleetLoads.onReport(target, loadsInProgress, waitingLoads, waitingWorkNanos);
             }
         }
     }
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/EngineModel.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/EngineModel.java
@@ -9,8 +9,8 @@
 import org.geraniumreach.model.AdapterReference;
 
 /**
- * An engine that batches continuously: each step gives every request in the batch one token, and takes longer with each
- * request and each adapter in the batch. Confined to the trial's thread.
+ * Simulates an engine with continuous batching. Each step generates one token for every request in the batch; its
+ * duration grows with the number of requests and of adapters in the batch. Confined to the trial's thread.
  */
 final class EngineModel {
 
@@ -34,10 +34,10 @@
 
     private record Member(TrialRequest request, double endsAtStep, Consumer<TrialRequest> onEnded) {}
 
-    void start(TrialRequest request, Consumer<TrialRequest> ended) {
+    void start(TrialRequest request, Consumer<TrialRequest> onEnded) {
         advance();
         double steps = request.generatedTokens + request.promptTokens * PREFILL_SECONDS_PER_TOKEN / BASE_STEP_SECONDS;
-        batch.add(new Member(request, completedSteps + steps, ended));
+        batch.add(new Member(request, completedSteps + steps, onEnded));
         requestsByAdapter.merge(request.adapter, 1, Integer::sum);
         scheduleNextEnd();
     }
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/EntryModel.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/EntryModel.java
@@ -18,7 +18,7 @@
 import org.geraniumreach.serving.routing.SentRequest;
 import org.geraniumreach.serving.routing.TargetFilter;
 
-/** An entry; confined to the trial's thread. */
+/** Simulates an entry; confined to the trial's thread. */
 final class EntryModel {
 
     private static final String MODEL = "model";
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/EventLoop.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/EventLoop.java
@@ -5,7 +5,7 @@
 
 import org.geraniumreach.model.MonotonicClock;
 
-/** Virtual time and what is to happen in it; confined to one thread. */
+/** Runs scheduled actions in virtual time, and is the clock of that time; confined to one thread. */
 final class EventLoop implements MonotonicClock {
 
     private final PriorityQueue<Event> events =
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/Policies.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/Policies.java
@@ -9,14 +9,14 @@
 import org.geraniumreach.serving.routing.RoutingWeights;
 
 /**
- * The decisions under trial; immutable.
+ * The policies that a trial runs with; immutable.
  *
- * @param name their name in reports
- * @param routing the router
- * @param routingWeights what it weighs
- * @param queue the order of requests
- * @param queueWeights what it weighs
- * @param residency the management of slots, for any number of slots
+ * @param name the name in reports
+ * @param routing the routing policy
+ * @param routingWeights the weights of the routing policy
+ * @param queue the policy for the order of waiting requests
+ * @param queueWeights the weights of the queue policy
+ * @param residency the settings of adapter residency; the workload replaces the number of slots
  */
 record Policies(
         String name,
@@ -39,8 +39,8 @@
                 name, RoutingPolicy.AFFINITY, weights, QueuePolicy.FAIR, queueWeights, ResidencySettings.standard(1));
     }
 
-    Policies withName(String other) {
-        return new Policies(other, routing, routingWeights, queue, queueWeights, residency);
+    Policies withName(String newName) {
+        return new Policies(newName, routing, routingWeights, queue, queueWeights, residency);
     }
 
     Policies withResidency(ResidencySettings settings) {
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/Trial.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/Trial.java
@@ -12,14 +12,14 @@
 import org.geraniumreach.model.AttemptId;
 import org.geraniumreach.model.TargetId;
 
-/** One run of a workload under some policies, from one seed; confined to its thread. */
+/** Simulates a workload under given policies with one random seed; confined to one thread. */
 final class Trial {
 
     private static final double LINK_LATENCY_SECONDS = 0.001;
     private static final double STATUS_INTERVAL_SECONDS = 0.25;
     private static final double LOAD_REPORT_INTERVAL_SECONDS = 0.1;
     private static final double TICK_INTERVAL_SECONDS = 0.1;
-    private static final double POPULARITY_SWAPS_PER_ADAPTER_SECOND = 0.086 / 3600;
+    private static final double ACTIVATED_ADAPTER_FRACTION_PER_SECOND = 0.086 / 3600;
 
     private final Workload workload;
     private final EventLoop loop = new EventLoop();
@@ -85,12 +85,12 @@
             loop.scheduleAfter(
                     offset, () -> loop.scheduleEvery(LOAD_REPORT_INTERVAL_SECONDS, () -> reportLoads(companion)));
         }
-        loop.scheduleEvery(1 / (POPULARITY_SWAPS_PER_ADAPTER_SECOND * workload.adapters()), this::swapPopularity);
+        loop.scheduleEvery(1 / (ACTIVATED_ADAPTER_FRACTION_PER_SECOND * workload.adapters()), this::swapPopularity);
     }
 
     private void scheduleNextRequest(int account) {
-        double wait = -Math.log(1 - random.nextDouble()) / workload.requestsPerSecondOf(account);
-        loop.scheduleAfter(wait, () -> {
+        double waitSeconds = -Math.log(1 - random.nextDouble()) / workload.requestsPerSecondOf(account);
+        loop.scheduleAfter(waitSeconds, () -> {
             sendRequest(account);
             scheduleNextRequest(account);
         });
@@ -111,7 +111,7 @@
         loop.scheduleAfter(LINK_LATENCY_SECONDS, () -> companions.get(target).receive(request));
     }
 
-    /* Each account has its own adapters: of the popularity ranking, those that its share of the ranks falls on. */
+    /* Each account has its own adapters: those at every n-th rank of popularity, where n is the number of accounts. */
     private AdapterReference drawAdapter(int account) {
         int accounts = workload.accountShares().size();
         int rank = popularity.sample() - 1;
@@ -124,12 +124,12 @@
 
     private void swapPopularity() {
         int accounts = workload.accountShares().size();
-        int awakes = random.nextInt(adaptersByRank.size());
-        int steps = random.nextInt(adaptersByRank.size() / accounts);
-        int idles = (awakes + steps * accounts) % adaptersByRank.size();
-        AdapterReference adapter = adaptersByRank.get(awakes);
-        adaptersByRank.set(awakes, adaptersByRank.get(idles));
-        adaptersByRank.set(idles, adapter);
+        int firstIndex = random.nextInt(adaptersByRank.size());
+        int accountRanks = random.nextInt(adaptersByRank.size() / accounts);
+        int secondIndex = (firstIndex + accountRanks * accounts) % adaptersByRank.size();
+        AdapterReference adapter = adaptersByRank.get(firstIndex);
+        adaptersByRank.set(firstIndex, adaptersByRank.get(secondIndex));
+        adaptersByRank.set(secondIndex, adapter);
     }
 
     private void sendStatus(CompanionModel companion) {
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/TrialMain.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/TrialMain.java
@@ -12,7 +12,7 @@
 import org.geraniumreach.serving.routing.RoutingPolicy;
 import org.geraniumreach.serving.routing.RoutingWeights;
 
-/** Runs all trials: arguments are the JSON file to write and the number of seeds. */
+/** Runs all trials. The arguments are the JSON file to write and the number of seeds. */
 public final class TrialMain {
 
     private static final double FLOOD_FACTOR = 5;
@@ -20,7 +20,7 @@
     private TrialMain() {}
 
     /**
-     * Runs the trials, writes the JSON file, and prints the Markdown tables.
+     * Runs the trials, writes the JSON file and prints the Markdown tables.
      *
      * @param arguments the file and the number of seeds, not null
      * @throws IOException if the file cannot be written
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/TrialMetrics.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/TrialMetrics.java
@@ -4,7 +4,7 @@
 
 import org.apache.commons.math3.stat.descriptive.DescriptiveStatistics;
 
-/** What a trial counts, after its warm-up; confined to the trial's thread. */
+/** Collects the measurements of a trial after its warm-up; confined to the trial's thread. */
 final class TrialMetrics {
 
     private static final double PERCENTILE_95 = 95;
@@ -39,8 +39,9 @@
     }
 
     private boolean isMeasured(TrialRequest request) {
-        double born = request.createdAtNanos / 1e9;
-        return born >= Workload.WARM_UP_SECONDS && born <= Workload.DURATION_SECONDS - Workload.DEADLINE_SECONDS;
+        double createdAtSeconds = request.createdAtNanos / 1e9;
+        return createdAtSeconds >= Workload.WARM_UP_SECONDS
+                && createdAtSeconds <= Workload.DURATION_SECONDS - Workload.DEADLINE_SECONDS;
     }
 
     void onCreated(TrialRequest request) {
@@ -49,48 +50,50 @@
         }
     }
 
-    void onEnded(TrialRequest request, long now) {
+    void onEnded(TrialRequest request, long nowNanos) {
         if (isMeasured(request)) {
             servedTokens[request.accountIndex] += request.tokens();
-            double latency = (now - request.createdAtNanos) / 1e9;
+            double latency = (nowNanos - request.createdAtNanos) / 1e9;
             latencies.addValue(latency);
             accountLatencies[request.accountIndex].addValue(latency);
-            recordStall(request, now);
+            recordStall(request, nowNanos);
         }
     }
 
-    void onExpired(TrialRequest request, long now) {
+    void onExpired(TrialRequest request, long nowNanos) {
         if (isMeasured(request)) {
             expiredCount++;
             latencies.addValue(Workload.DEADLINE_SECONDS);
             accountLatencies[request.accountIndex].addValue(Workload.DEADLINE_SECONDS);
-            recordStall(request, now);
+            recordStall(request, nowNanos);
         }
     }
 
-    private void recordStall(TrialRequest request, long now) {
-        stalls.addValue(request.stallSeconds(now));
+    private void recordStall(TrialRequest request, long nowNanos) {
+        stalls.addValue(request.stallSeconds(nowNanos));
         stalledCount += request.stalled ? 1 : 0;
     }
 
-    void onLoaded(long now) {
-        double at = now / 1e9;
-        loadCount +=
-                at >= Workload.WARM_UP_SECONDS && at <= Workload.DURATION_SECONDS - Workload.DEADLINE_SECONDS ? 1 : 0;
+    void onLoaded(long nowNanos) {
+        double atSeconds = nowNanos / 1e9;
+        loadCount += atSeconds >= Workload.WARM_UP_SECONDS
+                        && atSeconds <= Workload.DURATION_SECONDS - Workload.DEADLINE_SECONDS
+                ? 1
+                : 0;
     }
 
-    void onEngineRan(double seconds, int batch, int adapters, double generated) {
+    void onEngineRan(double seconds, int batchSize, int adapters, double generatedInBatch) {
         if (warmedUp) {
             busySeconds += seconds;
-            requestSeconds += seconds * batch;
+            requestSeconds += seconds * batchSize;
             adapterSeconds += seconds * adapters;
-            generatedTokens += generated;
+            generatedTokens += generatedInBatch;
         }
     }
 
     TrialResult result() {
         double requests = stalls.getN();
-        int worst = worstServedAccount();
+        int worstAccount = worstServedAccount();
         return new TrialResult(
                 stalledCount / requests,
                 stalls.getMean(),
@@ -100,23 +103,23 @@
                 requestSeconds / busySeconds,
                 adapterSeconds / busySeconds,
                 generatedTokens / busySeconds,
-                servedTokens[worst] / requestedTokens[worst],
-                accountLatencies[worst].getPercentile(PERCENTILE_99),
+                servedTokens[worstAccount] / requestedTokens[worstAccount],
+                accountLatencies[worstAccount].getPercentile(PERCENTILE_99),
                 latencies.getPercentile(PERCENTILE_95),
                 expiredCount / requests);
     }
 
     private int worstServedAccount() {
-        int worst = -1;
+        int worstAccount = -1;
         for (int account = 0; account < requestedTokens.length; account++) {
-            boolean floods = account == workload.floodAccount() && workload.floodFactor() > 1;
-            if (!floods
-                    && (worst < 0
+            boolean flooding = account == workload.floodAccount() && workload.floodFactor() > 1;
+            if (!flooding
+                    && (worstAccount < 0
                             || servedTokens[account] / requestedTokens[account]
-                                    < servedTokens[worst] / requestedTokens[worst])) {
-                worst = account;
+                                    < servedTokens[worstAccount] / requestedTokens[worstAccount])) {
+                worstAccount = account;
             }
         }
-        return worst;
+        return worstAccount;
     }
 }
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/TrialReport.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/TrialReport.java
@@ -16,8 +16,10 @@
 import com.fasterxml.jackson.databind.ser.std.ToStringSerializer;
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 
-/** Runs trials over several seeds and writes them as JSON and as a Markdown table; confined to one thread,
- * but for the seeds, which run side by side. */
+/**
+ * Runs trials with several seeds and reports them as JSON and as Markdown tables. Confined to one thread, except that the
+ * seeds of a trial run in parallel.
+ */
 final class TrialReport {
 
     private static final String TABLE_HEADER =
@@ -33,7 +35,7 @@
         this.seedCount = seeds;
     }
 
-    /** The results of some policies on a workload, one for each seed. */
+    /** The results of a workload under given policies, one for each seed. */
     record Row(Workload workload, Policies policies, List<TrialResult> results) {}
 
     void run(Workload workload, List<Policies> variants) {
@@ -65,9 +67,9 @@
                 + " |\n";
     }
 
-    private static String tableCell(List<TrialResult> results, ToDoubleFunction<TrialResult> figure) {
+    private static String tableCell(List<TrialResult> results, ToDoubleFunction<TrialResult> metric) {
         SummaryStatistics statistics = new SummaryStatistics();
-        results.forEach(result -> statistics.addValue(figure.applyAsDouble(result)));
+        results.forEach(result -> statistics.addValue(metric.applyAsDouble(result)));
         return String.format(Locale.ROOT, " | %.2f ±%.2f", statistics.getMean(), statistics.getStandardDeviation());
     }
 
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/TrialRequest.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/TrialRequest.java
@@ -4,7 +4,7 @@
 import org.geraniumreach.model.AdapterReference;
 import org.geraniumreach.model.AttemptId;
 
-/** A request on its way; confined to the trial's thread. */
+/** A simulated request; confined to the trial's thread. */
 final class TrialRequest {
 
     final AttemptId attempt;
@@ -19,24 +19,29 @@
     boolean stalled;
 
     TrialRequest(
-            long number, int account, AdapterReference adapter, int promptTokens, int generatedTokens, long bornAt) {
+            long number,
+            int accountIndex,
+            AdapterReference adapter,
+            int promptTokens,
+            int generatedTokens,
+            long createdAtNanos) {
         this.attempt = AttemptId.of("attempt-" + number);
-        this.accountIndex = account;
-        this.accountId = AccountId.of("account-" + account);
+        this.accountIndex = accountIndex;
+        this.accountId = AccountId.of("account-" + accountIndex);
         this.adapter = adapter;
         this.promptTokens = promptTokens;
         this.generatedTokens = generatedTokens;
-        this.createdAtNanos = bornAt;
+        this.createdAtNanos = createdAtNanos;
     }
 
     int tokens() {
         return promptTokens + generatedTokens;
     }
 
-    double stallSeconds(long now) {
+    double stallSeconds(long nowNanos) {
         if (!stalled) {
             return 0;
         }
-        return ((readyAtNanos >= 0 ? readyAtNanos : now) - queuedAtNanos) / 1e9;
+        return ((readyAtNanos >= 0 ? readyAtNanos : nowNanos) - queuedAtNanos) / 1e9;
     }
 }
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/TrialResult.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/TrialResult.java
@@ -1,20 +1,20 @@
 package org.geraniumreach.benchmarks.trial;
 
 /**
- * What a trial showed; immutable.
+ * The measurements of a trial; immutable.
  *
- * @param stalledShare the share of requests that waited for a load
+ * @param stalledShare the fraction of requests that waited for an adapter load
  * @param stallMean the mean wait for loads over all requests, in seconds
- * @param stall95 its 95th percentile
- * @param stall99 its 99th percentile
- * @param loadsPerThousand the loads for a thousand requests
- * @param batch the mean number of requests in a batch that is not empty
- * @param adaptersPerBatch the mean number of adapters in it
- * @param tokensPerBusySecond the tokens that a busy engine generates in a second
- * @param worstServed the least part of what it asked for that an account within its rate got
+ * @param stall95 the 95th percentile of that wait, in seconds
+ * @param stall99 the 99th percentile of that wait, in seconds
+ * @param loadsPerThousand the number of adapter loads per thousand requests
+ * @param batch the mean number of requests in a non-empty batch
+ * @param adaptersPerBatch the mean number of adapters in a non-empty batch
+ * @param tokensPerBusySecond the tokens that a busy engine generates per second
+ * @param worstServed the smallest fraction of requested tokens served to any account that keeps to its rate
  * @param worstLatency99 the 99th percentile of that account's latency, in seconds
  * @param latency95 the 95th percentile of latency of all requests, in seconds
- * @param expiredShare the share of requests whose deadline passed
+ * @param expiredShare the fraction of requests whose deadline passed
  */
 record TrialResult(
         double stalledShare,
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/WeightStore.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/WeightStore.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** The rate-limited store of weights: transfers begin in order at its rate, and slow down beyond eight in transit. */
+/** Simulates a rate-limited weight store. Transfers start in order at its rate, and slow down when over eight are running. */
 final class WeightStore {
 
     private static final double FULL_SPEED_TRANSFER_SECONDS = 0.25;
@@ -22,8 +22,8 @@
         this.secondsBetweenStarts = 1 / loadsPerSecond;
     }
 
-    void load(Runnable arrived) {
-        waiting.add(arrived);
+    void load(Runnable onLoaded) {
+        waiting.add(onLoaded);
         scheduleNextStart();
     }
 
@@ -32,19 +32,19 @@
             return;
         }
         startScheduled = true;
-        double now = loop.nanos() / 1e9;
-        loop.scheduleAfter(Math.max(0, nextStartSeconds - now), this::startNext);
+        double nowSeconds = loop.nanos() / 1e9;
+        loop.scheduleAfter(Math.max(0, nextStartSeconds - nowSeconds), this::startNext);
     }
 
     private void startNext() {
         startScheduled = false;
         nextStartSeconds = loop.nanos() / 1e9 + secondsBetweenStarts;
-        Runnable arrived = waiting.poll();
+        Runnable onLoaded = waiting.poll();
         inTransit++;
         startedCount++;
         loop.scheduleAfter(FULL_SPEED_TRANSFER_SECONDS * Math.max(1, inTransit / MAX_FULL_SPEED_TRANSFERS), () -> {
             inTransit--;
-            arrived.run();
+            onLoaded.run();
         });
         scheduleNextStart();
     }
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/Workload.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/Workload.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * What is asked of a fleet, and what it has; immutable.
+ * The size of a fleet and the requests sent to it; immutable.
  *
- * @param name its name in reports
- * @param targets the engines
- * @param slots the adapters that an engine holds
- * @param concurrency the requests that an engine is given at once
- * @param entries the entries
- * @param adapters the adapters
- * @param zipfExponent the skew of their popularity
- * @param storeLoadsPerSecond the loads that the weight store begins in a second
- * @param requestsPerSecond the requests of all accounts together, before the flood
- * @param accountShares the accounts' parts of these
- * @param floodAccount the account that floods
- * @param floodFactor how many times its rate it sends; 1 for no flood
+ * @param name the name in reports
+ * @param targets the number of targets, each with one engine
+ * @param slots the number of adapters that an engine can hold
+ * @param concurrency the maximum number of requests that an engine runs at once
+ * @param entries the number of entries
+ * @param adapters the number of adapters
+ * @param zipfExponent the exponent of the Zipf distribution of adapter popularity
+ * @param storeLoadsPerSecond the transfers that the weight store starts per second
+ * @param requestsPerSecond the requests per second of all accounts together, without the flood
+ * @param accountShares the share of each account in these requests
+ * @param floodAccount the index of the account that floods
+ * @param floodFactor the factor by which that account exceeds its rate; 1 for no flood
  */
 record Workload(
         String name,
@@ -67,7 +67,8 @@
     }
 
     /**
-     * Gets a copy in which tokens and not loads are short: few adapters, and engines that are nearly full before a flood.
+     * Copies this workload with few adapters and nearly saturated engines, so that tokens are scarce and adapter loads are
+     * not.
      *
      * @return the copy
      */
