--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/RoutingBenchmark.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/jmh/RoutingBenchmark.java
@@ -25,42 +25,42 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 
-/** The choice of a target, and the taking in of a companion's news; one thread. */
+/** Measures routing, and applying target status messages and membership changes to the fleet view; one thread. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
 public class RoutingBenchmark {
 
-    private static final int REQUESTS = 1 << 14;
+    private static final int REQUEST_COUNT = 1 << 14;
 
-    /** How large the fleet is. */
+    /** The size of the fleet. */
     @Param
     FleetSize size;
 
-    private final RouteRequest[] requests = new RouteRequest[REQUESTS];
+    private final RouteRequest[] requests = new RouteRequest[REQUEST_COUNT];
     private FleetView fleet;
     private AdapterReference[] adapters;
     private Router affinity;
     private Router plainHashing;
     private Router leastLoaded;
-    private int next;
+    private int nextNumber;
     private long sequence = 1;
 
-    /** Makes the fleet, the routers and the requests. */
+    /** Creates the fleet, the routers and the requests. */
     @Setup
     public void setUp() {
-        adapters = Fleets.adapters(size.adapters());
-        fleet = Fleets.fleet(size, adapters);
-        affinity = router(RoutingPolicy.AFFINITY);
-        plainHashing = router(RoutingPolicy.PLAIN_HASHING);
-        leastLoaded = router(RoutingPolicy.LEAST_LOADED);
-        ZipfDistribution popularity = Fleets.popularity(adapters.length);
-        for (int index = 0; index < REQUESTS; index++) {
+        adapters = Fleets.createAdapters(size.adapters());
+        fleet = Fleets.createFleet(size, adapters);
+        affinity = createRouter(RoutingPolicy.AFFINITY);
+        plainHashing = createRouter(RoutingPolicy.PLAIN_HASHING);
+        leastLoaded = createRouter(RoutingPolicy.LEAST_LOADED);
+        ZipfDistribution popularity = Fleets.adapterPopularity(adapters.length);
+        for (int index = 0; index < REQUEST_COUNT; index++) {
             requests[index] = RouteRequest.ofAdapter(Fleets.MODEL, adapters[popularity.sample() - 1]);
         }
     }
 
-    private Router router(RoutingPolicy policy) {
+    private Router createRouter(RoutingPolicy policy) {
         return policy.createRouter(
                 fleet,
                 TargetFilter.all(),
@@ -69,82 +69,82 @@
                 new Random(1));
     }
 
-    private RouteRequest request() {
-        return requests[next++ & REQUESTS - 1];
+    private RouteRequest nextRequest() {
+        return requests[nextNumber++ & REQUEST_COUNT - 1];
     }
 
     /**
-     * Chooses by residency, load and demand.
+     * Routes a request by residency, load and demand.
      *
-     * @return the choice
+     * @return the route
      */
     @Benchmark
     public Optional<Route> affinity() {
-        return affinity.route(request());
+        return affinity.route(nextRequest());
     }
 
     /**
-     * Chooses by plain hashing.
+     * Routes a request by plain hashing.
      *
-     * @return the choice
+     * @return the route
      */
     @Benchmark
     public Optional<Route> plainHashing() {
-        return plainHashing.route(request());
+        return plainHashing.route(nextRequest());
     }
 
     /**
-     * Chooses by the least load.
+     * Routes a request to the least loaded target.
      *
-     * @return the choice
+     * @return the route
      */
     @Benchmark
     public Optional<Route> leastLoaded() {
-        return leastLoaded.route(request());
+        return leastLoaded.route(nextRequest());
     }
 
     /**
-     * Takes in a Status with one adapter more or less.
+     * Applies a Status with one adapter added or removed.
      *
-     * @return whether it was new
+     * @return whether the Status was newer than the last one
      */
     @Benchmark
     public boolean statusWithAChange() {
-        int number = next++ % size.targets();
-        AdapterReference coming = adapters[adapters.length - 1];
-        boolean there = next / size.targets() % 2 == 0;
-        Set<AdapterReference> added = there ? Set.of() : Set.of(coming);
-        Set<AdapterReference> removed = there ? Set.of(coming) : Set.of();
-        return fleet.apply(Fleets.status(number, ++sequence, 3, false, added, removed));
+        int number = nextNumber++ % size.targets();
+        AdapterReference changed = adapters[adapters.length - 1];
+        boolean resident = nextNumber / size.targets() % 2 == 0;
+        Set<AdapterReference> added = resident ? Set.of() : Set.of(changed);
+        Set<AdapterReference> removed = resident ? Set.of(changed) : Set.of();
+        return fleet.apply(Fleets.createStatus(number, ++sequence, 3, false, added, removed));
     }
 
     /**
-     * Takes in a Status that holds only load.
+     * Applies a Status that changes only the load.
      *
-     * @return whether it was new
+     * @return whether the Status was newer than the last one
      */
     @Benchmark
     public boolean statusOfLoadOnly() {
-        int number = next++ % size.targets();
-        return fleet.apply(Fleets.status(number, ++sequence, 3, false, Set.of(), Set.of()));
+        int number = nextNumber++ % size.targets();
+        return fleet.apply(Fleets.createStatus(number, ++sequence, 3, false, Set.of(), Set.of()));
     }
 
-    /** A target leaves and comes back: what the choice after it pays is in {@link #affinityAfterAChange}. */
+    /** Removes a target and adds it again. {@link #affinityAfterAChange} includes the cost to the next routing. */
     @Benchmark
     public void targetLeavesAndJoins() {
-        int number = next++ % size.targets();
-        fleet.leave(Fleets.target(number));
-        Fleets.join(fleet, number);
+        int number = nextNumber++ % size.targets();
+        fleet.leave(Fleets.targetId(number));
+        Fleets.joinTarget(fleet, number);
     }
 
     /**
-     * Chooses after a target has left and come back, when no order is remembered.
+     * Routes a request after a target has left and rejoined, when no order of targets is cached.
      *
-     * @return the choice
+     * @return the route
      */
     @Benchmark
     public Optional<Route> affinityAfterAChange() {
         targetLeavesAndJoins();
-        return affinity.route(request());
+        return affinity.route(nextRequest());
     }
 }
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/CompanionModel.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/CompanionModel.java
@@ -22,7 +22,7 @@
 import org.geraniumreach.serving.residency.Residency;
 import org.geraniumreach.serving.routing.TargetStatus;
 
-/** A companion and its engine; confined to the trial's thread. */
+/** Simulates a companion and its engine; confined to the trial's thread. */
 final class CompanionModel {
 
     private static final int PRIORITY = 5;
@@ -36,10 +36,10 @@
     private final FleetLoads fleetLoads;
     private final Residency residency;
     private final RequestQueue<TrialRequest> queue;
-    private final Map<AttemptId, TrialRequest> waiting = new HashMap<>();
-    private Consumer<TrialRequest> ended = request -> {};
-    private Consumer<TrialRequest> accepted = request -> {};
-    private Runnable changed = () -> {};
+    private final Map<AttemptId, TrialRequest> waitingRequests = new HashMap<>();
+    private Consumer<TrialRequest> endListener = request -> {};
+    private Consumer<TrialRequest> acceptanceListener = request -> {};
+    private Runnable statusChangeListener = () -> {};
     private long sequence;
 
     CompanionModel(
@@ -62,75 +62,75 @@
         residency.synchronise(1, Set.of(), 0);
     }
 
-    void listen(Consumer<TrialRequest> whenAccepted, Consumer<TrialRequest> whenEnded, Runnable whenChanged) {
-        accepted = whenAccepted;
-        ended = whenEnded;
-        changed = whenChanged;
+    void setListeners(Consumer<TrialRequest> onAccepted, Consumer<TrialRequest> onEnded, Runnable onStatusChanged) {
+        acceptanceListener = onAccepted;
+        endListener = onEnded;
+        statusChangeListener = onStatusChanged;
     }
 
     void receive(TrialRequest request) {
-        request.queuedAt = loop.nanos();
-        AdapterRequestResult answer =
+        request.queuedAtNanos = loop.nanos();
+        AdapterRequestResult result =
                 residency.request(request.attempt, request.accountId, request.adapter, request.tokens());
-        request.stalled = answer.state() == AdapterRequestResult.State.WAITING;
-        waiting.put(request.attempt, request);
+        request.stalled = result.state() == AdapterRequestResult.State.WAITING;
+        waitingRequests.put(request.attempt, request);
         queue.offer(new QueuedRequest<>(
                 request.attempt,
                 request.accountId,
                 Optional.of(request.adapter),
                 request.tokens(),
                 PRIORITY,
-                request.bornAt + (long) (Workload.DEADLINE_SECONDS * 1e9),
+                request.createdAtNanos + (long) (Workload.DEADLINE_SECONDS * 1e9),
                 request));
-        accepted.accept(request);
-        pump();
+        acceptanceListener.accept(request);
+        startRequestsAndLoads();
     }
 
     void tick() {
         for (QueuedRequest<TrialRequest> expired : queue.removeExpired()) {
             residency.cancel(expired.attempt());
-            waiting.remove(expired.attempt());
-            metrics.expired(expired.payload(), loop.nanos());
-            ended.accept(expired.payload());
+            waitingRequests.remove(expired.attempt());
+            metrics.onExpired(expired.payload(), loop.nanos());
+            endListener.accept(expired.payload());
         }
-        pump();
+        startRequestsAndLoads();
     }
 
-    private void pump() {
+    private void startRequestsAndLoads() {
         for (Optional<QueuedRequest<TrialRequest>> next = queue.take(residency::isReady);
                 next.isPresent();
                 next = queue.take(residency::isReady)) {
             start(next.get().payload());
         }
-        List<AdapterLoadCommand> orders = residency.startLoads();
-        orders.forEach(order -> store.load(() -> loaded(order)));
-        if (orders.stream().anyMatch(order -> order.evicted().isPresent())) {
-            changed.run();
+        List<AdapterLoadCommand> commands = residency.startLoads();
+        commands.forEach(command -> store.load(() -> onLoaded(command)));
+        if (commands.stream().anyMatch(command -> command.evicted().isPresent())) {
+            statusChangeListener.run();
         }
     }
 
     private void start(TrialRequest request) {
         Pin pin = residency.pin(request.attempt, request.adapter).orElseThrow();
-        waiting.remove(request.attempt);
-        engine.start(request, done -> {
+        waitingRequests.remove(request.attempt);
+        engine.start(request, ended -> {
             pin.release();
-            queue.onFinished(done.attempt, done.tokens(), done.generatedTokens);
-            metrics.ended(done, loop.nanos());
-            ended.accept(done);
-            pump();
+            queue.onFinished(ended.attempt, ended.tokens(), ended.generatedTokens);
+            metrics.onEnded(ended, loop.nanos());
+            endListener.accept(ended);
+            startRequestsAndLoads();
         });
     }
 
-    private void loaded(AdapterLoadCommand order) {
-        residency.onLoaded(order);
-        metrics.loaded(loop.nanos());
-        for (TrialRequest request : new ArrayList<>(waiting.values())) {
-            if (request.adapter.equals(order.adapter()) && request.readyAt < 0) {
-                request.readyAt = loop.nanos();
+    private void onLoaded(AdapterLoadCommand command) {
+        residency.onLoaded(command);
+        metrics.onLoaded(loop.nanos());
+        for (TrialRequest request : new ArrayList<>(waitingRequests.values())) {
+            if (request.adapter.equals(command.adapter()) && request.readyAtNanos < 0) {
+                request.readyAtNanos = loop.nanos();
             }
         }
-        pump();
-        changed.run();
+        startRequestsAndLoads();
+        statusChangeListener.run();
     }
 
     TargetStatus status() {
@@ -151,13 +151,13 @@
                 0);
     }
 
-    void tell(Collection<CompanionModel> companions) {
-        int inTransit = residency.loadsInProgress();
+    void reportLoadsTo(Collection<CompanionModel> companions) {
+        int loadsInProgress = residency.loadsInProgress();
         int waitingLoads = residency.waitingLoads();
-        long waitingWork = residency.waitingWorkNanos();
+        long waitingWorkNanos = residency.waitingWorkNanos();
         for (CompanionModel other : companions) {
             if (other != this) {
-                other.fleetLoads.onReport(target, inTransit, waitingLoads, waitingWork);
+                other.fleetLoads.onReport(target, loadsInProgress, waitingLoads, waitingWorkNanos);
             }
         }
     }
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/TrialMetrics.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/TrialMetrics.java
@@ -4,7 +4,7 @@
 
 import org.apache.commons.math3.stat.descriptive.DescriptiveStatistics;
 
-/** What a trial counts, after its warm-up; confined to the trial's thread. */
+/** Collects the measurements of a trial after its warm-up; confined to the trial's thread. */
 final class TrialMetrics {
 
     private static final double PERCENTILE_95 = 95;
@@ -14,105 +14,112 @@
     private final DescriptiveStatistics stalls = new DescriptiveStatistics();
     private final DescriptiveStatistics latencies = new DescriptiveStatistics();
     private final DescriptiveStatistics[] accountLatencies;
-    private final double[] due;
-    private final double[] served;
-    private long stalled;
-    private long loads;
-    private long expired;
-    private double busy;
-    private double requestTime;
-    private double adapterTime;
-    private double tokens;
-    private boolean warm;
+    private final double[] requestedTokens;
+    private final double[] servedTokens;
+    private long stalledCount;
+    private long loadCount;
+    private long expiredCount;
+    private double busySeconds;
+    private double requestSeconds;
+    private double adapterSeconds;
+    private double generatedTokens;
+    private boolean warmedUp;
 
     TrialMetrics(Workload workload) {
         this.workload = workload;
         int accounts = workload.accountShares().size();
-        this.due = new double[accounts];
-        this.served = new double[accounts];
+        this.requestedTokens = new double[accounts];
+        this.servedTokens = new double[accounts];
         this.accountLatencies = new DescriptiveStatistics[accounts];
         Arrays.setAll(accountLatencies, account -> new DescriptiveStatistics());
     }
 
-    void warm() {
-        warm = true;
+    void endWarmUp() {
+        warmedUp = true;
     }
 
-    private boolean counts(TrialRequest request) {
-        double born = request.bornAt / 1e9;
-        return born >= Workload.WARM_UP_SECONDS && born <= Workload.SECONDS - Workload.DEADLINE_SECONDS;
+    private boolean isMeasured(TrialRequest request) {
+        double createdAtSeconds = request.createdAtNanos / 1e9;
+        return createdAtSeconds >= Workload.WARM_UP_SECONDS
+                && createdAtSeconds <= Workload.DURATION_SECONDS - Workload.DEADLINE_SECONDS;
     }
 
-    void born(TrialRequest request) {
-        if (counts(request)) {
-            due[request.account] += request.tokens();
+    void onCreated(TrialRequest request) {
+        if (isMeasured(request)) {
+            requestedTokens[request.accountIndex] += request.tokens();
         }
     }
 
-    void ended(TrialRequest request, long now) {
-        if (counts(request)) {
-            served[request.account] += request.tokens();
-            double latency = (now - request.bornAt) / 1e9;
+    void onEnded(TrialRequest request, long nowNanos) {
+        if (isMeasured(request)) {
+            servedTokens[request.accountIndex] += request.tokens();
+            double latency = (nowNanos - request.createdAtNanos) / 1e9;
             latencies.addValue(latency);
-            accountLatencies[request.account].addValue(latency);
-            stall(request, now);
+            accountLatencies[request.accountIndex].addValue(latency);
+            recordStall(request, nowNanos);
         }
     }
 
-    void expired(TrialRequest request, long now) {
-        if (counts(request)) {
-            expired++;
+    void onExpired(TrialRequest request, long nowNanos) {
+        if (isMeasured(request)) {
+            expiredCount++;
             latencies.addValue(Workload.DEADLINE_SECONDS);
-            accountLatencies[request.account].addValue(Workload.DEADLINE_SECONDS);
-            stall(request, now);
+            accountLatencies[request.accountIndex].addValue(Workload.DEADLINE_SECONDS);
+            recordStall(request, nowNanos);
         }
     }
 
-    private void stall(TrialRequest request, long now) {
-        stalls.addValue(request.stallSeconds(now));
-        stalled += request.stalled ? 1 : 0;
+    private void recordStall(TrialRequest request, long nowNanos) {
+        stalls.addValue(request.stallSeconds(nowNanos));
+        stalledCount += request.stalled ? 1 : 0;
     }
 
-    void loaded(long now) {
-        double at = now / 1e9;
-        loads += at >= Workload.WARM_UP_SECONDS && at <= Workload.SECONDS - Workload.DEADLINE_SECONDS ? 1 : 0;
+    void onLoaded(long nowNanos) {
+        double atSeconds = nowNanos / 1e9;
+        loadCount += atSeconds >= Workload.WARM_UP_SECONDS
+                        && atSeconds <= Workload.DURATION_SECONDS - Workload.DEADLINE_SECONDS
+                ? 1
+                : 0;
     }
 
-    void ran(double seconds, int batch, int adapters, double generated) {
-        if (warm) {
-            busy += seconds;
-            requestTime += seconds * batch;
-            adapterTime += seconds * adapters;
-            tokens += generated;
+    void onEngineRan(double seconds, int batchSize, int adapters, double generatedInBatch) {
+        if (warmedUp) {
+            busySeconds += seconds;
+            requestSeconds += seconds * batchSize;
+            adapterSeconds += seconds * adapters;
+            generatedTokens += generatedInBatch;
         }
     }
 
     TrialResult result() {
         double requests = stalls.getN();
-        int worst = worstServed();
+        int worstAccount = worstServedAccount();
         return new TrialResult(
-                stalled / requests,
+                stalledCount / requests,
                 stalls.getMean(),
                 stalls.getPercentile(PERCENTILE_95),
                 stalls.getPercentile(PERCENTILE_99),
-                1000 * loads / requests,
-                requestTime / busy,
-                adapterTime / busy,
-                tokens / busy,
-                served[worst] / due[worst],
-                accountLatencies[worst].getPercentile(PERCENTILE_99),
+                1000 * loadCount / requests,
+                requestSeconds / busySeconds,
+                adapterSeconds / busySeconds,
+                generatedTokens / busySeconds,
+                servedTokens[worstAccount] / requestedTokens[worstAccount],
+                accountLatencies[worstAccount].getPercentile(PERCENTILE_99),
                 latencies.getPercentile(PERCENTILE_95),
-                expired / requests);
+                expiredCount / requests);
     }
 
-    private int worstServed() {
-        int worst = -1;
-        for (int account = 0; account < due.length; account++) {
-            boolean floods = account == workload.floodAccount() && workload.floodFactor() > 1;
-            if (!floods && (worst < 0 || served[account] / due[account] < served[worst] / due[worst])) {
-                worst = account;
+    private int worstServedAccount() {
+        int worstAccount = -1;
+        for (int account = 0; account < requestedTokens.length; account++) {
+            boolean flooding = account == workload.floodAccount() && workload.floodFactor() > 1;
+            if (!flooding
+                    && (worstAccount < 0
+                            || servedTokens[account] / requestedTokens[account]
+                                    < servedTokens[worstAccount] / requestedTokens[worstAccount])) {
+                worstAccount = account;
             }
         }
-        return worst;
+        return worstAccount;
     }
 }
--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/WeightStore.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/trial/WeightStore.java
@@ -3,53 +3,53 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** The rate-limited store of weights: transfers begin in order at its rate, and slow down beyond eight in transit. */
+/** Simulates a rate-limited weight store. Transfers start in order at its rate, and slow down when over eight are running. */
 final class WeightStore {
 
-    private static final double FULL_SPEED_SECONDS = 0.25;
-    private static final double AT_FULL_SPEED = 8;
+    private static final double FULL_SPEED_TRANSFER_SECONDS = 0.25;
+    private static final double MAX_FULL_SPEED_TRANSFERS = 8;
 
     private final EventLoop loop;
-    private final double secondsBetween;
+    private final double secondsBetweenStarts;
     private final Deque<Runnable> waiting = new ArrayDeque<>();
-    private boolean beginning;
-    private double freeAt;
+    private boolean startScheduled;
+    private double nextStartSeconds;
     private int inTransit;
-    private long begun;
+    private long startedCount;
 
     WeightStore(EventLoop loop, double loadsPerSecond) {
         this.loop = loop;
-        this.secondsBetween = 1 / loadsPerSecond;
+        this.secondsBetweenStarts = 1 / loadsPerSecond;
     }
 
-    void load(Runnable arrived) {
-        waiting.add(arrived);
-        beginNext();
+    void load(Runnable onLoaded) {
+        waiting.add(onLoaded);
+        scheduleNextStart();
     }
 
-    private void beginNext() {
-        if (beginning || waiting.isEmpty()) {
+    private void scheduleNextStart() {
+        if (startScheduled || waiting.isEmpty()) {
             return;
         }
-        beginning = true;
-        double now = loop.nanos() / 1e9;
-        loop.after(Math.max(0, freeAt - now), this::begin);
+        startScheduled = true;
+        double nowSeconds = loop.nanos() / 1e9;
+        loop.scheduleAfter(Math.max(0, nextStartSeconds - nowSeconds), this::startNext);
     }
 
-    private void begin() {
-        beginning = false;
-        freeAt = loop.nanos() / 1e9 + secondsBetween;
-        Runnable arrived = waiting.poll();
+    private void startNext() {
+        startScheduled = false;
+        nextStartSeconds = loop.nanos() / 1e9 + secondsBetweenStarts;
+        Runnable onLoaded = waiting.poll();
         inTransit++;
-        begun++;
-        loop.after(FULL_SPEED_SECONDS * Math.max(1, inTransit / AT_FULL_SPEED), () -> {
+        startedCount++;
+        loop.scheduleAfter(FULL_SPEED_TRANSFER_SECONDS * Math.max(1, inTransit / MAX_FULL_SPEED_TRANSFERS), () -> {
             inTransit--;
-            arrived.run();
+            onLoaded.run();
         });
-        beginNext();
+        scheduleNextStart();
     }
 
-    long begun() {
-        return begun;
+    long startedCount() {
+        return startedCount;
     }
 }
