--- a/control/src/main/java/org/geraniumreach/control/Commands.java
+++ b/control/src/main/java/org/geraniumreach/control/Commands.java
@@ -32,7 +32,7 @@
     private final Options options;
     private final Printer printer;
     private final SecureRandom random = new SecureRandom();
-    private final List<String> advice = new ArrayList<>();
+    private final List<String> recoveryHints = new ArrayList<>();
 
     Commands(Options options, Printer printer) {
         this.options = options;
@@ -44,41 +44,41 @@
      *
      * @return lines to print, not null
      */
-    List<String> advice() {
-        return advice;
+    List<String> recoveryHints() {
+        return recoveryHints;
     }
 
     void run() throws ControlException {
-        List<String> words = options.words();
+        List<String> words = options.arguments();
         if (words.isEmpty()) {
             throw ControlException.usage("a command is missing");
         }
         List<String> rest = words.subList(1, words.size());
         switch (words.get(0)) {
             case "submit" -> submit(rest);
-            case "withdraw" -> withdraw(key(rest));
-            case "list" -> printer.list(
-                    client().list(kind(one(rest, "list KIND")).label()));
-            case "show" -> printer.record(client().show(key(rest)));
-            case "history" -> printer.history(
-                    client().history(rest.isEmpty() ? Optional.empty() : Optional.of(key(rest))));
+            case "withdraw" -> withdraw(parseKey(rest));
+            case "list" -> printer.printList(createClient()
+                    .list(parseKind(requireSingle(rest, "list KIND")).label()));
+            case "show" -> printer.printRecord(createClient().show(parseKey(rest)));
+            case "history" -> printer.printHistory(
+                    createClient().history(rest.isEmpty() ? Optional.empty() : Optional.of(parseKey(rest))));
             case "status" -> status(rest);
             case "validate" -> validate(rest);
-            case "key" -> newKey(rest);
+            case "key" -> createKey(rest);
             default -> throw ControlException.usage("unknown command '" + words.get(0) + "'");
         }
     }
 
     private void submit(List<String> files) throws ControlException {
         List<RecordDocument> documents = RecordFiles.read(files);
-        OperatorClient client = client();
+        OperatorClient client = createClient();
         long basedOn = basedOn(client);
-        String operation = operation();
+        String operation = operationId();
         Map<RecordKey, Long> ownRevisions = new HashMap<>();
         for (int index = 0; index < documents.size(); index++) {
             RecordDocument document = documents.get(index);
-            advice.clear();
-            advice.add(index + " of " + documents.size() + " records were accepted; "
+            recoveryHints.clear();
+            recoveryHints.add(index + " of " + documents.size() + " records were accepted; "
                     + "submit the same files with --operation " + operation + " to find out about the rest and go on");
             ObjectNode answer = client.submit(
                     documents.size() == 1 ? operation : operation + "-" + index,
@@ -86,15 +86,15 @@
                     document);
             ownRevisions.put(
                     document.key(), answer.path("change").path("revision").asLong());
-            printer.change(answer);
+            printer.printChange(answer);
         }
     }
 
     private void withdraw(RecordKey key) throws ControlException {
-        OperatorClient client = client();
-        String operation = operation();
-        advice.add("withdraw again with --operation " + operation + " to find out what became of it");
-        printer.change(client.withdraw(operation, basedOn(client), key));
+        OperatorClient client = createClient();
+        String operation = operationId();
+        recoveryHints.add("withdraw again with --operation " + operation + " to find out what became of it");
+        printer.printChange(client.withdraw(operation, basedOn(client), key));
     }
 
     private long basedOn(OperatorClient client) throws ControlException {
@@ -107,9 +107,9 @@
         return options.basedOn();
     }
 
-    private String operation() throws ControlException {
+    private String operationId() throws ControlException {
         if (options.operation() == null) {
-            return "ctl-" + hexadecimal(OPERATION_BYTES);
+            return "ctl-" + randomHexadecimal(OPERATION_BYTES);
         }
         if (!Names.isName(options.operation())) {
             throw ControlException.usage("--operation: not a valid name: '" + options.operation() + "'");
@@ -117,7 +117,7 @@
         return options.operation();
     }
 
-    private String hexadecimal(int length) {
+    private String randomHexadecimal(int length) {
         byte[] bytes = new byte[length];
         random.nextBytes(bytes);
         return HexFormat.of().formatHex(bytes);
@@ -126,9 +126,9 @@
     private void validate(List<String> files) throws ControlException {
         List<RecordDocument> documents = RecordFiles.read(files);
         if (options.hasEntries()) {
-            client().validate(documents);
+            createClient().validate(documents);
         }
-        printer.tree(OperatorClient.object()
+        printer.printTree(OperatorClient.newObject()
                 .put("result", ResultCode.OK.name())
                 .put("records", documents.size())
                 .put("checkedAgainstEntry", options.hasEntries()));
@@ -138,40 +138,40 @@
         if (!rest.isEmpty()) {
             throw ControlException.usage("status takes nothing more");
         }
-        printer.tree(client().status());
+        printer.printTree(createClient().status());
     }
 
-    private void newKey(List<String> rest) throws ControlException {
+    private void createKey(List<String> rest) throws ControlException {
         if (rest.size() != 2 || !rest.get(0).equals("new") || options.account() == null) {
             throw ControlException.usage("key new NAME --account ACCOUNT");
         }
-        RecordKey key = key(RecordKind.KEY, rest.get(1));
+        RecordKey key = parseKey(RecordKind.KEY, rest.get(1));
         if (!Names.isName(options.account())) {
             throw ControlException.usage("--account: not a valid name: '" + options.account() + "'");
         }
-        String secret = hexadecimal(KEY_BYTES);
-        ObjectNode record = OperatorClient.object()
+        String secret = randomHexadecimal(KEY_BYTES);
+        ObjectNode record = OperatorClient.newObject()
                 .put("schemaVersion", 1)
                 .put("account", options.account())
                 .put("digest", KeyDigest.ofSecret(secret).toHexadecimal());
         if (options.output() == Options.Output.JSON) {
-            ObjectNode both = OperatorClient.object().put("secret", secret);
+            ObjectNode both = OperatorClient.newObject().put("secret", secret);
             both.putObject("record")
                     .put("kind", key.kind().label())
                     .put("name", key.name())
                     .setAll(record);
-            printer.tree(both);
+            printer.printTree(both);
             return;
         }
-        printer.line("# secret, shown only now: " + secret);
-        printer.document(key.kind().label(), key.name(), record);
+        printer.printLine("# secret, shown only now: " + secret);
+        printer.printDocument(key.kind().label(), key.name(), record);
     }
 
-    private OperatorClient client() throws ControlException {
-        return new OperatorClient(options.entries(), credential());
+    private OperatorClient createClient() throws ControlException {
+        return new OperatorClient(options.entries(), readCredential());
     }
 
-    private Optional<String> credential() throws ControlException {
+    private Optional<String> readCredential() throws ControlException {
         if (options.credentialFile() == null) {
             return Optional.empty();
         }
@@ -183,28 +183,28 @@
         }
     }
 
-    private static String one(List<String> rest, String usage) throws ControlException {
+    private static String requireSingle(List<String> rest, String usage) throws ControlException {
         if (rest.size() != 1) {
             throw ControlException.usage(usage);
         }
         return rest.get(0);
     }
 
-    private static RecordKey key(List<String> rest) throws ControlException {
+    private static RecordKey parseKey(List<String> rest) throws ControlException {
         if (rest.size() != 2) {
             throw ControlException.usage("a KIND and a NAME are wanted");
         }
-        return key(kind(rest.get(0)), rest.get(1));
+        return parseKey(parseKind(rest.get(0)), rest.get(1));
     }
 
-    private static RecordKey key(RecordKind kind, String name) throws ControlException {
+    private static RecordKey parseKey(RecordKind kind, String name) throws ControlException {
         if (!Names.isName(name)) {
             throw ControlException.usage("not a valid name: '" + name + "'");
         }
         return RecordKey.of(kind, name);
     }
 
-    private static RecordKind kind(String label) throws ControlException {
+    private static RecordKind parseKind(String label) throws ControlException {
         List<String> labels =
                 List.of(RecordKind.values()).stream().map(RecordKind::label).toList();
         return RecordKind.ofLabel(label)
--- a/control/src/main/java/org/geraniumreach/control/ControlException.java
+++ b/control/src/main/java/org/geraniumreach/control/ControlException.java
@@ -14,13 +14,13 @@
 
     private final ExitCode exitCode;
     private final transient ResultCode code;
-    private final transient ObjectNode answer;
+    private final transient ObjectNode response;
 
     private ControlException(ExitCode exitCode, ResultCode code, String message, ObjectNode answer) {
         super(message);
         this.exitCode = Objects.requireNonNull(exitCode, "exitCode");
         this.code = Objects.requireNonNull(code, "code");
-        this.answer = answer;
+        this.response = answer;
     }
 
     static ControlException of(ResultCode code, String message) {
@@ -35,7 +35,7 @@
         return new ControlException(ExitCode.UNREACHABLE, ResultCode.ENTRY_UNREACHABLE, message, null);
     }
 
-    static ControlException answered(ResultCode code, String message, ObjectNode answer) {
+    static ControlException fromResponse(ResultCode code, String message, ObjectNode answer) {
         return new ControlException(ExitCode.of(code), code, message, answer);
     }
 
@@ -52,7 +52,7 @@
      *
      * @return the record and its revision as JSON, or null if the answer held none
      */
-    ObjectNode current() {
-        return answer != null && answer.path("current").isObject() ? (ObjectNode) answer.get("current") : null;
+    ObjectNode currentRecord() {
+        return response != null && response.path("current").isObject() ? (ObjectNode) response.get("current") : null;
     }
 }
--- a/control/src/main/java/org/geraniumreach/control/Main.java
+++ b/control/src/main/java/org/geraniumreach/control/Main.java
@@ -15,8 +15,8 @@
  */
 public final class Main {
 
-    private static final int USAGE_WIDTH = 110;
-    private static final String COMMANDS =
+    private static final int USAGE_WIDTH_COLUMNS = 110;
+    private static final String COMMAND_HELP =
             """
             geraniumreachctl COMMAND [OPTIONS]
               submit FILE...         submits the records of the files, in their order
@@ -50,16 +50,16 @@
     static int run(String[] arguments, PrintStream out, PrintStream error) {
         Options options = new Options();
         CmdLineParser parser =
-                new CmdLineParser(options, ParserProperties.defaults().withUsageWidth(USAGE_WIDTH));
+                new CmdLineParser(options, ParserProperties.defaults().withUsageWidth(USAGE_WIDTH_COLUMNS));
         try {
             parser.parseArgument(arguments);
         } catch (CmdLineException wrong) {
             error.println(wrong.getMessage());
-            usage(parser, error);
+            printUsage(parser, error);
             return ExitCode.USAGE.number();
         }
-        if (options.isHelp()) {
-            usage(parser, out);
+        if (options.isHelpRequested()) {
+            printUsage(parser, out);
             return ExitCode.OK.number();
         }
         Printer printer = new Printer(out, error, options.output());
@@ -68,13 +68,13 @@
             commands.run();
             return ExitCode.OK.number();
         } catch (ControlException failure) {
-            printer.failure(failure, commands.advice());
+            printer.printFailure(failure, commands.recoveryHints());
             return failure.exitCode().number();
         }
     }
 
-    private static void usage(CmdLineParser parser, PrintStream out) {
-        out.println(COMMANDS);
+    private static void printUsage(CmdLineParser parser, PrintStream out) {
+        out.println(COMMAND_HELP);
         parser.printUsage(new PrintWriter(out, true), null, OptionHandlerFilter.PUBLIC);
     }
 }
--- a/control/src/main/java/org/geraniumreach/control/OperatorClient.java
+++ b/control/src/main/java/org/geraniumreach/control/OperatorClient.java
@@ -30,9 +30,9 @@
 final class OperatorClient {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final Duration CONNECT_LIMIT = Duration.ofSeconds(3);
-    private static final Duration ANSWER_LIMIT = Duration.ofSeconds(20);
-    private static final Set<ResultCode> TRY_NEXT = Set.of(
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(3);
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(20);
+    private static final Set<ResultCode> FAILOVER_CODES = Set.of(
             ResultCode.ENTRY_UNREACHABLE,
             ResultCode.DRAINING,
             ResultCode.STORE_UNAVAILABLE,
@@ -42,36 +42,37 @@
     private final List<String> entries;
     private final Optional<String> credential;
     private final HttpClient client =
-            HttpClient.newBuilder().connectTimeout(CONNECT_LIMIT).build();
+            HttpClient.newBuilder().connectTimeout(CONNECT_TIMEOUT).build();
 
     OperatorClient(List<String> entries, Optional<String> credential) {
         this.entries = List.copyOf(entries);
         this.credential = credential;
     }
 
-    static ObjectNode object() {
+    static ObjectNode newObject() {
         return MAPPER.createObjectNode();
     }
 
     ObjectNode submit(String operation, long basedOn, RecordDocument document) throws ControlException {
-        ObjectNode request = change(operation, basedOn, document.key());
+        ObjectNode request = changeRequest(operation, basedOn, document.key());
         request.set("record", document.record());
         return call("POST", "/operator/v1/submit", Optional.of(request));
     }
 
     ObjectNode withdraw(String operation, long basedOn, RecordKey key) throws ControlException {
-        return call("POST", "/operator/v1/withdraw", Optional.of(change(operation, basedOn, key)));
+        return call("POST", "/operator/v1/withdraw", Optional.of(changeRequest(operation, basedOn, key)));
     }
 
-    private static ObjectNode change(String operation, long basedOn, RecordKey key) {
-        return object().put("operation", operation)
+    private static ObjectNode changeRequest(String operation, long basedOn, RecordKey key) {
+        return newObject()
+                .put("operation", operation)
                 .put("basedOn", basedOn)
                 .put("kind", key.kind().label())
                 .put("name", key.name());
     }
 
     ObjectNode validate(List<RecordDocument> documents) throws ControlException {
-        ObjectNode request = object();
+        ObjectNode request = newObject();
         for (RecordDocument document : documents) {
             ObjectNode record = request.withArray("records").addObject();
             record.put("kind", document.key().kind().label())
@@ -110,7 +111,7 @@
             try {
                 return call(entry, method, path, body);
             } catch (ControlException failure) {
-                if (!TRY_NEXT.contains(failure.code())) {
+                if (!FAILOVER_CODES.contains(failure.code())) {
                     throw failure;
                 }
                 unsettled |= failure.exitCode() == ExitCode.UNSETTLED;
@@ -133,14 +134,14 @@
             return answer;
         }
         ResultCode code = ResultCode.ofNumber(error.path("code").asInt(-1)).orElse(ResultCode.INTERNAL_ERROR);
-        throw ControlException.answered(code, error.path("message").asText(code.meaning()), answer);
+        throw ControlException.fromResponse(code, error.path("message").asText(code.meaning()), answer);
     }
 
     private HttpRequest request(String entry, String method, String path, Optional<ObjectNode> body)
             throws ControlException {
         try {
             HttpRequest.Builder builder = HttpRequest.newBuilder(URI.create("http://" + entry + path))
-                    .timeout(ANSWER_LIMIT)
+                    .timeout(RESPONSE_TIMEOUT)
                     .header("Content-Type", "application/json")
                     .method(
                             method,
@@ -175,12 +176,12 @@
                 return answer;
             }
         } catch (JsonProcessingException malformed) {
-            throw notOurs(entry);
+            throw notAnOperatorPort(entry);
         }
-        throw notOurs(entry);
+        throw notAnOperatorPort(entry);
     }
 
-    private static ControlException notOurs(String entry) {
+    private static ControlException notAnOperatorPort(String entry) {
         return ControlException.of(ResultCode.INTERNAL_ERROR, entry + " is not an operators' port");
     }
 }
--- a/control/src/main/java/org/geraniumreach/control/Options.java
+++ b/control/src/main/java/org/geraniumreach/control/Options.java
@@ -48,10 +48,10 @@
     private String account;
 
     @Option(name = "--help", help = true, usage = "prints this")
-    private boolean help;
+    private boolean helpRequested;
 
     @Argument(metaVar = "COMMAND", usage = "see above")
-    private List<String> words = new ArrayList<>();
+    private List<String> arguments = new ArrayList<>();
 
     List<String> entries() {
         return entries.isEmpty() ? List.of("127.0.0.1:8081") : entries;
@@ -81,11 +81,11 @@
         return account;
     }
 
-    boolean isHelp() {
-        return help;
+    boolean isHelpRequested() {
+        return helpRequested;
     }
 
-    List<String> words() {
-        return words;
+    List<String> arguments() {
+        return arguments;
     }
 }
--- a/control/src/main/java/org/geraniumreach/control/Printer.java
+++ b/control/src/main/java/org/geraniumreach/control/Printer.java
@@ -39,7 +39,7 @@
      *
      * @param answer the entry's answer, not null
      */
-    void change(ObjectNode answer) {
+    void printChange(ObjectNode answer) {
         if (isJson()) {
             out.println(answer);
             return;
@@ -55,7 +55,7 @@
                 answer.path("operation").asText());
     }
 
-    void list(ObjectNode answer) {
+    void printList(ObjectNode answer) {
         if (isJson()) {
             out.println(answer);
             return;
@@ -66,7 +66,7 @@
                         record.path("name").asText(), record.path("revision").asLong()));
     }
 
-    void history(ObjectNode answer) {
+    void printHistory(ObjectNode answer) {
         if (isJson()) {
             out.println(answer);
             return;
@@ -86,40 +86,40 @@
      *
      * @param answer the entry's answer, not null
      */
-    void record(ObjectNode answer) {
+    void printRecord(ObjectNode answer) {
         if (isJson()) {
             out.println(answer);
             return;
         }
         out.printf("# revision %d%n", answer.path("revision").asLong());
-        document(answer.path("kind").asText(), answer.path("name").asText(), answer.path("record"));
+        printDocument(answer.path("kind").asText(), answer.path("name").asText(), answer.path("record"));
     }
 
-    void document(String kind, String name, JsonNode record) {
-        ObjectNode document = OperatorClient.object().put("kind", kind).put("name", name);
+    void printDocument(String kind, String name, JsonNode record) {
+        ObjectNode document = OperatorClient.newObject().put("kind", kind).put("name", name);
         record.fields().forEachRemaining(field -> document.set(field.getKey(), field.getValue()));
         if (isJson()) {
             out.println(document);
         } else {
-            out.print(yaml(document));
+            out.print(toYaml(document));
         }
     }
 
-    void tree(ObjectNode answer) {
+    void printTree(ObjectNode answer) {
         if (isJson()) {
             out.println(answer);
         } else {
-            out.print(yaml(answer));
+            out.print(toYaml(answer));
         }
     }
 
-    void line(String text) {
+    void printLine(String text) {
         if (!isJson()) {
             out.println(text);
         }
     }
 
-    private static String yaml(ObjectNode node) {
+    private static String toYaml(ObjectNode node) {
         try {
             return YAML.writeValueAsString(node);
         } catch (JsonProcessingException impossible) {
@@ -127,25 +127,25 @@
         }
     }
 
-    void failure(ControlException failure, List<String> advice) {
+    void printFailure(ControlException failure, List<String> advice) {
         if (isJson()) {
-            ObjectNode body = OperatorClient.object();
+            ObjectNode body = OperatorClient.newObject();
             body.putObject("error")
                     .put("code", failure.code().number())
                     .put("name", failure.code().name())
                     .put("message", failure.getMessage());
-            if (failure.current() != null) {
-                body.set("current", failure.current());
+            if (failure.currentRecord() != null) {
+                body.set("current", failure.currentRecord());
             }
             out.println(body);
             return;
         }
         error.printf(
                 "error %d %s: %s%n", failure.code().number(), failure.code().name(), failure.getMessage());
-        if (failure.current() != null) {
+        if (failure.currentRecord() != null) {
             error.printf(
                     "the current record, of revision %d:%n%s",
-                    failure.current().path("revision").asLong(), yaml(failure.current()));
+                    failure.currentRecord().path("revision").asLong(), toYaml(failure.currentRecord()));
         }
         advice.forEach(error::println);
     }
--- a/control/src/main/java/org/geraniumreach/control/RecordDocument.java
+++ b/control/src/main/java/org/geraniumreach/control/RecordDocument.java
@@ -8,8 +8,8 @@
  *
  * <p>Invariant: the record reads without a fault. Not changed after construction.
  *
- * @param place the file and the number of the document in it
+ * @param location the file and the number of the document in it
  * @param key the record's key
  * @param record the record, without kind and name
  */
-record RecordDocument(String place, RecordKey key, ObjectNode record) {}
+record RecordDocument(String location, RecordKey key, ObjectNode record) {}
--- a/control/src/main/java/org/geraniumreach/control/RecordFiles.java
+++ b/control/src/main/java/org/geraniumreach/control/RecordFiles.java
@@ -32,7 +32,7 @@
  */
 final class RecordFiles {
 
-    private static final int LARGEST_FILE = 64 * 1024 * 1024;
+    private static final int MAX_FILE_BYTES = 64 * 1024 * 1024;
     private static final ObjectMapper MAPPER = new ObjectMapper(
                     YAMLFactory.builder().loaderOptions(loaderOptions()).build())
             .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION);
@@ -41,14 +41,14 @@
 
     private static LoaderOptions loaderOptions() {
         LoaderOptions options = new LoaderOptions();
-        options.setCodePointLimit(LARGEST_FILE);
+        options.setCodePointLimit(MAX_FILE_BYTES);
         return options;
     }
 
     static List<RecordDocument> read(List<String> files) throws ControlException {
         List<RecordDocument> documents = new ArrayList<>();
         for (String file : files) {
-            documents.addAll(parse(file, content(file)));
+            documents.addAll(parse(file, readFile(file)));
         }
         if (documents.isEmpty()) {
             throw ControlException.usage("no records in " + files);
@@ -56,11 +56,12 @@
         return documents;
     }
 
-    private static String content(String file) throws ControlException {
+    private static String readFile(String file) throws ControlException {
         Path path = Path.of(file);
         try {
-            if (Files.size(path) > LARGEST_FILE) {
-                throw ControlException.of(ResultCode.RECORD_INVALID, file + ": larger than " + LARGEST_FILE + " bytes");
+            if (Files.size(path) > MAX_FILE_BYTES) {
+                throw ControlException.of(
+                        ResultCode.RECORD_INVALID, file + ": larger than " + MAX_FILE_BYTES + " bytes");
             }
             return Files.readString(path);
         } catch (NoSuchFileException missing) {
@@ -80,7 +81,7 @@
                 String place = file + " document " + ++number;
                 JsonNode node = nodes.nextValue();
                 if (!isEmpty(node)) {
-                    documents.add(document(place, node));
+                    documents.add(toDocument(place, node));
                 }
             }
         } catch (JsonProcessingException malformed) {
@@ -99,26 +100,26 @@
                 || node.isTextual() && node.textValue().isEmpty();
     }
 
-    private static RecordDocument document(String place, JsonNode node) throws ControlException {
+    private static RecordDocument toDocument(String place, JsonNode node) throws ControlException {
         if (!node.isObject()) {
             throw ControlException.of(ResultCode.RECORD_INVALID, place + ": a record is an object");
         }
         ObjectNode record = node.deepCopy();
-        RecordKind kind = RecordKind.ofLabel(text(place, record, "kind"))
+        RecordKind kind = RecordKind.ofLabel(requireText(place, record, "kind"))
                 .orElseThrow(() -> ControlException.of(
                         ResultCode.RECORD_INVALID,
                         place + ": kind: unknown '" + node.get("kind").asText() + "'"));
-        String name = text(place, record, "name");
+        String name = requireText(place, record, "name");
         if (!Names.isName(name)) {
             throw ControlException.of(ResultCode.RECORD_INVALID, place + ": name: not a valid name: '" + name + "'");
         }
         RecordKey key = RecordKey.of(kind, name);
         record.remove(List.of("kind", "name"));
-        check(place, key, record);
+        validate(place, key, record);
         return new RecordDocument(place, key, record);
     }
 
-    private static void check(String place, RecordKey key, ObjectNode record) throws ControlException {
+    private static void validate(String place, RecordKey key, ObjectNode record) throws ControlException {
         try {
             JsonNode parsed = RecordReader.parse(record.toString());
             RecordReader.requireNoUnknownFields(key.kind(), parsed);
@@ -128,7 +129,7 @@
         }
     }
 
-    private static String text(String place, ObjectNode record, String field) throws ControlException {
+    private static String requireText(String place, ObjectNode record, String field) throws ControlException {
         JsonNode node = record.path(field);
         if (!node.isTextual()) {
             throw ControlException.of(ResultCode.RECORD_INVALID, place + ": " + field + ": must be text");
--- a/control/src/test/java/org/geraniumreach/control/MainTest.java
+++ b/control/src/test/java/org/geraniumreach/control/MainTest.java
@@ -33,10 +33,10 @@
 class MainTest {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final String ACCEPTED =
+    private static final String ACCEPTED_RESPONSE =
             "{\"result\":\"OK\",\"otherEntries\":1,\"operation\":\"op\",\"change\":{\"revision\":8,\"kind\":\"account\","
                     + "\"name\":\"acme\",\"withdrawn\":false}}";
-    private static final String RECORDS =
+    private static final String TWO_RECORDS =
             """
             {kind: account, name: acme, schemaVersion: 1, rate: 1, burst: 1}
             ---
@@ -48,7 +48,7 @@
 
     private final List<String> requests = Collections.synchronizedList(new ArrayList<>());
     private final List<JsonNode> bodies = Collections.synchronizedList(new ArrayList<>());
-    private final Deque<String> answers = new ArrayDeque<>();
+    private final Deque<String> responses = new ArrayDeque<>();
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream error = new ByteArrayOutputStream();
     private HttpServer entry;
@@ -58,10 +58,10 @@
     @BeforeEach
     void start() throws IOException {
         entry = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
-        entry.createContext("/", this::answer);
+        entry.createContext("/", this::handle);
         entry.start();
         address = "127.0.0.1:" + entry.getAddress().getPort();
-        records = Files.writeString(directory.resolve("records.yaml"), RECORDS);
+        records = Files.writeString(directory.resolve("records.yaml"), TWO_RECORDS);
     }
 
     @AfterEach
@@ -69,13 +69,13 @@
         entry.stop(0);
     }
 
-    private synchronized void answer(HttpExchange exchange) throws IOException {
+    private synchronized void handle(HttpExchange exchange) throws IOException {
         requests.add(exchange.getRequestMethod() + " " + exchange.getRequestURI());
         byte[] body = exchange.getRequestBody().readAllBytes();
         if (body.length > 0) {
             bodies.add(MAPPER.readTree(body));
         }
-        String answer = answers.isEmpty() ? "{\"revision\":7}" : answers.remove();
+        String answer = responses.isEmpty() ? "{\"revision\":7}" : responses.remove();
         if (answer.equals("broken off")) {
             exchange.close();
             return;
@@ -86,7 +86,7 @@
         exchange.close();
     }
 
-    private static String failure(ResultCode code) {
+    private static String errorResponse(ResultCode code) {
         return "{\"error\":{\"code\":" + code.number() + ",\"message\":\"because\"}}";
     }
 
@@ -100,7 +100,7 @@
      */
     @Test
     void theNextEntryIsAskedUnderTheSameOperationId() throws IOException {
-        answers.addAll(List.of("{\"revision\":7}", "broken off", ACCEPTED, ACCEPTED));
+        responses.addAll(List.of("{\"revision\":7}", "broken off", ACCEPTED_RESPONSE, ACCEPTED_RESPONSE));
         assertThat(run("submit", records.toString(), "--entry", address, "--entry", address))
                 .isEqualTo(ExitCode.OK.number());
         List<String> operations =
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void anEntryThatIsDownIsPassedOver() throws IOException {
+    void anUnreachableEntryIsSkipped() throws IOException {
         String down;
         try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             down = "127.0.0.1:" + unused.getLocalPort();
@@ -125,13 +125,13 @@
      * answer was lost, because the second entry could not be reached at all.
      */
     @Test
-    void aLostAnswerStaysUnsettledWhenTheNextEntryIsDown() throws IOException {
+    void aLostResponseStaysUnsettledWhenTheNextEntryIsDown() throws IOException {
         String down;
         try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             down = "127.0.0.1:" + unused.getLocalPort();
         }
-        answers.add("broken off");
-        answers.add("broken off");
+        responses.add("broken off");
+        responses.add("broken off");
         assertThat(run("withdraw", "key", "k", "--based-on", "3", "--entry", address, "--entry", down))
                 .isEqualTo(ExitCode.UNSETTLED.number());
     }
@@ -147,8 +147,8 @@
         "REFERENCE_DANGLING, 2",
         "INTERNAL_ERROR, 9"
     })
-    void theExitCodeFollowsTheResult(ResultCode code, int exitCode) {
-        answers.addAll(List.of("{\"revision\":7}", failure(code)));
+    void theExitCodeMatchesTheResultCode(ResultCode code, int exitCode) {
+        responses.addAll(List.of("{\"revision\":7}", errorResponse(code)));
         assertThat(run("submit", records.toString(), "--entry", address, "--operation", "op"))
                 .isEqualTo(exitCode);
         assertThat(error.toString()).contains("error " + code.number(), "0 of 2 records", "--operation op");
@@ -159,8 +159,8 @@
      * was read.
      */
     @Test
-    void aFileWithAWrongRecordIsNotSubmittedInPart() throws IOException {
-        Files.writeString(records, RECORDS + "---\n{kind: account, name: third, schemaVersion: 1}\n");
+    void aFileWithAnInvalidRecordIsNotSubmittedAtAll() throws IOException {
+        Files.writeString(records, TWO_RECORDS + "---\n{kind: account, name: third, schemaVersion: 1}\n");
         assertThat(run("submit", records.toString(), "--entry", address)).isEqualTo(ExitCode.INVALID.number());
         assertThat(requests).isEmpty();
     }
@@ -183,13 +183,13 @@
         "withdraw key k --operation a/b",
         "withdraw key k --based-on -4"
     })
-    void whatIsNoCommandIsUsage(String line) {
+    void anInvalidCommandLineExitsWithTheUsageCode(String line) {
         assertThat(run(line.isEmpty() ? new String[0] : line.split(" "))).isEqualTo(ExitCode.USAGE.number());
         assertThat(error.toString()).isNotBlank();
     }
 
     @Test
-    void aNewKeyIsShownOnceWithTheDigestThatIsStored() throws IOException {
+    void aNewKeyIsPrintedWithTheDigestOfItsSecret() throws IOException {
         assertThat(run("key", "new", "k1", "--account", "acme", "--output", "json"))
                 .isEqualTo(ExitCode.OK.number());
         JsonNode printed = MAPPER.readTree(out.toString());
@@ -203,7 +203,7 @@
     @Test
     void theCredentialIsReadFromItsFileAndNeverPrinted() throws IOException {
         Path credential = Files.writeString(directory.resolve("credential"), "very-secret\n");
-        answers.add(failure(ResultCode.OPERATOR_REFUSED));
+        responses.add(errorResponse(ResultCode.OPERATOR_REFUSED));
         run("status", "--entry", address, "--credential-file", credential.toString());
         assertThat(out.toString() + error).doesNotContain("very-secret");
     }
--- a/control/src/test/java/org/geraniumreach/control/RecordFilesTest.java
+++ b/control/src/test/java/org/geraniumreach/control/RecordFilesTest.java
@@ -19,7 +19,7 @@
 
 class RecordFilesTest {
 
-    private static final String GOOD =
+    private static final String VALID_YAML =
             """
             kind: account
             name: acme
@@ -35,12 +35,12 @@
             baseModel: base
             versions: [v1, "2"]
             """;
-    private static final String PIECES =
+    private static final String FUZZ_CHARACTERS =
             "kind: account\nname: a\nschemaVersion: 1\nrate: 1e9\n- [{}]&a*a!!x|>'\"%@`\0\t---\n...\n<<: *a\n? !!int 0x ";
 
     @Test
-    void documentsAreReadInTheirOrder() throws ControlException {
-        List<RecordDocument> documents = RecordFiles.parse("file", GOOD);
+    void documentsAreReadInFileOrder() throws ControlException {
+        List<RecordDocument> documents = RecordFiles.parse("file", VALID_YAML);
         assertThat(documents)
                 .extracting(document -> document.key().toString())
                 .containsExactly("account/acme", "adapter/welder");
@@ -53,12 +53,13 @@
      * it gives records or the checked exception.
      */
     @Property(tries = 5000, seed = "6")
-    void noTextThrowsAnythingButTheCheckedException(@ForAll long seed) {
+    void anyTextYieldsRecordsOrTheCheckedException(@ForAll long seed) {
         Random random = new Random(seed);
-        StringBuilder text = new StringBuilder(random.nextBoolean() ? GOOD : "");
+        StringBuilder text = new StringBuilder(random.nextBoolean() ? VALID_YAML : "");
         for (int change = 0; change < 1 + random.nextInt(8); change++) {
-            int from = random.nextInt(PIECES.length());
-            String piece = PIECES.substring(from, Math.min(PIECES.length(), from + 1 + random.nextInt(12)));
+            int from = random.nextInt(FUZZ_CHARACTERS.length());
+            String piece =
+                    FUZZ_CHARACTERS.substring(from, Math.min(FUZZ_CHARACTERS.length(), from + 1 + random.nextInt(12)));
             int at = random.nextInt(text.length() + 1);
             text.replace(at, Math.min(text.length(), at + random.nextInt(4)), piece.repeat(1 + random.nextInt(3)));
         }
@@ -86,7 +87,7 @@
                     [account]                                            | object
                     'kind: account: x'                                   | not YAML
                     """)
-    void aFaultIsNamedWithItsPlace(String yaml, String named) {
+    void anErrorNamesItsLocationAndCause(String yaml, String named) {
         ControlException refused =
                 catchThrowableOfType(ControlException.class, () -> RecordFiles.parse("records.yaml", yaml));
         assertThat(refused.getMessage()).startsWith("records.yaml").contains(named);
--- a/integration/src/test/java/org/geraniumreach/integration/Caller.java
+++ b/integration/src/test/java/org/geraniumreach/integration/Caller.java
@@ -21,9 +21,9 @@
 /** A caller that knows nothing of the system but the OpenAI conventions. Immutable and safe for use by several threads. */
 final class Caller {
 
-    private static final Duration LIMIT = Duration.ofSeconds(60);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(60);
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final String DATA = "data: ";
+    private static final String DATA_PREFIX = "data: ";
 
     private final int port;
     private final String key;
@@ -41,28 +41,28 @@
      * @param status the HTTP status, 0 if the connection broke off
      * @param body the body of a whole answer or refusal
      * @param text the text of a generation as far as it came
-     * @param whole whether the answer came to its end
-     * @param error the error's code, 0 if there was none
-     * @param ran what the error says of whether it ran
+     * @param finished whether the answer came to its end
+     * @param errorCode the error's code, 0 if there was none
+     * @param executionStatus what the error says of whether it ran
      */
-    record Reply(int status, String body, String text, boolean whole, int error, String ran) {
+    record Reply(int status, String body, String text, boolean finished, int errorCode, String executionStatus) {
 
         /** Whether the refusal says when to come back. */
-        boolean mayComeBack() {
+        boolean hasRetryDelay() {
             return body.contains("retry_after_ms");
         }
     }
 
     /** A stream that is being read. */
-    record Streaming(CompletableFuture<Reply> reply, CountDownLatch begun) {}
+    record OpenStream(CompletableFuture<Reply> reply, CountDownLatch started) {}
 
     Reply book(String idempotencyKey, String body) throws InterruptedException {
-        HttpRequest request = request("/v1/services/cards/book", body)
+        HttpRequest request = requestBuilder("/v1/services/cards/book", body)
                 .header("Idempotency-Key", idempotencyKey)
                 .build();
         try {
             HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
-            return replyOf(response.statusCode(), response.body());
+            return parseReply(response.statusCode(), response.body());
         } catch (IOException brokeOff) {
             return new Reply(0, "", "", false, 0, "unknown");
         }
@@ -71,36 +71,45 @@
     Reply complete(String model, String prompt, int tokens) throws InterruptedException {
         try {
             HttpResponse<String> response = client.send(
-                    request("/v1/completions", completion(model, prompt, tokens, false))
+                    requestBuilder("/v1/completions", completionBody(model, prompt, tokens, false))
                             .build(),
                     HttpResponse.BodyHandlers.ofString());
-            Reply reply = replyOf(response.statusCode(), response.body());
-            String text =
-                    read(response.body()).path("choices").path(0).path("text").asText();
-            return new Reply(reply.status(), reply.body(), text, reply.status() == 200, reply.error(), reply.ran());
+            Reply reply = parseReply(response.statusCode(), response.body());
+            String text = parseJson(response.body())
+                    .path("choices")
+                    .path(0)
+                    .path("text")
+                    .asText();
+            return new Reply(
+                    reply.status(),
+                    reply.body(),
+                    text,
+                    reply.status() == 200,
+                    reply.errorCode(),
+                    reply.executionStatus());
         } catch (IOException brokeOff) {
             return new Reply(0, "", "", false, 0, "unknown");
         }
     }
 
-    Streaming stream(String model, String prompt, int tokens) {
+    OpenStream stream(String model, String prompt, int tokens) {
         CountDownLatch begun = new CountDownLatch(1);
         CompletableFuture<Reply> reply = new CompletableFuture<>();
         Thread reader = new Thread(() -> reply.complete(readStream(model, prompt, tokens, begun)), "caller");
         reader.setDaemon(true);
         reader.start();
-        return new Streaming(reply, begun);
+        return new OpenStream(reply, begun);
     }
 
     private Reply readStream(String model, String prompt, int tokens, CountDownLatch begun) {
         StringBuilder text = new StringBuilder();
         try {
             HttpResponse<InputStream> response = client.send(
-                    request("/v1/completions", completion(model, prompt, tokens, true))
+                    requestBuilder("/v1/completions", completionBody(model, prompt, tokens, true))
                             .build(),
                     HttpResponse.BodyHandlers.ofInputStream());
             if (response.statusCode() != 200) {
-                return replyOf(
+                return parseReply(
                         response.statusCode(), new String(response.body().readAllBytes(), StandardCharsets.UTF_8));
             }
             return readEvents(response.body(), text, begun);
@@ -115,17 +124,17 @@
     private static Reply readEvents(InputStream input, StringBuilder text, CountDownLatch begun) throws IOException {
         BufferedReader lines = new BufferedReader(new InputStreamReader(input, StandardCharsets.UTF_8));
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-            if (!line.startsWith(DATA)) {
+            if (!line.startsWith(DATA_PREFIX)) {
                 continue;
             }
-            String data = line.substring(DATA.length());
+            String data = line.substring(DATA_PREFIX.length());
             if (data.equals("[DONE]")) {
                 return new Reply(200, "", text.toString(), true, 0, "yes");
             }
-            JsonNode event = read(data);
+            JsonNode event = parseJson(data);
             if (event.has("error")) {
-                Reply error = replyOf(200, data);
-                return new Reply(200, data, text.toString(), false, error.error(), error.ran());
+                Reply error = parseReply(200, data);
+                return new Reply(200, data, text.toString(), false, error.errorCode(), error.executionStatus());
             }
             text.append(event.path("choices").path(0).path("text").asText());
             begun.countDown();
@@ -134,25 +143,25 @@
     }
 
     /** Gets the text that an adapter and version must give. */
-    static String expected(String model, String prompt, int tokens) {
-        return answer(model, prompt).text(tokens);
+    static String expectedText(String model, String prompt, int tokens) {
+        return expectedAnswer(model, prompt).text(tokens);
     }
 
     /** Finds a prompt whose answer does not end before its limit. */
-    static String promptFor(String model, int tokens) {
+    static String findPrompt(String model, int tokens) {
         for (int number = 0; ; number++) {
             String prompt = "Summarise fault note " + number;
-            if (answer(model, prompt).length(tokens) == tokens) {
+            if (expectedAnswer(model, prompt).length(tokens) == tokens) {
                 return prompt;
             }
         }
     }
 
-    private static ExpectedAnswer answer(String model, String prompt) {
+    private static ExpectedAnswer expectedAnswer(String model, String prompt) {
         return ExpectedAnswer.of(AdapterReference.parse(model).orElseThrow(), prompt);
     }
 
-    private static String completion(String model, String prompt, int tokens, boolean streamed) {
+    private static String completionBody(String model, String prompt, int tokens, boolean streamed) {
         return MAPPER.createObjectNode()
                 .put("model", model)
                 .put("prompt", prompt)
@@ -161,16 +170,16 @@
                 .toString();
     }
 
-    private HttpRequest.Builder request(String path, String body) {
+    private HttpRequest.Builder requestBuilder(String path, String body) {
         return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path))
-                .timeout(LIMIT)
+                .timeout(REQUEST_TIMEOUT)
                 .header("Authorization", "Bearer " + key)
                 .header("Content-Type", "application/json")
                 .POST(HttpRequest.BodyPublishers.ofString(body));
     }
 
-    private static Reply replyOf(int status, String body) throws IOException {
-        JsonNode error = read(body).path("error");
+    private static Reply parseReply(int status, String body) throws IOException {
+        JsonNode error = parseJson(body).path("error");
         return new Reply(
                 status,
                 body,
@@ -180,7 +189,7 @@
                 error.path("ran").asText("yes"));
     }
 
-    private static JsonNode read(String body) throws IOException {
+    private static JsonNode parseJson(String body) throws IOException {
         JsonNode node = MAPPER.readTree(body);
         return node == null ? MAPPER.missingNode() : node;
     }
--- a/integration/src/test/java/org/geraniumreach/integration/FenceTest.java
+++ b/integration/src/test/java/org/geraniumreach/integration/FenceTest.java
@@ -29,25 +29,26 @@
     }
 
     @Test
-    void aCompanionThatWasFrozenWhileAnotherTookOverGivesNoMoreOrders() throws Exception {
+    void aSuspendedCompanionIsFencedOutAfterAnotherTakesOver() throws Exception {
         // The callers are served by the new companion only. The old one is frozen for longer than a lease and wakes
         // up in the belief that the target is its own. Its orders carry the lower fence, which the engine refuses; it
         // reads the higher one in the table and stops taking work.
-        assertThat(system.caller("entry-1").complete(MODEL, "first", 3).whole()).isTrue();
-        system.process("companion-0").freeze();
+        assertThat(system.caller("entry-1").complete(MODEL, "first", 3).finished())
+                .isTrue();
+        system.process("companion-0").suspend();
         system.startCompanion(
                 "companion-new", "engine-0", "engine", system.standIns().enginePort(0));
-        system.register();
+        system.registerInstances();
         Eventually.until(
                 "the new companion serves",
-                () -> system.caller("entry-1").complete(MODEL, "second", 3).whole());
-        system.process("companion-0").thaw();
+                () -> system.caller("entry-1").complete(MODEL, "second", 3).finished());
+        system.process("companion-0").resume();
         Eventually.until(
                 "the old companion stops", () -> system.log("companion-0").contains("FENCED_OUT"));
         for (int number = 0; number < 10; number++) {
             Caller.Reply reply = system.caller("entry-2").complete(MODEL, "third", 3);
-            assertThat(reply.whole()).as(reply.toString()).isTrue();
-            assertThat(reply.text()).isEqualTo(Caller.expected(MODEL, "third", 3));
+            assertThat(reply.finished()).as(reply.toString()).isTrue();
+            assertThat(reply.text()).isEqualTo(Caller.expectedText(MODEL, "third", 3));
         }
     }
 }
--- a/integration/src/test/java/org/geraniumreach/integration/JavaProcess.java
+++ b/integration/src/test/java/org/geraniumreach/integration/JavaProcess.java
@@ -11,7 +11,7 @@
 /** A Java process that a test started. Confined to the test. */
 final class JavaProcess implements AutoCloseable {
 
-    private static final long END_SECONDS = 40;
+    private static final long EXIT_TIMEOUT_SECONDS = 40;
 
     private final Process process;
 
@@ -39,31 +39,31 @@
 
     /** Ends the process at once, as a crash does. */
     void kill() throws InterruptedException {
-        process.destroyForcibly().waitFor(END_SECONDS, TimeUnit.SECONDS);
+        process.destroyForcibly().waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    void freeze() throws IOException, InterruptedException {
-        signal("STOP");
+    void suspend() throws IOException, InterruptedException {
+        sendSignal("STOP");
     }
 
-    void thaw() throws IOException, InterruptedException {
-        signal("CONT");
+    void resume() throws IOException, InterruptedException {
+        sendSignal("CONT");
     }
 
     /** Asks the process to end, as the platform does. */
     void terminate() throws IOException, InterruptedException {
-        signal("TERM");
+        sendSignal("TERM");
     }
 
     boolean isAlive() {
         return process.isAlive();
     }
 
-    boolean awaitEnd() throws InterruptedException {
-        return process.waitFor(END_SECONDS, TimeUnit.SECONDS);
+    boolean awaitExit() throws InterruptedException {
+        return process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    private void signal(String name) throws IOException, InterruptedException {
+    private void sendSignal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
                 .start()
                 .waitFor();
--- a/integration/src/test/java/org/geraniumreach/integration/KeyFailureTest.java
+++ b/integration/src/test/java/org/geraniumreach/integration/KeyFailureTest.java
@@ -13,7 +13,7 @@
 class KeyFailureTest {
 
     private static final String MODEL = "adapter-0@v1";
-    private static final int TOKENS = 2_000;
+    private static final int MAX_TOKENS = 2_000;
 
     @TempDir
     Path directory;
@@ -31,20 +31,20 @@
     }
 
     @Test
-    void aWithdrawnKeyStopsAtBothEntriesAndItsOpenStreamEnds() throws Exception {
+    void aWithdrawnKeyIsRefusedAtBothEntriesAndItsOpenStreamEnds() throws Exception {
         // The caller's stream of twenty seconds breaks off with KEY_REFUSED, and both entries refuse the key. The
         // operator withdraws it at one entry while the caller is connected to the other.
-        String prompt = Caller.promptFor(MODEL, TOKENS);
-        Caller.Streaming stream = system.caller("entry-2").stream(MODEL, prompt, TOKENS);
-        stream.begun().await();
-        system.control("withdraw", "key", "floor-key");
+        String prompt = Caller.findPrompt(MODEL, MAX_TOKENS);
+        Caller.OpenStream stream = system.caller("entry-2").stream(MODEL, prompt, MAX_TOKENS);
+        stream.started().await();
+        system.runControl("withdraw", "key", "floor-key");
         Caller.Reply broken = stream.reply().get();
-        assertThat(broken.whole()).isFalse();
-        assertThat(broken.error()).isEqualTo(ResultCode.KEY_REFUSED.number());
+        assertThat(broken.finished()).isFalse();
+        assertThat(broken.errorCode()).isEqualTo(ResultCode.KEY_REFUSED.number());
         for (String entry : new String[] {"entry-1", "entry-2"}) {
             Eventually.until(
                     entry + " refuses the key",
-                    () -> system.caller(entry).complete(MODEL, "x", 1).error() == ResultCode.KEY_REFUSED.number());
+                    () -> system.caller(entry).complete(MODEL, "x", 1).errorCode() == ResultCode.KEY_REFUSED.number());
         }
         Eventually.until(
                 "the engine runs nothing",
@@ -52,27 +52,27 @@
     }
 
     @Test
-    void anOutageOfTheTableServiceThatAllEntriesSeeDoesNotStopGenerations() throws Exception {
+    void generationsContinueWhenAllEntriesLoseTheTableService() throws Exception {
         // The callers see nothing of the outage. Every entry hears from every other that the store is unreachable, so
         // no change can have been accepted that one of them missed.
-        system.standIns().platformFault("table", "{\"down\": true}");
+        system.standIns().setPlatformFault("table", "{\"down\": true}");
         long until = System.nanoTime() + 5_000_000_000L;
         while (System.nanoTime() < until) {
             for (String entry : new String[] {"entry-1", "entry-2"}) {
                 Caller.Reply reply = system.caller(entry).complete(MODEL, "keep on", 3);
-                assertThat(reply.text()).as(reply.toString()).isEqualTo(Caller.expected(MODEL, "keep on", 3));
+                assertThat(reply.text()).as(reply.toString()).isEqualTo(Caller.expectedText(MODEL, "keep on", 3));
             }
         }
     }
 
     @Test
-    void noKeyOrCredentialIsInAnyLogOrRecordOfATarget() throws Exception {
+    void keysAndCredentialsAppearInNoLogOrTargetRecord() throws Exception {
         system.caller("entry-1").complete(MODEL, "say", 3);
         system.caller("entry-1").book("key-z", "{\"card\":\"z\"}");
         for (String instance : new String[] {"entry-1", "entry-2", "companion-0", "companion-service"}) {
             assertThat(system.log(instance)).doesNotContain(TestSystem.KEY).doesNotContain("operator-credential");
         }
-        assertThat(system.standIns().ranOnEngines().toString()).doesNotContain(TestSystem.KEY);
-        assertThat(system.standIns().runsHolding(TestSystem.KEY)).isZero();
+        assertThat(system.standIns().engineRuns().toString()).doesNotContain(TestSystem.KEY);
+        assertThat(system.standIns().countServiceRunsContaining(TestSystem.KEY)).isZero();
     }
 }
--- a/integration/src/test/java/org/geraniumreach/integration/Ports.java
+++ b/integration/src/test/java/org/geraniumreach/integration/Ports.java
@@ -12,17 +12,17 @@
  */
 final class Ports {
 
-    private static final int FIRST = 24_000;
-    private static final int LAST = 31_000;
-    private static final AtomicInteger NEXT =
-            new AtomicInteger(FIRST + (int) (ProcessHandle.current().pid() % 60) * 100);
+    private static final int FIRST_PORT = 24_000;
+    private static final int PORT_LIMIT = 31_000;
+    private static final AtomicInteger NEXT_PORT =
+            new AtomicInteger(FIRST_PORT + (int) (ProcessHandle.current().pid() % 60) * 100);
 
     /** Takes ports that follow one another. */
-    int take(int count) {
+    int allocate(int count) {
         while (true) {
-            int first = NEXT.getAndAdd(count);
-            if (first + count > LAST) {
-                NEXT.set(FIRST);
+            int first = NEXT_PORT.getAndAdd(count);
+            if (first + count > PORT_LIMIT) {
+                NEXT_PORT.set(FIRST_PORT);
             } else if (areFree(first, count)) {
                 return first;
             }
--- a/integration/src/test/java/org/geraniumreach/integration/RateFailureTest.java
+++ b/integration/src/test/java/org/geraniumreach/integration/RateFailureTest.java
@@ -18,24 +18,24 @@
 class RateFailureTest {
 
     private static final String MODEL = "adapter-0@v1";
-    private static final int TOKENS = 20;
-    private static final long RATE = 300;
-    private static final long BURST = 600;
-    private static final int CALLERS = 6;
+    private static final int MAX_TOKENS = 20;
+    private static final long TOKENS_PER_SECOND = 300;
+    private static final long BURST_TOKENS = 600;
+    private static final int CALLER_COUNT = 6;
     private static final long PHASE_MILLIS = 4_000;
 
     @TempDir
     Path directory;
 
-    private final AtomicBoolean going = new AtomicBoolean(true);
-    private final AtomicInteger served = new AtomicInteger();
+    private final AtomicBoolean running = new AtomicBoolean(true);
+    private final AtomicInteger completedCalls = new AtomicInteger();
     private TestSystem system;
 
     @BeforeEach
     void start() throws Exception {
         system = TestSystem.start(directory, 1, "--step-micros", "1000");
-        system.submit("--- {kind: account, name: floor, schemaVersion: 2, tokensPerSecond: " + RATE + ", burstTokens: "
-                + BURST + ", priority: 5}\n");
+        system.submit("--- {kind: account, name: floor, schemaVersion: 2, tokensPerSecond: " + TOKENS_PER_SECOND
+                + ", burstTokens: " + BURST_TOKENS + ", priority: 5}\n");
     }
 
     @AfterEach
@@ -44,42 +44,43 @@
     }
 
     @Test
-    void anAccountStaysWithinItsRateThoughAnEntryIsKilledAndReplacedAndTheStoreGoes() throws Exception {
+    void anAccountStaysWithinItsRateWhileAnEntryIsReplacedAndTheStoreFails() throws Exception {
         // The account's callers send several times its rate to both entries and are refused beyond it. One entry is
         // killed and a new one takes its place, then the table service goes away. Whatever the entries believe of
         // their shares, what the engine has run is at most the rate over the whole time, and one burst.
         long begin = System.nanoTime();
-        long ranBefore = tokensRan();
+        long ranBefore = countEngineTokens();
         List<CompletableFuture<Void>> callers = new ArrayList<>();
-        for (int number = 0; number < CALLERS; number++) {
+        for (int number = 0; number < CALLER_COUNT; number++) {
             String entry = number % 2 == 0 ? "entry-1" : "entry-2";
-            callers.add(CompletableFuture.runAsync(() -> callUntilTold(entry)));
+            callers.add(CompletableFuture.runAsync(() -> callUntilStopped(entry)));
         }
         Thread.sleep(PHASE_MILLIS);
         system.process("entry-1").kill();
         system.startEntry("entry-3");
-        system.register();
-        for (int number = 0; number < CALLERS / 2; number++) {
-            callers.add(CompletableFuture.runAsync(() -> callUntilTold("entry-3")));
+        system.registerInstances();
+        for (int number = 0; number < CALLER_COUNT / 2; number++) {
+            callers.add(CompletableFuture.runAsync(() -> callUntilStopped("entry-3")));
         }
         Thread.sleep(PHASE_MILLIS);
-        system.standIns().platformFault("table", "{\"down\": true}");
+        system.standIns().setPlatformFault("table", "{\"down\": true}");
         Thread.sleep(PHASE_MILLIS);
-        going.set(false);
+        running.set(false);
         for (CompletableFuture<Void> caller : callers) {
             caller.get();
         }
         double seconds = (System.nanoTime() - begin) / 1e9;
-        assertThat(served.get()).isPositive();
-        assertThat(tokensRan() - ranBefore).isLessThanOrEqualTo((long) (RATE * seconds) + BURST);
+        assertThat(completedCalls.get()).isPositive();
+        assertThat(countEngineTokens() - ranBefore)
+                .isLessThanOrEqualTo((long) (TOKENS_PER_SECOND * seconds) + BURST_TOKENS);
     }
 
-    private void callUntilTold(String entry) {
+    private void callUntilStopped(String entry) {
         try {
-            while (going.get()) {
-                Caller.Reply reply = system.caller(entry).complete(MODEL, "note", TOKENS);
-                if (reply.whole()) {
-                    served.incrementAndGet();
+            while (running.get()) {
+                Caller.Reply reply = system.caller(entry).complete(MODEL, "note", MAX_TOKENS);
+                if (reply.finished()) {
+                    completedCalls.incrementAndGet();
                 } else {
                     Thread.sleep(10);
                 }
@@ -89,9 +90,9 @@
         }
     }
 
-    private long tokensRan() throws Exception {
+    private long countEngineTokens() throws Exception {
         long tokens = 0;
-        for (JsonNode stream : system.standIns().ranOnEngines()) {
+        for (JsonNode stream : system.standIns().engineRuns()) {
             tokens +=
                     stream.path("promptTokens").asLong() + stream.path("tokens").asLong();
         }
--- a/integration/src/test/java/org/geraniumreach/integration/Relay.java
+++ b/integration/src/test/java/org/geraniumreach/integration/Relay.java
@@ -17,21 +17,21 @@
  */
 final class Relay implements AutoCloseable {
 
-    private static final int BUFFER = 8_192;
+    private static final int BUFFER_BYTES = 8_192;
 
     private final ServerSocket server;
     private final InetSocketAddress target;
     private final List<Pipe> pipes = new CopyOnWriteArrayList<>();
-    private volatile boolean cut;
+    private volatile boolean disconnected;
 
     private Relay(ServerSocket server, InetSocketAddress target) {
         this.server = server;
         this.target = target;
     }
 
-    static Relay to(InetSocketAddress target) throws IOException {
+    static Relay start(InetSocketAddress target) throws IOException {
         Relay relay = new Relay(new ServerSocket(0, 50, InetAddress.getLoopbackAddress()), target);
-        daemon(relay::accept);
+        startDaemonThread(relay::acceptConnections);
         return relay;
     }
 
@@ -40,27 +40,27 @@
     }
 
     /** Leaves the open connections open and passes nothing on; new connections work. */
-    void silence() {
-        pipes.forEach(pipe -> pipe.silent = true);
+    void stopForwarding() {
+        pipes.forEach(pipe -> pipe.forwardingStopped = true);
     }
 
     /** Closes the open connections and refuses new ones. */
-    void cut() {
-        cut = true;
+    void disconnect() {
+        disconnected = true;
         pipes.forEach(Pipe::close);
     }
 
-    private void accept() {
+    private void acceptConnections() {
         while (!server.isClosed()) {
             try {
                 Socket from = server.accept();
-                if (cut) {
+                if (disconnected) {
                     from.close();
                     continue;
                 }
                 Socket to = new Socket(target.getAddress(), target.getPort());
-                open(from, to);
-                open(to, from);
+                startPipe(from, to);
+                startPipe(to, from);
             } catch (IOException closed) {
                 // The target may not be up yet; whoever connects tries again.
                 continue;
@@ -68,14 +68,14 @@
         }
     }
 
-    private void open(Socket from, Socket to) throws IOException {
+    private void startPipe(Socket from, Socket to) throws IOException {
         from.setTcpNoDelay(true);
         Pipe pipe = new Pipe(from, to);
         pipes.add(pipe);
-        daemon(pipe::run);
+        startDaemonThread(pipe::forward);
     }
 
-    private static void daemon(Runnable task) {
+    private static void startDaemonThread(Runnable task) {
         Thread thread = new Thread(task, "relay");
         thread.setDaemon(true);
         thread.start();
@@ -92,20 +92,20 @@
 
         private final Socket from;
         private final Socket to;
-        private volatile boolean silent;
+        private volatile boolean forwardingStopped;
 
         Pipe(Socket from, Socket to) {
             this.from = from;
             this.to = to;
         }
 
-        void run() {
-            byte[] buffer = new byte[BUFFER];
+        void forward() {
+            byte[] buffer = new byte[BUFFER_BYTES];
             try (InputStream input = from.getInputStream();
                     OutputStream output = to.getOutputStream()) {
                 int count = input.read(buffer);
                 while (count >= 0) {
-                    if (!silent) {
+                    if (!forwardingStopped) {
                         output.write(buffer, 0, count);
                     }
                     count = input.read(buffer);
--- a/integration/src/test/java/org/geraniumreach/integration/StandIns.java
+++ b/integration/src/test/java/org/geraniumreach/integration/StandIns.java
@@ -15,29 +15,29 @@
 /** The stand-ins of one test: platform, engines, one plain service. Confined to the test. */
 final class StandIns implements AutoCloseable {
 
-    static final int OBJECTS = 1;
-    static final int WEIGHTS = 2;
-    static final int LIST = 3;
-    private static final int ADMINISTRATION = 4;
+    static final int OBJECTS_PORT_OFFSET = 1;
+    static final int WEIGHTS_PORT_OFFSET = 2;
+    static final int LIST_PORT_OFFSET = 3;
+    private static final int ADMINISTRATION_PORT_OFFSET = 4;
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final String MAIN = "org.geraniumreach.standins.Main";
+    private static final String MAIN_CLASS = "org.geraniumreach.standins.Main";
 
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private final List<JavaProcess> processes = new ArrayList<>();
     private final int platformPort;
-    private final int enginesAdministration;
-    private final int serviceAdministration;
+    private final int engineAdministrationPort;
+    private final int serviceAdministrationPort;
     private final int servicePort;
     private final List<Integer> enginePorts = new ArrayList<>();
 
     private StandIns(Ports ports, int engines) {
-        this.platformPort = ports.take(5);
-        this.enginesAdministration = ports.take(1);
-        this.serviceAdministration = ports.take(1);
-        this.servicePort = ports.take(1);
+        this.platformPort = ports.allocate(5);
+        this.engineAdministrationPort = ports.allocate(1);
+        this.serviceAdministrationPort = ports.allocate(1);
+        this.servicePort = ports.allocate(1);
         for (int engine = 0; engine < engines; engine++) {
-            enginePorts.add(ports.take(1));
+            enginePorts.add(ports.allocate(1));
         }
     }
 
@@ -55,7 +55,7 @@
     private void startAll(Path directory, String... engineOptions) throws Exception {
         processes.add(JavaProcess.start(
                 "standins",
-                MAIN,
+                MAIN_CLASS,
                 directory.resolve("platform.log"),
                 "platform",
                 "--port",
@@ -67,34 +67,34 @@
                 "--ports",
                 String.join(",", enginePorts.stream().map(String::valueOf).toList()),
                 "--admin-port",
-                Integer.toString(enginesAdministration),
+                Integer.toString(engineAdministrationPort),
                 "--weights",
-                "http://127.0.0.1:" + (platformPort + WEIGHTS)));
+                "http://127.0.0.1:" + (platformPort + WEIGHTS_PORT_OFFSET)));
         engine.addAll(List.of(engineOptions));
-        processes.add(
-                JavaProcess.start("standins", MAIN, directory.resolve("engines.log"), engine.toArray(String[]::new)));
+        processes.add(JavaProcess.start(
+                "standins", MAIN_CLASS, directory.resolve("engines.log"), engine.toArray(String[]::new)));
         processes.add(JavaProcess.start(
                 "standins",
-                MAIN,
+                MAIN_CLASS,
                 directory.resolve("service.log"),
                 "service",
                 "--ports",
                 Integer.toString(servicePort),
                 "--admin-port",
-                Integer.toString(serviceAdministration),
+                Integer.toString(serviceAdministrationPort),
                 "--latency-millis",
                 "400"));
-        for (int administration : List.of(administration(), enginesAdministration, serviceAdministration)) {
+        for (int administration : List.of(administrationPort(), engineAdministrationPort, serviceAdministrationPort)) {
             Eventually.until("stand-ins answer", () -> get(administration, "/admin/parts") != null);
         }
     }
 
-    int port(int offset) {
+    int platformPort(int offset) {
         return platformPort + offset;
     }
 
-    private int administration() {
-        return platformPort + ADMINISTRATION;
+    private int administrationPort() {
+        return platformPort + ADMINISTRATION_PORT_OFFSET;
     }
 
     int enginePort(int engine) {
@@ -105,28 +105,28 @@
         return servicePort;
     }
 
-    void register(String list) throws IOException, InterruptedException {
-        post(administration(), "/admin/instances?part=list", list);
+    void registerInstances(String list) throws IOException, InterruptedException {
+        post(administrationPort(), "/admin/instances?part=list", list);
     }
 
-    void platformFault(String part, String fault) throws IOException, InterruptedException {
-        post(administration(), "/admin/faults?part=" + part, fault);
+    void setPlatformFault(String part, String fault) throws IOException, InterruptedException {
+        post(administrationPort(), "/admin/faults?part=" + part, fault);
     }
 
-    void engineFault(int engine, String fault) throws IOException, InterruptedException {
-        post(enginesAdministration, "/admin/faults?part=engine-" + enginePort(engine), fault);
+    void setEngineFault(int engine, String fault) throws IOException, InterruptedException {
+        post(engineAdministrationPort, "/admin/faults?part=engine-" + enginePort(engine), fault);
     }
 
-    void serviceFault(String fault) throws IOException, InterruptedException {
-        post(serviceAdministration, "/admin/faults?part=service-" + servicePort, fault);
+    void setServiceFault(String fault) throws IOException, InterruptedException {
+        post(serviceAdministrationPort, "/admin/faults?part=service-" + servicePort, fault);
     }
 
     void restartEngine(int engine) throws IOException, InterruptedException {
-        post(enginesAdministration, "/admin/restart?part=engine-" + enginePort(engine), "{}");
+        post(engineAdministrationPort, "/admin/restart?part=engine-" + enginePort(engine), "{}");
     }
 
     /** Counts the runs of the plain service whose request holds a text. */
-    long runsHolding(String text) throws IOException, InterruptedException {
+    long countServiceRunsContaining(String text) throws IOException, InterruptedException {
         long runs = 0;
         for (JsonNode run : get(servicePort, "/v1/ran").path("runs")) {
             runs += run.toString().contains(text) ? 1 : 0;
@@ -134,7 +134,7 @@
         return runs;
     }
 
-    List<JsonNode> ranOnEngines() throws IOException, InterruptedException {
+    List<JsonNode> engineRuns() throws IOException, InterruptedException {
         List<JsonNode> ran = new ArrayList<>();
         for (int port : enginePorts) {
             get(port, "/v1/ran").path("streams").forEach(ran::add);
@@ -149,17 +149,17 @@
     private JsonNode get(int port, String path) throws IOException, InterruptedException {
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path))
                 .build();
-        return answer(request);
+        return sendForJson(request);
     }
 
     private JsonNode post(int port, String path, String body) throws IOException, InterruptedException {
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path))
                 .POST(HttpRequest.BodyPublishers.ofString(body))
                 .build();
-        return answer(request);
+        return sendForJson(request);
     }
 
-    private JsonNode answer(HttpRequest request) throws IOException, InterruptedException {
+    private JsonNode sendForJson(HttpRequest request) throws IOException, InterruptedException {
         HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
         if (response.statusCode() != 200) {
             throw new IOException(request.uri() + ": " + response.statusCode() + " " + response.body());
--- a/integration/src/test/java/org/geraniumreach/integration/TestSystem.java
+++ b/integration/src/test/java/org/geraniumreach/integration/TestSystem.java
@@ -30,10 +30,10 @@
     static final String ACCOUNT = "floor";
     static final String KEY = "floor-key-0123456789abcdef0123456789abcdef";
     /** An adapter that only the start of a test uses: an entry hears a moment late that a companion takes work. */
-    private static final String WARM_UP = "adapter-3@v1";
+    private static final String WARM_UP_MODEL = "adapter-3@v1";
 
-    private static final String CREDENTIAL = "operator-credential-0123456789abcdef";
-    private static final String DAEMON = "org.geraniumreach.daemon.Main";
+    private static final String OPERATOR_CREDENTIAL = "operator-credential-0123456789abcdef";
+    private static final String DAEMON_MAIN_CLASS = "org.geraniumreach.daemon.Main";
 
     private final Path directory;
     private final StandIns standIns;
@@ -41,10 +41,10 @@
     private final Ports ports;
     private final Map<String, JavaProcess> processes = new HashMap<>();
     private final Map<String, Relay> relays = new HashMap<>();
-    private final Map<String, Integer> callers = new HashMap<>();
-    private final Map<String, Integer> operators = new HashMap<>();
-    private final Map<String, Integer> management = new HashMap<>();
-    private final List<String> listed = new ArrayList<>();
+    private final Map<String, Integer> callerPorts = new HashMap<>();
+    private final Map<String, Integer> operatorPorts = new HashMap<>();
+    private final Map<String, Integer> managementPorts = new HashMap<>();
+    private final List<String> registrations = new ArrayList<>();
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
@@ -70,37 +70,37 @@
     }
 
     private void startAll() throws Exception {
-        Files.writeString(directory.resolve("credential"), CREDENTIAL);
+        Files.writeString(directory.resolve("credential"), OPERATOR_CREDENTIAL);
         startEntry("entry-1");
         startEntry("entry-2");
         for (int engine = 0; engine < engines; engine++) {
             startCompanion("companion-" + engine, "engine-" + engine, "engine", standIns.enginePort(engine));
         }
         startCompanion("companion-service", "service-0", "service", standIns.servicePort());
-        register();
+        registerInstances();
         Eventually.until(
                 "entry-1 answers or has ended",
                 () -> !process("entry-1").isAlive() || status("entry-1").contains("\"ready\":true"));
         if (!process("entry-1").isAlive()) {
             throw new AssertionError("entry-1 has ended: " + log("entry-1"));
         }
-        submit(records());
+        submit(initialRecords());
         awaitReady();
     }
 
     private void awaitReady() throws Exception {
-        for (String instance : management.keySet()) {
-            Eventually.until(instance + " ready", () -> get(management.get(instance), "/readyz") == 200);
+        for (String instance : managementPorts.keySet()) {
+            Eventually.until(instance + " ready", () -> statusCode(managementPorts.get(instance), "/readyz") == 200);
         }
-        for (String entry : operators.keySet()) {
+        for (String entry : operatorPorts.keySet()) {
             Eventually.until(entry + " linked with all", () -> {
                 String status = status(entry);
                 return !status.contains("\"linked\":false")
-                        && status.split("\"linked\":true", -1).length == management.size();
+                        && status.split("\"linked\":true", -1).length == managementPorts.size();
             });
             Eventually.until(
                     entry + " serves",
-                    () -> caller(entry).complete(WARM_UP, "warm-up", 1).whole()
+                    () -> caller(entry).complete(WARM_UP_MODEL, "warm-up", 1).finished()
                             && caller(entry)
                                             .book("warm-up-" + entry, "{\"card\":\"warm-up\"}")
                                             .status()
@@ -109,30 +109,30 @@
     }
 
     void startEntry(String name) throws IOException {
-        int link = ports.take(1);
-        callers.put(name, ports.take(1));
-        operators.put(name, ports.take(1));
-        management.put(name, ports.take(1));
-        String yaml = node("entry", name, link)
-                + "callers: 127.0.0.1:" + callers.get(name) + "\n"
-                + "operator: {address: '127.0.0.1:" + operators.get(name) + "', credentialDigest: "
-                + KeyDigest.ofSecret(CREDENTIAL).toHexadecimal() + "}\n"
+        int link = ports.allocate(1);
+        callerPorts.put(name, ports.allocate(1));
+        operatorPorts.put(name, ports.allocate(1));
+        managementPorts.put(name, ports.allocate(1));
+        String yaml = nodeSettings("entry", name, link)
+                + "callers: 127.0.0.1:" + callerPorts.get(name) + "\n"
+                + "operator: {address: '127.0.0.1:" + operatorPorts.get(name) + "', credentialDigest: "
+                + KeyDigest.ofSecret(OPERATOR_CREDENTIAL).toHexadecimal() + "}\n"
                 + "requests: {bytesPerToken: 4, deadline: 30s}\n"
                 + "budget: {leaseRenewal: 500ms, proofLimit: 2s, listLag: 500ms, quarantine: 8s, scanInterval: 200ms}\n"
                 + "ledger: {patience: 5s, takeoverAge: 2s, clockError: 200ms}\n";
         start(name, "entry", yaml);
-        listed.add(registration(name, "entry", link));
+        registrations.add(registration(name, "entry", link));
     }
 
     void startCompanion(String name, String target, String kind, int address) throws IOException {
-        int link = ports.take(1);
-        management.put(name, ports.take(1));
-        String yaml = node("companion", name, link) + "target: {name: " + target + ", kind: " + kind
+        int link = ports.allocate(1);
+        managementPorts.put(name, ports.allocate(1));
+        String yaml = nodeSettings("companion", name, link) + "target: {name: " + target + ", kind: " + kind
                 + ", address: '127.0.0.1:" + address + "'}\n";
         start(name, "companion", yaml);
-        Relay relay = Relay.to(new InetSocketAddress(InetAddress.getLoopbackAddress(), link));
+        Relay relay = Relay.start(new InetSocketAddress(InetAddress.getLoopbackAddress(), link));
         relays.put(name, relay);
-        listed.add(registration(name, "companion", relay.port()));
+        registrations.add(registration(name, "companion", relay.port()));
     }
 
     private void start(String name, String role, String yaml) throws IOException {
@@ -140,16 +140,22 @@
         processes.put(
                 name,
                 JavaProcess.start(
-                        "daemon", DAEMON, directory.resolve(name + ".log"), role, "--settings", settings.toString()));
+                        "daemon",
+                        DAEMON_MAIN_CLASS,
+                        directory.resolve(name + ".log"),
+                        role,
+                        "--settings",
+                        settings.toString()));
     }
 
-    private String node(String role, String name, int link) {
+    private String nodeSettings(String role, String name, int link) {
         return "role: " + role + "\n"
                 + "node: {instance: " + name + ", failureDomain: domain-1, link: '127.0.0.1:" + link
-                + "', management: '127.0.0.1:" + management.get(name) + "', drainLimit: 30s}\n"
+                + "', management: '127.0.0.1:" + managementPorts.get(name) + "', drainLimit: 30s}\n"
                 + "log: {level: debug}\n"
-                + "platform: {table: '127.0.0.1:" + standIns.port(0) + "', objects: '127.0.0.1:"
-                + standIns.port(StandIns.OBJECTS) + "', list: '127.0.0.1:" + standIns.port(StandIns.LIST)
+                + "platform: {table: '127.0.0.1:" + standIns.platformPort(0) + "', objects: '127.0.0.1:"
+                + standIns.platformPort(StandIns.OBJECTS_PORT_OFFSET) + "', list: '127.0.0.1:"
+                + standIns.platformPort(StandIns.LIST_PORT_OFFSET)
                 + "', callLimit: 1s}\n"
                 + "links: {pingInterval: 200ms}\n"
                 + "membership: {readInterval: 200ms}\n"
@@ -159,43 +165,44 @@
     private String registration(String name, String role, int link) {
         return "{\"instance\":\"" + name + "\",\"role\":\"" + role
                 + "\",\"failureDomain\":\"domain-1\",\"linkAddress\":\"127.0.0.1:" + link
-                + "\",\"healthUrl\":\"http://127.0.0.1:" + management.get(name) + "/healthz\"}";
+                + "\",\"healthUrl\":\"http://127.0.0.1:" + managementPorts.get(name) + "/healthz\"}";
     }
 
-    void register() throws IOException, InterruptedException {
-        standIns.register("[" + String.join(",", listed) + "]");
+    void registerInstances() throws IOException, InterruptedException {
+        standIns.registerInstances("[" + String.join(",", registrations) + "]");
     }
 
-    private String records() {
+    private String initialRecords() {
         StringBuilder records = new StringBuilder();
-        record(
+        appendRecord(
                 records,
                 "account",
                 ACCOUNT,
                 "schemaVersion: 2, tokensPerSecond: 100000, burstTokens: 100000, priority: 5");
-        record(
+        appendRecord(
                 records,
                 "key",
                 "floor-key",
                 "schemaVersion: 1, account: floor, digest: "
                         + KeyDigest.ofSecret(KEY).toHexadecimal());
         for (int adapter = 0; adapter < 4; adapter++) {
-            record(records, "adapter", "adapter-" + adapter, "schemaVersion: 1, baseModel: base, versions: [v1]");
+            appendRecord(records, "adapter", "adapter-" + adapter, "schemaVersion: 1, baseModel: base, versions: [v1]");
         }
-        record(
+        appendRecord(
                 records,
                 "assignment",
                 "floor-all",
                 "schemaVersion: 2, account: floor, adapters: [adapter-0, adapter-1, adapter-2, adapter-3]");
-        record(records, "service", "cards", "schemaVersion: 1, operations: {book: {repeatable: false, tokens: 1}}");
+        appendRecord(
+                records, "service", "cards", "schemaVersion: 1, operations: {book: {repeatable: false, tokens: 1}}");
         for (int engine = 0; engine < engines; engine++) {
-            record(
+            appendRecord(
                     records,
                     "target",
                     "engine-" + engine,
                     "schemaVersion: 1, failureDomain: domain-1, baseModel: base, slots: 4, checksFence: true");
         }
-        record(
+        appendRecord(
                 records,
                 "target",
                 "service-0",
@@ -203,7 +210,7 @@
         return records.toString();
     }
 
-    private static void record(StringBuilder records, String kind, String name, String rest) {
+    private static void appendRecord(StringBuilder records, String kind, String name, String rest) {
         records.append("--- {kind: ")
                 .append(kind)
                 .append(", name: ")
@@ -215,13 +222,13 @@
 
     void submit(String records) throws Exception {
         Path file = Files.writeString(directory.resolve("records.yaml"), records);
-        control("submit", file.toString());
+        runControl("submit", file.toString());
     }
 
     /** Runs the operators' command line against both entries. */
-    void control(String... arguments) throws Exception {
+    void runControl(String... arguments) throws Exception {
         List<String> line = new ArrayList<>();
-        for (int port : operators.values()) {
+        for (int port : operatorPorts.values()) {
             line.addAll(List.of("--entry", "127.0.0.1:" + port));
         }
         line.addAll(List.of("--credential-file", directory.resolve("credential").toString()));
@@ -236,13 +243,13 @@
 
     String status(String entry) throws IOException, InterruptedException {
         HttpRequest request = HttpRequest.newBuilder(
-                        URI.create("http://127.0.0.1:" + operators.get(entry) + "/operator/v1/status"))
-                .header("Authorization", "Bearer " + CREDENTIAL)
+                        URI.create("http://127.0.0.1:" + operatorPorts.get(entry) + "/operator/v1/status"))
+                .header("Authorization", "Bearer " + OPERATOR_CREDENTIAL)
                 .build();
         return client.send(request, HttpResponse.BodyHandlers.ofString()).body();
     }
 
-    private int get(int port, String path) throws IOException, InterruptedException {
+    private int statusCode(int port, String path) throws IOException, InterruptedException {
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + path))
                 .build();
         return client.send(request, HttpResponse.BodyHandlers.discarding()).statusCode();
@@ -265,7 +272,7 @@
     }
 
     Caller caller(String entry) {
-        return new Caller(callers.get(entry), KEY);
+        return new Caller(callerPorts.get(entry), KEY);
     }
 
     @Override
