--- a/control/src/main/java/org/geraniumreach/control/Commands.java
+++ b/control/src/main/java/org/geraniumreach/control/Commands.java
@@ -19,10 +19,10 @@
 import org.geraniumreach.model.record.RecordKind;
 
 /**
- * Carries out one command.
+ * Runs one command.
  *
- * <p>Invariant: every change of a command has an operation id that follows from the command's own, so the same command with
- * the same id goes on where an earlier try stopped and makes nothing twice. Confined to one thread.
+ * <p>Invariant: the operation id of each change is derived from that of the command, so running the command again with the
+ * same id continues where the earlier attempt stopped and applies no change twice. Not thread-safe.
  */
 final class Commands {
 
@@ -40,32 +40,32 @@
     }
 
     /**
-     * Gets what the operator can do after a failure.
+     * Returns what the operator can do after a failure.
      *
-     * @return lines to print, not null
+     * @return the lines to print, not null
      */
     List<String> recoveryHints() {
         return recoveryHints;
     }
 
     void run() throws ControlException {
-        List<String> words = options.arguments();
-        if (words.isEmpty()) {
+        List<String> arguments = options.arguments();
+        if (arguments.isEmpty()) {
             throw ControlException.usage("a command is missing");
         }
-        List<String> rest = words.subList(1, words.size());
-        switch (words.get(0)) {
-            case "submit" -> submit(rest);
-            case "withdraw" -> withdraw(parseKey(rest));
+        List<String> operands = arguments.subList(1, arguments.size());
+        switch (arguments.get(0)) {
+            case "submit" -> submit(operands);
+            case "withdraw" -> withdraw(parseKey(operands));
             case "list" -> printer.printList(createClient()
-                    .list(parseKind(requireSingle(rest, "list KIND")).label()));
-            case "show" -> printer.printRecord(createClient().show(parseKey(rest)));
+                    .list(parseKind(requireSingle(operands, "list KIND")).label()));
+            case "show" -> printer.printRecord(createClient().show(parseKey(operands)));
             case "history" -> printer.printHistory(
-                    createClient().history(rest.isEmpty() ? Optional.empty() : Optional.of(parseKey(rest))));
-            case "status" -> status(rest);
-            case "validate" -> validate(rest);
-            case "key" -> createKey(rest);
-            default -> throw ControlException.usage("unknown command '" + words.get(0) + "'");
+                    createClient().history(operands.isEmpty() ? Optional.empty() : Optional.of(parseKey(operands))));
+            case "status" -> status(operands);
+            case "validate" -> validate(operands);
+            case "key" -> createKey(operands);
+            default -> throw ControlException.usage("unknown command '" + arguments.get(0) + "'");
         }
     }
 
@@ -73,28 +73,29 @@
         List<RecordDocument> documents = RecordFiles.read(files);
         OperatorClient client = createClient();
         long basedOn = basedOn(client);
-        String operation = operationId();
-        Map<RecordKey, Long> ownRevisions = new HashMap<>();
+        String operationId = operationId();
+        Map<RecordKey, Long> submittedRevisions = new HashMap<>();
         for (int index = 0; index < documents.size(); index++) {
             RecordDocument document = documents.get(index);
             recoveryHints.clear();
             recoveryHints.add(index + " of " + documents.size() + " records were accepted; "
-                    + "submit the same files with --operation " + operation + " to find out about the rest and go on");
-            ObjectNode answer = client.submit(
-                    documents.size() == 1 ? operation : operation + "-" + index,
-                    ownRevisions.getOrDefault(document.key(), basedOn),
+                    + "submit the same files with --operation " + operationId
+                    + " to find out about the rest and go on");
+            ObjectNode response = client.submit(
+                    documents.size() == 1 ? operationId : operationId + "-" + index,
+                    submittedRevisions.getOrDefault(document.key(), basedOn),
                     document);
-            ownRevisions.put(
-                    document.key(), answer.path("change").path("revision").asLong());
-            printer.printChange(answer);
+            submittedRevisions.put(
+                    document.key(), response.path("change").path("revision").asLong());
+            printer.printChange(response);
         }
     }
 
     private void withdraw(RecordKey key) throws ControlException {
         OperatorClient client = createClient();
-        String operation = operationId();
-        recoveryHints.add("withdraw again with --operation " + operation + " to find out what became of it");
-        printer.printChange(client.withdraw(operation, basedOn(client), key));
+        String operationId = operationId();
+        recoveryHints.add("withdraw again with --operation " + operationId + " to find out what became of it");
+        printer.printChange(client.withdraw(operationId, basedOn(client), key));
     }
 
     private long basedOn(OperatorClient client) throws ControlException {
@@ -117,8 +118,8 @@
         return options.operation();
     }
 
-    private String randomHexadecimal(int length) {
-        byte[] bytes = new byte[length];
+    private String randomHexadecimal(int byteCount) {
+        byte[] bytes = new byte[byteCount];
         random.nextBytes(bytes);
         return HexFormat.of().formatHex(bytes);
     }
@@ -134,18 +135,18 @@
                 .put("checkedAgainstEntry", options.hasEntries()));
     }
 
-    private void status(List<String> rest) throws ControlException {
-        if (!rest.isEmpty()) {
+    private void status(List<String> operands) throws ControlException {
+        if (!operands.isEmpty()) {
             throw ControlException.usage("status takes nothing more");
         }
         printer.printTree(createClient().status());
     }
 
-    private void createKey(List<String> rest) throws ControlException {
-        if (rest.size() != 2 || !rest.get(0).equals("new") || options.account() == null) {
+    private void createKey(List<String> operands) throws ControlException {
+        if (operands.size() != 2 || !operands.get(0).equals("new") || options.account() == null) {
             throw ControlException.usage("key new NAME --account ACCOUNT");
         }
-        RecordKey key = parseKey(RecordKind.KEY, rest.get(1));
+        RecordKey key = parseKey(RecordKind.KEY, operands.get(1));
         if (!Names.isName(options.account())) {
             throw ControlException.usage("--account: not a valid name: '" + options.account() + "'");
         }
@@ -155,12 +156,12 @@
                 .put("account", options.account())
                 .put("digest", KeyDigest.ofSecret(secret).toHexadecimal());
         if (options.output() == Options.Output.JSON) {
-            ObjectNode both = OperatorClient.newObject().put("secret", secret);
-            both.putObject("record")
+            ObjectNode output = OperatorClient.newObject().put("secret", secret);
+            output.putObject("record")
                     .put("kind", key.kind().label())
                     .put("name", key.name())
                     .setAll(record);
-            printer.printTree(both);
+            printer.printTree(output);
             return;
         }
         printer.printLine("# secret, shown only now: " + secret);
@@ -183,18 +184,18 @@
         }
     }
 
-    private static String requireSingle(List<String> rest, String usage) throws ControlException {
-        if (rest.size() != 1) {
+    private static String requireSingle(List<String> operands, String usage) throws ControlException {
+        if (operands.size() != 1) {
             throw ControlException.usage(usage);
         }
-        return rest.get(0);
+        return operands.get(0);
     }
 
-    private static RecordKey parseKey(List<String> rest) throws ControlException {
-        if (rest.size() != 2) {
+    private static RecordKey parseKey(List<String> operands) throws ControlException {
+        if (operands.size() != 2) {
             throw ControlException.usage("a KIND and a NAME are wanted");
         }
-        return parseKey(parseKind(rest.get(0)), rest.get(1));
+        return parseKey(parseKind(operands.get(0)), operands.get(1));
     }
 
     private static RecordKey parseKey(RecordKind kind, String name) throws ControlException {
--- a/control/src/main/java/org/geraniumreach/control/ControlException.java
+++ b/control/src/main/java/org/geraniumreach/control/ControlException.java
@@ -6,9 +6,9 @@
 import org.geraniumreach.model.ResultCode;
 
 /**
- * A command that does not succeed.
+ * Thrown when a command fails.
  *
- * <p>Invariant: the message names what is wrong and where, and never holds a key or a credential. Immutable.
+ * <p>Invariant: the message names the error and its location, and never contains a key or a credential. Immutable.
  */
 final class ControlException extends Exception {
 
@@ -16,11 +16,11 @@
     private final transient ResultCode code;
     private final transient ObjectNode response;
 
-    private ControlException(ExitCode exitCode, ResultCode code, String message, ObjectNode answer) {
+    private ControlException(ExitCode exitCode, ResultCode code, String message, ObjectNode response) {
         super(message);
         this.exitCode = Objects.requireNonNull(exitCode, "exitCode");
         this.code = Objects.requireNonNull(code, "code");
-        this.response = answer;
+        this.response = response;
     }
 
     static ControlException of(ResultCode code, String message) {
@@ -35,8 +35,8 @@
         return new ControlException(ExitCode.UNREACHABLE, ResultCode.ENTRY_UNREACHABLE, message, null);
     }
 
-    static ControlException fromResponse(ResultCode code, String message, ObjectNode answer) {
-        return new ControlException(ExitCode.of(code), code, message, answer);
+    static ControlException fromResponse(ResultCode code, String message, ObjectNode response) {
+        return new ControlException(ExitCode.of(code), code, message, response);
     }
 
     ExitCode exitCode() {
@@ -48,9 +48,9 @@
     }
 
     /**
-     * Gets the record that stands against a submission.
+     * Returns the current record that a submission conflicts with.
      *
-     * @return the record and its revision as JSON, or null if the answer held none
+     * @return the record and its revision as JSON, or null if the response contained none
      */
     ObjectNode currentRecord() {
         return response != null && response.path("current").isObject() ? (ObjectNode) response.get("current") : null;
--- a/control/src/main/java/org/geraniumreach/control/ExitCode.java
+++ b/control/src/main/java/org/geraniumreach/control/ExitCode.java
@@ -3,9 +3,9 @@
 import org.geraniumreach.model.ResultCode;
 
 /**
- * The exit codes of the command line; docs/OPERATIONS.md holds the table.
+ * Exit codes of the command line, listed in docs/OPERATIONS.md.
  *
- * <p>Invariant: a number is never used again for something else.
+ * <p>Invariant: a number is never reused for another meaning.
  */
 enum ExitCode {
     OK(0),
@@ -29,9 +29,9 @@
     }
 
     /**
-     * Gets the exit code that goes with a result.
+     * Returns the exit code for a result code.
      *
-     * @param code the result, not null
+     * @param code the result code, not null
      * @return the exit code, not null
      */
     static ExitCode of(ResultCode code) {
--- a/control/src/main/java/org/geraniumreach/control/Main.java
+++ b/control/src/main/java/org/geraniumreach/control/Main.java
@@ -9,9 +9,9 @@
 import org.kohsuke.args4j.ParserProperties;
 
 /**
- * The entry point of {@code geraniumreachctl}.
+ * Main class of {@code geraniumreachctl}.
  *
- * <p>Stateless and safe for use by several threads.
+ * <p>Stateless and thread-safe.
  */
 public final class Main {
 
@@ -31,7 +31,7 @@
     private Main() {}
 
     /**
-     * Runs a command and ends the process with its exit code.
+     * Runs a command and exits the process with its exit code.
      *
      * @param arguments the command line
      */
@@ -43,8 +43,8 @@
      * Runs a command.
      *
      * @param arguments the command line, not null
-     * @param out where results go, not null
-     * @param error where errors go, not null
+     * @param out the stream for results, not null
+     * @param error the stream for errors, not null
      * @return the exit code
      */
     static int run(String[] arguments, PrintStream out, PrintStream error) {
@@ -53,8 +53,8 @@
                 new CmdLineParser(options, ParserProperties.defaults().withUsageWidth(USAGE_WIDTH_COLUMNS));
         try {
             parser.parseArgument(arguments);
-        } catch (CmdLineException wrong) {
-            error.println(wrong.getMessage());
+        } catch (CmdLineException invalid) {
+            error.println(invalid.getMessage());
             printUsage(parser, error);
             return ExitCode.USAGE.number();
         }
--- a/control/src/main/java/org/geraniumreach/control/OperatorClient.java
+++ b/control/src/main/java/org/geraniumreach/control/OperatorClient.java
@@ -22,10 +22,10 @@
 import org.geraniumreach.model.record.RecordKey;
 
 /**
- * Speaks to the operators' port of entries, trying one after the other.
+ * HTTP client for the operator ports of entries, which fails over from one entry to the next.
  *
- * <p>Invariant: the next entry is tried only with the same operation id, under which a change is made at most once, so an
- * answer that was lost on the way cannot make it twice. Safe for use by several threads.
+ * <p>Invariant: every entry is sent the same operation id, and a change takes effect at most once per operation id, so
+ * retrying after a lost response cannot apply the change twice. Thread-safe.
  */
 final class OperatorClient {
 
@@ -91,7 +91,7 @@
     }
 
     ObjectNode history(Optional<RecordKey> key) throws ControlException {
-        String query = key.map(of -> "?kind=" + of.kind().label() + "&name=" + encode(of.name()))
+        String query = key.map(recordKey -> "?kind=" + recordKey.kind().label() + "&name=" + encode(recordKey.name()))
                 .orElse("");
         return call("GET", "/operator/v1/history" + query, Optional.empty());
     }
@@ -105,7 +105,7 @@
     }
 
     private ObjectNode call(String method, String path, Optional<ObjectNode> body) throws ControlException {
-        ControlException last = ControlException.usage("no entry is given");
+        ControlException lastFailure = ControlException.usage("no entry is given");
         boolean unsettled = false;
         for (String entry : entries) {
             try {
@@ -115,14 +115,14 @@
                     throw failure;
                 }
                 unsettled |= failure.exitCode() == ExitCode.UNSETTLED;
-                last = failure;
+                lastFailure = failure;
             }
         }
-        /* An entry whose answer was lost may have made the change; that the next one cannot be reached tells nothing. */
-        if (unsettled && last.exitCode() != ExitCode.UNSETTLED) {
-            throw ControlException.of(ResultCode.SUBMISSION_UNSETTLED, last.getMessage());
+        /* An entry whose response was lost may have made the change, even if the next entry is unreachable. */
+        if (unsettled && lastFailure.exitCode() != ExitCode.UNSETTLED) {
+            throw ControlException.of(ResultCode.SUBMISSION_UNSETTLED, lastFailure.getMessage());
         }
-        throw last;
+        throw lastFailure;
     }
 
     private ObjectNode call(String entry, String method, String path, Optional<ObjectNode> body)
@@ -154,17 +154,18 @@
         }
     }
 
-    private HttpResponse<String> send(String entry, HttpRequest request, boolean changes) throws ControlException {
+    private HttpResponse<String> send(String entry, HttpRequest request, boolean changesRecords)
+            throws ControlException {
         try {
             return client.send(request, HttpResponse.BodyHandlers.ofString());
-        } catch (ConnectException | HttpConnectTimeoutException refused) {
+        } catch (ConnectException | HttpConnectTimeoutException unreachable) {
             throw ControlException.unreachable("entry " + entry + " cannot be reached");
         } catch (IOException lost) {
             String message = "entry " + entry + " did not answer: " + lost.getMessage();
-            throw changes
+            throw changesRecords
                     ? ControlException.of(ResultCode.SUBMISSION_UNSETTLED, message)
                     : ControlException.unreachable(message);
-        } catch (InterruptedException ending) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
             throw ControlException.of(ResultCode.SUBMISSION_UNSETTLED, "interrupted");
         }
--- a/control/src/main/java/org/geraniumreach/control/Options.java
+++ b/control/src/main/java/org/geraniumreach/control/Options.java
@@ -7,13 +7,13 @@
 import org.kohsuke.args4j.Option;
 
 /**
- * What was given on the command line.
+ * Parsed command-line options and arguments.
  *
- * <p>Filled by the parser and not changed afterwards; not safe for use by several threads until then.
+ * <p>Filled by the parser and not changed afterwards; not thread-safe until then.
  */
 final class Options {
 
-    /** How results are printed. */
+    /** The output format of results. */
     enum Output {
         TEXT,
         JSON
--- a/control/src/main/java/org/geraniumreach/control/Printer.java
+++ b/control/src/main/java/org/geraniumreach/control/Printer.java
@@ -13,7 +13,7 @@
 /**
  * Prints results as text or as JSON.
  *
- * <p>Confined to the thread of the command.
+ * <p>Not thread-safe; confined to the thread that runs the command.
  */
 final class Printer {
 
@@ -35,43 +35,43 @@
     }
 
     /**
-     * Prints the result of a change.
+     * Prints the result of a submission or withdrawal.
      *
-     * @param answer the entry's answer, not null
+     * @param response the entry's response, not null
      */
-    void printChange(ObjectNode answer) {
+    void printChange(ObjectNode response) {
         if (isJson()) {
-            out.println(answer);
+            out.println(response);
             return;
         }
-        JsonNode change = answer.path("change");
+        JsonNode change = response.path("change");
         out.printf(
                 "%s/%s %s as revision %d, held by %d other entries (operation %s)%n",
                 change.path("kind").asText(),
                 change.path("name").asText(),
                 change.path("withdrawn").asBoolean() ? "withdrawn" : "accepted",
                 change.path("revision").asLong(),
-                answer.path("otherEntries").asInt(),
-                answer.path("operation").asText());
+                response.path("otherEntries").asInt(),
+                response.path("operation").asText());
     }
 
-    void printList(ObjectNode answer) {
+    void printList(ObjectNode response) {
         if (isJson()) {
-            out.println(answer);
+            out.println(response);
             return;
         }
-        answer.path("records")
+        response.path("records")
                 .forEach(record -> out.printf(
                         "%-40s %d%n",
                         record.path("name").asText(), record.path("revision").asLong()));
     }
 
-    void printHistory(ObjectNode answer) {
+    void printHistory(ObjectNode response) {
         if (isJson()) {
-            out.println(answer);
+            out.println(response);
             return;
         }
-        answer.path("changes")
+        response.path("changes")
                 .forEach(change -> out.printf(
                         "%-8d %-10s %s/%s (operation %s)%n",
                         change.path("revision").asLong(),
@@ -82,17 +82,17 @@
     }
 
     /**
-     * Prints a record in the form in which it can be submitted.
+     * Prints a record in a form that can be submitted again.
      *
-     * @param answer the entry's answer, not null
+     * @param response the entry's response, not null
      */
-    void printRecord(ObjectNode answer) {
+    void printRecord(ObjectNode response) {
         if (isJson()) {
-            out.println(answer);
+            out.println(response);
             return;
         }
-        out.printf("# revision %d%n", answer.path("revision").asLong());
-        printDocument(answer.path("kind").asText(), answer.path("name").asText(), answer.path("record"));
+        out.printf("# revision %d%n", response.path("revision").asLong());
+        printDocument(response.path("kind").asText(), response.path("name").asText(), response.path("record"));
     }
 
     void printDocument(String kind, String name, JsonNode record) {
@@ -105,11 +105,11 @@
         }
     }
 
-    void printTree(ObjectNode answer) {
+    void printTree(ObjectNode response) {
         if (isJson()) {
-            out.println(answer);
+            out.println(response);
         } else {
-            out.print(toYaml(answer));
+            out.print(toYaml(response));
         }
     }
 
@@ -127,7 +127,7 @@
         }
     }
 
-    void printFailure(ControlException failure, List<String> advice) {
+    void printFailure(ControlException failure, List<String> recoveryHints) {
         if (isJson()) {
             ObjectNode body = OperatorClient.newObject();
             body.putObject("error")
@@ -147,6 +147,6 @@
                     "the current record, of revision %d:%n%s",
                     failure.currentRecord().path("revision").asLong(), toYaml(failure.currentRecord()));
         }
-        advice.forEach(error::println);
+        recoveryHints.forEach(error::println);
     }
 }
--- a/control/src/main/java/org/geraniumreach/control/RecordFiles.java
+++ b/control/src/main/java/org/geraniumreach/control/RecordFiles.java
@@ -24,11 +24,11 @@
 import org.yaml.snakeyaml.LoaderOptions;
 
 /**
- * Reads files of records in YAML.
+ * Reads and validates YAML files of records.
  *
- * <p>Contract: each document of a file has a {@code kind}, a {@code name}, a {@code schemaVersion} and the kind's fields; all
- * are read before anything is done with one of them, and every fault names the file, the document and the path. Stateless
- * and safe for use by several threads.
+ * <p>Each document of a file has a {@code kind}, a {@code name}, a {@code schemaVersion} and the fields of its kind. All
+ * documents are validated before any record is returned, and every error names the file, the document and the path.
+ * Stateless and thread-safe.
  */
 final class RecordFiles {
 
@@ -78,10 +78,10 @@
         int number = 0;
         try (MappingIterator<JsonNode> nodes = MAPPER.readerFor(JsonNode.class).readValues(yaml)) {
             while (nodes.hasNextValue()) {
-                String place = file + " document " + ++number;
+                String location = file + " document " + ++number;
                 JsonNode node = nodes.nextValue();
                 if (!isEmpty(node)) {
-                    documents.add(toDocument(place, node));
+                    documents.add(toDocument(location, node));
                 }
             }
         } catch (JsonProcessingException malformed) {
@@ -93,46 +93,46 @@
         return documents;
     }
 
-    /** A document that holds nothing, or comments only, is read as null or as empty text. */
+    /** Returns whether a document has no content; Jackson reads such a document as null or as empty text. */
     private static boolean isEmpty(JsonNode node) {
         return node.isNull()
                 || node.isMissingNode()
                 || node.isTextual() && node.textValue().isEmpty();
     }
 
-    private static RecordDocument toDocument(String place, JsonNode node) throws ControlException {
+    private static RecordDocument toDocument(String location, JsonNode node) throws ControlException {
         if (!node.isObject()) {
-            throw ControlException.of(ResultCode.RECORD_INVALID, place + ": a record is an object");
+            throw ControlException.of(ResultCode.RECORD_INVALID, location + ": a record is an object");
         }
         ObjectNode record = node.deepCopy();
-        RecordKind kind = RecordKind.ofLabel(requireText(place, record, "kind"))
+        RecordKind kind = RecordKind.ofLabel(requireText(location, record, "kind"))
                 .orElseThrow(() -> ControlException.of(
                         ResultCode.RECORD_INVALID,
-                        place + ": kind: unknown '" + node.get("kind").asText() + "'"));
-        String name = requireText(place, record, "name");
+                        location + ": kind: unknown '" + node.get("kind").asText() + "'"));
+        String name = requireText(location, record, "name");
         if (!Names.isName(name)) {
-            throw ControlException.of(ResultCode.RECORD_INVALID, place + ": name: not a valid name: '" + name + "'");
+            throw ControlException.of(ResultCode.RECORD_INVALID, location + ": name: not a valid name: '" + name + "'");
         }
         RecordKey key = RecordKey.of(kind, name);
         record.remove(List.of("kind", "name"));
-        validate(place, key, record);
-        return new RecordDocument(place, key, record);
+        validate(location, key, record);
+        return new RecordDocument(location, key, record);
     }
 
-    private static void validate(String place, RecordKey key, ObjectNode record) throws ControlException {
+    private static void validate(String location, RecordKey key, ObjectNode record) throws ControlException {
         try {
             JsonNode parsed = RecordReader.parse(record.toString());
             RecordReader.requireNoUnknownFields(key.kind(), parsed);
             RecordReader.check(key, parsed);
-        } catch (RecordException wrong) {
-            throw ControlException.of(wrong.code(), place + ": " + key + ": " + wrong.getMessage());
+        } catch (RecordException invalid) {
+            throw ControlException.of(invalid.code(), location + ": " + key + ": " + invalid.getMessage());
         }
     }
 
-    private static String requireText(String place, ObjectNode record, String field) throws ControlException {
+    private static String requireText(String location, ObjectNode record, String field) throws ControlException {
         JsonNode node = record.path(field);
         if (!node.isTextual()) {
-            throw ControlException.of(ResultCode.RECORD_INVALID, place + ": " + field + ": must be text");
+            throw ControlException.of(ResultCode.RECORD_INVALID, location + ": " + field + ": must be text");
         }
         return node.textValue();
     }
--- a/control/src/main/java/org/geraniumreach/control/package-info.java
+++ b/control/src/main/java/org/geraniumreach/control/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' command line, which speaks to the operators' port of any entry. */
+/** Command-line client for the operator port of an entry. */
 package org.geraniumreach.control;
--- a/control/src/test/java/org/geraniumreach/control/MainTest.java
+++ b/control/src/test/java/org/geraniumreach/control/MainTest.java
@@ -75,12 +75,12 @@
         if (body.length > 0) {
             bodies.add(MAPPER.readTree(body));
         }
-        String answer = responses.isEmpty() ? "{\"revision\":7}" : responses.remove();
-        if (answer.equals("broken off")) {
+        String response = responses.isEmpty() ? "{\"revision\":7}" : responses.remove();
+        if (response.equals("broken off")) {
             exchange.close();
             return;
         }
-        byte[] bytes = answer.getBytes(StandardCharsets.UTF_8);
+        byte[] bytes = response.getBytes(StandardCharsets.UTF_8);
         exchange.sendResponseHeaders(200, bytes.length);
         exchange.getResponseBody().write(bytes);
         exchange.close();
@@ -95,8 +95,8 @@
     }
 
     /*
-     * Failure: a change is made twice, since the command line asks a second entry after the first's answer was lost. Both
-     * must be asked under the same operation id.
+     * Failure: a change is applied twice because the client retries at a second entry after losing the response of the
+     * first. Both requests must carry the same operation id.
      */
     @Test
     void theNextEntryIsAskedUnderTheSameOperationId() throws IOException {
@@ -112,27 +112,27 @@
 
     @Test
     void anUnreachableEntryIsSkipped() throws IOException {
-        String down;
+        String unreachable;
         try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            down = "127.0.0.1:" + unused.getLocalPort();
+            unreachable = "127.0.0.1:" + unused.getLocalPort();
         }
-        assertThat(run("status", "--entry", down, "--entry", address)).isEqualTo(ExitCode.OK.number());
-        assertThat(run("status", "--entry", down)).isEqualTo(ExitCode.UNREACHABLE.number());
+        assertThat(run("status", "--entry", unreachable, "--entry", address)).isEqualTo(ExitCode.OK.number());
+        assertThat(run("status", "--entry", unreachable)).isEqualTo(ExitCode.UNREACHABLE.number());
     }
 
     /*
-     * Failure: an operator is told that nothing was changed although the first entry may have made the change before its
-     * answer was lost, because the second entry could not be reached at all.
+     * Failure: the operator is told that nothing changed because the second entry was unreachable, although the first may
+     * have made the change before its response was lost.
      */
     @Test
     void aLostResponseStaysUnsettledWhenTheNextEntryIsDown() throws IOException {
-        String down;
+        String unreachable;
         try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            down = "127.0.0.1:" + unused.getLocalPort();
+            unreachable = "127.0.0.1:" + unused.getLocalPort();
         }
         responses.add("broken off");
         responses.add("broken off");
-        assertThat(run("withdraw", "key", "k", "--based-on", "3", "--entry", address, "--entry", down))
+        assertThat(run("withdraw", "key", "k", "--based-on", "3", "--entry", address, "--entry", unreachable))
                 .isEqualTo(ExitCode.UNSETTLED.number());
     }
 
@@ -155,8 +155,8 @@
     }
 
     /*
-     * Failure: half of a file is in force, because its second record is wrong and the first was submitted before the second
-     * was read.
+     * Failure: only part of a file takes effect, because the first records were submitted before an invalid later one was
+     * read.
      */
     @Test
     void aFileWithAnInvalidRecordIsNotSubmittedAtAll() throws IOException {
--- a/control/src/test/java/org/geraniumreach/control/RecordFilesTest.java
+++ b/control/src/test/java/org/geraniumreach/control/RecordFilesTest.java
@@ -49,19 +49,22 @@
     }
 
     /*
-     * Failure: a file that is wrong ends the command with a stack trace, or is taken in half. Whatever stands in it, reading
-     * it gives records or the checked exception.
+     * Failure: a malformed file ends the command with a stack trace or is accepted in part. Any text must yield either
+     * records or the checked exception.
      */
     @Property(tries = 5000, seed = "6")
     void anyTextYieldsRecordsOrTheCheckedException(@ForAll long seed) {
         Random random = new Random(seed);
         StringBuilder text = new StringBuilder(random.nextBoolean() ? VALID_YAML : "");
-        for (int change = 0; change < 1 + random.nextInt(8); change++) {
+        for (int mutation = 0; mutation < 1 + random.nextInt(8); mutation++) {
             int from = random.nextInt(FUZZ_CHARACTERS.length());
-            String piece =
+            String fragment =
                     FUZZ_CHARACTERS.substring(from, Math.min(FUZZ_CHARACTERS.length(), from + 1 + random.nextInt(12)));
-            int at = random.nextInt(text.length() + 1);
-            text.replace(at, Math.min(text.length(), at + random.nextInt(4)), piece.repeat(1 + random.nextInt(3)));
+            int position = random.nextInt(text.length() + 1);
+            text.replace(
+                    position,
+                    Math.min(text.length(), position + random.nextInt(4)),
+                    fragment.repeat(1 + random.nextInt(3)));
         }
         try {
             RecordFiles.parse("file", text.toString());
@@ -87,10 +90,10 @@
                     [account]                                            | object
                     'kind: account: x'                                   | not YAML
                     """)
-    void anErrorNamesItsLocationAndCause(String yaml, String named) {
+    void anErrorNamesItsLocationAndCause(String yaml, String expectedText) {
         ControlException refused =
                 catchThrowableOfType(ControlException.class, () -> RecordFiles.parse("records.yaml", yaml));
-        assertThat(refused.getMessage()).startsWith("records.yaml").contains(named);
+        assertThat(refused.getMessage()).startsWith("records.yaml").contains(expectedText);
     }
 
     @Test
