--- a/integration/src/test/java/org/geraniumreach/control/TestControl.java
+++ b/integration/src/test/java/org/geraniumreach/control/TestControl.java
@@ -2,7 +2,7 @@
 
 import java.io.PrintStream;
 
-/** Lets the failure tests run the operators' command line without a process of its own. */
+/** Runs the operator command line in the process of the failure tests. */
 public final class TestControl {
 
     private TestControl() {}
@@ -10,7 +10,7 @@
     /**
      * Runs the command line.
      *
-     * @param print takes what it prints, not null
+     * @param print receives results and errors, not null
      * @param arguments the command line, not null
      * @return the exit code
      */
--- a/integration/src/test/java/org/geraniumreach/integration/BookingFailureTest.java
+++ b/integration/src/test/java/org/geraniumreach/integration/BookingFailureTest.java
@@ -16,7 +16,7 @@
 
 class BookingFailureTest {
 
-    /** Half of what a booking takes at the service; should a kill come sooner or later, the assertions hold all the same. */
+    /** Half the duration of a booking at the service; the assertions also hold if the kill comes earlier or later. */
     private static final long KILL_DELAY_MILLIS = 200;
 
     @TempDir
@@ -47,8 +47,8 @@
 
     @Test
     void concurrentBookingsWithOneKeyRunOnce() throws Exception {
-        // Two callers see the same answer, or one of them that the other's call is in progress. Both entries insert
-        // the row at the same time; one insert takes effect, and only the inserter may send.
+        // Both entries insert the row at the same time. Only one insert takes effect, and only that entry may send.
+        // Each caller gets the answer or is told that the other call is in progress.
         CompletableFuture<Caller.Reply> first = bookAsync("entry-1", "key-b", "twice-b");
         CompletableFuture<Caller.Reply> second = bookAsync("entry-2", "key-b", "twice-b");
         assertThat(first.get().errorCode()).isIn(0, ResultCode.IN_PROGRESS.number());
@@ -58,13 +58,13 @@
 
     @Test
     void aBookingWhoseEntryIsKilledRunsOnceAndReturnsItsAnswer() throws Exception {
-        // The caller's connection breaks while its booking runs, because the entry is killed. It asks again at the
-        // other entry with the same key. The row says which companion has the attempt; the other entry resumes it
-        // there and gets its answer, and nothing runs again.
-        CompletableFuture<Caller.Reply> cut = bookAsync("entry-1", "key-c", "killed-c");
+        // The entry is killed while a booking runs, and the caller retries at the other entry with the same key.
+        // That entry reads from the row which companion has the attempt, resumes it there and gets its answer
+        // without a second run.
+        CompletableFuture<Caller.Reply> interruptedCall = bookAsync("entry-1", "key-c", "killed-c");
         Thread.sleep(KILL_DELAY_MILLIS);
         system.process("entry-1").kill();
-        cut.get();
+        interruptedCall.get();
         Caller.Reply[] reply = new Caller.Reply[1];
         Eventually.until("the other entry settles the booking", () -> {
             reply[0] = system.caller("entry-2").book("key-c", "{\"card\":\"killed-c\"}");
@@ -76,24 +76,25 @@
 
     @Test
     void aBookingWhoseCompanionIsKilledNeverRunsAgain() throws Exception {
-        // The caller is told that the outcome is unknown, or gets the answer if it had left already. The companion is
-        // killed while the booking runs at the service. A new companion does not know the attempt, so that neither "not
-        // run" nor a second run would be safe.
-        CompletableFuture<Caller.Reply> cut = bookAsync("entry-1", "key-d", "killed-d");
+        // The companion is killed while a booking runs at the service. Its replacement does not know the attempt,
+        // so neither reporting "not run" nor a second run would be safe. The caller is told that the outcome is
+        // unknown, or gets the answer if it was sent before the kill.
+        CompletableFuture<Caller.Reply> interruptedCall = bookAsync("entry-1", "key-d", "killed-d");
         Thread.sleep(KILL_DELAY_MILLIS);
         system.process("companion-service").kill();
-        assertThat(cut.get().errorCode()).isIn(0, ResultCode.OUTCOME_UNKNOWN.number(), ResultCode.IN_PROGRESS.number());
+        assertThat(interruptedCall.get().errorCode())
+                .isIn(0, ResultCode.OUTCOME_UNKNOWN.number(), ResultCode.IN_PROGRESS.number());
         system.startCompanion(
                 "companion-service-2", "service-0", "service", system.standIns().servicePort());
         system.registerInstances();
         Eventually.until(
-                "the new companion works",
+                "the new companion serves",
                 () -> system.caller("entry-1")
                                 .book("key-d2", "{\"card\":\"fresh-d\"}")
                                 .status()
                         == 200);
-        Caller.Reply again = system.caller("entry-2").book("key-d", "{\"card\":\"killed-d\"}");
-        assertThat(again.errorCode()).isIn(0, ResultCode.OUTCOME_UNKNOWN.number(), ResultCode.IN_PROGRESS.number());
+        Caller.Reply retried = system.caller("entry-2").book("key-d", "{\"card\":\"killed-d\"}");
+        assertThat(retried.errorCode()).isIn(0, ResultCode.OUTCOME_UNKNOWN.number(), ResultCode.IN_PROGRESS.number());
         assertThat(system.standIns().countServiceRunsContaining("killed-d")).isLessThanOrEqualTo(1);
         assertThat(system.standIns().countServiceRunsContaining("fresh-d")).isEqualTo(1);
     }
@@ -101,9 +102,9 @@
     @ParameterizedTest
     @ValueSource(strings = {"loseAnswers", "swallowAnswers"})
     void aBookingWhoseTableResponsesAreLostRunsOnce(String fault) throws Exception {
-        // The table service applies a write and its answer is lost: the connection closes, or stays silent. The entry
-        // settles each write by reading the row for its own attempt, so the caller gets its answer, or is told that it
-        // may come back, and the booking has run at most once.
+        // The table service applies a write and its response is lost: the connection closes or stays silent. The
+        // entry resolves each write by looking for its own attempt in the row, so the caller gets the answer or is
+        // told to retry, and the booking runs at most once.
         system.standIns()
                 .setPlatformFault("table", "{\"" + fault + "\": true, \"count\": 3, \"path\": \"/v1/transactions\"}");
         Caller.Reply[] reply = new Caller.Reply[1];
@@ -116,8 +117,8 @@
 
     @Test
     void aBookingWithoutTheTableServiceIsRefusedAsNotRun() throws Exception {
-        // The caller gets STORE_UNAVAILABLE, not run, with a time to come back, at once. Without the row nobody could
-        // tell later whether the booking ran, so nothing is sent.
+        // Without the row it could not be determined later whether the booking ran, so nothing is sent. The caller
+        // immediately gets STORE_UNAVAILABLE, marked as not run, with a retry delay.
         system.standIns().setPlatformFault("table", "{\"down\": true}");
         Caller.Reply reply = system.caller("entry-1").book("key-f", "{\"card\":\"down-f\"}");
         assertThat(reply.errorCode()).isEqualTo(ResultCode.STORE_UNAVAILABLE.number());
@@ -128,9 +129,9 @@
     }
 
     private CompletableFuture<Caller.Reply> bookAsync(String entry, String key, String card) {
-        CountDownLatch begun = new CountDownLatch(1);
+        CountDownLatch started = new CountDownLatch(1);
         CompletableFuture<Caller.Reply> reply = CompletableFuture.supplyAsync(() -> {
-            begun.countDown();
+            started.countDown();
             try {
                 return system.caller(entry).book(key, "{\"card\":\"" + card + "\"}");
             } catch (InterruptedException interrupted) {
@@ -138,7 +139,7 @@
             }
         });
         try {
-            begun.await();
+            started.await();
         } catch (InterruptedException interrupted) {
             throw new IllegalStateException(interrupted);
         }
--- a/integration/src/test/java/org/geraniumreach/integration/Caller.java
+++ b/integration/src/test/java/org/geraniumreach/integration/Caller.java
@@ -18,7 +18,7 @@
 import org.geraniumreach.model.AdapterReference;
 import org.geraniumreach.standins.answer.ExpectedAnswer;
 
-/** A caller that knows nothing of the system but the OpenAI conventions. Immutable and safe for use by several threads. */
+/** Client that relies only on the OpenAI API conventions. Immutable and thread-safe. */
 final class Caller {
 
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(60);
@@ -36,24 +36,24 @@
     }
 
     /**
-     * What a caller got.
+     * The outcome of a call.
      *
-     * @param status the HTTP status, 0 if the connection broke off
-     * @param body the body of a whole answer or refusal
-     * @param text the text of a generation as far as it came
-     * @param finished whether the answer came to its end
-     * @param errorCode the error's code, 0 if there was none
-     * @param executionStatus what the error says of whether it ran
+     * @param status the HTTP status, or 0 if the connection broke
+     * @param body the body of a complete response or error
+     * @param text the text of a generation as far as it was received
+     * @param finished whether the response was received to its end
+     * @param errorCode the result code of the error, or 0 if there was none
+     * @param executionStatus whether the request ran according to the error: yes, no or unknown
      */
     record Reply(int status, String body, String text, boolean finished, int errorCode, String executionStatus) {
 
-        /** Whether the refusal says when to come back. */
+        /** Returns whether the error says when to retry. */
         boolean hasRetryDelay() {
             return body.contains("retry_after_ms");
         }
     }
 
-    /** A stream that is being read. */
+    /** A stream that is being read; {@code started} is released by its first event. */
     record OpenStream(CompletableFuture<Reply> reply, CountDownLatch started) {}
 
     Reply book(String idempotencyKey, String body) throws InterruptedException {
@@ -63,7 +63,7 @@
         try {
             HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
             return parseReply(response.statusCode(), response.body());
-        } catch (IOException brokeOff) {
+        } catch (IOException disconnected) {
             return new Reply(0, "", "", false, 0, "unknown");
         }
     }
@@ -87,21 +87,21 @@
                     reply.status() == 200,
                     reply.errorCode(),
                     reply.executionStatus());
-        } catch (IOException brokeOff) {
+        } catch (IOException disconnected) {
             return new Reply(0, "", "", false, 0, "unknown");
         }
     }
 
     OpenStream stream(String model, String prompt, int tokens) {
-        CountDownLatch begun = new CountDownLatch(1);
+        CountDownLatch started = new CountDownLatch(1);
         CompletableFuture<Reply> reply = new CompletableFuture<>();
-        Thread reader = new Thread(() -> reply.complete(readStream(model, prompt, tokens, begun)), "caller");
+        Thread reader = new Thread(() -> reply.complete(readStream(model, prompt, tokens, started)), "caller");
         reader.setDaemon(true);
         reader.start();
-        return new OpenStream(reply, begun);
+        return new OpenStream(reply, started);
     }
 
-    private Reply readStream(String model, String prompt, int tokens, CountDownLatch begun) {
+    private Reply readStream(String model, String prompt, int tokens, CountDownLatch started) {
         StringBuilder text = new StringBuilder();
         try {
             HttpResponse<InputStream> response = client.send(
@@ -112,8 +112,8 @@
                 return parseReply(
                         response.statusCode(), new String(response.body().readAllBytes(), StandardCharsets.UTF_8));
             }
-            return readEvents(response.body(), text, begun);
-        } catch (IOException brokeOff) {
+            return readEvents(response.body(), text, started);
+        } catch (IOException disconnected) {
             return new Reply(0, "", text.toString(), false, 0, "unknown");
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
@@ -121,7 +121,7 @@
         }
     }
 
-    private static Reply readEvents(InputStream input, StringBuilder text, CountDownLatch begun) throws IOException {
+    private static Reply readEvents(InputStream input, StringBuilder text, CountDownLatch started) throws IOException {
         BufferedReader lines = new BufferedReader(new InputStreamReader(input, StandardCharsets.UTF_8));
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
             if (!line.startsWith(DATA_PREFIX)) {
@@ -137,17 +137,17 @@
                 return new Reply(200, data, text.toString(), false, error.errorCode(), error.executionStatus());
             }
             text.append(event.path("choices").path(0).path("text").asText());
-            begun.countDown();
+            started.countDown();
         }
         return new Reply(200, "", text.toString(), false, 0, "unknown");
     }
 
-    /** Gets the text that an adapter and version must give. */
+    /** Returns the text that a version of an adapter must generate. */
     static String expectedText(String model, String prompt, int tokens) {
         return expectedAnswer(model, prompt).text(tokens);
     }
 
-    /** Finds a prompt whose answer does not end before its limit. */
+    /** Finds a prompt whose answer does not end before the token limit. */
     static String findPrompt(String model, int tokens) {
         for (int number = 0; ; number++) {
             String prompt = "Summarise fault note " + number;
--- a/integration/src/test/java/org/geraniumreach/integration/DrainTest.java
+++ b/integration/src/test/java/org/geraniumreach/integration/DrainTest.java
@@ -32,7 +32,7 @@
 
     @Test
     void aTerminatedEntryFinishesItsStreams() throws Exception {
-        // The caller's stream comes to its end although its entry is told to leave in the middle.
+        // An open stream must run to its end when its entry receives SIGTERM.
         Caller.OpenStream stream = system.caller("entry-1").stream(MODEL, prompt, MAX_TOKENS);
         stream.started().await();
         system.process("entry-1").terminate();
@@ -44,8 +44,8 @@
 
     @Test
     void aCompanionThatIsToldToEndFinishesItsStreamsAndGetsNoNewOnes() throws Exception {
-        // The caller's stream comes to its end, and whoever calls meanwhile is served by the other target: the
-        // companion tells its entries that it leaves, and what it refuses has not run and goes elsewhere.
+        // Open streams run to their end, and new calls are served by the other target: the companion tells its
+        // entries that it is draining, and a request that it refuses has not run and is sent to another target.
         Caller.OpenStream[] streams = new Caller.OpenStream[8];
         for (int number = 0; number < streams.length; number++) {
             streams[number] = system.caller("entry-1").stream("adapter-" + number % 4 + "@v1", prompt, MAX_TOKENS);
--- a/integration/src/test/java/org/geraniumreach/integration/Eventually.java
+++ b/integration/src/test/java/org/geraniumreach/integration/Eventually.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.concurrent.Callable;
 
-/** Waits for what must come to hold, with a limit so generous that only a fault reaches it. */
+/** Polls until a condition holds, with a timeout long enough that only a fault exceeds it. */
 final class Eventually {
 
     private static final Duration TIMEOUT = Duration.ofSeconds(60);
@@ -11,11 +11,11 @@
 
     private Eventually() {}
 
-    static void until(String what, Callable<Boolean> condition) throws Exception {
+    static void until(String description, Callable<Boolean> condition) throws Exception {
         long deadline = System.nanoTime() + TIMEOUT.toNanos();
         while (!holds(condition)) {
             if (System.nanoTime() > deadline) {
-                throw new AssertionError("never came to hold: " + what);
+                throw new AssertionError("timed out waiting for: " + description);
             }
             Thread.sleep(POLL_INTERVAL_MILLIS);
         }
--- a/integration/src/test/java/org/geraniumreach/integration/FenceTest.java
+++ b/integration/src/test/java/org/geraniumreach/integration/FenceTest.java
@@ -30,9 +30,9 @@
 
     @Test
     void aSuspendedCompanionIsFencedOutAfterAnotherTakesOver() throws Exception {
-        // The callers are served by the new companion only. The old one is frozen for longer than a lease and wakes
-        // up in the belief that the target is its own. Its orders carry the lower fence, which the engine refuses; it
-        // reads the higher one in the table and stops taking work.
+        // The old companion is suspended for longer than a lease and resumes as if it still owned the target. The
+        // engine rejects its lower fencing token; the companion then reads the higher one in the table and stops
+        // accepting work, so callers are served only by the new companion.
         assertThat(system.caller("entry-1").complete(MODEL, "first", 3).finished())
                 .isTrue();
         system.process("companion-0").suspend();
--- a/integration/src/test/java/org/geraniumreach/integration/JavaProcess.java
+++ b/integration/src/test/java/org/geraniumreach/integration/JavaProcess.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A Java process that a test started. Confined to the test. */
+/** A Java process started by a test. Confined to the test. */
 final class JavaProcess implements AutoCloseable {
 
     private static final long EXIT_TIMEOUT_SECONDS = 40;
@@ -37,7 +37,7 @@
         return new JavaProcess(builder.start());
     }
 
-    /** Ends the process at once, as a crash does. */
+    /** Kills the process immediately, as in a crash. */
     void kill() throws InterruptedException {
         process.destroyForcibly().waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
@@ -50,7 +50,7 @@
         sendSignal("CONT");
     }
 
-    /** Asks the process to end, as the platform does. */
+    /** Sends SIGTERM, as the platform does to stop a process. */
     void terminate() throws IOException, InterruptedException {
         sendSignal("TERM");
     }
--- a/integration/src/test/java/org/geraniumreach/integration/KeyFailureTest.java
+++ b/integration/src/test/java/org/geraniumreach/integration/KeyFailureTest.java
@@ -32,15 +32,15 @@
 
     @Test
     void aWithdrawnKeyIsRefusedAtBothEntriesAndItsOpenStreamEnds() throws Exception {
-        // The caller's stream of twenty seconds breaks off with KEY_REFUSED, and both entries refuse the key. The
-        // operator withdraws it at one entry while the caller is connected to the other.
+        // The operator withdraws the key at one entry while a stream of twenty seconds is open at the other. The
+        // stream ends with KEY_REFUSED, and both entries refuse the key.
         String prompt = Caller.findPrompt(MODEL, MAX_TOKENS);
         Caller.OpenStream stream = system.caller("entry-2").stream(MODEL, prompt, MAX_TOKENS);
         stream.started().await();
         system.runControl("withdraw", "key", "floor-key");
-        Caller.Reply broken = stream.reply().get();
-        assertThat(broken.finished()).isFalse();
-        assertThat(broken.errorCode()).isEqualTo(ResultCode.KEY_REFUSED.number());
+        Caller.Reply interrupted = stream.reply().get();
+        assertThat(interrupted.finished()).isFalse();
+        assertThat(interrupted.errorCode()).isEqualTo(ResultCode.KEY_REFUSED.number());
         for (String entry : new String[] {"entry-1", "entry-2"}) {
             Eventually.until(
                     entry + " refuses the key",
@@ -53,11 +53,11 @@
 
     @Test
     void generationsContinueWhenAllEntriesLoseTheTableService() throws Exception {
-        // The callers see nothing of the outage. Every entry hears from every other that the store is unreachable, so
-        // no change can have been accepted that one of them missed.
+        // Every entry learns from every other that the store is unreachable, so no entry can have missed an
+        // accepted change and all keep serving.
         system.standIns().setPlatformFault("table", "{\"down\": true}");
-        long until = System.nanoTime() + 5_000_000_000L;
-        while (System.nanoTime() < until) {
+        long deadline = System.nanoTime() + 5_000_000_000L;
+        while (System.nanoTime() < deadline) {
             for (String entry : new String[] {"entry-1", "entry-2"}) {
                 Caller.Reply reply = system.caller(entry).complete(MODEL, "keep on", 3);
                 assertThat(reply.text()).as(reply.toString()).isEqualTo(Caller.expectedText(MODEL, "keep on", 3));
--- a/integration/src/test/java/org/geraniumreach/integration/Ports.java
+++ b/integration/src/test/java/org/geraniumreach/integration/Ports.java
@@ -6,9 +6,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Gives each test free ports of loopback, below those that the machine hands out by itself.
+ * Allocates free loopback ports below the ephemeral port range of the operating system.
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 final class Ports {
 
@@ -17,7 +17,7 @@
     private static final AtomicInteger NEXT_PORT =
             new AtomicInteger(FIRST_PORT + (int) (ProcessHandle.current().pid() % 60) * 100);
 
-    /** Takes ports that follow one another. */
+    /** Allocates consecutive ports and returns the first. */
     int allocate(int count) {
         while (true) {
             int first = NEXT_PORT.getAndAdd(count);
--- a/integration/src/test/java/org/geraniumreach/integration/RateFailureTest.java
+++ b/integration/src/test/java/org/geraniumreach/integration/RateFailureTest.java
@@ -45,11 +45,11 @@
 
     @Test
     void anAccountStaysWithinItsRateWhileAnEntryIsReplacedAndTheStoreFails() throws Exception {
-        // The account's callers send several times its rate to both entries and are refused beyond it. One entry is
-        // killed and a new one takes its place, then the table service goes away. Whatever the entries believe of
-        // their shares, what the engine has run is at most the rate over the whole time, and one burst.
-        long begin = System.nanoTime();
-        long ranBefore = countEngineTokens();
+        // Callers send several times the account's rate to both entries while one entry is killed and replaced and
+        // the table service then fails. Whatever shares the entries assume, the engine must not run more than the
+        // rate allows over the whole time plus one burst.
+        long startNanos = System.nanoTime();
+        long tokensBefore = countEngineTokens();
         List<CompletableFuture<Void>> callers = new ArrayList<>();
         for (int number = 0; number < CALLER_COUNT; number++) {
             String entry = number % 2 == 0 ? "entry-1" : "entry-2";
@@ -69,9 +69,9 @@
         for (CompletableFuture<Void> caller : callers) {
             caller.get();
         }
-        double seconds = (System.nanoTime() - begin) / 1e9;
+        double seconds = (System.nanoTime() - startNanos) / 1e9;
         assertThat(completedCalls.get()).isPositive();
-        assertThat(countEngineTokens() - ranBefore)
+        assertThat(countEngineTokens() - tokensBefore)
                 .isLessThanOrEqualTo((long) (TOKENS_PER_SECOND * seconds) + BURST_TOKENS);
     }
 
--- a/integration/src/test/java/org/geraniumreach/integration/Relay.java
+++ b/integration/src/test/java/org/geraniumreach/integration/Relay.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * Stands between two processes and loses track of their connections on demand.
+ * TCP relay between two processes that can drop traffic or close connections on demand.
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 final class Relay implements AutoCloseable {
 
@@ -39,12 +39,12 @@
         return server.getLocalPort();
     }
 
-    /** Leaves the open connections open and passes nothing on; new connections work. */
+    /** Drops all further traffic on the existing connections without closing them; new connections work normally. */
     void stopForwarding() {
         pipes.forEach(pipe -> pipe.forwardingStopped = true);
     }
 
-    /** Closes the open connections and refuses new ones. */
+    /** Closes all connections and closes new ones as soon as they are accepted. */
     void disconnect() {
         disconnected = true;
         pipes.forEach(Pipe::close);
@@ -62,7 +62,7 @@
                 startPipe(from, to);
                 startPipe(to, from);
             } catch (IOException closed) {
-                // The target may not be up yet; whoever connects tries again.
+                // The target may not be up yet; the connecting process retries.
                 continue;
             }
         }
@@ -87,7 +87,7 @@
         pipes.forEach(Pipe::close);
     }
 
-    /** One direction of one connection. */
+    /** Forwards one direction of a connection. */
     private static final class Pipe {
 
         private final Socket from;
@@ -110,7 +110,7 @@
                     }
                     count = input.read(buffer);
                 }
-            } catch (IOException ended) {
+            } catch (IOException closed) {
                 close();
             }
         }
@@ -120,7 +120,7 @@
                 from.close();
                 to.close();
             } catch (IOException ignored) {
-                // Both are to be closed, and closing is all that is wanted of them.
+                // The sockets are discarded, so a failure to close them does not matter.
                 return;
             }
         }
--- a/integration/src/test/java/org/geraniumreach/integration/StandIns.java
+++ b/integration/src/test/java/org/geraniumreach/integration/StandIns.java
@@ -12,7 +12,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 
-/** The stand-ins of one test: platform, engines, one plain service. Confined to the test. */
+/** Runs the stand-ins of one test: the platform, the engines and a plain service. Confined to the test. */
 final class StandIns implements AutoCloseable {
 
     static final int OBJECTS_PORT_OFFSET = 1;
@@ -42,13 +42,13 @@
     }
 
     static StandIns start(Ports ports, int engines, Path directory, String... engineOptions) throws Exception {
-        StandIns started = new StandIns(ports, engines);
+        StandIns standIns = new StandIns(ports, engines);
         try {
-            started.startAll(directory, engineOptions);
-            return started;
-        } catch (Exception failed) {
-            started.close();
-            throw failed;
+            standIns.startAll(directory, engineOptions);
+            return standIns;
+        } catch (Exception failure) {
+            standIns.close();
+            throw failure;
         }
     }
 
@@ -62,7 +62,7 @@
                 Integer.toString(platformPort),
                 "--list-lag-millis",
                 "300"));
-        List<String> engine = new ArrayList<>(List.of(
+        List<String> engineArguments = new ArrayList<>(List.of(
                 "engine",
                 "--ports",
                 String.join(",", enginePorts.stream().map(String::valueOf).toList()),
@@ -70,9 +70,9 @@
                 Integer.toString(engineAdministrationPort),
                 "--weights",
                 "http://127.0.0.1:" + (platformPort + WEIGHTS_PORT_OFFSET)));
-        engine.addAll(List.of(engineOptions));
+        engineArguments.addAll(List.of(engineOptions));
         processes.add(JavaProcess.start(
-                "standins", MAIN_CLASS, directory.resolve("engines.log"), engine.toArray(String[]::new)));
+                "standins", MAIN_CLASS, directory.resolve("engines.log"), engineArguments.toArray(String[]::new)));
         processes.add(JavaProcess.start(
                 "standins",
                 MAIN_CLASS,
@@ -84,8 +84,8 @@
                 Integer.toString(serviceAdministrationPort),
                 "--latency-millis",
                 "400"));
-        for (int administration : List.of(administrationPort(), engineAdministrationPort, serviceAdministrationPort)) {
-            Eventually.until("stand-ins answer", () -> get(administration, "/admin/parts") != null);
+        for (int port : List.of(administrationPort(), engineAdministrationPort, serviceAdministrationPort)) {
+            Eventually.until("stand-ins respond", () -> get(port, "/admin/parts") != null);
         }
     }
 
@@ -125,7 +125,7 @@
         post(engineAdministrationPort, "/admin/restart?part=engine-" + enginePort(engine), "{}");
     }
 
-    /** Counts the runs of the plain service whose request holds a text. */
+    /** Returns the number of runs of the plain service whose request contains a text. */
     long countServiceRunsContaining(String text) throws IOException, InterruptedException {
         long runs = 0;
         for (JsonNode run : get(servicePort, "/v1/ran").path("runs")) {
@@ -135,11 +135,11 @@
     }
 
     List<JsonNode> engineRuns() throws IOException, InterruptedException {
-        List<JsonNode> ran = new ArrayList<>();
+        List<JsonNode> runs = new ArrayList<>();
         for (int port : enginePorts) {
-            get(port, "/v1/ran").path("streams").forEach(ran::add);
+            get(port, "/v1/ran").path("streams").forEach(runs::add);
         }
-        return ran;
+        return runs;
     }
 
     JsonNode engineState(int engine) throws IOException, InterruptedException {
--- a/integration/src/test/java/org/geraniumreach/integration/StreamFailureTest.java
+++ b/integration/src/test/java/org/geraniumreach/integration/StreamFailureTest.java
@@ -24,7 +24,7 @@
 
     @BeforeEach
     void start() throws Exception {
-        // A step of 10 ms makes a stream of two seconds, so that a fault in its middle comes in its middle.
+        // A step of 10 ms makes a stream last two seconds, long enough to inject a fault while it is open.
         system = TestSystem.start(directory, 1, "--step-micros", "10000");
     }
 
@@ -35,9 +35,9 @@
 
     @Test
     void aStreamResumesOnANewConnectionWhenItsLinkGoesSilent() throws Exception {
-        // The caller sees a pause and then the rest. Whatever stands between entry and companion loses track of their
-        // connection, which stays open without a byte. Heartbeats go unanswered, the entry opens a new connection and
-        // resumes at the next sequence; the companion has kept what was not acknowledged.
+        // A middlebox drops all traffic on the connection between entry and companion without closing it.
+        // Heartbeats go unanswered, so the entry opens a new connection and resumes at the next sequence number;
+        // the companion has kept what was not acknowledged. The caller sees a pause and then the rest.
         Caller.OpenStream stream = system.caller("entry-1").stream(MODEL, prompt, MAX_TOKENS);
         stream.started().await();
         system.relay("companion-0").stopForwarding();
@@ -45,14 +45,14 @@
         assertThat(reply.finished()).as(reply.toString()).isTrue();
         assertThat(reply.text()).isEqualTo(Caller.expectedText(MODEL, prompt, MAX_TOKENS));
         assertThat(system.standIns().engineRuns())
-                .filteredOn(ran -> ran.toString().contains(MODEL))
+                .filteredOn(run -> run.toString().contains(MODEL))
                 .hasSize(1);
     }
 
     @Test
     void aStreamWhoseLinkIsCutEndsWithAnErrorAndNeverAppearsComplete() throws Exception {
-        // The caller gets the part it has, then an error event, and never the ending event. The link is cut and no
-        // new one can be opened, so the rest of the answer cannot be had.
+        // The link is cut and no new one can be opened, so the rest of the answer is lost. The caller gets an error
+        // event after the part already received, and never the final event.
         Caller.OpenStream stream = system.caller("entry-1").stream(MODEL, prompt, MAX_TOKENS);
         stream.started().await();
         system.relay("companion-0").disconnect();
@@ -65,9 +65,9 @@
 
     @Test
     void anEngineRestartEndsTheStreamWithAnErrorAndTheAdapterIsReloaded() throws Exception {
-        // The caller's stream breaks off with an error. The engine restarts cold: it holds no adapter any more, and the
-        // companion must not believe that it does, or the next request would be refused by the engine or run on
-        // nothing.
+        // A restarted engine has no adapters loaded. A companion that still assumed a loaded adapter would send the
+        // next request to an engine that refuses it or runs it without the adapter. The open stream ends with an
+        // error.
         Caller.OpenStream stream = system.caller("entry-1").stream(MODEL, prompt, MAX_TOKENS);
         stream.started().await();
         system.standIns().restartEngine(0);
@@ -82,8 +82,8 @@
 
     @Test
     void aResponseFromAnotherVersionIsWithheld() throws Exception {
-        // The caller gets an error and not a word of the answer. The engine says that it runs another version than
-        // the one named, and a part that had been passed on could not be taken back.
+        // The engine reports that it runs another version than the requested one. The caller gets an error and no
+        // text, since text that has been forwarded cannot be withdrawn.
         system.standIns().setEngineFault(0, "{\"wrongVersion\": true}");
         Caller.Reply reply =
                 system.caller("entry-1").stream(MODEL, prompt, 20).reply().get();
@@ -93,7 +93,7 @@
 
     @Test
     void aFailedLoadIsReportedImmediately() throws Exception {
-        // The caller gets LOAD_FAILED, not run, instead of waiting for its deadline.
+        // The caller gets LOAD_FAILED, marked as not run, instead of waiting for its deadline.
         system.standIns().setEngineFault(0, "{\"failLoads\": true}");
         Caller.Reply reply = system.caller("entry-1").complete("adapter-1@v1", prompt, 5);
         assertThat(reply.errorCode()).isEqualTo(ResultCode.LOAD_FAILED.number());
@@ -102,9 +102,9 @@
 
     @Test
     void aGenerationThatMayHaveRunIsNotReportedAsNotRun() throws Exception {
-        // The caller is told of the failure, and that the request may have run. The engine restarts while it runs,
-        // and for another try there is no target left; of that second try alone "not run" would be true.
-        CompletableFuture<Caller.Reply> whole = CompletableFuture.supplyAsync(() -> {
+        // The engine restarts during a generation, and no target is left for a second attempt. "Not run" would be
+        // true of the second attempt alone; the caller must be told that the request may have run.
+        CompletableFuture<Caller.Reply> reply = CompletableFuture.supplyAsync(() -> {
             try {
                 return system.caller("entry-1").complete(MODEL, prompt, MAX_TOKENS);
             } catch (InterruptedException interrupted) {
@@ -112,17 +112,17 @@
             }
         });
         Eventually.until(
-                "the engine runs it",
+                "the engine runs the request",
                 () -> system.standIns().engineState(0).path("running").asInt() > 0);
         system.standIns().restartEngine(0);
-        assertThat(whole.get().status()).isNotEqualTo(200);
-        assertThat(whole.get().executionStatus()).as(whole.get().body()).isEqualTo("unknown");
+        assertThat(reply.get().status()).isNotEqualTo(200);
+        assertThat(reply.get().executionStatus()).as(reply.get().body()).isEqualTo("unknown");
     }
 
     @Test
     void aStreamOfAKilledEntryIsCancelledAtTheEngine() throws Exception {
-        // Nobody sees the rest: the entry dies in the middle of a stream. The companion gives the work up once its
-        // entry has been gone for too long; until then another entry could have taken it over.
+        // The entry is killed during a stream, so the rest has no reader. The companion keeps the work for a while,
+        // as another entry could take it over, and then cancels it.
         Caller.OpenStream stream = system.caller("entry-1").stream(MODEL, prompt, MAX_TOKENS);
         stream.started().await();
         system.process("entry-1").kill();
--- a/integration/src/test/java/org/geraniumreach/integration/TestSystem.java
+++ b/integration/src/test/java/org/geraniumreach/integration/TestSystem.java
@@ -21,15 +21,16 @@
 import org.geraniumreach.model.KeyDigest;
 
 /**
- * Two entries, a companion beside each engine and one beside the plain service, as processes. Confined to the test.
+ * Runs two entries, a companion for each engine and one for the plain service as separate processes.
  *
- * <p>Each link to a companion goes through a relay, so that a test can cut or silence it.
+ * <p>Each link to a companion passes through a relay, so that a test can disconnect it or stop its traffic. Confined to the
+ * test.
  */
 final class TestSystem implements AutoCloseable {
 
     static final String ACCOUNT = "floor";
     static final String KEY = "floor-key-0123456789abcdef0123456789abcdef";
-    /** An adapter that only the start of a test uses: an entry hears a moment late that a companion takes work. */
+    /** The model of start-up probes, used by no test: an entry learns with a delay that a companion accepts work. */
     private static final String WARM_UP_MODEL = "adapter-3@v1";
 
     private static final String OPERATOR_CREDENTIAL = "operator-credential-0123456789abcdef";
@@ -55,7 +56,7 @@
         this.ports = ports;
     }
 
-    /** Starts everything, and waits until both entries can reach all companions. */
+    /** Starts all processes and waits until both entries can reach all companions. */
     static TestSystem start(Path directory, int engines, String... engineOptions) throws Exception {
         Ports ports = new Ports();
         StandIns standIns = StandIns.start(ports, engines, directory, engineOptions);
@@ -63,9 +64,9 @@
         try {
             system.startAll();
             return system;
-        } catch (Exception | AssertionError failed) {
+        } catch (Exception | AssertionError failure) {
             system.close();
-            throw failed;
+            throw failure;
         }
     }
 
@@ -79,10 +80,10 @@
         startCompanion("companion-service", "service-0", "service", standIns.servicePort());
         registerInstances();
         Eventually.until(
-                "entry-1 answers or has ended",
+                "entry-1 responds or has exited",
                 () -> !process("entry-1").isAlive() || status("entry-1").contains("\"ready\":true"));
         if (!process("entry-1").isAlive()) {
-            throw new AssertionError("entry-1 has ended: " + log("entry-1"));
+            throw new AssertionError("entry-1 exited: " + log("entry-1"));
         }
         submit(initialRecords());
         awaitReady();
@@ -93,7 +94,7 @@
             Eventually.until(instance + " ready", () -> statusCode(managementPorts.get(instance), "/readyz") == 200);
         }
         for (String entry : operatorPorts.keySet()) {
-            Eventually.until(entry + " linked with all", () -> {
+            Eventually.until(entry + " linked with all companions", () -> {
                 String status = status(entry);
                 return !status.contains("\"linked\":false")
                         && status.split("\"linked\":true", -1).length == managementPorts.size();
@@ -109,11 +110,11 @@
     }
 
     void startEntry(String name) throws IOException {
-        int link = ports.allocate(1);
+        int linkPort = ports.allocate(1);
         callerPorts.put(name, ports.allocate(1));
         operatorPorts.put(name, ports.allocate(1));
         managementPorts.put(name, ports.allocate(1));
-        String yaml = nodeSettings("entry", name, link)
+        String yaml = nodeSettings("entry", name, linkPort)
                 + "callers: 127.0.0.1:" + callerPorts.get(name) + "\n"
                 + "operator: {address: '127.0.0.1:" + operatorPorts.get(name) + "', credentialDigest: "
                 + KeyDigest.ofSecret(OPERATOR_CREDENTIAL).toHexadecimal() + "}\n"
@@ -121,16 +122,16 @@
                 + "budget: {leaseRenewal: 500ms, proofLimit: 2s, listLag: 500ms, quarantine: 8s, scanInterval: 200ms}\n"
                 + "ledger: {patience: 5s, takeoverAge: 2s, clockError: 200ms}\n";
         start(name, "entry", yaml);
-        registrations.add(registration(name, "entry", link));
+        registrations.add(registration(name, "entry", linkPort));
     }
 
-    void startCompanion(String name, String target, String kind, int address) throws IOException {
-        int link = ports.allocate(1);
+    void startCompanion(String name, String target, String kind, int targetPort) throws IOException {
+        int linkPort = ports.allocate(1);
         managementPorts.put(name, ports.allocate(1));
-        String yaml = nodeSettings("companion", name, link) + "target: {name: " + target + ", kind: " + kind
-                + ", address: '127.0.0.1:" + address + "'}\n";
+        String yaml = nodeSettings("companion", name, linkPort) + "target: {name: " + target + ", kind: " + kind
+                + ", address: '127.0.0.1:" + targetPort + "'}\n";
         start(name, "companion", yaml);
-        Relay relay = Relay.start(new InetSocketAddress(InetAddress.getLoopbackAddress(), link));
+        Relay relay = Relay.start(new InetSocketAddress(InetAddress.getLoopbackAddress(), linkPort));
         relays.put(name, relay);
         registrations.add(registration(name, "companion", relay.port()));
     }
@@ -148,9 +149,9 @@
                         settings.toString()));
     }
 
-    private String nodeSettings(String role, String name, int link) {
+    private String nodeSettings(String role, String name, int linkPort) {
         return "role: " + role + "\n"
-                + "node: {instance: " + name + ", failureDomain: domain-1, link: '127.0.0.1:" + link
+                + "node: {instance: " + name + ", failureDomain: domain-1, link: '127.0.0.1:" + linkPort
                 + "', management: '127.0.0.1:" + managementPorts.get(name) + "', drainLimit: 30s}\n"
                 + "log: {level: debug}\n"
                 + "platform: {table: '127.0.0.1:" + standIns.platformPort(0) + "', objects: '127.0.0.1:"
@@ -162,9 +163,9 @@
                 + "configuration: {period: 200ms, freshnessLimit: 2s}\n";
     }
 
-    private String registration(String name, String role, int link) {
+    private String registration(String name, String role, int linkPort) {
         return "{\"instance\":\"" + name + "\",\"role\":\"" + role
-                + "\",\"failureDomain\":\"domain-1\",\"linkAddress\":\"127.0.0.1:" + link
+                + "\",\"failureDomain\":\"domain-1\",\"linkAddress\":\"127.0.0.1:" + linkPort
                 + "\",\"healthUrl\":\"http://127.0.0.1:" + managementPorts.get(name) + "/healthz\"}";
     }
 
@@ -210,13 +211,13 @@
         return records.toString();
     }
 
-    private static void appendRecord(StringBuilder records, String kind, String name, String rest) {
+    private static void appendRecord(StringBuilder records, String kind, String name, String fields) {
         records.append("--- {kind: ")
                 .append(kind)
                 .append(", name: ")
                 .append(name)
                 .append(", ")
-                .append(rest)
+                .append(fields)
                 .append("}\n");
     }
 
@@ -225,19 +226,20 @@
         runControl("submit", file.toString());
     }
 
-    /** Runs the operators' command line against both entries. */
+    /** Runs the operator command line against the entries and fails unless it exits with 0. */
     void runControl(String... arguments) throws Exception {
-        List<String> line = new ArrayList<>();
+        List<String> commandLine = new ArrayList<>();
         for (int port : operatorPorts.values()) {
-            line.addAll(List.of("--entry", "127.0.0.1:" + port));
+            commandLine.addAll(List.of("--entry", "127.0.0.1:" + port));
         }
-        line.addAll(List.of("--credential-file", directory.resolve("credential").toString()));
-        line.addAll(List.of(arguments));
+        commandLine.addAll(
+                List.of("--credential-file", directory.resolve("credential").toString()));
+        commandLine.addAll(List.of(arguments));
         ByteArrayOutputStream output = new ByteArrayOutputStream();
         PrintStream print = new PrintStream(output, true, StandardCharsets.UTF_8);
-        int code = TestControl.run(print, line.toArray(String[]::new));
+        int code = TestControl.run(print, commandLine.toArray(String[]::new));
         if (code != 0) {
-            throw new AssertionError("control ended with " + code + ": " + output.toString(StandardCharsets.UTF_8));
+            throw new AssertionError("control exited with " + code + ": " + output.toString(StandardCharsets.UTF_8));
         }
     }
 
--- a/integration/src/test/java/org/geraniumreach/integration/package-info.java
+++ b/integration/src/test/java/org/geraniumreach/integration/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Failure tests of the real processes, against stand-ins, on loopback.
+ * Failure tests that run the real processes against stand-ins on the loopback interface.
  *
- * <p>Each test starts its own processes and ends them. What is asserted is what must hold, from the stand-ins' records of
- * what ran and from what each caller received; nothing is asserted of how long something took.
+ * <p>Each test starts and stops its own processes. Assertions use the runs that the stand-ins recorded and the responses
+ * that callers received; none depends on how long something took.
  */
 package org.geraniumreach.integration;
