--- a/control/src/main/java/org/geraniumreach/control/Commands.java
+++ b/control/src/main/java/org/geraniumreach/control/Commands.java
@@ -19,10 +19,10 @@
 import org.geraniumreach.model.record.RecordKind;
 
 /**
- * Carries out one command.
+ * Runs one command.
  *
- * <p>Invariant: every change of a command has an operation id that follows from the command's own, so the same command with
- * the same id goes on where an earlier try stopped and makes nothing twice. Confined to one thread.
+ * <p>Invariant: the operation id of each change is derived from that of the command, so running the command again with the
+ * same id continues where the earlier attempt stopped and applies no change twice. Not thread-safe.
  */
 final class Commands {
 
@@ -32,7 +32,7 @@
     private final Options options;
     private final Printer printer;
     private final SecureRandom random = new SecureRandom();
-    private final List<String> advice = new ArrayList<>();
+    private final List<String> recoveryHints = new ArrayList<>();
 
     Commands(Options options, Printer printer) {
         this.options = options;
@@ -40,61 +40,62 @@
     }
 
     /**
-     * Gets what the operator can do after a failure.
+     * Returns what the operator can do after a failure.
      *
-     * @return lines to print, not null
+     * @return the lines to print, not null
      */
-    List<String> advice() {
-        return advice;
+    List<String> recoveryHints() {
+        return recoveryHints;
     }
 
     void run() throws ControlException {
-        List<String> words = options.words();
-        if (words.isEmpty()) {
+        List<String> arguments = options.arguments();
+        if (arguments.isEmpty()) {
             throw ControlException.usage("a command is missing");
         }
-        List<String> rest = words.subList(1, words.size());
-        switch (words.get(0)) {
-            case "submit" -> submit(rest);
-            case "withdraw" -> withdraw(key(rest));
-            case "list" -> printer.list(
-                    client().list(kind(one(rest, "list KIND")).label()));
-            case "show" -> printer.record(client().show(key(rest)));
-            case "history" -> printer.history(
-                    client().history(rest.isEmpty() ? Optional.empty() : Optional.of(key(rest))));
-            case "status" -> status(rest);
-            case "validate" -> validate(rest);
-            case "key" -> newKey(rest);
-            default -> throw ControlException.usage("unknown command '" + words.get(0) + "'");
+        List<String> operands = arguments.subList(1, arguments.size());
+        switch (arguments.get(0)) {
+            case "submit" -> submit(operands);
+            case "withdraw" -> withdraw(parseKey(operands));
+            case "list" -> printer.printList(createClient()
+                    .list(parseKind(requireSingle(operands, "list KIND")).label()));
+            case "show" -> printer.printRecord(createClient().show(parseKey(operands)));
+            case "history" -> printer.printHistory(
+                    createClient().history(operands.isEmpty() ? Optional.empty() : Optional.of(parseKey(operands))));
+            case "status" -> status(operands);
+            case "validate" -> validate(operands);
+            case "key" -> createKey(operands);
+            default -> throw ControlException.usage("unknown command '" + arguments.get(0) + "'");
         }
     }
 
     private void submit(List<String> files) throws ControlException {
         List<RecordDocument> documents = RecordFiles.read(files);
-        OperatorClient client = client();
+        OperatorClient client = createClient();
         long basedOn = basedOn(client);
-        String operation = operation();
-        Map<RecordKey, Long> ownRevisions = new HashMap<>();
+        String operationId = operationId();
+        Map<RecordKey, Long> submittedRevisions = new HashMap<>();
         for (int index = 0; index < documents.size(); index++) {
             RecordDocument document = documents.get(index);
-            advice.clear();
-            advice.add(index + " of " + documents.size() + " records were accepted; "
-                    + "submit the same files with --operation " + operation + " to find out about the rest and go on");
-            ObjectNode answer = client.submit(
-                    documents.size() == 1 ? operation : operation + "-" + index,
-                    ownRevisions.getOrDefault(document.key(), basedOn),
+            recoveryHints.clear();
+            recoveryHints.add(index + " of " + documents.size() + " records were accepted; "
+                    + "submit the same files with --operation " + operationId
+                    + " to find out about the rest and go on");
+            ObjectNode response = client.submit(
+                    documents.size() == 1 ? operationId : operationId + "-" + index,
+                    submittedRevisions.getOrDefault(document.key(), basedOn),
                     document);
-            ownRevisions.put(
-                    document.key(), answer.path("change").path("revision").asLong());
-            printer.change(answer);
+            submittedRevisions.put(
+                    document.key(), response.path("change").path("revision").asLong());
+            printer.printChange(response);
         }
     }
 
     private void withdraw(RecordKey key) throws ControlException {
-        OperatorClient client = client();
-        String operation = operation();
-        advice.add("withdraw again with --operation " + operation + " to find out what became of it");
-        printer.change(client.withdraw(operation, basedOn(client), key));
+        OperatorClient client = createClient();
+        String operationId = operationId();
+        recoveryHints.add("withdraw again with --operation " + operationId + " to find out what became of it");
+        printer.printChange(client.withdraw(operationId, basedOn(client), key));
     }
 
     private long basedOn(OperatorClient client) throws ControlException {
@@ -107,9 +108,9 @@
         return options.basedOn();
     }
 
-    private String operation() throws ControlException {
+    private String operationId() throws ControlException {
         if (options.operation() == null) {
-            return "ctl-" + hexadecimal(OPERATION_BYTES);
+            return "ctl-" + randomHexadecimal(OPERATION_BYTES);
         }
         if (!Names.isName(options.operation())) {
             throw ControlException.usage("--operation: not a valid name: '" + options.operation() + "'");
@@ -117,8 +118,8 @@
         return options.operation();
     }
 
-    private String hexadecimal(int length) {
-        byte[] bytes = new byte[length];
+    private String randomHexadecimal(int byteCount) {
+        byte[] bytes = new byte[byteCount];
         random.nextBytes(bytes);
         return HexFormat.of().formatHex(bytes);
     }
@@ -126,52 +127,52 @@
     private void validate(List<String> files) throws ControlException {
         List<RecordDocument> documents = RecordFiles.read(files);
         if (options.hasEntries()) {
-            client().validate(documents);
+            createClient().validate(documents);
         }
-        printer.tree(OperatorClient.object()
+        printer.printTree(OperatorClient.newObject()
                 .put("result", ResultCode.OK.name())
                 .put("records", documents.size())
                 .put("checkedAgainstEntry", options.hasEntries()));
     }
 
-    private void status(List<String> rest) throws ControlException {
-        if (!rest.isEmpty()) {
+    private void status(List<String> operands) throws ControlException {
+        if (!operands.isEmpty()) {
             throw ControlException.usage("status takes nothing more");
         }
-        printer.tree(client().status());
+        printer.printTree(createClient().status());
     }
 
-    private void newKey(List<String> rest) throws ControlException {
-        if (rest.size() != 2 || !rest.get(0).equals("new") || options.account() == null) {
+    private void createKey(List<String> operands) throws ControlException {
+        if (operands.size() != 2 || !operands.get(0).equals("new") || options.account() == null) {
             throw ControlException.usage("key new NAME --account ACCOUNT");
         }
-        RecordKey key = key(RecordKind.KEY, rest.get(1));
+        RecordKey key = parseKey(RecordKind.KEY, operands.get(1));
         if (!Names.isName(options.account())) {
             throw ControlException.usage("--account: not a valid name: '" + options.account() + "'");
         }
-        String secret = hexadecimal(KEY_BYTES);
-        ObjectNode record = OperatorClient.object()
+        String secret = randomHexadecimal(KEY_BYTES);
+        ObjectNode record = OperatorClient.newObject()
                 .put("schemaVersion", 1)
                 .put("account", options.account())
                 .put("digest", KeyDigest.ofSecret(secret).toHexadecimal());
         if (options.output() == Options.Output.JSON) {
-            ObjectNode both = OperatorClient.object().put("secret", secret);
-            both.putObject("record")
+            ObjectNode output = OperatorClient.newObject().put("secret", secret);
+            output.putObject("record")
                     .put("kind", key.kind().label())
                     .put("name", key.name())
                     .setAll(record);
-            printer.tree(both);
+            printer.printTree(output);
             return;
         }
-        printer.line("# secret, shown only now: " + secret);
-        printer.document(key.kind().label(), key.name(), record);
+        printer.printLine("# secret, shown only now: " + secret);
+        printer.printDocument(key.kind().label(), key.name(), record);
     }
 
-    private OperatorClient client() throws ControlException {
-        return new OperatorClient(options.entries(), credential());
+    private OperatorClient createClient() throws ControlException {
+        return new OperatorClient(options.entries(), readCredential());
     }
 
-    private Optional<String> credential() throws ControlException {
+    private Optional<String> readCredential() throws ControlException {
         if (options.credentialFile() == null) {
             return Optional.empty();
         }
@@ -183,28 +184,28 @@
         }
     }
 
-    private static String one(List<String> rest, String usage) throws ControlException {
-        if (rest.size() != 1) {
+    private static String requireSingle(List<String> operands, String usage) throws ControlException {
+        if (operands.size() != 1) {
             throw ControlException.usage(usage);
         }
-        return rest.get(0);
+        return operands.get(0);
     }
 
-    private static RecordKey key(List<String> rest) throws ControlException {
-        if (rest.size() != 2) {
+    private static RecordKey parseKey(List<String> operands) throws ControlException {
+        if (operands.size() != 2) {
             throw ControlException.usage("a KIND and a NAME are wanted");
         }
-        return key(kind(rest.get(0)), rest.get(1));
+        return parseKey(parseKind(operands.get(0)), operands.get(1));
     }
 
-    private static RecordKey key(RecordKind kind, String name) throws ControlException {
+    private static RecordKey parseKey(RecordKind kind, String name) throws ControlException {
         if (!Names.isName(name)) {
             throw ControlException.usage("not a valid name: '" + name + "'");
         }
         return RecordKey.of(kind, name);
     }
 
-    private static RecordKind kind(String label) throws ControlException {
+    private static RecordKind parseKind(String label) throws ControlException {
         List<String> labels =
                 List.of(RecordKind.values()).stream().map(RecordKind::label).toList();
         return RecordKind.ofLabel(label)
--- a/control/src/main/java/org/geraniumreach/control/OperatorClient.java
+++ b/control/src/main/java/org/geraniumreach/control/OperatorClient.java
@@ -22,17 +22,17 @@
 import org.geraniumreach.model.record.RecordKey;
 
 /**
- * Speaks to the operators' port of entries, trying one after the other.
+ * HTTP client for the operator ports of entries, which fails over from one entry to the next.
  *
- * <p>Invariant: the next entry is tried only with the same operation id, under which a change is made at most once, so an
- * answer that was lost on the way cannot make it twice. Safe for use by several threads.
+ * <p>Invariant: every entry is sent the same operation id, and a change takes effect at most once per operation id, so
+ * retrying after a lost response cannot apply the change twice. Thread-safe.
  */
 final class OperatorClient {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final Duration CONNECT_LIMIT = Duration.ofSeconds(3);
-    private static final Duration ANSWER_LIMIT = Duration.ofSeconds(20);
-    private static final Set<ResultCode> TRY_NEXT = Set.of(
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(3);
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(20);
+    private static final Set<ResultCode> FAILOVER_CODES = Set.of(
             ResultCode.ENTRY_UNREACHABLE,
             ResultCode.DRAINING,
             ResultCode.STORE_UNAVAILABLE,
@@ -42,36 +42,37 @@
     private final List<String> entries;
     private final Optional<String> credential;
     private final HttpClient client =
-            HttpClient.newBuilder().connectTimeout(CONNECT_LIMIT).build();
+            HttpClient.newBuilder().connectTimeout(CONNECT_TIMEOUT).build();
 
     OperatorClient(List<String> entries, Optional<String> credential) {
         this.entries = List.copyOf(entries);
         this.credential = credential;
     }
 
-    static ObjectNode object() {
+    static ObjectNode newObject() {
         return MAPPER.createObjectNode();
     }
 
     ObjectNode submit(String operation, long basedOn, RecordDocument document) throws ControlException {
-        ObjectNode request = change(operation, basedOn, document.key());
+        ObjectNode request = changeRequest(operation, basedOn, document.key());
         request.set("record", document.record());
         return call("POST", "/operator/v1/submit", Optional.of(request));
     }
 
     ObjectNode withdraw(String operation, long basedOn, RecordKey key) throws ControlException {
-        return call("POST", "/operator/v1/withdraw", Optional.of(change(operation, basedOn, key)));
+        return call("POST", "/operator/v1/withdraw", Optional.of(changeRequest(operation, basedOn, key)));
     }
 
-    private static ObjectNode change(String operation, long basedOn, RecordKey key) {
-        return object().put("operation", operation)
+    private static ObjectNode changeRequest(String operation, long basedOn, RecordKey key) {
+        return newObject()
+                .put("operation", operation)
                 .put("basedOn", basedOn)
                 .put("kind", key.kind().label())
                 .put("name", key.name());
     }
 
     ObjectNode validate(List<RecordDocument> documents) throws ControlException {
-        ObjectNode request = object();
+        ObjectNode request = newObject();
         for (RecordDocument document : documents) {
             ObjectNode record = request.withArray("records").addObject();
             record.put("kind", document.key().kind().label())
@@ -90,7 +91,7 @@
     }
 
     ObjectNode history(Optional<RecordKey> key) throws ControlException {
-        String query = key.map(of -> "?kind=" + of.kind().label() + "&name=" + encode(of.name()))
+        String query = key.map(recordKey -> "?kind=" + recordKey.kind().label() + "&name=" + encode(recordKey.name()))
                 .orElse("");
         return call("GET", "/operator/v1/history" + query, Optional.empty());
     }
@@ -104,24 +105,24 @@
     }
 
     private ObjectNode call(String method, String path, Optional<ObjectNode> body) throws ControlException {
-        ControlException last = ControlException.usage("no entry is given");
+        ControlException lastFailure = ControlException.usage("no entry is given");
         boolean unsettled = false;
         for (String entry : entries) {
             try {
                 return call(entry, method, path, body);
             } catch (ControlException failure) {
-                if (!TRY_NEXT.contains(failure.code())) {
+                if (!FAILOVER_CODES.contains(failure.code())) {
                     throw failure;
                 }
                 unsettled |= failure.exitCode() == ExitCode.UNSETTLED;
-                last = failure;
+                lastFailure = failure;
             }
         }
-        /* An entry whose answer was lost may have made the change; that the next one cannot be reached tells nothing. */
-        if (unsettled && last.exitCode() != ExitCode.UNSETTLED) {
-            throw ControlException.of(ResultCode.SUBMISSION_UNSETTLED, last.getMessage());
+        /* An entry whose response was lost may have made the change, even if the next entry is unreachable. */
+        if (unsettled && lastFailure.exitCode() != ExitCode.UNSETTLED) {
+            throw ControlException.of(ResultCode.SUBMISSION_UNSETTLED, lastFailure.getMessage());
         }
-        throw last;
+        throw lastFailure;
     }
 
     private ObjectNode call(String entry, String method, String path, Optional<ObjectNode> body)
@@ -133,14 +134,14 @@
             return answer;
         }
         ResultCode code = ResultCode.ofNumber(error.path("code").asInt(-1)).orElse(ResultCode.INTERNAL_ERROR);
-        throw ControlException.answered(code, error.path("message").asText(code.meaning()), answer);
+        throw ControlException.fromResponse(code, error.path("message").asText(code.meaning()), answer);
     }
 
     private HttpRequest request(String entry, String method, String path, Optional<ObjectNode> body)
             throws ControlException {
         try {
             HttpRequest.Builder builder = HttpRequest.newBuilder(URI.create("http://" + entry + path))
-                    .timeout(ANSWER_LIMIT)
+                    .timeout(RESPONSE_TIMEOUT)
                     .header("Content-Type", "application/json")
                     .method(
                             method,
@@ -153,17 +154,18 @@
         }
     }
 
-    private HttpResponse<String> send(String entry, HttpRequest request, boolean changes) throws ControlException {
+    private HttpResponse<String> send(String entry, HttpRequest request, boolean changesRecords)
+            throws ControlException {
         try {
             return client.send(request, HttpResponse.BodyHandlers.ofString());
-        } catch (ConnectException | HttpConnectTimeoutException refused) {
+        } catch (ConnectException | HttpConnectTimeoutException unreachable) {
             throw ControlException.unreachable("entry " + entry + " cannot be reached");
         } catch (IOException lost) {
             String message = "entry " + entry + " did not answer: " + lost.getMessage();
-            throw changes
+            throw changesRecords
                     ? ControlException.of(ResultCode.SUBMISSION_UNSETTLED, message)
                     : ControlException.unreachable(message);
-        } catch (InterruptedException ending) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
             throw ControlException.of(ResultCode.SUBMISSION_UNSETTLED, "interrupted");
         }
@@ -175,12 +177,12 @@
                 return answer;
             }
         } catch (JsonProcessingException malformed) {
-            throw notOurs(entry);
+            throw notAnOperatorPort(entry);
         }
-        throw notOurs(entry);
+        throw notAnOperatorPort(entry);
     }
 
-    private static ControlException notOurs(String entry) {
+    private static ControlException notAnOperatorPort(String entry) {
         return ControlException.of(ResultCode.INTERNAL_ERROR, entry + " is not an operators' port");
     }
 }
--- a/control/src/main/java/org/geraniumreach/control/Printer.java
+++ b/control/src/main/java/org/geraniumreach/control/Printer.java
@@ -13,7 +13,7 @@
 /**
  * Prints results as text or as JSON.
  *
- * <p>Confined to the thread of the command.
+ * <p>Not thread-safe; confined to the thread that runs the command.
  */
 final class Printer {
 
@@ -35,43 +35,43 @@
     }
 
     /**
-     * Prints the result of a change.
+     * Prints the result of a submission or withdrawal.
      *
-     * @param answer the entry's answer, not null
+     * @param response the entry's response, not null
      */
-    void change(ObjectNode answer) {
+    void printChange(ObjectNode response) {
         if (isJson()) {
-            out.println(answer);
+            out.println(response);
             return;
         }
-        JsonNode change = answer.path("change");
+        JsonNode change = response.path("change");
         out.printf(
                 "%s/%s %s as revision %d, held by %d other entries (operation %s)%n",
                 change.path("kind").asText(),
                 change.path("name").asText(),
                 change.path("withdrawn").asBoolean() ? "withdrawn" : "accepted",
                 change.path("revision").asLong(),
-                answer.path("otherEntries").asInt(),
-                answer.path("operation").asText());
+                response.path("otherEntries").asInt(),
+                response.path("operation").asText());
     }
 
-    void list(ObjectNode answer) {
+    void printList(ObjectNode response) {
         if (isJson()) {
-            out.println(answer);
+            out.println(response);
             return;
         }
-        answer.path("records")
+        response.path("records")
                 .forEach(record -> out.printf(
                         "%-40s %d%n",
                         record.path("name").asText(), record.path("revision").asLong()));
     }
 
-    void history(ObjectNode answer) {
+    void printHistory(ObjectNode response) {
         if (isJson()) {
-            out.println(answer);
+            out.println(response);
             return;
         }
-        answer.path("changes")
+        response.path("changes")
                 .forEach(change -> out.printf(
                         "%-8d %-10s %s/%s (operation %s)%n",
                         change.path("revision").asLong(),
@@ -82,44 +82,44 @@
     }
 
     /**
-     * Prints a record in the form in which it can be submitted.
+     * Prints a record in a form that can be submitted again.
      *
-     * @param answer the entry's answer, not null
+     * @param response the entry's response, not null
      */
-    void record(ObjectNode answer) {
+    void printRecord(ObjectNode response) {
         if (isJson()) {
-            out.println(answer);
+            out.println(response);
             return;
         }
-        out.printf("# revision %d%n", answer.path("revision").asLong());
-        document(answer.path("kind").asText(), answer.path("name").asText(), answer.path("record"));
+        out.printf("# revision %d%n", response.path("revision").asLong());
+        printDocument(response.path("kind").asText(), response.path("name").asText(), response.path("record"));
     }
 
-    void document(String kind, String name, JsonNode record) {
-        ObjectNode document = OperatorClient.object().put("kind", kind).put("name", name);
+    void printDocument(String kind, String name, JsonNode record) {
+        ObjectNode document = OperatorClient.newObject().put("kind", kind).put("name", name);
         record.fields().forEachRemaining(field -> document.set(field.getKey(), field.getValue()));
         if (isJson()) {
             out.println(document);
         } else {
-            out.print(yaml(document));
+            out.print(toYaml(document));
         }
     }
 
-    void tree(ObjectNode answer) {
+    void printTree(ObjectNode response) {
         if (isJson()) {
-            out.println(answer);
+            out.println(response);
         } else {
-            out.print(yaml(answer));
+            out.print(toYaml(response));
         }
     }
 
-    void line(String text) {
+    void printLine(String text) {
         if (!isJson()) {
             out.println(text);
         }
     }
 
-    private static String yaml(ObjectNode node) {
+    private static String toYaml(ObjectNode node) {
         try {
             return YAML.writeValueAsString(node);
         } catch (JsonProcessingException impossible) {
@@ -127,26 +127,26 @@
         }
     }
 
-    void failure(ControlException failure, List<String> advice) {
+    void printFailure(ControlException failure, List<String> recoveryHints) {
         if (isJson()) {
-            ObjectNode body = OperatorClient.object();
+            ObjectNode body = OperatorClient.newObject();
             body.putObject("error")
                     .put("code", failure.code().number())
                     .put("name", failure.code().name())
                     .put("message", failure.getMessage());
-            if (failure.current() != null) {
-                body.set("current", failure.current());
+            if (failure.currentRecord() != null) {
+                body.set("current", failure.currentRecord());
             }
             out.println(body);
             return;
         }
         error.printf(
                 "error %d %s: %s%n", failure.code().number(), failure.code().name(), failure.getMessage());
-        if (failure.current() != null) {
+        if (failure.currentRecord() != null) {
             error.printf(
                     "the current record, of revision %d:%n%s",
-                    failure.current().path("revision").asLong(), yaml(failure.current()));
+                    failure.currentRecord().path("revision").asLong(), toYaml(failure.currentRecord()));
         }
-        advice.forEach(error::println);
+        recoveryHints.forEach(error::println);
     }
 }
--- a/control/src/test/java/org/geraniumreach/control/MainTest.java
+++ b/control/src/test/java/org/geraniumreach/control/MainTest.java
@@ -33,10 +33,10 @@
 class MainTest {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final String ACCEPTED =
+    private static final String ACCEPTED_RESPONSE =
             "{\"result\":\"OK\",\"otherEntries\":1,\"operation\":\"op\",\"change\":{\"revision\":8,\"kind\":\"account\","
                     + "\"name\":\"acme\",\"withdrawn\":false}}";
-    private static final String RECORDS =
+    private static final String TWO_RECORDS =
             """
             {kind: account, name: acme, schemaVersion: 1, rate: 1, burst: 1}
             ---
@@ -48,7 +48,7 @@
 
     private final List<String> requests = Collections.synchronizedList(new ArrayList<>());
     private final List<JsonNode> bodies = Collections.synchronizedList(new ArrayList<>());
-    private final Deque<String> answers = new ArrayDeque<>();
+    private final Deque<String> responses = new ArrayDeque<>();
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream error = new ByteArrayOutputStream();
     private HttpServer entry;
@@ -58,10 +58,10 @@
     @BeforeEach
     void start() throws IOException {
         entry = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
-        entry.createContext("/", this::answer);
+        entry.createContext("/", this::handle);
         entry.start();
         address = "127.0.0.1:" + entry.getAddress().getPort();
-        records = Files.writeString(directory.resolve("records.yaml"), RECORDS);
+        records = Files.writeString(directory.resolve("records.yaml"), TWO_RECORDS);
     }
 
     @AfterEach
@@ -69,24 +69,24 @@
         entry.stop(0);
     }
 
-    private synchronized void answer(HttpExchange exchange) throws IOException {
+    private synchronized void handle(HttpExchange exchange) throws IOException {
         requests.add(exchange.getRequestMethod() + " " + exchange.getRequestURI());
         byte[] body = exchange.getRequestBody().readAllBytes();
         if (body.length > 0) {
             bodies.add(MAPPER.readTree(body));
         }
-        String answer = answers.isEmpty() ? "{\"revision\":7}" : answers.remove();
-        if (answer.equals("broken off")) {
+        String response = responses.isEmpty() ? "{\"revision\":7}" : responses.remove();
+        if (response.equals("broken off")) {
             exchange.close();
             return;
         }
-        byte[] bytes = answer.getBytes(StandardCharsets.UTF_8);
+        byte[] bytes = response.getBytes(StandardCharsets.UTF_8);
         exchange.sendResponseHeaders(200, bytes.length);
         exchange.getResponseBody().write(bytes);
         exchange.close();
     }
 
-    private static String failure(ResultCode code) {
+    private static String errorResponse(ResultCode code) {
         return "{\"error\":{\"code\":" + code.number() + ",\"message\":\"because\"}}";
     }
 
@@ -95,12 +95,12 @@
     }
 
     /*
-     * Failure: a change is made twice, since the command line asks a second entry after the first's answer was lost. Both
-     * must be asked under the same operation id.
+     * Failure: a change is applied twice because the client retries at a second entry after losing the response of the
+     * first. Both requests must carry the same operation id.
      */
     @Test
     void theNextEntryIsAskedUnderTheSameOperationId() throws IOException {
-        answers.addAll(List.of("{\"revision\":7}", "broken off", ACCEPTED, ACCEPTED));
+        responses.addAll(List.of("{\"revision\":7}", "broken off", ACCEPTED_RESPONSE, ACCEPTED_RESPONSE));
         assertThat(run("submit", records.toString(), "--entry", address, "--entry", address))
                 .isEqualTo(ExitCode.OK.number());
         List<String> operations =
@@ -111,28 +111,28 @@
     }
 
     @Test
-    void anEntryThatIsDownIsPassedOver() throws IOException {
-        String down;
+    void anUnreachableEntryIsSkipped() throws IOException {
+        String unreachable;
         try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            down = "127.0.0.1:" + unused.getLocalPort();
+            unreachable = "127.0.0.1:" + unused.getLocalPort();
         }
-        assertThat(run("status", "--entry", down, "--entry", address)).isEqualTo(ExitCode.OK.number());
-        assertThat(run("status", "--entry", down)).isEqualTo(ExitCode.UNREACHABLE.number());
+        assertThat(run("status", "--entry", unreachable, "--entry", address)).isEqualTo(ExitCode.OK.number());
+        assertThat(run("status", "--entry", unreachable)).isEqualTo(ExitCode.UNREACHABLE.number());
     }
 
     /*
-     * Failure: an operator is told that nothing was changed although the first entry may have made the change before its
-     * answer was lost, because the second entry could not be reached at all.
+     * Failure: the operator is told that nothing changed because the second entry was unreachable, although the first may
+     * have made the change before its response was lost.
      */
     @Test
-    void aLostAnswerStaysUnsettledWhenTheNextEntryIsDown() throws IOException {
-        String down;
+    void aLostResponseStaysUnsettledWhenTheNextEntryIsDown() throws IOException {
+        String unreachable;
         try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            down = "127.0.0.1:" + unused.getLocalPort();
+            unreachable = "127.0.0.1:" + unused.getLocalPort();
         }
-        answers.add("broken off");
-        answers.add("broken off");
-        assertThat(run("withdraw", "key", "k", "--based-on", "3", "--entry", address, "--entry", down))
+        responses.add("broken off");
+        responses.add("broken off");
+        assertThat(run("withdraw", "key", "k", "--based-on", "3", "--entry", address, "--entry", unreachable))
                 .isEqualTo(ExitCode.UNSETTLED.number());
     }
 
@@ -147,20 +147,20 @@
         "REFERENCE_DANGLING, 2",
         "INTERNAL_ERROR, 9"
     })
-    void theExitCodeFollowsTheResult(ResultCode code, int exitCode) {
-        answers.addAll(List.of("{\"revision\":7}", failure(code)));
+    void theExitCodeMatchesTheResultCode(ResultCode code, int exitCode) {
+        responses.addAll(List.of("{\"revision\":7}", errorResponse(code)));
         assertThat(run("submit", records.toString(), "--entry", address, "--operation", "op"))
                 .isEqualTo(exitCode);
         assertThat(error.toString()).contains("error " + code.number(), "0 of 2 records", "--operation op");
     }
 
     /*
-     * Failure: half of a file is in force, because its second record is wrong and the first was submitted before the second
-     * was read.
+     * Failure: only part of a file takes effect, because the first records were submitted before an invalid later one was
+     * read.
      */
     @Test
-    void aFileWithAWrongRecordIsNotSubmittedInPart() throws IOException {
-        Files.writeString(records, RECORDS + "---\n{kind: account, name: third, schemaVersion: 1}\n");
+    void aFileWithAnInvalidRecordIsNotSubmittedAtAll() throws IOException {
+        Files.writeString(records, TWO_RECORDS + "---\n{kind: account, name: third, schemaVersion: 1}\n");
         assertThat(run("submit", records.toString(), "--entry", address)).isEqualTo(ExitCode.INVALID.number());
         assertThat(requests).isEmpty();
     }
@@ -183,13 +183,13 @@
         "withdraw key k --operation a/b",
         "withdraw key k --based-on -4"
     })
-    void whatIsNoCommandIsUsage(String line) {
+    void anInvalidCommandLineExitsWithTheUsageCode(String line) {
         assertThat(run(line.isEmpty() ? new String[0] : line.split(" "))).isEqualTo(ExitCode.USAGE.number());
         assertThat(error.toString()).isNotBlank();
     }
 
     @Test
-    void aNewKeyIsShownOnceWithTheDigestThatIsStored() throws IOException {
+    void aNewKeyIsPrintedWithTheDigestOfItsSecret() throws IOException {
         assertThat(run("key", "new", "k1", "--account", "acme", "--output", "json"))
                 .isEqualTo(ExitCode.OK.number());
         JsonNode printed = MAPPER.readTree(out.toString());
@@ -203,7 +203,7 @@
     @Test
     void theCredentialIsReadFromItsFileAndNeverPrinted() throws IOException {
         Path credential = Files.writeString(directory.resolve("credential"), "very-secret\n");
-        answers.add(failure(ResultCode.OPERATOR_REFUSED));
+        responses.add(errorResponse(ResultCode.OPERATOR_REFUSED));
         run("status", "--entry", address, "--credential-file", credential.toString());
         assertThat(out.toString() + error).doesNotContain("very-secret");
     }
--- a/integration/src/test/java/org/geraniumreach/integration/JavaProcess.java
+++ b/integration/src/test/java/org/geraniumreach/integration/JavaProcess.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** A Java process that a test started. Confined to the test. */
+/** A Java process started by a test. Confined to the test. */
 final class JavaProcess implements AutoCloseable {
 
-    private static final long END_SECONDS = 40;
+    private static final long EXIT_TIMEOUT_SECONDS = 40;
 
     private final Process process;
 
@@ -37,33 +37,33 @@
         return new JavaProcess(builder.start());
     }
 
-    /** Ends the process at once, as a crash does. */
+    /** Kills the process immediately, as in a crash. */
     void kill() throws InterruptedException {
-        process.destroyForcibly().waitFor(END_SECONDS, TimeUnit.SECONDS);
+        process.destroyForcibly().waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    void freeze() throws IOException, InterruptedException {
-        signal("STOP");
+    void suspend() throws IOException, InterruptedException {
+        sendSignal("STOP");
     }
 
-    void thaw() throws IOException, InterruptedException {
-        signal("CONT");
+    void resume() throws IOException, InterruptedException {
+        sendSignal("CONT");
     }
 
-    /** Asks the process to end, as the platform does. */
+    /** Sends SIGTERM, as the platform does to stop a process. */
     void terminate() throws IOException, InterruptedException {
-        signal("TERM");
+        sendSignal("TERM");
     }
 
     boolean isAlive() {
         return process.isAlive();
     }
 
-    boolean awaitEnd() throws InterruptedException {
-        return process.waitFor(END_SECONDS, TimeUnit.SECONDS);
+    boolean awaitExit() throws InterruptedException {
+        return process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
-    private void signal(String name) throws IOException, InterruptedException {
+    private void sendSignal(String name) throws IOException, InterruptedException {
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
                 .start()
                 .waitFor();
--- a/integration/src/test/java/org/geraniumreach/integration/Relay.java
+++ b/integration/src/test/java/org/geraniumreach/integration/Relay.java
@@ -11,27 +11,27 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * Stands between two processes and loses track of their connections on demand.
+ * TCP relay between two processes that can drop traffic or close connections on demand.
  *
- * <p>Safe for use by several threads.
+ * <p>Thread-safe.
  */
 final class Relay implements AutoCloseable {
 
-    private static final int BUFFER = 8_192;
+    private static final int BUFFER_BYTES = 8_192;
 
     private final ServerSocket server;
     private final InetSocketAddress target;
     private final List<Pipe> pipes = new CopyOnWriteArrayList<>();
-    private volatile boolean cut;
+    private volatile boolean disconnected;
 
     private Relay(ServerSocket server, InetSocketAddress target) {
         this.server = server;
         this.target = target;
     }
 
-    static Relay to(InetSocketAddress target) throws IOException {
+    static Relay start(InetSocketAddress target) throws IOException {
         Relay relay = new Relay(new ServerSocket(0, 50, InetAddress.getLoopbackAddress()), target);
-        daemon(relay::accept);
+        startDaemonThread(relay::acceptConnections);
         return relay;
     }
 
@@ -39,43 +39,43 @@
         return server.getLocalPort();
     }
 
-    /** Leaves the open connections open and passes nothing on; new connections work. */
-    void silence() {
-        pipes.forEach(pipe -> pipe.silent = true);
+    /** Drops all further traffic on the existing connections without closing them; new connections work normally. */
+    void stopForwarding() {
+        pipes.forEach(pipe -> pipe.forwardingStopped = true);
     }
 
-    /** Closes the open connections and refuses new ones. */
-    void cut() {
-        cut = true;
+    /** Closes all connections and closes new ones as soon as they are accepted. */
+    void disconnect() {
+        disconnected = true;
         pipes.forEach(Pipe::close);
     }
 
-    private void accept() {
+    private void acceptConnections() {
         while (!server.isClosed()) {
             try {
                 Socket from = server.accept();
-                if (cut) {
+                if (disconnected) {
                     from.close();
                     continue;
                 }
                 Socket to = new Socket(target.getAddress(), target.getPort());
-                open(from, to);
-                open(to, from);
+                startPipe(from, to);
+                startPipe(to, from);
             } catch (IOException closed) {
-                // The target may not be up yet; whoever connects tries again.
+                // The target may not be up yet; the connecting process retries.
                 continue;
             }
         }
     }
 
-    private void open(Socket from, Socket to) throws IOException {
+    private void startPipe(Socket from, Socket to) throws IOException {
         from.setTcpNoDelay(true);
         Pipe pipe = new Pipe(from, to);
         pipes.add(pipe);
-        daemon(pipe::run);
+        startDaemonThread(pipe::forward);
     }
 
-    private static void daemon(Runnable task) {
+    private static void startDaemonThread(Runnable task) {
         Thread thread = new Thread(task, "relay");
         thread.setDaemon(true);
         thread.start();
@@ -87,30 +87,30 @@
         pipes.forEach(Pipe::close);
     }
 
-    /** One direction of one connection. */
+    /** Forwards one direction of a connection. */
     private static final class Pipe {
 
         private final Socket from;
         private final Socket to;
-        private volatile boolean silent;
+        private volatile boolean forwardingStopped;
 
         Pipe(Socket from, Socket to) {
             this.from = from;
             this.to = to;
         }
 
-        void run() {
-            byte[] buffer = new byte[BUFFER];
+        void forward() {
+            byte[] buffer = new byte[BUFFER_BYTES];
             try (InputStream input = from.getInputStream();
                     OutputStream output = to.getOutputStream()) {
                 int count = input.read(buffer);
                 while (count >= 0) {
-                    if (!silent) {
+                    if (!forwardingStopped) {
                         output.write(buffer, 0, count);
                     }
                     count = input.read(buffer);
                 }
-            } catch (IOException ended) {
+            } catch (IOException closed) {
                 close();
             }
         }
@@ -120,7 +120,7 @@
                 from.close();
                 to.close();
             } catch (IOException ignored) {
-                // Both are to be closed, and closing is all that is wanted of them.
+                // The sockets are discarded, so a failure to close them does not matter.
                 return;
             }
         }
--- a/integration/src/test/java/org/geraniumreach/integration/StreamFailureTest.java
+++ b/integration/src/test/java/org/geraniumreach/integration/StreamFailureTest.java
@@ -14,17 +14,17 @@
 class StreamFailureTest {
 
     private static final String MODEL = "adapter-0@v1";
-    private static final int TOKENS = 200;
+    private static final int MAX_TOKENS = 200;
 
     @TempDir
     Path directory;
 
-    private final String prompt = Caller.promptFor(MODEL, TOKENS);
+    private final String prompt = Caller.findPrompt(MODEL, MAX_TOKENS);
     private TestSystem system;
 
     @BeforeEach
     void start() throws Exception {
-        // A step of 10 ms makes a stream of two seconds, so that a fault in its middle comes in its middle.
+        // A step of 10 ms makes a stream last two seconds, long enough to inject a fault while it is open.
         system = TestSystem.start(directory, 1, "--step-micros", "10000");
     }
 
@@ -34,97 +34,97 @@
     }
 
     @Test
-    void aStreamWhoseLinkGoesSilentGoesOnOverANewOne() throws Exception {
-        // The caller sees a pause and then the rest. Whatever stands between entry and companion loses track of their
-        // connection, which stays open without a byte. Heartbeats go unanswered, the entry opens a new connection and
-        // resumes at the next sequence; the companion has kept what was not acknowledged.
-        Caller.Streaming stream = system.caller("entry-1").stream(MODEL, prompt, TOKENS);
-        stream.begun().await();
-        system.relay("companion-0").silence();
+    void aStreamResumesOnANewConnectionWhenItsLinkGoesSilent() throws Exception {
+        // A middlebox drops all traffic on the connection between entry and companion without closing it.
+        // Heartbeats go unanswered, so the entry opens a new connection and resumes at the next sequence number;
+        // the companion has kept what was not acknowledged. The caller sees a pause and then the rest.
+        Caller.OpenStream stream = system.caller("entry-1").stream(MODEL, prompt, MAX_TOKENS);
+        stream.started().await();
+        system.relay("companion-0").stopForwarding();
         Caller.Reply reply = stream.reply().get();
-        assertThat(reply.whole()).as(reply.toString()).isTrue();
-        assertThat(reply.text()).isEqualTo(Caller.expected(MODEL, prompt, TOKENS));
-        assertThat(system.standIns().ranOnEngines())
-                .filteredOn(ran -> ran.toString().contains(MODEL))
+        assertThat(reply.finished()).as(reply.toString()).isTrue();
+        assertThat(reply.text()).isEqualTo(Caller.expectedText(MODEL, prompt, MAX_TOKENS));
+        assertThat(system.standIns().engineRuns())
+                .filteredOn(run -> run.toString().contains(MODEL))
                 .hasSize(1);
     }
 
     @Test
-    void aStreamWhoseLinkIsCutForGoodEndsWithAnErrorAndNeverLooksWhole() throws Exception {
-        // The caller gets the part it has, then an error event, and never the ending event. The link is cut and no
-        // new one can be opened, so the rest of the answer cannot be had.
-        Caller.Streaming stream = system.caller("entry-1").stream(MODEL, prompt, TOKENS);
-        stream.begun().await();
-        system.relay("companion-0").cut();
+    void aStreamWhoseLinkIsCutEndsWithAnErrorAndNeverAppearsComplete() throws Exception {
+        // The link is cut and no new one can be opened, so the rest of the answer is lost. The caller gets an error
+        // event after the part already received, and never the final event.
+        Caller.OpenStream stream = system.caller("entry-1").stream(MODEL, prompt, MAX_TOKENS);
+        stream.started().await();
+        system.relay("companion-0").disconnect();
         Caller.Reply reply = stream.reply().get();
-        assertThat(reply.whole()).isFalse();
-        assertThat(reply.error()).isEqualTo(ResultCode.ANSWER_INTERRUPTED.number());
-        assertThat(reply.ran()).isEqualTo("unknown");
-        assertThat(Caller.expected(MODEL, prompt, TOKENS)).startsWith(reply.text());
+        assertThat(reply.finished()).isFalse();
+        assertThat(reply.errorCode()).isEqualTo(ResultCode.ANSWER_INTERRUPTED.number());
+        assertThat(reply.executionStatus()).isEqualTo("unknown");
+        assertThat(Caller.expectedText(MODEL, prompt, MAX_TOKENS)).startsWith(reply.text());
     }
 
     @Test
-    void aStreamWhoseEngineRestartsEndsWithAnErrorAndNextRequestsLoadAgain() throws Exception {
-        // The caller's stream breaks off with an error. The engine restarts cold: it holds no adapter any more, and the
-        // companion must not believe that it does, or the next request would be refused by the engine or run on
-        // nothing.
-        Caller.Streaming stream = system.caller("entry-1").stream(MODEL, prompt, TOKENS);
-        stream.begun().await();
+    void anEngineRestartEndsTheStreamWithAnErrorAndTheAdapterIsReloaded() throws Exception {
+        // A restarted engine has no adapters loaded. A companion that still assumed a loaded adapter would send the
+        // next request to an engine that refuses it or runs it without the adapter. The open stream ends with an
+        // error.
+        Caller.OpenStream stream = system.caller("entry-1").stream(MODEL, prompt, MAX_TOKENS);
+        stream.started().await();
         system.standIns().restartEngine(0);
         Caller.Reply reply = stream.reply().get();
-        assertThat(reply.whole()).isFalse();
-        assertThat(Caller.expected(MODEL, prompt, TOKENS)).startsWith(reply.text());
+        assertThat(reply.finished()).isFalse();
+        assertThat(Caller.expectedText(MODEL, prompt, MAX_TOKENS)).startsWith(reply.text());
         Eventually.until("the adapter is served again", () -> system.caller("entry-2")
                 .complete(MODEL, prompt, 5)
                 .text()
-                .equals(Caller.expected(MODEL, prompt, 5)));
+                .equals(Caller.expectedText(MODEL, prompt, 5)));
     }
 
     @Test
-    void anAnswerFromAnotherVersionIsWithheld() throws Exception {
-        // The caller gets an error and not a word of the answer. The engine says that it runs another version than
-        // the one named, and a part that had been passed on could not be taken back.
-        system.standIns().engineFault(0, "{\"wrongVersion\": true}");
+    void aResponseFromAnotherVersionIsWithheld() throws Exception {
+        // The engine reports that it runs another version than the requested one. The caller gets an error and no
+        // text, since text that has been forwarded cannot be withdrawn.
+        system.standIns().setEngineFault(0, "{\"wrongVersion\": true}");
         Caller.Reply reply =
                 system.caller("entry-1").stream(MODEL, prompt, 20).reply().get();
         assertThat(reply.text()).isEmpty();
-        assertThat(reply.error()).isEqualTo(ResultCode.WRONG_ADAPTER_SERVED.number());
+        assertThat(reply.errorCode()).isEqualTo(ResultCode.WRONG_ADAPTER_SERVED.number());
     }
 
     @Test
-    void aLoadThatFailsIsToldAtOnce() throws Exception {
-        // The caller gets LOAD_FAILED, not run, instead of waiting for its deadline.
-        system.standIns().engineFault(0, "{\"failLoads\": true}");
+    void aFailedLoadIsReportedImmediately() throws Exception {
+        // The caller gets LOAD_FAILED, marked as not run, instead of waiting for its deadline.
+        system.standIns().setEngineFault(0, "{\"failLoads\": true}");
         Caller.Reply reply = system.caller("entry-1").complete("adapter-1@v1", prompt, 5);
-        assertThat(reply.error()).isEqualTo(ResultCode.LOAD_FAILED.number());
-        assertThat(reply.ran()).isEqualTo("no");
+        assertThat(reply.errorCode()).isEqualTo(ResultCode.LOAD_FAILED.number());
+        assertThat(reply.executionStatus()).isEqualTo("no");
     }
 
     @Test
-    void aGenerationThatMayHaveRunIsNeverSaidNotToHaveRun() throws Exception {
-        // The caller is told of the failure, and that the request may have run. The engine restarts while it runs,
-        // and for another try there is no target left; of that second try alone "not run" would be true.
-        CompletableFuture<Caller.Reply> whole = CompletableFuture.supplyAsync(() -> {
+    void aGenerationThatMayHaveRunIsNotReportedAsNotRun() throws Exception {
+        // The engine restarts during a generation, and no target is left for a second attempt. "Not run" would be
+        // true of the second attempt alone; the caller must be told that the request may have run.
+        CompletableFuture<Caller.Reply> reply = CompletableFuture.supplyAsync(() -> {
             try {
-                return system.caller("entry-1").complete(MODEL, prompt, TOKENS);
+                return system.caller("entry-1").complete(MODEL, prompt, MAX_TOKENS);
             } catch (InterruptedException interrupted) {
                 throw new IllegalStateException(interrupted);
             }
         });
         Eventually.until(
-                "the engine runs it",
+                "the engine runs the request",
                 () -> system.standIns().engineState(0).path("running").asInt() > 0);
         system.standIns().restartEngine(0);
-        assertThat(whole.get().status()).isNotEqualTo(200);
-        assertThat(whole.get().ran()).as(whole.get().body()).isEqualTo("unknown");
+        assertThat(reply.get().status()).isNotEqualTo(200);
+        assertThat(reply.get().executionStatus()).as(reply.get().body()).isEqualTo("unknown");
     }
 
     @Test
-    void aCallerThatGoesAwayCancelsItsStreamAtTheEngine() throws Exception {
-        // Nobody sees the rest: the entry dies in the middle of a stream. The companion gives the work up once its
-        // entry has been gone for too long; until then another entry could have taken it over.
-        Caller.Streaming stream = system.caller("entry-1").stream(MODEL, prompt, TOKENS);
-        stream.begun().await();
+    void aStreamOfAKilledEntryIsCancelledAtTheEngine() throws Exception {
+        // The entry is killed during a stream, so the rest has no reader. The companion keeps the work for a while,
+        // as another entry could take it over, and then cancels it.
+        Caller.OpenStream stream = system.caller("entry-1").stream(MODEL, prompt, MAX_TOKENS);
+        stream.started().await();
         system.process("entry-1").kill();
         stream.reply().get();
         Eventually.until(
