--- a/standins/src/main/java/org/geraniumreach/standins/CallCommand.java
+++ b/standins/src/main/java/org/geraniumreach/standins/CallCommand.java
@@ -19,8 +19,8 @@
 /** Calls URLs one after another and prints their answers, so that scripts need no other HTTP client. */
 final class CallCommand implements Command {
 
-    private static final Duration LIMIT = Duration.ofSeconds(5);
-    private static final long PAUSE_MILLIS = 100;
+    private static final Duration TIMEOUT = Duration.ofSeconds(5);
+    private static final long RETRY_DELAY_MILLIS = 100;
     private static final int OK = 200;
 
     @Option(name = "--post", usage = "file to post; without it the URLs are read")
@@ -37,7 +37,7 @@
 
     private final HttpClient client = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
-            .connectTimeout(LIMIT)
+            .connectTimeout(TIMEOUT)
             .build();
 
     @Override
@@ -64,7 +64,7 @@
             } catch (IOException e) {
                 problem = e.toString();
             }
-            Thread.sleep(PAUSE_MILLIS);
+            Thread.sleep(RETRY_DELAY_MILLIS);
         } while (System.nanoTime() < end);
         System.err.println(url + ": " + problem);
         return false;
@@ -77,7 +77,7 @@
     }
 
     private HttpRequest request(URI url) throws IOException {
-        HttpRequest.Builder builder = HttpRequest.newBuilder(url).timeout(LIMIT);
+        HttpRequest.Builder builder = HttpRequest.newBuilder(url).timeout(TIMEOUT);
         if (post != null) {
             builder.header("Content-Type", "application/json").POST(BodyPublishers.ofFile(post));
         }
--- a/standins/src/main/java/org/geraniumreach/standins/EngineCommand.java
+++ b/standins/src/main/java/org/geraniumreach/standins/EngineCommand.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.concurrent.ScheduledExecutorService;
 
-import org.geraniumreach.standins.engine.EnginePart;
 import org.geraniumreach.standins.engine.EngineSettings;
+import org.geraniumreach.standins.engine.EngineStandIn;
 import org.geraniumreach.standins.http.Administration;
-import org.geraniumreach.standins.http.Part;
+import org.geraniumreach.standins.http.StandIn;
 import org.kohsuke.args4j.Option;
 
 /** Serves one or several model engines. */
@@ -66,9 +66,9 @@
     @Override
     public int run() throws IOException {
         ScheduledExecutorService timer = Timers.create();
-        List<Part> parts = new ArrayList<>();
+        List<StandIn> parts = new ArrayList<>();
         for (String port : ports.split(",")) {
-            parts.add(new EnginePart(Integer.parseInt(port.trim()), settings(), weights, timer));
+            parts.add(new EngineStandIn(Integer.parseInt(port.trim()), settings(), weights, timer));
         }
         Administration.start(administrationPort, parts, timer);
         return -1;
--- a/standins/src/main/java/org/geraniumreach/standins/LoadCommand.java
+++ b/standins/src/main/java/org/geraniumreach/standins/LoadCommand.java
@@ -12,7 +12,7 @@
 /** Sends a load, checks every answer, and prints what each account got. */
 final class LoadCommand implements Command {
 
-    private static final int DID_NOT_HOLD = 1;
+    private static final int CHECKS_FAILED = 1;
 
     @Option(name = "--settings", required = true, usage = "YAML file with what to send")
     private Path settings;
@@ -28,6 +28,6 @@
         if (out != null) {
             LoadFiles.write(out, read, result);
         }
-        return result.held() ? 0 : DID_NOT_HOLD;
+        return result.held() ? 0 : CHECKS_FAILED;
     }
 }
--- a/standins/src/main/java/org/geraniumreach/standins/Main.java
+++ b/standins/src/main/java/org/geraniumreach/standins/Main.java
@@ -24,7 +24,7 @@
             "call", CallCommand::new,
             "report", ReportCommand::new));
 
-    private static final Logger GRIZZLY = Logger.getLogger("org.glassfish.grizzly");
+    private static final Logger GRIZZLY_LOGGER = Logger.getLogger("org.glassfish.grizzly");
 
     private Main() {}
 
@@ -35,7 +35,7 @@
      */
     public static void main(String[] arguments) {
         // Grizzly logs each listener at INFO; the stand-ins have a line of their own for that.
-        GRIZZLY.setLevel(Level.WARNING);
+        GRIZZLY_LOGGER.setLevel(Level.WARNING);
         int code = run(arguments);
         if (code >= 0) {
             System.exit(code);
--- a/standins/src/main/java/org/geraniumreach/standins/PlatformCommand.java
+++ b/standins/src/main/java/org/geraniumreach/standins/PlatformCommand.java
@@ -5,12 +5,12 @@
 import java.util.concurrent.ScheduledExecutorService;
 
 import org.geraniumreach.standins.http.Administration;
-import org.geraniumreach.standins.http.Part;
-import org.geraniumreach.standins.list.ListPart;
-import org.geraniumreach.standins.store.ObjectPart;
-import org.geraniumreach.standins.store.WeightPart;
+import org.geraniumreach.standins.http.StandIn;
+import org.geraniumreach.standins.list.InstanceListStandIn;
+import org.geraniumreach.standins.store.ObjectStoreStandIn;
 import org.geraniumreach.standins.store.WeightStore;
-import org.geraniumreach.standins.table.TablePart;
+import org.geraniumreach.standins.store.WeightStoreStandIn;
+import org.geraniumreach.standins.table.TableStandIn;
 import org.kohsuke.args4j.Option;
 
 /** Serves table service, object store, weight store and instance list on ports in a row, then their administration. */
@@ -41,11 +41,11 @@
     public int run() throws IOException {
         ScheduledExecutorService timer = Timers.create();
         int next = port;
-        List<Part> parts = List.of(
-                new TablePart(next++, reads, writes, timer),
-                new ObjectPart(next++, timer),
-                new WeightPart(next++, new WeightStore(loads, loadMillis, fullSpeed, timer), timer),
-                new ListPart(next++, listLagMillis, timer));
+        List<StandIn> parts = List.of(
+                new TableStandIn(next++, reads, writes, timer),
+                new ObjectStoreStandIn(next++, timer),
+                new WeightStoreStandIn(next++, new WeightStore(loads, loadMillis, fullSpeed, timer), timer),
+                new InstanceListStandIn(next++, listLagMillis, timer));
         Administration.start(next, parts, timer);
         return -1;
     }
--- a/standins/src/main/java/org/geraniumreach/standins/ServiceCommand.java
+++ b/standins/src/main/java/org/geraniumreach/standins/ServiceCommand.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.ScheduledExecutorService;
 
 import org.geraniumreach.standins.http.Administration;
-import org.geraniumreach.standins.http.Part;
-import org.geraniumreach.standins.service.ServicePart;
+import org.geraniumreach.standins.http.StandIn;
+import org.geraniumreach.standins.service.ServiceStandIn;
 import org.kohsuke.args4j.Option;
 
 /** Serves one or several plain services. */
@@ -25,9 +25,9 @@
     @Override
     public int run() throws IOException {
         ScheduledExecutorService timer = Timers.create();
-        List<Part> parts = new ArrayList<>();
+        List<StandIn> parts = new ArrayList<>();
         for (String port : ports.split(",")) {
-            parts.add(new ServicePart(Integer.parseInt(port.trim()), latencyMillis, timer));
+            parts.add(new ServiceStandIn(Integer.parseInt(port.trim()), latencyMillis, timer));
         }
         Administration.start(administrationPort, parts, timer);
         return -1;
--- a/standins/src/main/java/org/geraniumreach/standins/answer/ExpectedAnswer.java
+++ b/standins/src/main/java/org/geraniumreach/standins/answer/ExpectedAnswer.java
@@ -13,12 +13,12 @@
 
     private static final long FNV_OFFSET = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
-    private static final long STEP = 0x9e3779b97f4a7c15L;
+    private static final long SEED_INCREMENT = 0x9e3779b97f4a7c15L;
     private static final String CONSONANTS = "bdfgklmnprstvwxz";
     private static final String VOWELS = "aeiou";
-    private static final int SYLLABLES = 3;
-    private static final int LEAST_NATURAL_LENGTH = 4;
-    private static final int NATURAL_LENGTHS = 60;
+    private static final int SYLLABLES_PER_TOKEN = 3;
+    private static final int MINIMUM_STOP_LENGTH = 4;
+    private static final int STOP_LENGTH_COUNT = 60;
     private static final int CHARACTERS_PER_TOKEN = 4;
 
     private final long seed;
@@ -59,9 +59,9 @@
      * @return its text, one word and a space
      */
     public String token(long index) {
-        long bits = mix(seed + (index + 1) * STEP) >>> 1;
-        StringBuilder word = new StringBuilder(2 * SYLLABLES + 1);
-        for (int syllable = 0; syllable < SYLLABLES; syllable++) {
+        long bits = mix(seed + (index + 1) * SEED_INCREMENT) >>> 1;
+        StringBuilder word = new StringBuilder(2 * SYLLABLES_PER_TOKEN + 1);
+        for (int syllable = 0; syllable < SYLLABLES_PER_TOKEN; syllable++) {
             word.append(CONSONANTS.charAt((int) (bits % CONSONANTS.length())));
             bits /= CONSONANTS.length();
             word.append(VOWELS.charAt((int) (bits % VOWELS.length())));
@@ -80,7 +80,7 @@
         if ((seed & 3) != 0) {
             return maximumTokens;
         }
-        int natural = LEAST_NATURAL_LENGTH + (int) ((seed >>> 2) % NATURAL_LENGTHS);
+        int natural = MINIMUM_STOP_LENGTH + (int) ((seed >>> 2) % STOP_LENGTH_COUNT);
         return Math.min(maximumTokens, natural);
     }
 
--- a/standins/src/main/java/org/geraniumreach/standins/engine/CacheEvents.java
+++ b/standins/src/main/java/org/geraniumreach/standins/engine/CacheEvents.java
@@ -14,14 +14,14 @@
  */
 final class CacheEvents {
 
-    private static final int MOST_EVENTS = 10_000;
+    private static final int MAXIMUM_EVENTS = 10_000;
     private static final int PERCENT = 100;
 
     private final long lagMillis;
     private final int lossPercent;
     private final Random random = new Random(1);
     private final Deque<Event> events = new ArrayDeque<>();
-    private long number;
+    private long lastNumber;
 
     CacheEvents(long lagMillis, int lossPercent) {
         this.lagMillis = lagMillis;
@@ -29,12 +29,12 @@
     }
 
     synchronized void add(PrefixCache.CacheEvent event) {
-        number++;
+        lastNumber++;
         if (random.nextInt(PERCENT) < lossPercent) {
             return;
         }
-        events.add(new Event(number, event.kind(), event.block(), System.currentTimeMillis()));
-        if (events.size() > MOST_EVENTS) {
+        events.add(new Event(lastNumber, event.kind(), event.block(), System.currentTimeMillis()));
+        if (events.size() > MAXIMUM_EVENTS) {
             events.poll();
         }
     }
--- a/standins/src/main/java/org/geraniumreach/standins/engine/Engine.java
+++ b/standins/src/main/java/org/geraniumreach/standins/engine/Engine.java
@@ -26,7 +26,7 @@
 
     private static final int CONFLICT = 409;
     private static final int PRECONDITION_FAILED = 412;
-    private static final int MOST_RECORDS = 200_000;
+    private static final int MAXIMUM_RECORDS = 200_000;
 
     private final EngineSettings settings;
     private final PrefixCache prefixes;
@@ -40,8 +40,8 @@
     private long incarnation = System.currentTimeMillis();
     private long highestFence;
     private long arrivals;
-    private long recorded;
-    private EngineFigures figures = EngineFigures.NONE;
+    private long lastRecordNumber;
+    private EngineStatistics statistics = EngineStatistics.NONE;
 
     Engine(EngineSettings settings, Consumer<PrefixCache.CacheEvent> events) {
         this.settings = settings;
@@ -74,7 +74,7 @@
         }
         waiting.remove(stream);
         batch.remove(stream);
-        finish(stream, Outcome.CANCELLED);
+        finishStream(stream, Outcome.CANCELLED);
     }
 
     /**
@@ -120,8 +120,8 @@
         broken.removeIf(stream -> !stream.order().adapter().equals(adapter));
         batch.removeAll(broken);
         waiting.removeAll(broken);
-        broken.forEach(stream -> finish(stream, Outcome.UNLOADED));
-        figures = figures.withUnloadedWhileServing(broken.size());
+        broken.forEach(stream -> finishStream(stream, Outcome.UNLOADED));
+        statistics = statistics.withUnloadedWhileServing(broken.size());
     }
 
     private void checkFence(long fence) throws Refusal {
@@ -134,7 +134,7 @@
     synchronized void restart() {
         List<EngineStream> broken = new ArrayList<>(batch);
         broken.addAll(waiting);
-        broken.forEach(stream -> finish(stream, Outcome.RESTARTED));
+        broken.forEach(stream -> finishStream(stream, Outcome.RESTARTED));
         batch.clear();
         waiting.clear();
         streams.clear();
@@ -160,11 +160,12 @@
         while (batch.size() < settings.maximumBatch() && !waiting.isEmpty()) {
             micros += join(waiting.poll());
         }
-        return micros + batch.size() * settings.streamMicros() + adapters() * settings.adapterMicros();
+        return micros + batch.size() * settings.streamMicros() + distinctAdapters() * settings.adapterMicros();
     }
 
     private double join(EngineStream stream) {
-        int cached = prefixes.use(stream.order().adapter(), stream.order().prompt());
+        int cached =
+                prefixes.lookUpAndStore(stream.order().adapter(), stream.order().prompt());
         int fresh = Math.max(0, stream.promptTokens() - cached);
         stream.join(cached);
         batch.add(stream);
@@ -179,36 +180,36 @@
      */
     synchronized List<EngineStream> endStep(double micros) {
         List<EngineStream> stepped = List.copyOf(batch);
-        int adapters = adapters();
-        figures = figures.withStep(stepped.size(), adapters, micros);
+        int adapters = distinctAdapters();
+        statistics = statistics.withStep(stepped.size(), adapters, micros);
         for (EngineStream stream : stepped) {
             if (stream.step(stepped.size(), adapters)) {
                 batch.remove(stream);
-                finish(stream, Outcome.ENDED);
+                finishStream(stream, Outcome.ENDED);
             }
         }
-        forget();
+        removeExpiredStreams();
         return stepped;
     }
 
-    private int adapters() {
+    private int distinctAdapters() {
         return (int) batch.stream()
                 .map(stream -> stream.order().adapter())
                 .distinct()
                 .count();
     }
 
-    private void finish(EngineStream stream, Outcome outcome) {
+    private void finishStream(EngineStream stream, Outcome outcome) {
         stream.end(outcome);
         finished.add(stream);
-        recorded++;
-        records.add(stream.toRecord(recorded));
-        if (records.size() > MOST_RECORDS) {
+        lastRecordNumber++;
+        records.add(stream.toRecord(lastRecordNumber));
+        if (records.size() > MAXIMUM_RECORDS) {
             records.poll();
         }
     }
 
-    private void forget() {
+    private void removeExpiredStreams() {
         long oldest = System.currentTimeMillis() - settings.keepFinishedMillis();
         while (!finished.isEmpty() && finished.peek().endMillis() < oldest) {
             streams.remove(finished.poll().order().attempt());
@@ -231,8 +232,8 @@
         return new EngineLoad(batch.size(), waiting.size());
     }
 
-    synchronized EngineFigures figures() {
-        return figures;
+    synchronized EngineStatistics statistics() {
+        return statistics;
     }
 
     synchronized List<StreamRecord> records(long after, int limit) {
--- a/standins/src/main/java/org/geraniumreach/standins/engine/EnginePart.java
+++ b/standins/src/main/java/org/geraniumreach/standins/engine/EngineStandIn.java
@@ -15,7 +15,7 @@
 import org.geraniumreach.standins.http.Call;
 import org.geraniumreach.standins.http.Faults;
 import org.geraniumreach.standins.http.LineSink;
-import org.geraniumreach.standins.http.Part;
+import org.geraniumreach.standins.http.StandIn;
 import org.geraniumreach.standins.http.StandInServer;
 
 /**
@@ -23,11 +23,11 @@
  *
  * <p>Safe for use by several threads.
  */
-public final class EnginePart implements Part {
+public final class EngineStandIn implements StandIn {
 
-    private static final String STREAMS = "/v1/streams";
-    private static final String ONE_STREAM = STREAMS + "/";
-    private static final int MOST_ITEMS_IN_ANSWER = 10_000;
+    private static final String STREAMS_PATH = "/v1/streams";
+    private static final String STREAM_PATH_PREFIX = STREAMS_PATH + "/";
+    private static final int MAXIMUM_ITEMS_PER_RESPONSE = 10_000;
     private static final int NOT_FOUND = 404;
     private static final int UNAVAILABLE = 503;
 
@@ -47,7 +47,7 @@
      * @param timer delays answers, not null
      * @throws IOException if the port cannot be had
      */
-    public EnginePart(int port, EngineSettings settings, URI weightStore, ScheduledExecutorService timer)
+    public EngineStandIn(int port, EngineSettings settings, URI weightStore, ScheduledExecutorService timer)
             throws IOException {
         this.cacheEvents = new CacheEvents(settings.eventLagMillis(), settings.eventLossPercent());
         this.engine = new Engine(settings, cacheEvents::add);
@@ -66,35 +66,35 @@
     @Override
     public void restart() {
         engine.restart();
-        thread.clear();
+        thread.flushReaders();
         server.dropConnections();
     }
 
     @Override
     public CompletionStage<Answer> administer(Call call) {
         return switch (call.route()) {
-            case "GET /admin/ran" -> ran(call).now();
-            case "GET /admin/figures" -> Answer.of(Call.JSON.valueToTree(engine.figures()))
-                    .now();
-            default -> Answer.unknownPath(call).now();
+            case "GET /admin/ran" -> streamRecords(call).toCompletedStage();
+            case "GET /admin/figures" -> Answer.of(Call.JSON.valueToTree(engine.statistics()))
+                    .toCompletedStage();
+            default -> Answer.unknownPath(call).toCompletedStage();
         };
     }
 
     private CompletionStage<Answer> handle(Call call, Faults faults) throws IOException {
         try {
             return switch (call.route()) {
-                case "POST " + STREAMS -> generate(call, faults).now();
+                case "POST " + STREAMS_PATH -> generate(call, faults).toCompletedStage();
                 case "POST /v1/adapters/load" -> load(call, faults);
-                case "POST /v1/adapters/unload" -> unload(call).now();
-                case "GET /v1/state" -> state().now();
-                case "GET /v1/ran" -> ran(call).now();
-                case "GET /v1/figures" -> Answer.of(Call.JSON.valueToTree(engine.figures()))
-                        .now();
-                case "GET /v1/cache-events" -> events(call).now();
-                default -> oneStream(call, faults).now();
+                case "POST /v1/adapters/unload" -> unload(call).toCompletedStage();
+                case "GET /v1/state" -> state().toCompletedStage();
+                case "GET /v1/ran" -> streamRecords(call).toCompletedStage();
+                case "GET /v1/figures" -> Answer.of(Call.JSON.valueToTree(engine.statistics()))
+                        .toCompletedStage();
+                case "GET /v1/cache-events" -> events(call).toCompletedStage();
+                default -> handleStream(call, faults).toCompletedStage();
             };
         } catch (Refusal e) {
-            return e.toAnswer().now();
+            return e.toAnswer().toCompletedStage();
         }
     }
 
@@ -107,11 +107,11 @@
         return Answer.ofStream(sink -> attach(stream, sink, 0, faults));
     }
 
-    private Answer oneStream(Call call, Faults faults) {
-        if (!call.path().startsWith(ONE_STREAM)) {
+    private Answer handleStream(Call call, Faults faults) {
+        if (!call.path().startsWith(STREAM_PATH_PREFIX)) {
             return Answer.unknownPath(call);
         }
-        AttemptId attempt = AttemptId.of(call.pathAfter(ONE_STREAM));
+        AttemptId attempt = AttemptId.of(call.pathAfter(STREAM_PATH_PREFIX));
         return switch (call.method()) {
             case "GET" -> resume(attempt, (int) call.number("from", 0), faults);
             case "DELETE" -> cancel(attempt);
@@ -131,30 +131,30 @@
 
     private Answer cancel(AttemptId attempt) {
         engine.cancel(attempt);
-        engine.find(attempt).ifPresent(thread::pump);
-        return done();
+        engine.find(attempt).ifPresent(thread::sendAvailable);
+        return success();
     }
 
     private CompletionStage<Answer> load(Call call, Faults faults) throws IOException, Refusal {
         AdapterReference adapter = GenerationOrder.adapter(call.json());
         long incarnation = engine.incarnation();
         if (!engine.beginLoad(adapter, call.json().path("fence").asLong())) {
-            return done().now();
+            return success().toCompletedStage();
         }
         if (faults.failLoads()) {
             engine.endLoad(adapter, incarnation, false);
-            return Answer.failure(UNAVAILABLE, "failed", false, "load failed").now();
+            return Answer.failure(UNAVAILABLE, "failed", false, "load failed").toCompletedStage();
         }
         return weights.fetch(adapter).thenApply(arrived -> {
             engine.endLoad(adapter, incarnation, arrived);
-            return arrived ? done() : Answer.failure(UNAVAILABLE, "failed", false, "weight store failed");
+            return arrived ? success() : Answer.failure(UNAVAILABLE, "failed", false, "weight store failed");
         });
     }
 
     private Answer unload(Call call) throws IOException, Refusal {
         engine.unload(
                 GenerationOrder.adapter(call.json()), call.json().path("fence").asLong());
-        return done();
+        return success();
     }
 
     private Answer state() {
@@ -169,13 +169,13 @@
         return Answer.of(json);
     }
 
-    private Answer ran(Call call) {
-        int limit = (int) Math.min(MOST_ITEMS_IN_ANSWER, call.number("limit", MOST_ITEMS_IN_ANSWER));
+    private Answer streamRecords(Call call) {
+        int limit = (int) Math.min(MAXIMUM_ITEMS_PER_RESPONSE, call.number("limit", MAXIMUM_ITEMS_PER_RESPONSE));
         return items("streams", engine.records(call.number("after", 0), limit));
     }
 
     private Answer events(Call call) {
-        return items("events", cacheEvents.after(call.number("after", 0), MOST_ITEMS_IN_ANSWER));
+        return items("events", cacheEvents.after(call.number("after", 0), MAXIMUM_ITEMS_PER_RESPONSE));
     }
 
     private static Answer items(String name, List<?> items) {
@@ -184,7 +184,7 @@
         return Answer.of(json);
     }
 
-    private static Answer done() {
+    private static Answer success() {
         return Answer.of(Call.JSON.createObjectNode().put("done", true));
     }
 }
--- a/standins/src/main/java/org/geraniumreach/standins/engine/EngineFigures.java
+++ b/standins/src/main/java/org/geraniumreach/standins/engine/EngineStatistics.java
@@ -11,16 +11,16 @@
  * @param busyMicros the time of all steps
  * @param unloadedWhileServing streams that broke off because their adapter was unloaded
  */
-public record EngineFigures(long steps, long tokens, long adapters, double busyMicros, long unloadedWhileServing) {
+public record EngineStatistics(long steps, long tokens, long adapters, double busyMicros, long unloadedWhileServing) {
 
-    static final EngineFigures NONE = new EngineFigures(0, 0, 0, 0, 0);
+    static final EngineStatistics NONE = new EngineStatistics(0, 0, 0, 0, 0);
 
-    EngineFigures withStep(int batch, int distinctAdapters, double micros) {
-        return new EngineFigures(
+    EngineStatistics withStep(int batch, int distinctAdapters, double micros) {
+        return new EngineStatistics(
                 steps + 1, tokens + batch, adapters + distinctAdapters, busyMicros + micros, unloadedWhileServing);
     }
 
-    EngineFigures withUnloadedWhileServing(int streams) {
-        return new EngineFigures(steps, tokens, adapters, busyMicros, unloadedWhileServing + streams);
+    EngineStatistics withUnloadedWhileServing(int streams) {
+        return new EngineStatistics(steps, tokens, adapters, busyMicros, unloadedWhileServing + streams);
     }
 }
--- a/standins/src/main/java/org/geraniumreach/standins/engine/EngineThread.java
+++ b/standins/src/main/java/org/geraniumreach/standins/engine/EngineThread.java
@@ -17,7 +17,7 @@
  */
 final class EngineThread {
 
-    private static final long HEARTBEAT_MILLIS = 250;
+    private static final long HEARTBEAT_INTERVAL_MILLIS = 250;
 
     private final Engine engine;
     private final Map<EngineStream, List<StreamReader>> readers = new ConcurrentHashMap<>();
@@ -31,7 +31,8 @@
         Thread thread = new Thread(steps::run, name);
         thread.setDaemon(true);
         thread.start();
-        timer.scheduleAtFixedRate(steps::heartbeat, HEARTBEAT_MILLIS, HEARTBEAT_MILLIS, TimeUnit.MILLISECONDS);
+        timer.scheduleAtFixedRate(
+                steps::heartbeat, HEARTBEAT_INTERVAL_MILLIS, HEARTBEAT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         return steps;
     }
 
@@ -43,7 +44,7 @@
                 // After a pause the engine does not catch up on the time that it had nothing to do.
                 due = Math.max(due, System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(2)) + (long) (micros * 1000);
                 sleepUntil(due);
-                engine.endStep(micros).forEach(this::pump);
+                engine.endStep(micros).forEach(this::sendAvailable);
             }
         } catch (InterruptedException e) {
             Logger.info("engine stopped");
@@ -59,32 +60,32 @@
     }
 
     void attach(EngineStream stream, StreamReader reader) {
-        reader.begin();
+        reader.sendFirstLine();
         readers.computeIfAbsent(stream, added -> new CopyOnWriteArrayList<>()).add(reader);
-        pump(stream);
+        sendAvailable(stream);
     }
 
-    void pump(EngineStream stream) {
+    void sendAvailable(EngineStream stream) {
         List<StreamReader> attached = readers.get(stream);
         if (attached == null) {
             return;
         }
-        attached.forEach(StreamReader::pump);
+        attached.forEach(StreamReader::sendAvailable);
         attached.removeIf(reader -> !reader.isOpen());
         if (attached.isEmpty() && !stream.isRunning()) {
             readers.remove(stream, attached);
         }
     }
 
-    void clear() {
-        readers.keySet().forEach(this::pump);
+    void flushReaders() {
+        readers.keySet().forEach(this::sendAvailable);
     }
 
     private void heartbeat() {
         for (Map.Entry<EngineStream, List<StreamReader>> entry : readers.entrySet()) {
             entry.getValue().forEach(StreamReader::heartbeat);
             if (!entry.getKey().isRunning()) {
-                pump(entry.getKey());
+                sendAvailable(entry.getKey());
             }
         }
     }
--- a/standins/src/main/java/org/geraniumreach/standins/engine/PrefixCache.java
+++ b/standins/src/main/java/org/geraniumreach/standins/engine/PrefixCache.java
@@ -36,7 +36,7 @@
      * @param prompt the prompt
      * @return the tokens of the prefix that was cached
      */
-    int use(AdapterReference adapter, String prompt) {
+    int lookUpAndStore(AdapterReference adapter, String prompt) {
         List<Long> digests = digests(adapter, prompt);
         int cached = 0;
         while (cached < digests.size() && blocks.containsKey(digests.get(cached))) {
--- a/standins/src/main/java/org/geraniumreach/standins/engine/StreamReader.java
+++ b/standins/src/main/java/org/geraniumreach/standins/engine/StreamReader.java
@@ -13,23 +13,23 @@
  */
 final class StreamReader {
 
-    private static final int LINES_AT_ONCE = 64;
+    private static final int MAXIMUM_LINES_PER_WRITE = 64;
     private static final byte[] HEARTBEAT = {'\n'};
-    private static final long HEARTBEAT_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+    private static final long HEARTBEAT_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
     private final EngineStream stream;
     private final LineSink sink;
-    private final int dropAfter;
-    private int next;
-    private int sent;
-    private boolean waitingForRoom;
-    private long lastWrite = System.nanoTime();
+    private final int dropAfterTokens;
+    private int nextToken;
+    private int sentTokens;
+    private boolean waitingUntilWritable;
+    private long lastWriteNanos = System.nanoTime();
 
     StreamReader(EngineStream stream, LineSink sink, int from, int dropAfter) {
         this.stream = stream;
         this.sink = sink;
-        this.next = from;
-        this.dropAfter = dropAfter;
+        this.nextToken = from;
+        this.dropAfterTokens = dropAfter;
     }
 
     boolean isOpen() {
@@ -37,22 +37,22 @@
     }
 
     /** Sends the first line, so that the caller knows that its stream is taken, and what it runs on. */
-    synchronized void begin() {
+    synchronized void sendFirstLine() {
         sink.write(stream.firstLine());
     }
 
     /** Sends what is there and can be sent. */
-    synchronized void pump() {
-        while (sink.isOpen() && !waitingForRoom) {
+    synchronized void sendAvailable() {
+        while (sink.isOpen() && !waitingUntilWritable) {
             // The outcome is read first: what was generated before the end is then seen whole.
             boolean over = !stream.isRunning();
-            int until = Math.min(stream.generated(), next + LINES_AT_ONCE);
-            if (next >= until) {
-                finishIf(over);
+            int until = Math.min(stream.generated(), nextToken + MAXIMUM_LINES_PER_WRITE);
+            if (nextToken >= until) {
+                finishIfOver(over);
                 return;
             }
             if (!sink.canWrite()) {
-                waitForRoom();
+                waitUntilWritable();
                 return;
             }
             send(until);
@@ -61,39 +61,39 @@
 
     private void send(int until) {
         StringBuilder lines = new StringBuilder();
-        for (; next < until; next++) {
-            stream.appendLine(lines, next);
-            sent++;
+        for (; nextToken < until; nextToken++) {
+            stream.appendLine(lines, nextToken);
+            sentTokens++;
         }
         sink.write(lines.toString().getBytes(StandardCharsets.US_ASCII));
-        lastWrite = System.nanoTime();
-        if (dropAfter > 0 && sent >= dropAfter) {
+        lastWriteNanos = System.nanoTime();
+        if (dropAfterTokens > 0 && sentTokens >= dropAfterTokens) {
             sink.drop();
         }
     }
 
-    private void finishIf(boolean over) {
+    private void finishIfOver(boolean over) {
         if (over) {
             sink.write(stream.lastLine());
             sink.finish();
         }
     }
 
-    private void waitForRoom() {
-        waitingForRoom = true;
+    private void waitUntilWritable() {
+        waitingUntilWritable = true;
         sink.whenWritable(() -> {
             synchronized (this) {
-                waitingForRoom = false;
+                waitingUntilWritable = false;
             }
-            pump();
+            sendAvailable();
         });
     }
 
     /** Sends an empty line if nothing was sent for long, so that silence shows a lost connection. */
     synchronized void heartbeat() {
-        if (sink.isOpen() && !waitingForRoom && System.nanoTime() - lastWrite > HEARTBEAT_NANOS) {
+        if (sink.isOpen() && !waitingUntilWritable && System.nanoTime() - lastWriteNanos > HEARTBEAT_INTERVAL_NANOS) {
             sink.write(HEARTBEAT);
-            lastWrite = System.nanoTime();
+            lastWriteNanos = System.nanoTime();
         }
     }
 }
--- a/standins/src/main/java/org/geraniumreach/standins/http/Administration.java
+++ b/standins/src/main/java/org/geraniumreach/standins/http/Administration.java
@@ -15,11 +15,11 @@
  */
 public final class Administration {
 
-    private static final String PART = "part";
+    private static final String PART_PARAMETER = "part";
 
-    private final List<Part> parts;
+    private final List<StandIn> parts;
 
-    private Administration(List<Part> parts) {
+    private Administration(List<StandIn> parts) {
         this.parts = List.copyOf(parts);
     }
 
@@ -32,39 +32,40 @@
      * @return the server, listening, not null
      * @throws IOException if the port cannot be had
      */
-    public static StandInServer start(int port, List<Part> parts, ScheduledExecutorService timer) throws IOException {
+    public static StandInServer start(int port, List<StandIn> parts, ScheduledExecutorService timer)
+            throws IOException {
         Administration administration = new Administration(parts);
         return StandInServer.start("administration", port, (call, faults) -> administration.handle(call), timer);
     }
 
     private CompletionStage<Answer> handle(Call call) throws IOException {
         if (call.route().equals("GET /admin/parts")) {
-            return Answer.of(names()).now();
+            return Answer.of(names()).toCompletedStage();
         }
-        Optional<Part> part = find(call);
+        Optional<StandIn> part = find(call);
         if (part.isEmpty()) {
-            return Answer.malformed("no such part; one of " + names()).now();
+            return Answer.malformed("no such part; one of " + names()).toCompletedStage();
         }
         return handle(call, part.get());
     }
 
-    private CompletionStage<Answer> handle(Call call, Part part) throws IOException {
+    private CompletionStage<Answer> handle(Call call, StandIn part) throws IOException {
         switch (call.route()) {
             case "GET /admin/faults" -> {
-                return Answer.of(Call.JSON.valueToTree(part.server().faults())).now();
+                return Answer.of(Call.JSON.valueToTree(part.server().faults())).toCompletedStage();
             }
-            case "POST /admin/faults" -> part.server().show(Call.JSON.treeToValue(call.json(), Faults.class));
-            case "POST /admin/silence" -> part.server().silence();
+            case "POST /admin/faults" -> part.server().setFaults(Call.JSON.treeToValue(call.json(), Faults.class));
+            case "POST /admin/silence" -> part.server().silenceConnections();
             case "POST /admin/restart" -> part.restart();
             default -> {
                 return part.administer(call);
             }
         }
-        return Answer.of(Call.JSON.createObjectNode().put("done", true)).now();
+        return Answer.of(Call.JSON.createObjectNode().put("done", true)).toCompletedStage();
     }
 
-    private Optional<Part> find(Call call) {
-        Optional<String> name = call.parameter(PART);
+    private Optional<StandIn> find(Call call) {
+        Optional<String> name = call.parameter(PART_PARAMETER);
         if (name.isEmpty() && parts.size() == 1) {
             return Optional.of(parts.get(0));
         }
--- a/standins/src/main/java/org/geraniumreach/standins/http/Answer.java
+++ b/standins/src/main/java/org/geraniumreach/standins/http/Answer.java
@@ -93,7 +93,7 @@
      *
      * @return the stage, not null
      */
-    public CompletionStage<Answer> now() {
+    public CompletionStage<Answer> toCompletedStage() {
         return CompletableFuture.completedFuture(this);
     }
 }
--- a/standins/src/main/java/org/geraniumreach/standins/http/FaultSwitch.java
+++ b/standins/src/main/java/org/geraniumreach/standins/http/FaultInjector.java
@@ -5,10 +5,10 @@
  *
  * <p>Invariant: a fault with a count strikes exactly so many calls. Safe for use by several threads.
  */
-public final class FaultSwitch {
+public final class FaultInjector {
 
     private Faults faults = Faults.NONE;
-    private int left;
+    private int remainingCalls;
 
     /**
      * Sets the faults.
@@ -17,7 +17,7 @@
      */
     public synchronized void set(Faults newFaults) {
         faults = newFaults;
-        left = newFaults.count();
+        remainingCalls = newFaults.count();
     }
 
     public synchronized Faults current() {
@@ -30,12 +30,12 @@
      * @param path the call's path, not null
      * @return the faults, not null
      */
-    public synchronized Faults strike(String path) {
+    public synchronized Faults takeFaults(String path) {
         Faults now = faults;
         if (now == Faults.NONE || !path.startsWith(now.path())) {
             return Faults.NONE;
         }
-        if (now.count() > 0 && --left == 0) {
+        if (now.count() > 0 && --remainingCalls == 0) {
             faults = Faults.NONE;
         }
         return now;
--- a/standins/src/main/java/org/geraniumreach/standins/http/RateLimit.java
+++ b/standins/src/main/java/org/geraniumreach/standins/http/RateLimiter.java
@@ -8,7 +8,7 @@
  * <p>Invariant: over any time, no more than the rate times that time plus the burst are let through. Safe for use by
  * several threads.
  */
-public final class RateLimit {
+public final class RateLimiter {
 
     private static final double BURST_SECONDS = 0.25;
 
@@ -16,7 +16,7 @@
     private final double burst;
     private double available;
     private long lastNanos;
-    private long taken;
+    private long accepted;
     private long refused;
 
     /**
@@ -24,7 +24,7 @@
      *
      * @param perSecond the rate, 0 for none
      */
-    public RateLimit(double perSecond) {
+    public RateLimiter(double perSecond) {
         if (perSecond < 0) {
             throw new IllegalArgumentException("negative rate: " + perSecond);
         }
@@ -39,7 +39,7 @@
      *
      * @return false if the call is above the rate
      */
-    public synchronized boolean tryTake() {
+    public synchronized boolean tryAcquire() {
         long now = System.nanoTime();
         available = Math.min(burst, available + perSecond * (now - lastNanos) / TimeUnit.SECONDS.toNanos(1));
         lastNanos = now;
@@ -48,12 +48,12 @@
             return false;
         }
         available--;
-        taken++;
+        accepted++;
         return true;
     }
 
-    public synchronized long taken() {
-        return taken;
+    public synchronized long accepted() {
+        return accepted;
     }
 
     public synchronized long refused() {
--- a/standins/src/main/java/org/geraniumreach/standins/http/Part.java
+++ b/standins/src/main/java/org/geraniumreach/standins/http/StandIn.java
@@ -8,7 +8,7 @@
  *
  * <p>Contract: safe for use by several threads.
  */
-public interface Part {
+public interface StandIn {
 
     /**
      * Gets the stand-in's port.
@@ -28,6 +28,6 @@
      * @throws IOException if the call cannot be read
      */
     default CompletionStage<Answer> administer(Call call) throws IOException {
-        return Answer.unknownPath(call).now();
+        return Answer.unknownPath(call).toCompletedStage();
     }
 }
--- a/standins/src/main/java/org/geraniumreach/standins/http/StandInServer.java
+++ b/standins/src/main/java/org/geraniumreach/standins/http/StandInServer.java
@@ -30,17 +30,17 @@
 public final class StandInServer implements AutoCloseable {
 
     private static final String LOOPBACK = "127.0.0.1";
-    private static final int SELECTORS = 1;
-    private static final int WORKERS = 4;
+    private static final int SELECTOR_THREADS = 1;
+    private static final int WORKER_THREADS = 4;
     private static final int KEEP_ALIVE_SECONDS = 600;
-    private static final Attribute<OpenConnection> OPEN =
+    private static final Attribute<OpenConnection> OPEN_CONNECTION =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("stand-in connection");
 
     private final String name;
     private final int port;
     private final CallHandler handler;
     private final ScheduledExecutorService timer;
-    private final FaultSwitch faults = new FaultSwitch();
+    private final FaultInjector faults = new FaultInjector();
     private final Set<OpenConnection> connections = ConcurrentHashMap.newKeySet();
     private HttpServer server;
 
@@ -87,7 +87,7 @@
      * @param newFaults the faults, not null
      * @throws IOException if the port cannot be had again
      */
-    public synchronized void show(Faults newFaults) throws IOException {
+    public synchronized void setFaults(Faults newFaults) throws IOException {
         faults.set(newFaults);
         if (newFaults.down() && server != null) {
             server.shutdownNow();
@@ -100,7 +100,7 @@
     }
 
     /** Makes all connections open now silent for good, while new ones work. */
-    public void silence() {
+    public void silenceConnections() {
         connections.forEach(OpenConnection::silence);
     }
 
@@ -113,16 +113,16 @@
         NetworkListener listener = new NetworkListener(name, LOOPBACK, port);
         listener.getKeepAlive().setIdleTimeoutInSeconds(KEEP_ALIVE_SECONDS);
         listener.getKeepAlive().setMaxRequestsCount(-1);
-        listener.getTransport().setSelectorRunnersCount(SELECTORS);
+        listener.getTransport().setSelectorRunnersCount(SELECTOR_THREADS);
         listener.getTransport()
                 .setWorkerThreadPoolConfig(ThreadPoolConfig.defaultConfig()
                         .setPoolName(name)
-                        .setCorePoolSize(WORKERS)
-                        .setMaxPoolSize(WORKERS));
+                        .setCorePoolSize(WORKER_THREADS)
+                        .setMaxPoolSize(WORKER_THREADS));
         HttpServer starting = new HttpServer();
         starting.addListener(listener);
         starting.getServerConfiguration().setDefaultQueryEncoding(StandardCharsets.UTF_8);
-        starting.getServerConfiguration().addHttpHandler(new Front(), "/");
+        starting.getServerConfiguration().addHttpHandler(new FaultInjectingHandler(), "/");
         starting.start();
         server = starting;
     }
@@ -137,10 +137,10 @@
 
     private OpenConnection connectionOf(Request request) {
         Connection<?> connection = request.getContext().getConnection();
-        OpenConnection open = OPEN.get(connection);
+        OpenConnection open = OPEN_CONNECTION.get(connection);
         if (open == null) {
             OpenConnection added = new OpenConnection(connection);
-            OPEN.set(connection, added);
+            OPEN_CONNECTION.set(connection, added);
             connections.add(added);
             CloseListener<Closeable, CloseType> removal = (closed, kind) -> connections.remove(added);
             connection.addCloseListener(removal);
@@ -150,13 +150,13 @@
     }
 
     /** Reads calls and writes answers, as far as the faults let it. */
-    private final class Front extends HttpHandler {
+    private final class FaultInjectingHandler extends HttpHandler {
 
         @Override
         public void service(Request request, Response response) throws IOException {
             OpenConnection connection = connectionOf(request);
             Call call = Call.read(request);
-            Faults struck = faults.strike(call.path());
+            Faults struck = faults.takeFaults(call.path());
             response.suspend();
             if (connection.isSilent() || struck.hang()) {
                 return;
@@ -174,7 +174,7 @@
             try {
                 answer = handler.handle(call, struck);
             } catch (IOException | RuntimeException e) {
-                answer = Answer.malformed(e.toString()).now();
+                answer = Answer.malformed(e.toString()).toCompletedStage();
             }
             answer.whenComplete((made, failure) -> {
                 Answer sent = failure == null ? made : Answer.failure(500, "failed", true, failure.toString());
--- a/standins/src/main/java/org/geraniumreach/standins/list/ListPart.java
+++ b/standins/src/main/java/org/geraniumreach/standins/list/InstanceListStandIn.java
@@ -19,7 +19,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.geraniumreach.standins.http.Answer;
 import org.geraniumreach.standins.http.Call;
-import org.geraniumreach.standins.http.Part;
+import org.geraniumreach.standins.http.StandIn;
 import org.geraniumreach.standins.http.StandInServer;
 
 /**
@@ -28,11 +28,11 @@
  * <p>An instance is listed from its first good probe until so many probes in a row have failed. Invariant: what is listed
  * is what was known one lag ago. Safe for use by several threads.
  */
-public final class ListPart implements Part {
+public final class InstanceListStandIn implements StandIn {
 
-    private static final long PROBE_MILLIS = 250;
-    private static final Duration PROBE_LIMIT = Duration.ofSeconds(1);
-    private static final int FAILED_PROBES = 4;
+    private static final long PROBE_INTERVAL_MILLIS = 250;
+    private static final Duration PROBE_TIMEOUT = Duration.ofSeconds(1);
+    private static final int MAXIMUM_FAILED_PROBES = 4;
     private static final int OK = 200;
 
     private final Map<String, Registration> registrations = new ConcurrentSkipListMap<>();
@@ -40,12 +40,12 @@
     private final Set<String> leaving = ConcurrentHashMap.newKeySet();
     private final HttpClient client = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
-            .connectTimeout(PROBE_LIMIT)
+            .connectTimeout(PROBE_TIMEOUT)
             .build();
     private final ScheduledExecutorService timer;
     private final long lagMillis;
     private final StandInServer server;
-    private volatile ObjectNode listed = list(Map.of(), Set.of());
+    private volatile ObjectNode publishedList = toJson(Map.of(), Set.of());
 
     /**
      * Starts the list.
@@ -55,11 +55,11 @@
      * @param timer probes and delays, not null
      * @throws IOException if the port cannot be had
      */
-    public ListPart(int port, long lagMillis, ScheduledExecutorService timer) throws IOException {
+    public InstanceListStandIn(int port, long lagMillis, ScheduledExecutorService timer) throws IOException {
         this.timer = timer;
         this.lagMillis = lagMillis;
         this.server = StandInServer.start("list", port, (call, faults) -> handle(call), timer);
-        timer.scheduleAtFixedRate(this::probe, PROBE_MILLIS, PROBE_MILLIS, TimeUnit.MILLISECONDS);
+        timer.scheduleAtFixedRate(this::probe, PROBE_INTERVAL_MILLIS, PROBE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -69,9 +69,9 @@
 
     private CompletionStage<Answer> handle(Call call) {
         if (!call.route().equals("GET /v1/instances")) {
-            return Answer.unknownPath(call).now();
+            return Answer.unknownPath(call).toCompletedStage();
         }
-        return Answer.of(listed).now();
+        return Answer.of(publishedList).toCompletedStage();
     }
 
     @Override
@@ -80,11 +80,11 @@
             case "POST /admin/instances" -> register(call.json());
             case "POST /admin/leaving" -> setLeaving(call.json());
             default -> {
-                return Answer.unknownPath(call).now();
+                return Answer.unknownPath(call).toCompletedStage();
             }
         }
         return Answer.of(Call.JSON.createObjectNode().put("registered", registrations.size()))
-                .now();
+                .toCompletedStage();
     }
 
     private void register(JsonNode json) throws IOException {
@@ -105,13 +105,13 @@
 
     private void probe() {
         registrations.values().forEach(this::probe);
-        ObjectNode now = list(live(), leaving);
-        timer.schedule(() -> listed = now, lagMillis, TimeUnit.MILLISECONDS);
+        ObjectNode now = toJson(live(), leaving);
+        timer.schedule(() -> publishedList = now, lagMillis, TimeUnit.MILLISECONDS);
     }
 
     private void probe(Registration registration) {
         HttpRequest request = HttpRequest.newBuilder(registration.healthUrl())
-                .timeout(PROBE_LIMIT)
+                .timeout(PROBE_TIMEOUT)
                 .build();
         client.sendAsync(request, BodyHandlers.discarding()).whenComplete((response, failure) -> {
             if (failure == null && response.statusCode() == OK) {
@@ -124,11 +124,13 @@
 
     private Map<String, Registration> live() {
         Map<String, Registration> live = new TreeMap<>(registrations);
-        live.keySet().removeIf(instance -> failedProbes.getOrDefault(instance, FAILED_PROBES) >= FAILED_PROBES);
+        live.keySet()
+                .removeIf(instance ->
+                        failedProbes.getOrDefault(instance, MAXIMUM_FAILED_PROBES) >= MAXIMUM_FAILED_PROBES);
         return live;
     }
 
-    private static ObjectNode list(Map<String, Registration> live, Set<String> leaving) {
+    private static ObjectNode toJson(Map<String, Registration> live, Set<String> leaving) {
         ObjectNode json = Call.JSON.createObjectNode();
         ArrayNode instances = json.putArray("instances");
         for (Registration registration : live.values()) {
--- a/standins/src/main/java/org/geraniumreach/standins/load/Judgement.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/AccountChecks.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /** Says what did not hold for an account. Stateless and safe for use by several threads. */
-final class Judgement {
+final class AccountChecks {
 
-    private Judgement() {}
+    private AccountChecks() {}
 
-    static List<String> of(AccountResult result) {
+    static List<String> check(AccountResult result) {
         List<String> faults = new ArrayList<>();
         if (result.wrong() > 0) {
             faults.add(result.account() + " got " + result.wrong() + " wrong answers: " + result.details());
--- a/standins/src/main/java/org/geraniumreach/standins/load/AccountResult.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/AccountResult.java
@@ -36,7 +36,7 @@
         boolean withinRate,
         Map<String, Integer> codes,
         Map<String, Integer> retriedCodes,
-        Spread firstToken,
-        Spread betweenTokens,
-        Spread booking,
+        LatencySummary firstToken,
+        LatencySummary betweenTokens,
+        LatencySummary booking,
         List<String> details) {}
--- a/standins/src/main/java/org/geraniumreach/standins/load/AccountTally.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/AccountTally.java
@@ -14,14 +14,14 @@
  */
 final class AccountTally {
 
-    private static final int DIGITS = 3;
-    private static final int MOST_DETAILS = 10;
+    private static final int SIGNIFICANT_DIGITS = 3;
+    private static final int MAXIMUM_DETAILS = 10;
     private static final String OUT_OF_BUDGET = "OUT_OF_BUDGET";
 
     private final String account;
-    private final Histogram firstToken = new Histogram(DIGITS);
-    private final Histogram betweenTokens = new Histogram(DIGITS);
-    private final Histogram booking = new Histogram(DIGITS);
+    private final Histogram firstToken = new Histogram(SIGNIFICANT_DIGITS);
+    private final Histogram betweenTokens = new Histogram(SIGNIFICANT_DIGITS);
+    private final Histogram booking = new Histogram(SIGNIFICANT_DIGITS);
     private final Map<String, Integer> codes = new TreeMap<>();
     private final Map<Outcome.Verdict, Integer> verdicts = new TreeMap<>();
     private final List<String> details = new ArrayList<>();
@@ -38,35 +38,35 @@
         return account;
     }
 
-    synchronized void sent(boolean isBooking) {
+    synchronized void recordSent(boolean isBooking) {
         sent++;
         generations += isBooking ? 0 : 1;
     }
 
-    synchronized void firstToken(long nanos) {
+    synchronized void recordFirstToken(long nanos) {
         firstToken.recordValue(Math.max(0, nanos / 1000));
     }
 
-    synchronized void betweenTokens(long nanos) {
+    synchronized void recordBetweenTokens(long nanos) {
         betweenTokens.recordValue(Math.max(0, nanos / 1000));
     }
 
-    synchronized void booking(long nanos) {
+    synchronized void recordBooking(long nanos) {
         booking.recordValue(Math.max(0, nanos / 1000));
     }
 
-    synchronized void triedAgain(Outcome outcome) {
+    synchronized void recordRetry(Outcome outcome) {
         retriedCodes.merge(outcome.code().isEmpty() ? outcome.detail() : outcome.code(), 1, Integer::sum);
     }
 
-    synchronized void ended(Outcome outcome) {
+    synchronized void recordOutcome(Outcome outcome) {
         verdicts.merge(outcome.verdict(), 1, Integer::sum);
         tokens += outcome.tokens();
         if (!outcome.code().isEmpty()) {
             codes.merge(outcome.code(), 1, Integer::sum);
         }
         String detail = outcome.verdict() + " " + outcome.code() + ": " + outcome.detail();
-        if (!outcome.detail().isEmpty() && details.size() < MOST_DETAILS && !details.contains(detail)) {
+        if (!outcome.detail().isEmpty() && details.size() < MAXIMUM_DETAILS && !details.contains(detail)) {
             details.add(detail);
         }
     }
@@ -95,9 +95,9 @@
                 tokens <= allowed,
                 Map.copyOf(codes),
                 Map.copyOf(retriedCodes),
-                Spread.of(firstToken),
-                Spread.of(betweenTokens),
-                Spread.of(booking),
+                LatencySummary.of(firstToken),
+                LatencySummary.of(betweenTokens),
+                LatencySummary.of(booking),
                 List.copyOf(details));
     }
 
--- a/standins/src/main/java/org/geraniumreach/standins/load/Reception.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/AnswerReceiver.java
@@ -19,7 +19,7 @@
  * <p>Invariant: an answer counts as served only if it is whole and equal to what the adapter's version must give. Used by
  * one thread at a time, in the order of the HTTP client's calls.
  */
-final class Reception implements Flow.Subscriber<String> {
+final class AnswerReceiver implements Flow.Subscriber<String> {
 
     private static final int OK = 200;
     private static final String DATA = "data: ";
@@ -33,10 +33,10 @@
     private final StringBuilder text = new StringBuilder();
     private long lastPartNanos;
     private int status;
-    private boolean lines;
-    private boolean begun;
+    private boolean lineByLine;
+    private boolean firstPartReceived;
     private boolean done;
-    private boolean finished;
+    private boolean finishedAsExpected;
     private Outcome error;
 
     /**
@@ -48,7 +48,7 @@
      * @param firstPart told how long the first part took, in nanoseconds
      * @param laterPart told how long after another each later part came
      */
-    Reception(PlannedRequest request, Mode mode, long dueNanos, LongConsumer firstPart, LongConsumer laterPart) {
+    AnswerReceiver(PlannedRequest request, Mode mode, long dueNanos, LongConsumer firstPart, LongConsumer laterPart) {
         this.request = request;
         this.mode = mode;
         this.lastPartNanos = dueNanos;
@@ -56,9 +56,9 @@
         this.laterPart = laterPart;
     }
 
-    BodySubscriber<Void> body(ResponseInfo response) {
+    BodySubscriber<Void> createBodySubscriber(ResponseInfo response) {
         status = response.statusCode();
-        lines = status == OK && !request.isBooking() && (request.streamed() || mode == Mode.ENGINE);
+        lineByLine = status == OK && !request.isBooking() && (request.streamed() || mode == Mode.ENGINE);
         return BodySubscribers.fromLineSubscriber(this, reader -> null, StandardCharsets.UTF_8, "\n");
     }
 
@@ -69,7 +69,7 @@
 
     @Override
     public void onNext(String line) {
-        if (!lines) {
+        if (!lineByLine) {
             received.append(line);
             return;
         }
@@ -87,8 +87,8 @@
 
     @Override
     public void onComplete() {
-        if (!lines && status == OK && !request.isBooking()) {
-            part();
+        if (!lineByLine && status == OK && !request.isBooking()) {
+            recordPart();
         }
     }
 
@@ -99,7 +99,7 @@
         JsonNode json = parse(line);
         if (json.has("end")) {
             done = true;
-            finished = json.path("end")
+            finishedAsExpected = json.path("end")
                             .path("adapter")
                             .asText()
                             .equals(request.adapter().adapter())
@@ -131,22 +131,22 @@
                 choice.has("delta")
                         ? choice.path("delta").path("content").asText("")
                         : choice.path("text").asText(""));
-        finished |= choice.path("finish_reason").isTextual()
+        finishedAsExpected |= choice.path("finish_reason").isTextual()
                 && json.path("model").asText().equals(request.adapter().toString());
     }
 
     private void addText(String added) {
         if (!added.isEmpty()) {
             text.append(added);
-            part();
+            recordPart();
         }
     }
 
-    private void part() {
+    private void recordPart() {
         long now = System.nanoTime();
-        (begun ? laterPart : firstPart).accept(now - lastPartNanos);
+        (firstPartReceived ? laterPart : firstPart).accept(now - lastPartNanos);
         lastPartNanos = now;
-        begun = true;
+        firstPartReceived = true;
     }
 
     /**
@@ -154,7 +154,7 @@
      *
      * @return the outcome
      */
-    Outcome judge() {
+    Outcome evaluate() {
         if (error != null) {
             return error;
         }
@@ -162,12 +162,14 @@
             return errorOf(parse(received.toString()));
         }
         if (request.isBooking()) {
-            return judgeBooking();
+            return evaluateBooking();
         }
-        return lines ? judgeText(text.toString(), done && finished) : judgeWhole(parse(received.toString()));
+        return lineByLine
+                ? evaluateText(text.toString(), done && finishedAsExpected)
+                : evaluateUnstreamed(parse(received.toString()));
     }
 
-    private Outcome judgeBooking() {
+    private Outcome evaluateBooking() {
         JsonNode json = parse(received.toString());
         if (!json.path("request").asText().equals(request.text())
                 || !json.path("account").asText().equals(request.account().name())) {
@@ -176,16 +178,16 @@
         return Outcome.served(0, received.toString());
     }
 
-    private Outcome judgeWhole(JsonNode json) {
+    private Outcome evaluateUnstreamed(JsonNode json) {
         JsonNode choice = json.path("choices").path(0);
         String whole = choice.has("message")
                 ? choice.path("message").path("content").asText()
                 : choice.path("text").asText();
         boolean named = json.path("model").asText().equals(request.adapter().toString());
-        return judgeText(whole, named && choice.path("finish_reason").isTextual());
+        return evaluateText(whole, named && choice.path("finish_reason").isTextual());
     }
 
-    private Outcome judgeText(String answer, boolean whole) {
+    private Outcome evaluateText(String answer, boolean whole) {
         ExpectedAnswer expected = request.expected();
         int most = request.account().maximumTokens();
         String due = expected.text(most);
--- a/standins/src/main/java/org/geraniumreach/standins/load/BatchFigures.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/BatchStatistics.java
@@ -9,7 +9,7 @@
  * @param meanBatch the mean over streams of the mean number of streams in their steps
  * @param meanAdapters the same for the distinct adapters
  */
-public record BatchFigures(int streams, double meanBatch, double meanAdapters) {
+public record BatchStatistics(int streams, double meanBatch, double meanAdapters) {
 
-    static final BatchFigures NONE = new BatchFigures(0, 0, 0);
+    static final BatchStatistics NONE = new BatchStatistics(0, 0, 0);
 }
--- a/standins/src/main/java/org/geraniumreach/standins/load/RunRecords.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/BookingRecords.java
@@ -14,7 +14,7 @@
  *
  * <p>Used by one thread.
  */
-final class RunRecords {
+final class BookingRecords {
 
     private final Map<String, Integer> runsByBooking = new HashMap<>();
 
--- a/standins/src/main/java/org/geraniumreach/standins/load/GenerationRecords.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/GenerationRecords.java
@@ -41,7 +41,7 @@
                                 account.name(),
                                 account.tokensPerSecond(),
                                 account.burstTokens(),
-                                uses(account.name(), sent))
+                                usages(account.name(), sent))
                         .ifPresent(faults::add);
             }
         }
@@ -66,12 +66,12 @@
         }
     }
 
-    private List<RateWindows.Use> uses(String account, Map<String, SentGeneration> sent) {
-        List<RateWindows.Use> uses = new ArrayList<>();
+    private List<RateWindows.Usage> usages(String account, Map<String, SentGeneration> sent) {
+        List<RateWindows.Usage> uses = new ArrayList<>();
         sent.forEach((request, generation) -> {
             if (generation.account().equals(account)) {
                 for (EngineRun run : runs.getOrDefault(request, List.of())) {
-                    uses.add(new RateWindows.Use(generation.sentMillis(), run.queuedMillis(), run.tokens()));
+                    uses.add(new RateWindows.Usage(generation.sentMillis(), run.queuedMillis(), run.tokens()));
                 }
             }
         });
@@ -84,11 +84,11 @@
      * @param sent the generations by digest
      * @return the figures
      */
-    BatchFigures figures(Map<String, SentGeneration> sent) {
+    BatchStatistics batchStatistics(Map<String, SentGeneration> sent) {
         List<EngineRun> ours = sent.keySet().stream()
                 .flatMap(request -> runs.getOrDefault(request, List.of()).stream())
                 .toList();
-        return new BatchFigures(
+        return new BatchStatistics(
                 ours.size(),
                 ours.stream().mapToDouble(EngineRun::batch).average().orElse(0),
                 ours.stream().mapToDouble(EngineRun::adapters).average().orElse(0));
--- a/standins/src/main/java/org/geraniumreach/standins/load/Wire.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/HttpRequestFactory.java
@@ -15,21 +15,21 @@
  *
  * <p>Immutable and safe for use by several threads.
  */
-final class Wire {
+final class HttpRequestFactory {
 
-    private static final Duration LIMIT = Duration.ofSeconds(120);
+    private static final Duration TIMEOUT = Duration.ofSeconds(120);
 
     private final LoadSettings settings;
 
-    Wire(LoadSettings settings) {
+    HttpRequestFactory(LoadSettings settings) {
         this.settings = settings;
     }
 
-    HttpRequest write(PlannedRequest request) {
+    HttpRequest create(PlannedRequest request) {
         if (request.isBooking()) {
             return booking(request);
         }
-        return settings.mode() == Mode.ENGINE ? atEngine(request) : atEntry(request);
+        return settings.mode() == Mode.ENGINE ? forEngine(request) : forEntry(request);
     }
 
     private HttpRequest booking(PlannedRequest request) {
@@ -40,7 +40,7 @@
                 .build();
     }
 
-    private static HttpRequest atEntry(PlannedRequest request) {
+    private static HttpRequest forEntry(PlannedRequest request) {
         ObjectNode body = Call.JSON
                 .createObjectNode()
                 .put("model", request.adapter().toString())
@@ -54,7 +54,7 @@
         return post(request, "/v1/completions", body.toString()).build();
     }
 
-    private static HttpRequest atEngine(PlannedRequest request) {
+    private static HttpRequest forEngine(PlannedRequest request) {
         ObjectNode body = Call.JSON
                 .createObjectNode()
                 .put("attempt", "load-" + request.number())
@@ -71,7 +71,7 @@
     private static HttpRequest.Builder post(PlannedRequest request, String path, String body) {
         URI uri = request.entry().resolve(path);
         HttpRequest.Builder builder = HttpRequest.newBuilder(uri)
-                .timeout(LIMIT)
+                .timeout(TIMEOUT)
                 .header("Content-Type", "application/json")
                 .POST(BodyPublishers.ofString(body));
         if (!request.account().key().isEmpty()) {
--- a/standins/src/main/java/org/geraniumreach/standins/load/Spread.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/LatencySummary.java
@@ -14,15 +14,15 @@
  * @param p99 the 99th percentile
  * @param most the longest
  */
-public record Spread(long count, double mean, double p50, double p95, double p99, double most) {
+public record LatencySummary(long count, double mean, double p50, double p95, double p99, double most) {
 
     private static final double MICROS_PER_MILLI = 1000;
 
-    static Spread of(Histogram micros) {
+    static LatencySummary of(Histogram micros) {
         if (micros.getTotalCount() == 0) {
-            return new Spread(0, 0, 0, 0, 0, 0);
+            return new LatencySummary(0, 0, 0, 0, 0, 0);
         }
-        return new Spread(
+        return new LatencySummary(
                 micros.getTotalCount(),
                 micros.getMean() / MICROS_PER_MILLI,
                 micros.getValueAtPercentile(50) / MICROS_PER_MILLI,
--- a/standins/src/main/java/org/geraniumreach/standins/load/LoadResult.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/LoadResult.java
@@ -22,8 +22,8 @@
         double seconds,
         double latestSendMillis,
         List<AccountResult> accounts,
-        BatchFigures batches,
-        StallFigures stalls,
+        BatchStatistics batches,
+        StallStatistics stalls,
         List<String> faults) {
 
     /**
@@ -41,11 +41,11 @@
         return new LoadResult(seed, seconds, latestSendMillis, accounts, batches, stalls, all);
     }
 
-    LoadResult withBatches(BatchFigures newBatches) {
+    LoadResult withBatches(BatchStatistics newBatches) {
         return new LoadResult(seed, seconds, latestSendMillis, accounts, newBatches, stalls, faults);
     }
 
-    LoadResult withStalls(StallFigures newStalls) {
+    LoadResult withStalls(StallStatistics newStalls) {
         return new LoadResult(seed, seconds, latestSendMillis, accounts, batches, newStalls, faults);
     }
 
--- a/standins/src/main/java/org/geraniumreach/standins/load/LoadRun.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/LoadRun.java
@@ -30,11 +30,11 @@
 public final class LoadRun {
 
     private static final int THREADS = 4;
-    private static final int BOOKING_TRIES = 8;
-    private static final long BOOKING_PAUSE_MILLIS = 400;
+    private static final int MAXIMUM_BOOKING_ATTEMPTS = 8;
+    private static final long BOOKING_RETRY_DELAY_MILLIS = 400;
 
     private final LoadSettings settings;
-    private final Wire wire;
+    private final HttpRequestFactory requestFactory;
     private final ExecutorService executor = Executors.newFixedThreadPool(THREADS);
     private final ScheduledExecutorService timer = Timers.create();
     private final HttpClient client = HttpClient.newBuilder()
@@ -42,19 +42,21 @@
             .executor(executor)
             .build();
     private final Map<String, AccountTally> tallies = new LinkedHashMap<>();
-    private final Map<String, IdealBucket> buckets = new LinkedHashMap<>();
+    private final Map<String, ReferenceTokenBucket> buckets = new LinkedHashMap<>();
     private final Map<String, Outcome> bookings = new ConcurrentHashMap<>();
     private final Map<String, SentGeneration> generations = new ConcurrentHashMap<>();
     private final Phaser outstanding = new Phaser(1);
     private final long startNanos = System.nanoTime();
-    private long latestSendNanos;
+    private long maximumSendDelayNanos;
 
     private LoadRun(LoadSettings settings) {
         this.settings = settings;
-        this.wire = new Wire(settings);
+        this.requestFactory = new HttpRequestFactory(settings);
         for (AccountLoad account : settings.accounts()) {
             tallies.put(account.name(), new AccountTally(account.name()));
-            buckets.put(account.name(), new IdealBucket(account.tokensPerSecond(), account.burstTokens(), startNanos));
+            buckets.put(
+                    account.name(),
+                    new ReferenceTokenBucket(account.tokensPerSecond(), account.burstTokens(), startNanos));
         }
     }
 
@@ -80,7 +82,7 @@
     }
 
     private LoadResult run() throws InterruptedException, IOException {
-        SystemReading before = SystemReading.take(settings.observed());
+        SystemCounters before = SystemCounters.fetch(settings.observed());
         sendAll();
         List<String> faults = new ArrayList<>();
         try {
@@ -95,14 +97,20 @@
                 .map(account -> tallies.get(account.name())
                         .result(account, buckets.get(account.name()).admitted(), elapsed))
                 .toList();
-        results.forEach(result -> faults.addAll(Judgement.of(result)));
+        results.forEach(result -> faults.addAll(AccountChecks.check(result)));
         LoadResult result = new LoadResult(
-                settings.seed(), elapsed, latestSendNanos / 1e6, results, BatchFigures.NONE, StallFigures.NONE, faults);
-        RanCheck ran = new RanCheck(settings);
+                settings.seed(),
+                elapsed,
+                maximumSendDelayNanos / 1e6,
+                results,
+                BatchStatistics.NONE,
+                StallStatistics.NONE,
+                faults);
+        TargetRecordCheck ran = new TargetRecordCheck(settings);
         ran.check(bookings, generations);
         return result.withFaults(ran.faults())
-                .withBatches(ran.figures())
-                .withStalls(SystemReading.take(settings.observed()).since(before));
+                .withBatches(ran.batchStatistics())
+                .withStalls(SystemCounters.fetch(settings.observed()).since(before));
     }
 
     private void sendAll() {
@@ -122,7 +130,8 @@
             PlannedRequest request = source.next(number);
             sources.add(source);
             sleepUntil(startNanos + request.dueNanos());
-            latestSendNanos = Math.max(latestSendNanos, System.nanoTime() - startNanos - request.dueNanos());
+            maximumSendDelayNanos =
+                    Math.max(maximumSendDelayNanos, System.nanoTime() - startNanos - request.dueNanos());
             send(request);
         }
     }
@@ -138,22 +147,22 @@
     private void send(PlannedRequest request) {
         outstanding.register();
         if (isMeasured(request)) {
-            tallies.get(request.account().name()).sent(request.isBooking());
+            tallies.get(request.account().name()).recordSent(request.isBooking());
         }
         if (request.isBooking()) {
-            book(request, BOOKING_TRIES, startNanos + request.dueNanos());
+            book(request, MAXIMUM_BOOKING_ATTEMPTS, startNanos + request.dueNanos());
             return;
         }
         if (isMeasured(request)) {
             buckets.get(request.account().name())
-                    .offer(request.reservedTokens(), request.usedTokens(), System.nanoTime());
+                    .admitIfAvailable(request.reservedTokens(), request.usedTokens(), System.nanoTime());
         }
         long sentMillis = System.currentTimeMillis();
         exchange(request, startNanos + request.dueNanos(), outcome -> {
             generations.put(
                     request.expected().digest(),
                     new SentGeneration(request.account().name(), request.adapter(), sentMillis, outcome));
-            ended(request, outcome);
+            complete(request, outcome);
         });
     }
 
@@ -164,25 +173,27 @@
     private void book(PlannedRequest request, int triesLeft, long dueNanos) {
         exchange(request, dueNanos, outcome -> {
             if (outcome.verdict() == Outcome.Verdict.FAILED && triesLeft > 1) {
-                tallies.get(request.account().name()).triedAgain(outcome);
+                tallies.get(request.account().name()).recordRetry(outcome);
                 timer.schedule(
-                        () -> book(request, triesLeft - 1, dueNanos), BOOKING_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+                        () -> book(request, triesLeft - 1, dueNanos),
+                        BOOKING_RETRY_DELAY_MILLIS,
+                        TimeUnit.MILLISECONDS);
                 return;
             }
             if (outcome.isServed()) {
-                tallies.get(request.account().name()).booking(System.nanoTime() - dueNanos);
+                tallies.get(request.account().name()).recordBooking(System.nanoTime() - dueNanos);
             }
             if (outcome.isServed() && request.repeated()) {
-                bookAgain(request, outcome);
+                repeatBooking(request, outcome);
                 return;
             }
             bookings.put(request.idempotencyKey(), outcome);
-            ended(request, outcome);
+            complete(request, outcome);
         });
     }
 
     /** Sends a booking again that was answered: the answer must be the same, whole. */
-    private void bookAgain(PlannedRequest request, Outcome first) {
+    private void repeatBooking(PlannedRequest request, Outcome first) {
         exchange(request, System.nanoTime(), second -> {
             boolean differs = second.isServed() && !second.body().equals(first.body());
             Outcome outcome = differs
@@ -190,43 +201,43 @@
                             + " and " + second.body())
                     : first;
             bookings.put(request.idempotencyKey(), outcome);
-            ended(request, outcome);
+            complete(request, outcome);
         });
     }
 
     private void exchange(PlannedRequest request, long dueNanos, OutcomeListener listener) {
         AccountTally tally = tallies.get(request.account().name());
         boolean measured = isMeasured(request);
-        Reception reception = new Reception(
+        AnswerReceiver reception = new AnswerReceiver(
                 request,
                 settings.mode(),
                 dueNanos,
                 nanos -> {
                     if (measured) {
-                        tally.firstToken(nanos);
+                        tally.recordFirstToken(nanos);
                     }
                 },
                 nanos -> {
                     if (measured) {
-                        tally.betweenTokens(nanos);
+                        tally.recordBetweenTokens(nanos);
                     }
                 });
-        HttpResponse.BodyHandler<Void> handler = reception::body;
-        client.sendAsync(wire.write(request), handler).whenComplete((response, failure) -> {
-            Outcome outcome = failure == null ? reception.judge() : Outcome.failed(String.valueOf(failure));
-            listener.ended(outcome);
+        HttpResponse.BodyHandler<Void> handler = reception::createBodySubscriber;
+        client.sendAsync(requestFactory.create(request), handler).whenComplete((response, failure) -> {
+            Outcome outcome = failure == null ? reception.evaluate() : Outcome.failed(String.valueOf(failure));
+            listener.onEnded(outcome);
         });
     }
 
-    private void ended(PlannedRequest request, Outcome outcome) {
+    private void complete(PlannedRequest request, Outcome outcome) {
         if (isMeasured(request) || outcome.verdict() == Outcome.Verdict.WRONG) {
-            tallies.get(request.account().name()).ended(outcome);
+            tallies.get(request.account().name()).recordOutcome(outcome);
         }
         outstanding.arriveAndDeregister();
     }
 
     /** Is told of a request's end. */
     private interface OutcomeListener {
-        void ended(Outcome outcome);
+        void onEnded(Outcome outcome);
     }
 }
--- a/standins/src/main/java/org/geraniumreach/standins/load/RateWindows.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/RateWindows.java
@@ -15,7 +15,7 @@
  */
 final class RateWindows {
 
-    private static final int MOST_STARTS = 4000;
+    private static final int MAXIMUM_WINDOW_STARTS = 4000;
     private static final double MILLIS_PER_SECOND = 1000;
 
     private RateWindows() {}
@@ -27,16 +27,16 @@
      * @param untilMillis the latest
      * @param tokens what it used
      */
-    record Use(long fromMillis, long untilMillis, int tokens) {}
+    record Usage(long fromMillis, long untilMillis, int tokens) {}
 
-    static Optional<String> check(String account, double tokensPerSecond, double burst, List<Use> uses) {
-        List<Use> byEnd = new ArrayList<>(uses);
-        byEnd.sort(Comparator.comparingLong(Use::untilMillis));
-        int stride = Math.max(1, uses.size() / MOST_STARTS);
+    static Optional<String> check(String account, double tokensPerSecond, double burst, List<Usage> uses) {
+        List<Usage> byEnd = new ArrayList<>(uses);
+        byEnd.sort(Comparator.comparingLong(Usage::untilMillis));
+        int stride = Math.max(1, uses.size() / MAXIMUM_WINDOW_STARTS);
         for (int start = 0; start < uses.size(); start += stride) {
             long from = uses.get(start).fromMillis();
             long tokens = 0;
-            for (Use use : byEnd) {
+            for (Usage use : byEnd) {
                 if (use.fromMillis() < from) {
                     continue;
                 }
--- a/standins/src/main/java/org/geraniumreach/standins/load/IdealBucket.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/ReferenceTokenBucket.java
@@ -7,7 +7,7 @@
  *
  * <p>Invariant: holds at most the burst. Safe for use by several threads, under its own lock.
  */
-final class IdealBucket {
+final class ReferenceTokenBucket {
 
     private final double tokensPerSecond;
     private final double burst;
@@ -15,7 +15,7 @@
     private long lastNanos;
     private int admitted;
 
-    IdealBucket(double tokensPerSecond, double burst, long nowNanos) {
+    ReferenceTokenBucket(double tokensPerSecond, double burst, long nowNanos) {
         this.tokensPerSecond = tokensPerSecond;
         this.burst = burst;
         this.available = burst;
@@ -33,7 +33,7 @@
      * @param used the tokens that it will use
      * @param nowNanos the time
      */
-    synchronized void offer(double most, double used, long nowNanos) {
+    synchronized void admitIfAvailable(double most, double used, long nowNanos) {
         available = Math.min(burst, available + tokensPerSecond * (nowNanos - lastNanos) / TimeUnit.SECONDS.toNanos(1));
         lastNanos = nowNanos;
         if (!isLimited()) {
--- a/standins/src/main/java/org/geraniumreach/standins/load/RequestSource.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/RequestSource.java
@@ -29,7 +29,7 @@
     private final ZipfDistribution popularity;
     private final String run;
     private double nextSeconds;
-    private long made;
+    private long requestCount;
 
     RequestSource(LoadSettings settings, AccountLoad account, boolean bookings, String run) {
         this.account = account;
@@ -44,7 +44,7 @@
                 ? new ZipfDistribution(
                         random, account.adapters().count(), account.adapters().zipfExponent())
                 : null;
-        advance();
+        scheduleNext();
     }
 
     long nextDueNanos() {
@@ -53,12 +53,12 @@
 
     PlannedRequest next(long number) {
         long due = nextDueNanos();
-        advance();
-        made++;
+        scheduleNext();
+        requestCount++;
         return bookings ? booking(number, due) : generation(number, due);
     }
 
-    private void advance() {
+    private void scheduleNext() {
         nextSeconds = perSecond > 0 ? nextSeconds - Math.log(1 - random.nextDouble()) / perSecond : Double.MAX_VALUE;
     }
 
@@ -85,12 +85,12 @@
                 .append('-')
                 .append(account.name())
                 .append('-')
-                .append(made)
+                .append(requestCount)
                 .toString();
     }
 
     private PlannedRequest booking(long number, long due) {
-        String key = run + "-" + account.name() + "-booking-" + made;
+        String key = run + "-" + account.name() + "-booking-" + requestCount;
         String body = "{\"booking\":\"" + key + "\",\"motor\":\"pump " + random.nextInt(1000) + "\"}";
         boolean repeated = random.nextDouble() < account.repeatShare();
         return new PlannedRequest(number, due, account, Kind.BOOKING, false, null, body, repeated, key, entry());
--- a/standins/src/main/java/org/geraniumreach/standins/load/StallFigures.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/StallStatistics.java
@@ -12,7 +12,7 @@
  * @param loads the adapters that the weight store delivered
  * @param loadsPerThousand the same for each thousand requests
  */
-public record StallFigures(
+public record StallStatistics(
         double requests,
         double stalledShare,
         double boundMillis95,
@@ -20,11 +20,11 @@
         long loads,
         double loadsPerThousand) {
 
-    static final StallFigures NONE = new StallFigures(0, 0, 0, 0, 0, 0);
+    static final StallStatistics NONE = new StallStatistics(0, 0, 0, 0, 0, 0);
 
-    static StallFigures of(LoadWaits waits, long loads) {
+    static StallStatistics of(LoadWaits waits, long loads) {
         double requests = waits.requests();
-        return new StallFigures(
+        return new StallStatistics(
                 requests,
                 waits.stalledShare(),
                 waits.boundMillis(0.95),
--- a/standins/src/main/java/org/geraniumreach/standins/load/SystemReading.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/SystemCounters.java
@@ -18,11 +18,11 @@
  * @param waits the waits on loads over all entries
  * @param loads the adapters delivered
  */
-record SystemReading(LoadWaits waits, long loads) {
+record SystemCounters(LoadWaits waits, long loads) {
 
-    private static final Duration LIMIT = Duration.ofSeconds(5);
+    private static final Duration TIMEOUT = Duration.ofSeconds(5);
 
-    static SystemReading take(Observed observed) throws IOException, InterruptedException {
+    static SystemCounters fetch(Observed observed) throws IOException, InterruptedException {
         HttpClient client =
                 HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
         LoadWaits waits = LoadWaits.NONE;
@@ -34,15 +34,15 @@
             String counters = read(client, observed.platform().resolve("/admin/counters?part=weights"));
             loads = Call.JSON.readTree(counters).path("done").asLong();
         }
-        return new SystemReading(waits, loads);
+        return new SystemCounters(waits, loads);
     }
 
     private static String read(HttpClient client, URI url) throws IOException, InterruptedException {
-        HttpRequest request = HttpRequest.newBuilder(url).timeout(LIMIT).build();
+        HttpRequest request = HttpRequest.newBuilder(url).timeout(TIMEOUT).build();
         return client.send(request, BodyHandlers.ofString()).body();
     }
 
-    StallFigures since(SystemReading before) {
-        return StallFigures.of(waits.minus(before.waits), loads - before.loads);
+    StallStatistics since(SystemCounters before) {
+        return StallStatistics.of(waits.minus(before.waits), loads - before.loads);
     }
 }
--- a/standins/src/main/java/org/geraniumreach/standins/load/RanCheck.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/TargetRecordCheck.java
@@ -19,17 +19,17 @@
  *
  * <p>Used by one thread.
  */
-final class RanCheck {
+final class TargetRecordCheck {
 
-    private static final Duration LIMIT = Duration.ofSeconds(10);
+    private static final Duration TIMEOUT = Duration.ofSeconds(10);
 
     private final LoadSettings settings;
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     private final List<String> faults = new ArrayList<>();
-    private BatchFigures figures = BatchFigures.NONE;
+    private BatchStatistics batchStatistics = BatchStatistics.NONE;
 
-    RanCheck(LoadSettings settings) {
+    TargetRecordCheck(LoadSettings settings) {
         this.settings = settings;
     }
 
@@ -37,8 +37,8 @@
         return faults;
     }
 
-    BatchFigures figures() {
-        return figures;
+    BatchStatistics batchStatistics() {
+        return batchStatistics;
     }
 
     void check(Map<String, Outcome> bookings, Map<String, SentGeneration> generations) throws InterruptedException {
@@ -54,7 +54,7 @@
         if (settings.service() == null || settings.service().ran().isEmpty()) {
             return;
         }
-        RunRecords records = new RunRecords();
+        BookingRecords records = new BookingRecords();
         for (URI worker : settings.service().ran()) {
             readAll(worker, "runs", records::add);
         }
@@ -70,7 +70,7 @@
             readAll(engine, "streams", records::add);
         }
         faults.addAll(records.check(generations, settings.accounts()));
-        figures = records.figures(generations);
+        batchStatistics = records.batchStatistics(generations);
     }
 
     private void readAll(URI target, String items, Consumer<JsonNode> consumer)
@@ -78,7 +78,7 @@
         long last = 0;
         while (true) {
             HttpRequest request = HttpRequest.newBuilder(target.resolve("/v1/ran?after=" + last))
-                    .timeout(LIMIT)
+                    .timeout(TIMEOUT)
                     .build();
             JsonNode ran = Call.JSON.readTree(
                     client.send(request, BodyHandlers.ofString()).body());
--- a/standins/src/main/java/org/geraniumreach/standins/report/Comparison.java
+++ b/standins/src/main/java/org/geraniumreach/standins/report/Comparison.java
@@ -15,9 +15,9 @@
  */
 final class Comparison {
 
-    private final Map<String, List<RunFigures>> runs = new TreeMap<>();
+    private final Map<String, List<RunMetrics>> runs = new TreeMap<>();
 
-    Comparison(List<RunFigures> all) {
+    Comparison(List<RunMetrics> all) {
         all.forEach(run -> runs.computeIfAbsent(run.configuration(), name -> new ArrayList<>())
                 .add(run));
     }
@@ -31,10 +31,10 @@
     }
 
     long held(String configuration) {
-        return runs.get(configuration).stream().filter(RunFigures::held).count();
+        return runs.get(configuration).stream().filter(RunMetrics::held).count();
     }
 
-    SummaryStatistics spread(String configuration, Figure figure) {
+    SummaryStatistics spread(String configuration, Metric figure) {
         SummaryStatistics statistics = new SummaryStatistics();
         runs.get(configuration).forEach(run -> statistics.addValue(run.values().get(figure)));
         return statistics;
@@ -44,7 +44,7 @@
         List<String> lines = new ArrayList<>();
         for (String configuration : configurations()) {
             lines.add(configuration + ": " + count(configuration) + " runs, all held in " + held(configuration));
-            for (Figure figure : Figure.values()) {
+            for (Metric figure : Metric.values()) {
                 SummaryStatistics spread = spread(configuration, figure);
                 lines.add(String.format(
                         Locale.ROOT,
--- a/standins/src/main/java/org/geraniumreach/standins/report/Figure.java
+++ b/standins/src/main/java/org/geraniumreach/standins/report/Metric.java
@@ -1,7 +1,7 @@
 package org.geraniumreach.standins.report;
 
 /** What configurations are compared by. */
-enum Figure {
+enum Metric {
     STALLED("requests stalled on loads, in 100"),
     STALL_95("bound of the load wait of 95 in 100, ms"),
     LOADS("loads per thousand requests"),
@@ -14,7 +14,7 @@
 
     private final String label;
 
-    Figure(String label) {
+    Metric(String label) {
         this.label = label;
     }
 
--- a/standins/src/main/java/org/geraniumreach/standins/report/ReportFiles.java
+++ b/standins/src/main/java/org/geraniumreach/standins/report/ReportFiles.java
@@ -34,14 +34,14 @@
      * @throws IOException if a file cannot be read or written
      */
     public static List<String> write(List<Path> results, Path directory) throws IOException {
-        List<RunFigures> runs = new ArrayList<>();
+        List<RunMetrics> runs = new ArrayList<>();
         for (Path file : results) {
-            runs.add(RunFigures.of(configurationOf(file), JSON.readTree(file.toFile())));
+            runs.add(RunMetrics.of(configurationOf(file), JSON.readTree(file.toFile())));
         }
         Comparison comparison = new Comparison(runs);
         Files.createDirectories(directory);
         JSON.writeValue(directory.resolve("report.json").toFile(), toJson(comparison));
-        for (Figure figure : Figure.values()) {
+        for (Metric figure : Metric.values()) {
             plot(comparison, figure, directory);
         }
         return comparison.toTable();
@@ -62,7 +62,7 @@
             ObjectNode figures = json.putObject(configuration)
                     .put("runs", comparison.count(configuration))
                     .put("held", comparison.held(configuration));
-            for (Figure figure : Figure.values()) {
+            for (Metric figure : Metric.values()) {
                 SummaryStatistics spread = comparison.spread(configuration, figure);
                 figures.putObject(figure.name().toLowerCase(Locale.ROOT))
                         .put("label", figure.label())
@@ -74,7 +74,7 @@
         return json;
     }
 
-    private static void plot(Comparison comparison, Figure figure, Path directory) throws IOException {
+    private static void plot(Comparison comparison, Metric figure, Path directory) throws IOException {
         CategoryChart chart = new CategoryChartBuilder()
                 .width(WIDTH)
                 .height(HEIGHT)
--- a/standins/src/main/java/org/geraniumreach/standins/report/RunFigures.java
+++ b/standins/src/main/java/org/geraniumreach/standins/report/RunMetrics.java
@@ -14,27 +14,27 @@
  * @param held whether all held
  * @param values the figures
  */
-record RunFigures(String configuration, boolean held, Map<Figure, Double> values) {
+record RunMetrics(String configuration, boolean held, Map<Metric, Double> values) {
 
     private static final String OUT_OF_BUDGET = "OUT_OF_BUDGET";
     private static final double PERCENT = 100;
 
-    static RunFigures of(String configuration, JsonNode run) {
+    static RunMetrics of(String configuration, JsonNode run) {
         JsonNode result = run.path("result");
-        Map<Figure, Double> values = new TreeMap<>();
+        Map<Metric, Double> values = new TreeMap<>();
         JsonNode stalls = result.path("stalls");
-        values.put(Figure.STALLED, PERCENT * stalls.path("stalledShare").asDouble());
-        values.put(Figure.STALL_95, stalls.path("boundMillis95").asDouble());
-        values.put(Figure.LOADS, stalls.path("loadsPerThousand").asDouble());
-        values.put(Figure.BATCH, result.path("batches").path("meanBatch").asDouble());
+        values.put(Metric.STALLED, PERCENT * stalls.path("stalledShare").asDouble());
+        values.put(Metric.STALL_95, stalls.path("boundMillis95").asDouble());
+        values.put(Metric.LOADS, stalls.path("loadsPerThousand").asDouble());
+        values.put(Metric.BATCH, result.path("batches").path("meanBatch").asDouble());
         values.put(
-                Figure.BATCH_ADAPTERS,
+                Metric.BATCH_ADAPTERS,
                 result.path("batches").path("meanAdapters").asDouble());
-        values.put(Figure.TOKENS, sum(result, "tokens") / result.path("seconds").asDouble(1));
-        values.put(Figure.WRONGFUL, PERCENT * sum(result, "wrongfullyRefused") / Math.max(1, sum(result, "sent")));
-        values.put(Figure.WORST_SHARE, PERCENT * worstShare(result));
-        values.put(Figure.WORST_FIRST_TOKEN, worstFirstToken(result));
-        return new RunFigures(
+        values.put(Metric.TOKENS, sum(result, "tokens") / result.path("seconds").asDouble(1));
+        values.put(Metric.WRONGFUL, PERCENT * sum(result, "wrongfullyRefused") / Math.max(1, sum(result, "sent")));
+        values.put(Metric.WORST_SHARE, PERCENT * minimumShare(result));
+        values.put(Metric.WORST_FIRST_TOKEN, maximumFirstToken(result));
+        return new RunMetrics(
                 configuration,
                 result.path("held").asBoolean(result.path("faults").isEmpty()),
                 values);
@@ -49,7 +49,7 @@
     }
 
     /** The least part of what was due that an account got; due is what one central bucket lets through. */
-    private static double worstShare(JsonNode result) {
+    private static double minimumShare(JsonNode result) {
         double worst = 1;
         for (JsonNode account : result.path("accounts")) {
             double due = account.path("sent").asDouble()
@@ -62,7 +62,7 @@
         return worst;
     }
 
-    private static double worstFirstToken(JsonNode result) {
+    private static double maximumFirstToken(JsonNode result) {
         double worst = 0;
         for (JsonNode account : result.path("accounts")) {
             boolean withinRate = account.path("codes").path(OUT_OF_BUDGET).asDouble()
--- a/standins/src/main/java/org/geraniumreach/standins/service/ServicePart.java
+++ b/standins/src/main/java/org/geraniumreach/standins/service/ServiceStandIn.java
@@ -13,7 +13,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.geraniumreach.standins.http.Answer;
 import org.geraniumreach.standins.http.Call;
-import org.geraniumreach.standins.http.Part;
+import org.geraniumreach.standins.http.StandIn;
 import org.geraniumreach.standins.http.StandInServer;
 
 /**
@@ -22,10 +22,10 @@
  * <p>It is the target that makes a doubled call visible: it knows no idempotency keys. Invariant: a call that was answered
  * is in the record. Safe for use by several threads.
  */
-public final class ServicePart implements Part {
+public final class ServiceStandIn implements StandIn {
 
-    private static final String START = "/v1/operations/";
-    private static final int MOST_RUNS_IN_ANSWER = 10_000;
+    private static final String OPERATIONS_PATH = "/v1/operations/";
+    private static final int MAXIMUM_RUNS_PER_RESPONSE = 10_000;
 
     private final long latencyMillis;
     private final ScheduledExecutorService timer;
@@ -40,7 +40,7 @@
      * @param timer delays answers, not null
      * @throws IOException if the port cannot be had
      */
-    public ServicePart(int port, long latencyMillis, ScheduledExecutorService timer) throws IOException {
+    public ServiceStandIn(int port, long latencyMillis, ScheduledExecutorService timer) throws IOException {
         this.latencyMillis = latencyMillis;
         this.timer = timer;
         this.server = StandInServer.start("service-" + port, port, (call, faults) -> handle(call), timer);
@@ -54,16 +54,16 @@
     @Override
     public CompletionStage<Answer> administer(Call call) {
         return call.route().equals("GET /admin/ran")
-                ? ran(call).now()
-                : Answer.unknownPath(call).now();
+                ? runRecords(call).toCompletedStage()
+                : Answer.unknownPath(call).toCompletedStage();
     }
 
     private CompletionStage<Answer> handle(Call call) {
         if (call.route().equals("GET /v1/ran")) {
-            return ran(call).now();
+            return runRecords(call).toCompletedStage();
         }
-        if (!call.route().startsWith("POST " + START)) {
-            return Answer.unknownPath(call).now();
+        if (!call.route().startsWith("POST " + OPERATIONS_PATH)) {
+            return Answer.unknownPath(call).toCompletedStage();
         }
         return run(call);
     }
@@ -77,7 +77,7 @@
                 .put("account", run.account())
                 .put("request", run.body());
         if (latencyMillis == 0) {
-            return Answer.of(json).now();
+            return Answer.of(json).toCompletedStage();
         }
         CompletableFuture<Answer> later = new CompletableFuture<>();
         timer.schedule(() -> later.complete(Answer.of(json)), latencyMillis, TimeUnit.MILLISECONDS);
@@ -88,7 +88,7 @@
         synchronized (runs) {
             ServiceRun run = new ServiceRun(
                     runs.size() + 1,
-                    call.pathAfter(START),
+                    call.pathAfter(OPERATIONS_PATH),
                     call.header("X-Account").orElse(""),
                     call.header("X-Attempt").orElse(""),
                     new String(call.body(), StandardCharsets.UTF_8),
@@ -98,12 +98,12 @@
         }
     }
 
-    private Answer ran(Call call) {
+    private Answer runRecords(Call call) {
         ObjectNode json = Call.JSON.createObjectNode();
         ArrayNode array = json.putArray("runs");
         synchronized (runs) {
             int from = (int) Math.min(runs.size(), call.number("after", 0));
-            int to = Math.min(runs.size(), from + MOST_RUNS_IN_ANSWER);
+            int to = Math.min(runs.size(), from + MAXIMUM_RUNS_PER_RESPONSE);
             runs.subList(from, to).forEach(run -> array.add(Call.JSON.valueToTree(run)));
             json.put("total", runs.size());
         }
--- a/standins/src/main/java/org/geraniumreach/standins/store/ObjectPart.java
+++ b/standins/src/main/java/org/geraniumreach/standins/store/ObjectStoreStandIn.java
@@ -8,7 +8,7 @@
 
 import org.geraniumreach.standins.http.Answer;
 import org.geraniumreach.standins.http.Call;
-import org.geraniumreach.standins.http.Part;
+import org.geraniumreach.standins.http.StandIn;
 import org.geraniumreach.standins.http.StandInServer;
 
 /**
@@ -16,7 +16,7 @@
  *
  * <p>Safe for use by several threads.
  */
-public final class ObjectPart implements Part {
+public final class ObjectStoreStandIn implements StandIn {
 
     private static final int NOT_FOUND = 404;
 
@@ -30,7 +30,7 @@
      * @param timer delays answers, not null
      * @throws IOException if the port cannot be had
      */
-    public ObjectPart(int port, ScheduledExecutorService timer) throws IOException {
+    public ObjectStoreStandIn(int port, ScheduledExecutorService timer) throws IOException {
         this.server = StandInServer.start("objects", port, (call, faults) -> handle(call), timer);
     }
 
@@ -42,15 +42,15 @@
     private CompletionStage<Answer> handle(Call call) {
         String key = call.parameter("key").orElse("");
         if (key.isEmpty()) {
-            return Answer.malformed("no key").now();
+            return Answer.malformed("no key").toCompletedStage();
         }
         return switch (call.route()) {
             case "PUT /v1/objects" -> {
                 objects.put(key, call.body());
-                yield Answer.of(Call.JSON.createObjectNode().put("done", true)).now();
+                yield Answer.of(Call.JSON.createObjectNode().put("done", true)).toCompletedStage();
             }
-            case "GET /v1/objects" -> get(key).now();
-            default -> Answer.unknownPath(call).now();
+            case "GET /v1/objects" -> get(key).toCompletedStage();
+            default -> Answer.unknownPath(call).toCompletedStage();
         };
     }
 
--- a/standins/src/main/java/org/geraniumreach/standins/store/WeightStore.java
+++ b/standins/src/main/java/org/geraniumreach/standins/store/WeightStore.java
@@ -18,17 +18,17 @@
  */
 public final class WeightStore {
 
-    private static final long TICK_MILLIS = 5;
+    private static final long TICK_INTERVAL_MILLIS = 5;
 
     private final double loadsPerSecond;
     private final long fullSpeedMillis;
     private final int fullSpeedCount;
     private final Deque<Transfer> waiting = new ArrayDeque<>();
     private final List<Transfer> inTransit = new ArrayList<>();
-    private double allowance = 1;
+    private double availableStarts = 1;
     private long lastNanos = System.nanoTime();
-    private long done;
-    private int mostInTransit;
+    private long completedCount;
+    private int maximumInTransit;
 
     /**
      * Makes a store.
@@ -43,7 +43,8 @@
         this.loadsPerSecond = loadsPerSecond;
         this.fullSpeedMillis = fullSpeedMillis;
         this.fullSpeedCount = fullSpeedCount;
-        timer.scheduleAtFixedRate(this::moveOn, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+        timer.scheduleAtFixedRate(
+                this::advanceTransfers, TICK_INTERVAL_MILLIS, TICK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
@@ -51,13 +52,13 @@
      *
      * @return done when the adapter is there
      */
-    public synchronized CompletionStage<Void> begin() {
+    public synchronized CompletionStage<Void> startTransfer() {
         Transfer transfer = new Transfer(fullSpeedMillis);
         waiting.add(transfer);
-        return transfer.arrival;
+        return transfer.completion;
     }
 
-    private void moveOn() {
+    private void advanceTransfers() {
         List<Transfer> arrived = new ArrayList<>();
         synchronized (this) {
             long now = System.nanoTime();
@@ -65,23 +66,23 @@
             lastNanos = now;
             double slowdown = Math.max(1, inTransit.size() / (double) fullSpeedCount);
             for (Transfer transfer : inTransit) {
-                transfer.millisLeft -= millis / slowdown;
+                transfer.remainingMillis -= millis / slowdown;
             }
-            inTransit.stream().filter(Transfer::isOver).forEach(arrived::add);
+            inTransit.stream().filter(Transfer::isComplete).forEach(arrived::add);
             inTransit.removeAll(arrived);
-            done += arrived.size();
-            admit(millis);
+            completedCount += arrived.size();
+            startWaiting(millis);
         }
-        arrived.forEach(transfer -> transfer.arrival.complete(null));
+        arrived.forEach(transfer -> transfer.completion.complete(null));
     }
 
-    private void admit(double millis) {
-        allowance = Math.min(Math.max(1, loadsPerSecond), allowance + loadsPerSecond * millis / 1000);
-        while (!waiting.isEmpty() && (loadsPerSecond == 0 || allowance >= 1)) {
-            allowance--;
+    private void startWaiting(double millis) {
+        availableStarts = Math.min(Math.max(1, loadsPerSecond), availableStarts + loadsPerSecond * millis / 1000);
+        while (!waiting.isEmpty() && (loadsPerSecond == 0 || availableStarts >= 1)) {
+            availableStarts--;
             inTransit.add(waiting.poll());
         }
-        mostInTransit = Math.max(mostInTransit, inTransit.size());
+        maximumInTransit = Math.max(maximumInTransit, inTransit.size());
     }
 
     /**
@@ -89,8 +90,8 @@
      *
      * @return the figures, not null
      */
-    public synchronized Figures figures() {
-        return new Figures(waiting.size(), inTransit.size(), mostInTransit, done);
+    public synchronized Statistics statistics() {
+        return new Statistics(waiting.size(), inTransit.size(), maximumInTransit, completedCount);
     }
 
     /**
@@ -101,19 +102,19 @@
      * @param mostInTransit the most ever in transit
      * @param done transfers done
      */
-    public record Figures(int waiting, int inTransit, int mostInTransit, long done) {}
+    public record Statistics(int waiting, int inTransit, int mostInTransit, long done) {}
 
     private static final class Transfer {
 
-        private final CompletableFuture<Void> arrival = new CompletableFuture<>();
-        private double millisLeft;
+        private final CompletableFuture<Void> completion = new CompletableFuture<>();
+        private double remainingMillis;
 
         Transfer(double millisLeft) {
-            this.millisLeft = millisLeft;
+            this.remainingMillis = millisLeft;
         }
 
-        boolean isOver() {
-            return millisLeft <= 0;
+        boolean isComplete() {
+            return remainingMillis <= 0;
         }
     }
 }
--- a/standins/src/main/java/org/geraniumreach/standins/store/WeightPart.java
+++ b/standins/src/main/java/org/geraniumreach/standins/store/WeightStoreStandIn.java
@@ -8,7 +8,7 @@
 import org.geraniumreach.standins.http.Answer;
 import org.geraniumreach.standins.http.Call;
 import org.geraniumreach.standins.http.Faults;
-import org.geraniumreach.standins.http.Part;
+import org.geraniumreach.standins.http.StandIn;
 import org.geraniumreach.standins.http.StandInServer;
 
 /**
@@ -16,9 +16,9 @@
  *
  * <p>Safe for use by several threads.
  */
-public final class WeightPart implements Part {
+public final class WeightStoreStandIn implements StandIn {
 
-    private static final String START = "/v1/weights/";
+    private static final String WEIGHTS_PATH = "/v1/weights/";
     private static final int UNAVAILABLE = 503;
 
     private final WeightStore store;
@@ -32,7 +32,7 @@
      * @param timer delays answers, not null
      * @throws IOException if the port cannot be had
      */
-    public WeightPart(int port, WeightStore store, ScheduledExecutorService timer) throws IOException {
+    public WeightStoreStandIn(int port, WeightStore store, ScheduledExecutorService timer) throws IOException {
         this.store = store;
         this.server = StandInServer.start("weights", port, this::handle, timer);
     }
@@ -45,24 +45,24 @@
     @Override
     public CompletionStage<Answer> administer(Call call) throws IOException {
         if (!call.route().equals("GET /admin/counters")) {
-            return Answer.unknownPath(call).now();
+            return Answer.unknownPath(call).toCompletedStage();
         }
-        return Answer.of(Call.JSON.valueToTree(store.figures())).now();
+        return Answer.of(Call.JSON.valueToTree(store.statistics())).toCompletedStage();
     }
 
     private CompletionStage<Answer> handle(Call call, Faults faults) {
-        if (!call.route().startsWith("GET " + START)) {
-            return Answer.unknownPath(call).now();
+        if (!call.route().startsWith("GET " + WEIGHTS_PATH)) {
+            return Answer.unknownPath(call).toCompletedStage();
         }
         if (faults.failLoads()) {
-            return Answer.failure(UNAVAILABLE, "failed", false, "load failed").now();
+            return Answer.failure(UNAVAILABLE, "failed", false, "load failed").toCompletedStage();
         }
-        String name = call.pathAfter(START);
+        String name = call.pathAfter(WEIGHTS_PATH);
         if (AdapterReference.parse(name).isEmpty()) {
             return Answer.malformed("not an adapter and version: '" + name + "'")
-                    .now();
+                    .toCompletedStage();
         }
-        return store.begin()
+        return store.startTransfer()
                 .thenApply(arrived -> Answer.of(Call.JSON.createObjectNode().put("adapter", name)));
     }
 }
--- a/standins/src/main/java/org/geraniumreach/standins/table/Table.java
+++ b/standins/src/main/java/org/geraniumreach/standins/table/Table.java
@@ -61,14 +61,14 @@
      * @return true if it took effect
      */
     public synchronized boolean commit(Transaction transaction) {
-        boolean holds = transaction.conditions().stream().allMatch(this::holds);
+        boolean holds = transaction.conditions().stream().allMatch(this::isMet);
         if (holds) {
             transaction.writes().forEach(this::apply);
         }
         return holds;
     }
 
-    private boolean holds(Transaction.Condition condition) {
+    private boolean isMet(Transaction.Condition condition) {
         Row row = rows(condition.key().table()).get(condition.key().key());
         long version = row == null ? Transaction.ABSENT_VERSION : row.version();
         return version == condition.version();
--- a/standins/src/main/java/org/geraniumreach/standins/table/TablePart.java
+++ b/standins/src/main/java/org/geraniumreach/standins/table/TableStandIn.java
@@ -14,8 +14,8 @@
 import org.geraniumreach.model.table.Transaction;
 import org.geraniumreach.standins.http.Answer;
 import org.geraniumreach.standins.http.Call;
-import org.geraniumreach.standins.http.Part;
-import org.geraniumreach.standins.http.RateLimit;
+import org.geraniumreach.standins.http.RateLimiter;
+import org.geraniumreach.standins.http.StandIn;
 import org.geraniumreach.standins.http.StandInServer;
 
 /**
@@ -23,14 +23,14 @@
  *
  * <p>Safe for use by several threads.
  */
-public final class TablePart implements Part {
+public final class TableStandIn implements StandIn {
 
-    private static final int MOST_ROWS = 1000;
-    private static final int TOO_MANY = 429;
+    private static final int MAXIMUM_ROWS = 1000;
+    private static final int TOO_MANY_REQUESTS = 429;
 
     private final Table table = new Table();
-    private final RateLimit reads;
-    private final RateLimit writes;
+    private final RateLimiter reads;
+    private final RateLimiter writes;
     private final StandInServer server;
 
     /**
@@ -42,10 +42,10 @@
      * @param timer delays answers, not null
      * @throws IOException if the port cannot be had
      */
-    public TablePart(int port, double readsPerSecond, double writesPerSecond, ScheduledExecutorService timer)
+    public TableStandIn(int port, double readsPerSecond, double writesPerSecond, ScheduledExecutorService timer)
             throws IOException {
-        this.reads = new RateLimit(readsPerSecond);
-        this.writes = new RateLimit(writesPerSecond);
+        this.reads = new RateLimiter(readsPerSecond);
+        this.writes = new RateLimiter(writesPerSecond);
         this.server = StandInServer.start("table", port, (call, faults) -> handle(call), timer);
     }
 
@@ -57,29 +57,30 @@
     @Override
     public CompletionStage<Answer> administer(Call call) throws IOException {
         if (!call.route().equals("GET /admin/counters")) {
-            return Answer.unknownPath(call).now();
+            return Answer.unknownPath(call).toCompletedStage();
         }
         return Answer.of(Call.JSON
                         .createObjectNode()
-                        .put("reads", reads.taken())
+                        .put("reads", reads.accepted())
                         .put("readsRefused", reads.refused())
-                        .put("writes", writes.taken())
+                        .put("writes", writes.accepted())
                         .put("writesRefused", writes.refused()))
-                .now();
+                .toCompletedStage();
     }
 
     private CompletionStage<Answer> handle(Call call) throws IOException {
         return switch (call.route()) {
-            case "GET /v1/rows" -> limited(reads, () -> read(call)).now();
-            case "GET /v1/scan" -> limited(reads, () -> scan(call)).now();
-            case "POST /v1/transactions" -> limited(writes, () -> commit(call)).now();
-            default -> Answer.unknownPath(call).now();
+            case "GET /v1/rows" -> runWithinLimit(reads, () -> read(call)).toCompletedStage();
+            case "GET /v1/scan" -> runWithinLimit(reads, () -> scan(call)).toCompletedStage();
+            case "POST /v1/transactions" -> runWithinLimit(writes, () -> commit(call))
+                    .toCompletedStage();
+            default -> Answer.unknownPath(call).toCompletedStage();
         };
     }
 
-    private static Answer limited(RateLimit limit, Work work) throws IOException {
-        if (!limit.tryTake()) {
-            return Answer.failure(TOO_MANY, "throttled", false, "above the rate");
+    private static Answer runWithinLimit(RateLimiter limit, RowOperation work) throws IOException {
+        if (!limit.tryAcquire()) {
+            return Answer.failure(TOO_MANY_REQUESTS, "throttled", false, "above the rate");
         }
         return work.run();
     }
@@ -87,19 +88,19 @@
     private Answer read(Call call) {
         Optional<Row> row = table.read(RowKey.of(
                 call.parameter("table").orElse(""), call.parameter("key").orElse("")));
-        return rows(row.stream().toList());
+        return toAnswer(row.stream().toList());
     }
 
     private Answer scan(Call call) {
-        int limit = (int) Math.min(MOST_ROWS, call.number("limit", MOST_ROWS));
-        return rows(table.scan(
+        int limit = (int) Math.min(MAXIMUM_ROWS, call.number("limit", MAXIMUM_ROWS));
+        return toAnswer(table.scan(
                 call.parameter("table").orElse(""),
                 call.parameter("prefix").orElse(""),
                 call.parameter("after").orElse(""),
                 limit));
     }
 
-    private static Answer rows(List<Row> rows) {
+    private static Answer toAnswer(List<Row> rows) {
         ObjectNode json = Call.JSON.createObjectNode();
         ArrayNode array = json.putArray("rows");
         for (Row row : rows) {
@@ -116,23 +117,23 @@
         JsonNode json = call.json();
         for (JsonNode condition : json.path("conditions")) {
             transaction = transaction.withCondition(
-                    key(condition), condition.path("version").asLong());
+                    toKey(condition), condition.path("version").asLong());
         }
         for (JsonNode write : json.path("writes")) {
             transaction = write.path("value").isTextual()
-                    ? transaction.withWrite(key(write), write.path("value").asText())
-                    : transaction.withDelete(key(write));
+                    ? transaction.withWrite(toKey(write), write.path("value").asText())
+                    : transaction.withDelete(toKey(write));
         }
         return Answer.of(Call.JSON.createObjectNode().put("committed", table.commit(transaction)));
     }
 
-    private static RowKey key(JsonNode json) {
+    private static RowKey toKey(JsonNode json) {
         return RowKey.of(json.path("table").asText(), json.path("key").asText());
     }
 
     /** Work that may meet a call that cannot be read. */
     @FunctionalInterface
-    private interface Work {
+    private interface RowOperation {
         Answer run() throws IOException;
     }
 }
--- a/standins/src/test/java/org/geraniumreach/standins/EnginePartTest.java
+++ b/standins/src/test/java/org/geraniumreach/standins/EngineStandInTest.java
@@ -17,11 +17,11 @@
 import org.geraniumreach.ports.PlatformException.Effect;
 import org.geraniumreach.ports.PlatformException.Reason;
 import org.geraniumreach.standins.answer.ExpectedAnswer;
-import org.geraniumreach.standins.engine.EnginePart;
+import org.geraniumreach.standins.engine.EngineStandIn;
 import org.geraniumreach.standins.http.Call;
 import org.geraniumreach.standins.http.Faults;
-import org.geraniumreach.standins.store.WeightPart;
 import org.geraniumreach.standins.store.WeightStore;
+import org.geraniumreach.standins.store.WeightStoreStandIn;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -34,7 +34,7 @@
 
 /** The engine's client against the stand-in. */
 @Timeout(60)
-class EnginePartTest {
+class EngineStandInTest {
 
     private static final AdapterReference ADAPTER = AdapterReference.of("winding", "v1");
     private static final String PROMPT = "Summarise the fault note of the pump motor that came in this morning.";
@@ -43,16 +43,16 @@
     private static final Order ORDER = new Order(3, Duration.ofSeconds(5));
 
     private final StandInsFixture fixture = new StandInsFixture();
-    private WeightPart weights;
-    private EnginePart part;
+    private WeightStoreStandIn weights;
+    private EngineStandIn part;
     private ModelEngine engine;
 
     @BeforeEach
     void start() throws Exception {
         int weightPort = StandInsFixture.freePort();
-        weights = new WeightPart(weightPort, new WeightStore(0, 10, 8, fixture.timer), fixture.timer);
+        weights = new WeightStoreStandIn(weightPort, new WeightStore(0, 10, 8, fixture.timer), fixture.timer);
         int port = StandInsFixture.freePort();
-        part = new EnginePart(port, StandInsFixture.fastEngine(), StandInsFixture.url(weightPort), fixture.timer);
+        part = new EngineStandIn(port, StandInsFixture.fastEngine(), StandInsFixture.url(weightPort), fixture.timer);
         engine = fixture.clients.modelEngine(StandInsFixture.url(port), StandInsFixture.ENGINE_LIMITS);
         engine.load(ADAPTER, ORDER);
     }
@@ -66,7 +66,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 7, 1000})
-    void anAnswerIsWholeAndInOrderWhateverTheReaderAsksForAtATime(int atATime) throws Exception {
+    void anAnswerIsCompleteAndInOrderForAnyDemandPerRequest(int atATime) throws Exception {
         RecordingListener listener = new RecordingListener();
         EngineStream stream = engine.generate(generation("one"), ORDER, listener);
         int expected = ExpectedAnswer.of(ADAPTER, PROMPT).length(TOKENS);
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void aReaderThatAsksForNoMoreIsToldNoMore() throws Exception {
+    void noChunksAreDeliveredWithoutDemand() throws Exception {
         RecordingListener listener = new RecordingListener();
         EngineStream stream = engine.generate(generation("slow"), ORDER, listener);
         stream.request(3);
@@ -94,10 +94,10 @@
     }
 
     @Test
-    void aStreamWhoseConnectionBrokeGoesOnAtTheNextToken() throws Exception {
+    void aStreamResumesAtTheNextTokenAfterItsConnectionBroke() throws Exception {
         // The companion sees a stream fail after some tokens. The engine goes on generating without a reader.
         // A new connection brings the rest, each token once.
-        part.server().show(faults("{\"dropAfterChunks\":5,\"path\":\"/v1/streams\",\"count\":1}"));
+        part.server().setFaults(faults("{\"dropAfterChunks\":5,\"path\":\"/v1/streams\",\"count\":1}"));
         RecordingListener broken = new RecordingListener();
         engine.generate(generation("dropped"), ORDER, broken).request(1000);
         ExecutionException failure =
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void aStreamWhoseConnectionWentSilentIsGivenUpAndGoesOnOnANewOne() throws Exception {
+    void aStreamOnASilentConnectionTimesOutAndResumesOnANewConnection() throws Exception {
         // The companion sees a stream stop without an end. Its connection stays open, but something in between has lost
         // track of it. Without a limit on silence the answer would never come; a new connection brings the rest.
         Generation running =
@@ -121,7 +121,7 @@
         RecordingListener silent = new RecordingListener();
         engine.generate(running, ORDER, silent).request(LONG);
         silent.awaitChunks(2);
-        part.server().silence();
+        part.server().silenceConnections();
         assertThat(failureOf(silent).effect()).isEqualTo(Effect.UNKNOWN);
         RecordingListener rest = new RecordingListener();
         engine.resume(AttemptId.of("silent"), silent.sequences.size(), rest).request(LONG);
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void aStreamThatTheEngineDoesNotKnowHasNotRun() {
+    void resumingAnUnknownStreamReportsThatItHadNoEffect() {
         RecordingListener listener = new RecordingListener();
         engine.resume(AttemptId.of("never"), 0, listener).request(1);
         assertThat(failureOf(listener).effect()).isEqualTo(Effect.NONE);
@@ -138,8 +138,8 @@
     }
 
     @Test
-    void aResumeAtAnEngineThatIsDownProvesNothing() throws Exception {
-        part.server().show(faults("{\"down\":true}"));
+    void resumingAtAnUnreachableEngineReportsAnUnknownEffect() throws Exception {
+        part.server().setFaults(faults("{\"down\":true}"));
         RecordingListener listener = new RecordingListener();
         engine.resume(AttemptId.of("perhaps"), 0, listener).request(1);
         assertThat(failureOf(listener).effect()).isEqualTo(Effect.UNKNOWN);
@@ -163,7 +163,7 @@
     }
 
     @Test
-    void aLoadWithoutAFreeSlotIsRefused() throws Exception {
+    void aLoadIsRefusedWithoutAFreeSlot() throws Exception {
         engine.load(AdapterReference.of("winding", "v2"), ORDER);
         PlatformException failure = catchThrowableOfType(
                 PlatformException.class, () -> engine.load(AdapterReference.of("winding", "v3"), ORDER));
@@ -171,7 +171,7 @@
     }
 
     @Test
-    void aRestartForgetsAdaptersAndStreams() throws Exception {
+    void aRestartDiscardsAdaptersAndStreams() throws Exception {
         long before = engine.state().incarnation();
         part.restart();
         ModelEngine.State state = engine.state();
@@ -181,8 +181,8 @@
     }
 
     @Test
-    void aWrongVersionIsToldBeforeTheFirstChunkAndByTheEnd() throws Exception {
-        part.server().show(faults("{\"wrongVersion\":true,\"path\":\"/v1/streams\"}"));
+    void aWrongVersionIsReportedBeforeTheFirstChunkAndAtTheEnd() throws Exception {
+        part.server().setFaults(faults("{\"wrongVersion\":true,\"path\":\"/v1/streams\"}"));
         RecordingListener listener = new RecordingListener();
         EngineStream stream = engine.generate(generation("wrong"), ORDER, listener);
         assertThat(listener.served.get(30, TimeUnit.SECONDS)).isNotEqualTo(ADAPTER);
--- a/standins/src/test/java/org/geraniumreach/standins/ListPartTest.java
+++ b/standins/src/test/java/org/geraniumreach/standins/InstanceListStandInTest.java
@@ -14,8 +14,8 @@
 import org.geraniumreach.standins.http.Administration;
 import org.geraniumreach.standins.http.Faults;
 import org.geraniumreach.standins.http.StandInServer;
-import org.geraniumreach.standins.list.ListPart;
-import org.geraniumreach.standins.service.ServicePart;
+import org.geraniumreach.standins.list.InstanceListStandIn;
+import org.geraniumreach.standins.service.ServiceStandIn;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -25,13 +25,13 @@
 
 /** The instance list's client against the stand-in. */
 @Timeout(60)
-class ListPartTest {
+class InstanceListStandInTest {
 
     private final StandInsFixture fixture = new StandInsFixture();
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    private ListPart part;
-    private ServicePart watched;
+    private InstanceListStandIn part;
+    private ServiceStandIn watched;
     private StandInServer administration;
     private URI administrationUrl;
     private InstanceList list;
@@ -39,13 +39,13 @@
     @BeforeEach
     void start() throws Exception {
         int port = StandInsFixture.freePort();
-        part = new ListPart(port, 1, fixture.timer);
+        part = new InstanceListStandIn(port, 1, fixture.timer);
         list = fixture.clients.instanceList(StandInsFixture.url(port), StandInsFixture.LIMIT);
         int administrationPort = StandInsFixture.freePort();
         administration = Administration.start(administrationPort, List.of(part), fixture.timer);
         administrationUrl = StandInsFixture.url(administrationPort);
         int watchedPort = StandInsFixture.freePort();
-        watched = new ServicePart(watchedPort, 0, fixture.timer);
+        watched = new ServiceStandIn(watchedPort, 0, fixture.timer);
         administer(
                 "/admin/instances",
                 "[{\"instance\":\"companion-1\",\"role\":\"companion\",\"failureDomain\":\"zone-1\","
@@ -65,7 +65,7 @@
     void anInstanceIsListedWhileItsProbesSucceed() throws Exception {
         await(listed -> listed.size() == 1);
         assertThat(list.read().get(0).linkAddress().getPort()).isEqualTo(9);
-        watched.server().show(new Faults(true, false, 0, false, false, false, false, 0, "", 0));
+        watched.server().setFaults(new Faults(true, false, 0, false, false, false, false, 0, "", 0));
         await(List::isEmpty);
     }
 
--- a/standins/src/test/java/org/geraniumreach/standins/LoadAtEngineTest.java
+++ b/standins/src/test/java/org/geraniumreach/standins/LoadAtEngineTest.java
@@ -4,7 +4,7 @@
 import java.net.URI;
 import java.util.List;
 
-import org.geraniumreach.standins.engine.EnginePart;
+import org.geraniumreach.standins.engine.EngineStandIn;
 import org.geraniumreach.standins.http.Call;
 import org.geraniumreach.standins.http.Faults;
 import org.geraniumreach.standins.load.LoadResult;
@@ -13,8 +13,8 @@
 import org.geraniumreach.standins.load.LoadSettings.AccountLoad;
 import org.geraniumreach.standins.load.LoadSettings.AdapterRange;
 import org.geraniumreach.standins.load.LoadSettings.EntryShare;
-import org.geraniumreach.standins.store.WeightPart;
 import org.geraniumreach.standins.store.WeightStore;
+import org.geraniumreach.standins.store.WeightStoreStandIn;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -25,17 +25,17 @@
 class LoadAtEngineTest {
 
     private final StandInsFixture fixture = new StandInsFixture();
-    private WeightPart weights;
-    private EnginePart engine;
+    private WeightStoreStandIn weights;
+    private EngineStandIn engine;
     private URI url;
 
     @BeforeEach
     void start() throws IOException {
         int weightPort = StandInsFixture.freePort();
-        weights = new WeightPart(weightPort, new WeightStore(0, 10, 8, fixture.timer), fixture.timer);
+        weights = new WeightStoreStandIn(weightPort, new WeightStore(0, 10, 8, fixture.timer), fixture.timer);
         int port = StandInsFixture.freePort();
         url = StandInsFixture.url(port);
-        engine = new EnginePart(port, StandInsFixture.fastEngine(), StandInsFixture.url(weightPort), fixture.timer);
+        engine = new EngineStandIn(port, StandInsFixture.fastEngine(), StandInsFixture.url(weightPort), fixture.timer);
     }
 
     @AfterEach
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void allHoldsAtAnEngineWithoutFaults() throws Exception {
+    void allChecksPassAtAnEngineWithoutFaults() throws Exception {
         LoadResult result = LoadRun.run(settings(0, 0));
         assertThat(result.faults()).isEmpty();
         assertThat(result.accounts().get(0).served()).isPositive();
@@ -55,15 +55,15 @@
     }
 
     @Test
-    void anEngineThatRunsAnotherVersionIsFoundOut() throws Exception {
-        engine.server().show(faults("{\"wrongVersion\":true,\"path\":\"/v1/streams\",\"count\":3}"));
+    void anEngineThatRunsAnotherVersionIsDetected() throws Exception {
+        engine.server().setFaults(faults("{\"wrongVersion\":true,\"path\":\"/v1/streams\",\"count\":3}"));
         LoadResult result = LoadRun.run(settings(0, 0));
         assertThat(result.accounts().get(0).wrong()).isEqualTo(3);
         assertThat(result.held()).isFalse();
     }
 
     @Test
-    void anAccountAboveItsRateIsFoundOut() throws Exception {
+    void anAccountAboveItsRateIsDetected() throws Exception {
         LoadResult result = LoadRun.run(settings(1, 50));
         assertThat(result.faults()).anyMatch(fault -> fault.contains("rate and burst allow"));
     }
--- a/standins/src/test/java/org/geraniumreach/standins/ServicePartTest.java
+++ b/standins/src/test/java/org/geraniumreach/standins/ServiceStandInTest.java
@@ -15,7 +15,7 @@
 import org.geraniumreach.ports.PlatformException.Effect;
 import org.geraniumreach.standins.http.Call;
 import org.geraniumreach.standins.http.Faults;
-import org.geraniumreach.standins.service.ServicePart;
+import org.geraniumreach.standins.service.ServiceStandIn;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -26,19 +26,19 @@
 import static org.assertj.core.api.Assertions.catchThrowableOfType;
 
 /** The plain service's client against the stand-in. */
-class ServicePartTest {
+class ServiceStandInTest {
 
     private static final byte[] BODY = "{\"booking\":\"b-1\"}".getBytes(StandardCharsets.UTF_8);
 
     private final StandInsFixture fixture = new StandInsFixture();
-    private ServicePart part;
+    private ServiceStandIn part;
     private PlainService service;
     private URI url;
 
     @BeforeEach
     void start() throws IOException {
         int port = StandInsFixture.freePort();
-        part = new ServicePart(port, 1, fixture.timer);
+        part = new ServiceStandIn(port, 1, fixture.timer);
         url = StandInsFixture.url(port);
         service = fixture.clients.plainService(url, StandInsFixture.LIMIT);
     }
@@ -58,13 +58,14 @@
 
     @ParameterizedTest
     @CsvSource({"down, NONE, 0", "hang, UNKNOWN, 0", "loseAnswers, UNKNOWN, 1", "swallowAnswers, UNKNOWN, 1"})
-    void aFailureNeverSaysThatNothingTookEffectWhereItMayHave(String fault, Effect effect, int runs) throws Exception {
+    void aFailureReportsNoEffectOnlyIfTheOperationCannotHaveRun(String fault, Effect effect, int runs)
+            throws Exception {
         // The caller sees a booking fail. Whether it ran depends on where it broke, and the caller cannot see where.
         // Only a connection that was never made proves that it did not; a second run would book twice.
-        part.server().show(Call.JSON.readValue("{\"" + fault + "\":true}", Faults.class));
+        part.server().setFaults(Call.JSON.readValue("{\"" + fault + "\":true}", Faults.class));
         PlatformException failure = catchThrowableOfType(PlatformException.class, this::call);
         assertThat(failure.effect()).isEqualTo(effect);
-        part.server().show(Faults.NONE);
+        part.server().setFaults(Faults.NONE);
         assertThat(ran()).hasSize(runs);
     }
 
--- a/standins/src/test/java/org/geraniumreach/standins/StandInsFixture.java
+++ b/standins/src/test/java/org/geraniumreach/standins/StandInsFixture.java
@@ -14,7 +14,7 @@
 import org.geraniumreach.standalone.PlatformClients;
 import org.geraniumreach.standalone.PlatformClients.EngineLimits;
 import org.geraniumreach.standins.engine.EngineSettings;
-import org.geraniumreach.standins.table.TablePart;
+import org.geraniumreach.standins.table.TableStandIn;
 
 /** Free ports, threads and settings that the tests of the stand-ins share. */
 final class StandInsFixture implements AutoCloseable {
@@ -37,7 +37,7 @@
         ScheduledExecutorService timer = Timers.create();
         try (PlatformClients clients = PlatformClients.create(1)) {
             int port = freePort();
-            TablePart part = new TablePart(port, 0, 0, timer);
+            TableStandIn part = new TableStandIn(port, 0, 0, timer);
             TableService table = clients.tableService(url(port), WARM_UP_LIMIT);
             table.commit(Transaction.empty().withWrite(RowKey.of("warm", "up"), "0"));
             part.server().close();
--- a/standins/src/test/java/org/geraniumreach/standins/TablePartTest.java
+++ b/standins/src/test/java/org/geraniumreach/standins/TableStandInTest.java
@@ -13,7 +13,7 @@
 import org.geraniumreach.ports.TableService;
 import org.geraniumreach.standins.http.Call;
 import org.geraniumreach.standins.http.Faults;
-import org.geraniumreach.standins.table.TablePart;
+import org.geraniumreach.standins.table.TableStandIn;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -22,18 +22,18 @@
 import static org.assertj.core.api.Assertions.catchThrowableOfType;
 
 /** The table service's client against the stand-in. */
-class TablePartTest {
+class TableStandInTest {
 
     private static final RowKey KEY = RowKey.of("head", "a/b c&d=é");
 
     private final StandInsFixture fixture = new StandInsFixture();
-    private TablePart part;
+    private TableStandIn part;
     private TableService table;
 
     @BeforeEach
     void start() throws IOException {
         int port = StandInsFixture.freePort();
-        part = new TablePart(port, 0, 0, fixture.timer);
+        part = new TableStandIn(port, 0, 0, fixture.timer);
         table = fixture.clients.tableService(StandInsFixture.url(port), StandInsFixture.LIMIT);
     }
 
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void aVersionIsNotUsedAgainAfterADelete() throws Exception {
+    void aVersionIsNotReusedAfterADelete() throws Exception {
         table.commit(insert("1"));
         long first = table.read(KEY).orElseThrow().version();
         table.commit(Transaction.empty().withDelete(KEY));
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void aScanGivesRowsInOrderFromAfterAKey() throws Exception {
+    void aScanReturnsRowsInOrderAfterAKey() throws Exception {
         Transaction rows = Transaction.empty();
         for (String key : new String[] {"a1", "b3", "b1", "b2", "c1"}) {
             rows = rows.withWrite(RowKey.of("t", key), "0");
@@ -84,39 +84,39 @@
     }
 
     @Test
-    void aServiceThatIsDownTookNoEffect() throws Exception {
-        part.server().show(faults("{\"down\":true}"));
+    void aCallToAServiceThatIsDownHasNoEffect() throws Exception {
+        part.server().setFaults(faults("{\"down\":true}"));
         PlatformException failure = catchThrowableOfType(PlatformException.class, () -> table.commit(insert("1")));
         assertThat(failure.effect()).isEqualTo(Effect.NONE);
         assertThat(failure.reason()).isEqualTo(Reason.UNREACHABLE);
-        part.server().show(Faults.NONE);
+        part.server().setFaults(Faults.NONE);
         assertThat(table.read(KEY)).isEmpty();
     }
 
     @Test
-    void aLostAnswerIsToldAsUnknownAndFoundByReading() throws Exception {
+    void aLostAnswerReportsAnUnknownEffectThatAReadResolves() throws Exception {
         // The caller sees a commit that fails. The service applied it and the connection broke before the answer.
         // Reading on a new connection shows what took place.
-        part.server().show(faults("{\"loseAnswers\":true,\"count\":1}"));
+        part.server().setFaults(faults("{\"loseAnswers\":true,\"count\":1}"));
         PlatformException failure = catchThrowableOfType(PlatformException.class, () -> table.commit(insert("1")));
         assertThat(failure.effect()).isEqualTo(Effect.UNKNOWN);
         assertThat(table.read(KEY)).isPresent();
     }
 
     @Test
-    void aCallAfterASilentConnectionTakesANewOne() throws Exception {
+    void aCallAfterASilentConnectionUsesANewConnection() throws Exception {
         // The caller sees one call run out of time. Its pooled connections were lost track of in between, and stay open
         // without a byte. The next call works, since it uses none of that pool, not even those that nobody tried yet.
         table.commit(insert("1"));
         openTwoConnections();
-        part.server().silence();
+        part.server().silenceConnections();
         PlatformException failure = catchThrowableOfType(PlatformException.class, () -> table.read(KEY));
         assertThat(failure.effect()).isEqualTo(Effect.UNKNOWN);
         assertThat(table.read(KEY)).isPresent();
     }
 
     private void openTwoConnections() throws Exception {
-        part.server().show(faults("{\"slowMillis\":200}"));
+        part.server().setFaults(faults("{\"slowMillis\":200}"));
         CompletableFuture<Void> other = CompletableFuture.runAsync(() -> {
             try {
                 table.read(KEY);
@@ -126,13 +126,13 @@
         });
         table.read(KEY);
         other.join();
-        part.server().show(Faults.NONE);
+        part.server().setFaults(Faults.NONE);
     }
 
     @Test
-    void aCallAboveTheRateTookNoEffect() throws Exception {
+    void aCallAboveTheRateHasNoEffect() throws Exception {
         int port = StandInsFixture.freePort();
-        TablePart limited = new TablePart(port, 1, 1, fixture.timer);
+        TableStandIn limited = new TableStandIn(port, 1, 1, fixture.timer);
         TableService throttled = fixture.clients.tableService(StandInsFixture.url(port), StandInsFixture.LIMIT);
         throttled.read(KEY);
         PlatformException failure = catchThrowableOfType(PlatformException.class, () -> throttled.read(KEY));
--- a/standins/src/test/java/org/geraniumreach/standins/load/ReceptionTest.java
+++ b/standins/src/test/java/org/geraniumreach/standins/load/AnswerReceiverTest.java
@@ -20,7 +20,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.junit.jupiter.params.provider.Arguments.arguments;
 
-class ReceptionTest {
+class AnswerReceiverTest {
 
     private static final AdapterReference ADAPTER = AdapterReference.of("rewind", "v1");
     private static final ExpectedAnswer EXPECTED = ExpectedAnswer.of(ADAPTER, "p");
@@ -31,7 +31,7 @@
 
     @ParameterizedTest
     @MethodSource("streams")
-    void aStreamIsServedOnlyIfItIsWholeAndRight(Verdict verdict, int status, String[] lines) {
+    void aStreamIsServedOnlyIfItIsCompleteAndCorrect(Verdict verdict, int status, String[] lines) {
         assertThat(judge(status, lines).verdict()).isEqualTo(verdict);
     }
 
@@ -65,14 +65,14 @@
                 new AccountLoad("a", "", 1, 0, 0, 1, 0, 1, TOKENS, new AdapterRange("rewind", 0, 1, "v1", 0), 0, 0);
         PlannedRequest request = new PlannedRequest(
                 0, 0, account, PlannedRequest.Kind.COMPLETION, true, ADAPTER, "p", false, "", URI.create("http://h"));
-        Reception reception = new Reception(request, LoadSettings.Mode.ENTRY, 0, nanos -> {}, nanos -> {});
-        reception.body(new Response(status));
+        AnswerReceiver reception = new AnswerReceiver(request, LoadSettings.Mode.ENTRY, 0, nanos -> {}, nanos -> {});
+        reception.createBodySubscriber(new Response(status));
         reception.onSubscribe(new NoSubscription());
         for (String line : lines) {
             reception.onNext(line);
         }
         reception.onComplete();
-        return reception.judge();
+        return reception.evaluate();
     }
 
     private record Response(int statusCode) implements ResponseInfo {
--- a/standins/src/test/java/org/geraniumreach/standins/load/RunRecordsTest.java
+++ b/standins/src/test/java/org/geraniumreach/standins/load/BookingRecordsTest.java
@@ -10,7 +10,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class RunRecordsTest {
+class BookingRecordsTest {
 
     @ParameterizedTest
     @CsvSource({
@@ -23,9 +23,8 @@
         "FAILED, 1, true",
         "FAILED, 2, false"
     })
-    void aBookingHoldsIfItRanOnceWhereItWasAnsweredAndNeverWhereItWasRefused(
-            Outcome.Verdict verdict, int runs, boolean holds) {
-        RunRecords records = new RunRecords();
+    void aBookingPassesIfItRanOnceWhenAnsweredAndNeverWhenRefused(Outcome.Verdict verdict, int runs, boolean holds) {
+        BookingRecords records = new BookingRecords();
         records.add(ran("b-1", runs));
         Outcome outcome = new Outcome(verdict, "", "", "", 0, "");
         assertThat(records.check(Map.of("b-1", outcome)).isEmpty()).isEqualTo(holds);
--- a/standins/src/test/java/org/geraniumreach/standins/load/GenerationRecordsTest.java
+++ b/standins/src/test/java/org/geraniumreach/standins/load/GenerationRecordsTest.java
@@ -23,7 +23,7 @@
         "FAILED, floor, rewind@v1, cancelled, true",
         "FAILED, other, rewind@v1, cancelled, false"
     })
-    void aGenerationHoldsIfItRanForItsSenderAndAsItWasTold(
+    void aGenerationPassesIfItRanForItsSenderAsReported(
             Outcome.Verdict verdict, String account, String adapter, String end, boolean holds) {
         GenerationRecords records = new GenerationRecords();
         ObjectNode json = Call.JSON.createObjectNode();
--- a/standins/src/test/java/org/geraniumreach/standins/load/LoadWaitsTest.java
+++ b/standins/src/test/java/org/geraniumreach/standins/load/LoadWaitsTest.java
@@ -16,7 +16,7 @@
             "");
 
     @Test
-    void sharesAndBoundsAreThoseOfTheRequestsBetweenTwoReadings() {
+    void sharesAndBoundsCoverOnlyRequestsBetweenTwoReadings() {
         LoadWaits before = LoadWaits.parse(METRICS);
         LoadWaits after = before.plus(before).plus(before);
         LoadWaits between = after.minus(before);
--- a/standins/src/test/java/org/geraniumreach/standins/load/RateWindowsTest.java
+++ b/standins/src/test/java/org/geraniumreach/standins/load/RateWindowsTest.java
@@ -7,7 +7,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
-import org.geraniumreach.standins.load.RateWindows.Use;
+import org.geraniumreach.standins.load.RateWindows.Usage;
 import org.junit.jupiter.api.Test;
 
 import static org.assertj.core.api.Assertions.assertThat;
@@ -16,35 +16,35 @@
 
     @Test
     void aBurstAndThenTheRateIsAllowed() {
-        List<Use> uses = List.of(new Use(0, 0, 100), new Use(1000, 1000, 50), new Use(2000, 2000, 50));
+        List<Usage> uses = List.of(new Usage(0, 0, 100), new Usage(1000, 1000, 50), new Usage(2000, 2000, 50));
         assertThat(RateWindows.check("a", 50, 100, uses)).isEmpty();
     }
 
     @Test
-    void twoBurstsAtOnceAreNotAllowedAfterALongRest() {
-        List<Use> uses = List.of(new Use(0, 0, 10), new Use(60_000, 60_000, 100), new Use(60_000, 60_010, 100));
+    void twoSimultaneousBurstsAreRejectedAfterAnIdlePeriod() {
+        List<Usage> uses = List.of(new Usage(0, 0, 10), new Usage(60_000, 60_000, 100), new Usage(60_000, 60_010, 100));
         assertThat(RateWindows.check("a", 50, 100, uses)).isPresent();
     }
 
     @Test
-    void aRequestThatMayHaveBeenLetThroughOutsideAWindowIsNotCountedInIt() {
-        List<Use> uses = List.of(new Use(0, 5000, 100), new Use(5000, 5000, 100));
+    void aRequestPossiblyAdmittedOutsideAWindowIsNotCountedInIt() {
+        List<Usage> uses = List.of(new Usage(0, 5000, 100), new Usage(5000, 5000, 100));
         assertThat(RateWindows.check("a", 50, 100, uses)).isEmpty();
     }
 
     @Property(seed = "1", tries = 200)
-    void whatABucketLetsThroughIsNeverFound(
+    void requestsAdmittedByATokenBucketAlwaysPass(
             @ForAll @Size(max = 60) List<@IntRange(max = 400) Integer> gaps,
             @ForAll @IntRange(min = 1, max = 80) int tokens) {
         double available = 100;
         long now = 0;
-        List<Use> uses = new ArrayList<>();
+        List<Usage> uses = new ArrayList<>();
         for (int gap : gaps) {
             now += gap;
             available = Math.min(100, available + gap * 0.05);
             if (available >= tokens) {
                 available -= tokens;
-                uses.add(new Use(now, now, tokens));
+                uses.add(new Usage(now, now, tokens));
             }
         }
         assertThat(RateWindows.check("a", 50, 100, uses)).isEmpty();
--- a/standins/src/test/java/org/geraniumreach/standins/load/RequestSourceTest.java
+++ b/standins/src/test/java/org/geraniumreach/standins/load/RequestSourceTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void requestsComeAtTheirRateAndSkew() {
+    void requestsFollowTheConfiguredRateAndSkew() {
         List<PlannedRequest> requests = requests(1);
         double seconds = requests.get(REQUESTS - 1).dueNanos() / (double) TimeUnit.SECONDS.toNanos(1);
         assertThat(REQUESTS / seconds).isBetween(18.0, 22.0);
