--- a/standins/src/main/java/org/geraniumreach/standins/answer/ExpectedAnswer.java
+++ b/standins/src/main/java/org/geraniumreach/standins/answer/ExpectedAnswer.java
@@ -3,11 +3,11 @@
 import org.geraniumreach.model.AdapterReference;
 
 /**
- * The answer that an adapter's version must give to a prompt.
+ * The answer that a version of an adapter must generate for a prompt.
  *
- * <p>Each token is a function of adapter, version, prompt and the token's index alone, so a checker finds a token that is
- * missing, doubled, out of order, or from another adapter, version or prompt. One answer in four ends by itself before
- * the most tokens allowed. Immutable and safe for use by several threads.
+ * <p>Each token depends only on the adapter, version, prompt and token index, so a check detects a token that is missing,
+ * duplicated, out of order, or from another adapter, version or prompt. One answer in four has a natural length, which
+ * may be below the maximum number of tokens. Immutable and safe for use by several threads.
  */
 public final class ExpectedAnswer {
 
@@ -28,7 +28,7 @@
     }
 
     /**
-     * Works out an answer.
+     * Computes the answer to a prompt.
      *
      * @param adapter the adapter and version, not null
      * @param prompt the prompt, not null
@@ -46,17 +46,17 @@
      * Counts the tokens of a prompt as the stand-in engine does.
      *
      * @param prompt the prompt, not null
-     * @return the number, at least 1
+     * @return the number of tokens, at least 1
      */
     public static int promptTokens(String prompt) {
         return Math.max(1, (prompt.length() + CHARACTERS_PER_TOKEN - 1) / CHARACTERS_PER_TOKEN);
     }
 
     /**
-     * Gets a token.
+     * Returns a token.
      *
-     * @param index its index, from 0
-     * @return its text, one word and a space
+     * @param index the index of the token, from 0
+     * @return the text of the token, one word and a space
      */
     public String token(long index) {
         long bits = mix(seed + (index + 1) * SEED_INCREMENT) >>> 1;
@@ -71,23 +71,23 @@
     }
 
     /**
-     * Gets the number of tokens generated.
+     * Returns the number of tokens in the answer.
      *
-     * @param maximumTokens the most allowed
+     * @param maximumTokens the maximum number of tokens
      * @return the number
      */
     public int length(int maximumTokens) {
         if ((seed & 3) != 0) {
             return maximumTokens;
         }
-        int natural = MINIMUM_STOP_LENGTH + (int) ((seed >>> 2) % STOP_LENGTH_COUNT);
-        return Math.min(maximumTokens, natural);
+        int stopLength = MINIMUM_STOP_LENGTH + (int) ((seed >>> 2) % STOP_LENGTH_COUNT);
+        return Math.min(maximumTokens, stopLength);
     }
 
     /**
-     * Gets the whole text.
+     * Returns the complete text.
      *
-     * @param maximumTokens the most tokens allowed
+     * @param maximumTokens the maximum number of tokens
      * @return the text, not null
      */
     public String text(int maximumTokens) {
@@ -100,9 +100,9 @@
     }
 
     /**
-     * Gets what identifies the request: adapter, version and prompt.
+     * Returns a digest of the adapter, version and prompt.
      *
-     * @return a digest as text, not null
+     * @return the digest in hexadecimal, not null
      */
     public String digest() {
         return Long.toHexString(seed);
--- a/standins/src/main/java/org/geraniumreach/standins/answer/package-info.java
+++ b/standins/src/main/java/org/geraniumreach/standins/answer/package-info.java
@@ -1,2 +1,2 @@
-/** The text that the stand-in engine generates, which anyone can work out again to check an answer. */
+/** The deterministic text that the stand-in engine generates, recomputed to check answers. */
 package org.geraniumreach.standins.answer;
--- a/standins/src/main/java/org/geraniumreach/standins/engine/CacheEvents.java
+++ b/standins/src/main/java/org/geraniumreach/standins/engine/CacheEvents.java
@@ -7,9 +7,9 @@
 import java.util.Random;
 
 /**
- * What an engine tells of its prefix cache, late and with gaps.
+ * The event log of an engine's prefix cache, which publishes events with a lag and loses some of them.
  *
- * <p>Numbers rise by one over all events, lost ones included, so a reader sees the gaps. Invariant: holds a bounded number
+ * <p>Event numbers increase by one per event, including lost ones, so a reader can detect gaps. Invariant: holds a bounded number
  * of events. Safe for use by several threads, under one lock.
  */
 final class CacheEvents {
@@ -41,22 +41,22 @@
 
     synchronized List<Event> after(long last, int limit) {
         long newest = System.currentTimeMillis() - lagMillis;
-        List<Event> found = new ArrayList<>();
+        List<Event> matching = new ArrayList<>();
         for (Event event : events) {
-            if (found.size() < limit && event.number() > last && event.timeMillis() <= newest) {
-                found.add(event);
+            if (matching.size() < limit && event.number() > last && event.timeMillis() <= newest) {
+                matching.add(event);
             }
         }
-        return found;
+        return matching;
     }
 
     /**
-     * An event.
+     * A published change of the prefix cache.
      *
-     * @param number its number
-     * @param kind stored or evicted
+     * @param number the event number, from 1
+     * @param kind {@code stored} or {@code evicted}
      * @param block the block's digest
-     * @param timeMillis when it happened, since the epoch
+     * @param timeMillis the time of the event, in milliseconds since the epoch
      */
     record Event(long number, String kind, String block, long timeMillis) {}
 }
--- a/standins/src/main/java/org/geraniumreach/standins/engine/Engine.java
+++ b/standins/src/main/java/org/geraniumreach/standins/engine/Engine.java
@@ -17,10 +17,10 @@
 import org.geraniumreach.standins.engine.EngineStream.Outcome;
 
 /**
- * A model engine's batch, slots and streams, without time or sockets.
+ * The state of a stand-in model engine: its batch, adapter slots and streams, without timing or sockets.
  *
- * <p>Invariant: a stream joins the batch only while its adapter is resident; an attempt's name is taken once; every stream
- * that is over is recorded once. Safe for use by several threads, under one lock.
+ * <p>Invariant: a stream joins the batch only while its adapter is resident; an attempt identifies at most one stream; every
+ * finished stream is recorded once. Safe for use by several threads, under one lock.
  */
 final class Engine {
 
@@ -78,12 +78,12 @@
     }
 
     /**
-     * Begins a load.
+     * Reserves a slot for an adapter that is about to be loaded.
      *
      * @param adapter the adapter
-     * @param fence the order's fence
-     * @return false if the adapter is resident already
-     * @throws Refusal if the order is fenced off, or no slot is free
+     * @param fence the fencing token of the order
+     * @return false if the adapter is already resident
+     * @throws Refusal if the fencing token is outdated, or no slot is free
      */
     synchronized boolean beginLoad(AdapterReference adapter, long fence) throws Refusal {
         checkFence(fence);
@@ -104,24 +104,24 @@
     }
 
     /**
-     * Unloads an adapter. An engine does as it is told: streams on the adapter break off, and are counted.
+     * Unloads an adapter. Streams that use the adapter are aborted and counted.
      *
      * @param adapter the adapter
-     * @param fence the order's fence
-     * @throws Refusal if the order is fenced off
+     * @param fence the fencing token of the order
+     * @throws Refusal if the fencing token is outdated
      */
     synchronized void unload(AdapterReference adapter, long fence) throws Refusal {
         checkFence(fence);
         if (!resident.remove(adapter)) {
             return;
         }
-        List<EngineStream> broken = new ArrayList<>(batch);
-        broken.addAll(waiting);
-        broken.removeIf(stream -> !stream.order().adapter().equals(adapter));
-        batch.removeAll(broken);
-        waiting.removeAll(broken);
-        broken.forEach(stream -> finishStream(stream, Outcome.UNLOADED));
-        statistics = statistics.withUnloadedWhileServing(broken.size());
+        List<EngineStream> aborted = new ArrayList<>(batch);
+        aborted.addAll(waiting);
+        aborted.removeIf(stream -> !stream.order().adapter().equals(adapter));
+        batch.removeAll(aborted);
+        waiting.removeAll(aborted);
+        aborted.forEach(stream -> finishStream(stream, Outcome.UNLOADED));
+        statistics = statistics.withUnloadedWhileServing(aborted.size());
     }
 
     private void checkFence(long fence) throws Refusal {
@@ -132,9 +132,9 @@
     }
 
     synchronized void restart() {
-        List<EngineStream> broken = new ArrayList<>(batch);
-        broken.addAll(waiting);
-        broken.forEach(stream -> finishStream(stream, Outcome.RESTARTED));
+        List<EngineStream> aborted = new ArrayList<>(batch);
+        aborted.addAll(waiting);
+        aborted.forEach(stream -> finishStream(stream, Outcome.RESTARTED));
         batch.clear();
         waiting.clear();
         streams.clear();
@@ -147,9 +147,9 @@
     }
 
     /**
-     * Begins a step: lets waiting streams join, and waits if there are none.
+     * Begins a step: moves waiting streams into the batch, and blocks while there are no streams.
      *
-     * @return the time that the step takes, in microseconds
+     * @return the duration of the step, in microseconds
      * @throws InterruptedException if the engine is stopped
      */
     synchronized double beginStep() throws InterruptedException {
@@ -166,17 +166,17 @@
     private double join(EngineStream stream) {
         int cached =
                 prefixes.lookUpAndStore(stream.order().adapter(), stream.order().prompt());
-        int fresh = Math.max(0, stream.promptTokens() - cached);
+        int uncached = Math.max(0, stream.promptTokens() - cached);
         stream.join(cached);
         batch.add(stream);
-        return fresh * settings.prefillMicros() + cached * settings.cachedPrefillMicros();
+        return uncached * settings.prefillMicros() + cached * settings.cachedPrefillMicros();
     }
 
     /**
-     * Ends a step: each stream in the batch has one more token.
+     * Ends a step: each stream in the batch has generated one more token.
      *
-     * @param micros the time that it took
-     * @return the streams that have a token more
+     * @param micros the duration of the step, in microseconds
+     * @return the streams that were in the batch
      */
     synchronized List<EngineStream> endStep(double micros) {
         List<EngineStream> stepped = List.copyOf(batch);
@@ -238,16 +238,16 @@
 
     synchronized List<StreamRecord> records(long after, int limit) {
         return records.stream()
-                .filter(ended -> ended.number() > after)
+                .filter(record -> record.number() > after)
                 .limit(limit)
                 .toList();
     }
 
     /**
-     * How much an engine has to do.
+     * The load of an engine.
      *
-     * @param running streams in the batch
-     * @param waiting streams that wait for the batch
+     * @param running the number of streams in the batch
+     * @param waiting the number of streams waiting to join the batch
      */
     record EngineLoad(int running, int waiting) {}
 }
--- a/standins/src/main/java/org/geraniumreach/standins/engine/EngineSettings.java
+++ b/standins/src/main/java/org/geraniumreach/standins/engine/EngineSettings.java
@@ -1,23 +1,23 @@
 package org.geraniumreach.standins.engine;
 
 /**
- * How a stand-in engine behaves.
+ * The settings of a stand-in engine.
  *
  * <p>Invariant: no number is negative; slots and batch are at least 1. Immutable and safe for use by several threads.
  *
- * @param slots the adapters that it can hold at once
- * @param maximumBatch the streams in a batch
- * @param stepMicros the time of a step, whatever is in the batch
- * @param streamMicros what each stream in the batch adds
- * @param adapterMicros what each distinct adapter in the batch adds
- * @param prefillMicros what each prompt token adds to the step in which its stream joins
- * @param cachedPrefillMicros the same for a token of a cached prefix
- * @param prefixCacheTokens the prompt tokens that the prefix cache holds
- * @param checksFence whether orders with an old fence are refused
- * @param keepFinishedMillis how long the end of a stream can be asked for again
- * @param loadLagMillis how old the load in the state is
- * @param eventLagMillis how late cache events are
- * @param eventLossPercent how many cache events in a hundred are lost
+ * @param slots the number of adapters that can be resident at once
+ * @param maximumBatch the maximum number of streams in a batch
+ * @param stepMicros the fixed duration of a step, in microseconds
+ * @param streamMicros the time that each stream in the batch adds to a step
+ * @param adapterMicros the time that each distinct adapter in the batch adds to a step
+ * @param prefillMicros the prefill time per prompt token, added to the step in which the stream joins
+ * @param cachedPrefillMicros the prefill time per token of a cached prefix
+ * @param prefixCacheTokens the capacity of the prefix cache in prompt tokens
+ * @param checksFence whether orders with an outdated fencing token are refused
+ * @param keepFinishedMillis how long a finished stream can be resumed
+ * @param loadLagMillis the interval at which the reported load is refreshed
+ * @param eventLagMillis the delay before a cache event is published
+ * @param eventLossPercent the percentage of cache events that are lost
  */
 public record EngineSettings(
         int slots,
--- a/standins/src/main/java/org/geraniumreach/standins/engine/EngineStandIn.java
+++ b/standins/src/main/java/org/geraniumreach/standins/engine/EngineStandIn.java
@@ -19,7 +19,7 @@
 import org.geraniumreach.standins.http.StandInServer;
 
 /**
- * The stand-in model engine over HTTP.
+ * The stand-in for a model engine, served over HTTP.
  *
  * <p>Safe for use by several threads.
  */
@@ -39,13 +39,13 @@
     private volatile Engine.EngineLoad reportedLoad = new Engine.EngineLoad(0, 0);
 
     /**
-     * Starts an engine.
+     * Starts the engine and its HTTP server.
      *
-     * @param port its port
-     * @param settings how it behaves, not null
+     * @param port the port to listen on
+     * @param settings the engine settings, not null
      * @param weightStore the weight store's URL, not null
-     * @param timer delays answers, not null
-     * @throws IOException if the port cannot be had
+     * @param timer runs delayed and periodic tasks, not null
+     * @throws IOException if the port cannot be bound
      */
     public EngineStandIn(int port, EngineSettings settings, URI weightStore, ScheduledExecutorService timer)
             throws IOException {
--- a/standins/src/main/java/org/geraniumreach/standins/engine/EngineStatistics.java
+++ b/standins/src/main/java/org/geraniumreach/standins/engine/EngineStatistics.java
@@ -1,15 +1,15 @@
 package org.geraniumreach.standins.engine;
 
 /**
- * Sums over an engine's steps.
+ * Totals over the steps of an engine.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param steps the steps taken
- * @param tokens the tokens generated, which is also the sum of the batches' sizes
- * @param adapters the sum over the steps of the distinct adapters
- * @param busyMicros the time of all steps
- * @param unloadedWhileServing streams that broke off because their adapter was unloaded
+ * @param steps the number of steps
+ * @param tokens the number of tokens generated, which equals the sum of the batch sizes
+ * @param adapters the sum over all steps of the number of distinct adapters
+ * @param busyMicros the duration of all steps, in microseconds
+ * @param unloadedWhileServing the number of streams aborted because their adapter was unloaded
  */
 public record EngineStatistics(long steps, long tokens, long adapters, double busyMicros, long unloadedWhileServing) {
 
--- a/standins/src/main/java/org/geraniumreach/standins/engine/EngineStream.java
+++ b/standins/src/main/java/org/geraniumreach/standins/engine/EngineStream.java
@@ -9,10 +9,10 @@
 import org.geraniumreach.standins.http.Call;
 
 /**
- * One stream at an engine, waiting, in the batch or over.
+ * A stream at an engine: waiting, in the batch or finished.
  *
- * <p>Tokens are worked out when they are sent, so a stream keeps no text and can be sent again from any token. Its fields
- * are guarded by the engine's lock, but for the number of tokens and the outcome, which readers see without it.
+ * <p>Tokens are computed when they are sent, so a stream stores no text and can be sent again from any token. The fields are
+ * guarded by the engine's lock, except the number of tokens, the outcome and the end time, which are read without it.
  */
 final class EngineStream implements Comparable<EngineStream> {
 
@@ -31,7 +31,7 @@
     private volatile int generated;
     private volatile Outcome outcome = Outcome.RUNNING;
 
-    /** How a stream stands. */
+    /** The state of a stream. */
     enum Outcome {
         RUNNING,
         ENDED,
@@ -79,19 +79,19 @@
     }
 
     /**
-     * Takes a step.
+     * Generates one token.
      *
-     * @param batch the streams in the batch
-     * @param adapters the distinct adapters in the batch
-     * @return true if the stream is over
+     * @param batch the number of streams in the batch
+     * @param adapters the number of distinct adapters in the batch
+     * @return true if this was the last token
      */
     boolean step(int batch, int adapters) {
         batchSum += batch;
         adapterSum += adapters;
-        // The single writer holds the engine's lock.
-        int now = generated + 1;
-        generated = now;
-        return now >= length;
+        // Not atomic, but the engine's lock allows only one writer.
+        int newGenerated = generated + 1;
+        generated = newGenerated;
+        return newGenerated >= length;
     }
 
     void end(Outcome newOutcome) {
--- a/standins/src/main/java/org/geraniumreach/standins/engine/EngineThread.java
+++ b/standins/src/main/java/org/geraniumreach/standins/engine/EngineThread.java
@@ -11,7 +11,7 @@
 import org.tinylog.Logger;
 
 /**
- * Takes an engine's steps in time, and sends what they bring.
+ * Runs the steps of an engine in real time and sends the generated tokens to the readers.
  *
  * <p>Safe for use by several threads.
  */
@@ -27,35 +27,36 @@
     }
 
     static EngineThread start(String name, Engine engine, ScheduledExecutorService timer) {
-        EngineThread steps = new EngineThread(engine);
-        Thread thread = new Thread(steps::run, name);
+        EngineThread engineThread = new EngineThread(engine);
+        Thread thread = new Thread(engineThread::run, name);
         thread.setDaemon(true);
         thread.start();
         timer.scheduleAtFixedRate(
-                steps::heartbeat, HEARTBEAT_INTERVAL_MILLIS, HEARTBEAT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
-        return steps;
+                engineThread::heartbeat, HEARTBEAT_INTERVAL_MILLIS, HEARTBEAT_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+        return engineThread;
     }
 
     private void run() {
-        long due = System.nanoTime();
+        long dueNanos = System.nanoTime();
         try {
             while (true) {
                 double micros = engine.beginStep();
-                // After a pause the engine does not catch up on the time that it had nothing to do.
-                due = Math.max(due, System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(2)) + (long) (micros * 1000);
-                sleepUntil(due);
+                // Idle time is not made up for: after a pause the schedule restarts at most 2 ms in the past.
+                dueNanos = Math.max(dueNanos, System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(2))
+                        + (long) (micros * 1000);
+                sleepUntil(dueNanos);
                 engine.endStep(micros).forEach(this::sendAvailable);
             }
         } catch (InterruptedException e) {
-            Logger.info("engine stopped");
+            Logger.info("engine thread interrupted, no further steps are run");
         }
     }
 
-    private static void sleepUntil(long due) {
-        long left = due - System.nanoTime();
-        while (left > 0) {
-            LockSupport.parkNanos(left);
-            left = due - System.nanoTime();
+    private static void sleepUntil(long dueNanos) {
+        long remainingNanos = dueNanos - System.nanoTime();
+        while (remainingNanos > 0) {
+            LockSupport.parkNanos(remainingNanos);
+            remainingNanos = dueNanos - System.nanoTime();
         }
     }
 
--- a/standins/src/main/java/org/geraniumreach/standins/engine/GenerationOrder.java
+++ b/standins/src/main/java/org/geraniumreach/standins/engine/GenerationOrder.java
@@ -8,17 +8,17 @@
 import org.geraniumreach.model.AttemptId;
 
 /**
- * What a companion asks an engine to generate.
+ * An order of a companion to generate an answer.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param attempt the stream's name
- * @param account for whom
- * @param adapter on what
+ * @param attempt the attempt that identifies the stream
+ * @param account the client account
+ * @param adapter the adapter and version to use
  * @param prompt the prompt
- * @param maximumTokens the most tokens to generate
- * @param priority 0 to 9, 9 first
- * @param fence the companion's fence
+ * @param maximumTokens the maximum number of tokens to generate, at least 1
+ * @param priority the priority from 0 to 9, 9 is the highest
+ * @param fence the companion's fencing token
  */
 record GenerationOrder(
         AttemptId attempt,
--- a/standins/src/main/java/org/geraniumreach/standins/engine/PrefixCache.java
+++ b/standins/src/main/java/org/geraniumreach/standins/engine/PrefixCache.java
@@ -10,9 +10,9 @@
 import org.geraniumreach.model.AdapterReference;
 
 /**
- * The prompt prefixes that an engine holds, in blocks of tokens; the block used longest ago goes first.
+ * A least recently used cache of prompt prefixes, in blocks of tokens.
  *
- * <p>Invariant: holds at most its capacity. Used under the engine's lock.
+ * <p>Invariant: holds at most its capacity. Guarded by the engine's lock.
  */
 final class PrefixCache {
 
@@ -30,11 +30,11 @@
     }
 
     /**
-     * Uses a prompt: counts what is cached of it, and caches all of it.
+     * Looks up the cached prefix of a prompt, then caches all full blocks of the prompt.
      *
-     * @param adapter the adapter, whose cache is its own
+     * @param adapter the adapter; adapters do not share blocks
      * @param prompt the prompt
-     * @return the tokens of the prefix that was cached
+     * @return the number of tokens in the prefix that was already cached
      */
     int lookUpAndStore(AdapterReference adapter, String prompt) {
         List<Long> digests = digests(adapter, prompt);
@@ -79,9 +79,9 @@
     }
 
     /**
-     * A change of the cache.
+     * A change of the cache contents.
      *
-     * @param kind stored or evicted
+     * @param kind {@code stored} or {@code evicted}
      * @param block the block's digest
      */
     record CacheEvent(String kind, String block) {}
--- a/standins/src/main/java/org/geraniumreach/standins/engine/Refusal.java
+++ b/standins/src/main/java/org/geraniumreach/standins/engine/Refusal.java
@@ -2,7 +2,7 @@
 
 import org.geraniumreach.standins.http.Answer;
 
-/** An order that the engine does not carry out. */
+/** Signals that the engine refuses an order. */
 final class Refusal extends Exception {
 
     private final int status;
--- a/standins/src/main/java/org/geraniumreach/standins/engine/StreamReader.java
+++ b/standins/src/main/java/org/geraniumreach/standins/engine/StreamReader.java
@@ -6,9 +6,9 @@
 import org.geraniumreach.standins.http.LineSink;
 
 /**
- * Sends one stream to one caller, from the token that the caller asked for.
+ * Sends a stream to one caller, starting at the token that the caller requested.
  *
- * <p>Invariant: tokens are sent in order and each once. A slow caller holds up nothing but its own reader. Safe for use by
+ * <p>Invariant: tokens are sent in order, each exactly once. A slow caller blocks only its own reader. Safe for use by
  * several threads, under its own lock.
  */
 final class StreamReader {
@@ -36,15 +36,15 @@
         return sink.isOpen();
     }
 
-    /** Sends the first line, so that the caller knows that its stream is taken, and what it runs on. */
+    /** Sends the first line, which confirms the stream and names the adapter and version that serve it. */
     synchronized void sendFirstLine() {
         sink.write(stream.firstLine());
     }
 
-    /** Sends what is there and can be sent. */
+    /** Sends the tokens generated so far, as far as the connection accepts them. */
     synchronized void sendAvailable() {
         while (sink.isOpen() && !waitingUntilWritable) {
-            // The outcome is read first: what was generated before the end is then seen whole.
+            // The outcome is read before the number of tokens, so that a finished stream is sent completely.
             boolean over = !stream.isRunning();
             int until = Math.min(stream.generated(), nextToken + MAXIMUM_LINES_PER_WRITE);
             if (nextToken >= until) {
@@ -89,7 +89,7 @@
         });
     }
 
-    /** Sends an empty line if nothing was sent for long, so that silence shows a lost connection. */
+    /** Sends an empty line after an idle period, so that a caller can detect a lost connection by its silence. */
     synchronized void heartbeat() {
         if (sink.isOpen() && !waitingUntilWritable && System.nanoTime() - lastWriteNanos > HEARTBEAT_INTERVAL_NANOS) {
             sink.write(HEARTBEAT);
--- a/standins/src/main/java/org/geraniumreach/standins/engine/StreamRecord.java
+++ b/standins/src/main/java/org/geraniumreach/standins/engine/StreamRecord.java
@@ -1,25 +1,25 @@
 package org.geraniumreach.standins.engine;
 
 /**
- * The engine's own record of one stream that is over.
+ * The engine's record of a finished stream.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param number its number, from 1, in the order of ending
- * @param attempt the stream
- * @param request the digest of adapter, version and prompt as named by the order
+ * @param number the record number, from 1, in the order in which streams finished
+ * @param attempt the attempt that identifies the stream
+ * @param request the digest of the adapter, version and prompt in the order
  * @param account the client account
- * @param adapter the adapter and version that ran
- * @param fence the fence that came with the order
- * @param promptTokens the tokens of the prompt
- * @param cachedPromptTokens those of them that were cached
- * @param tokens the tokens generated
- * @param queuedMillis when it came, since the epoch
- * @param startMillis when it joined the batch, 0 if it never did
- * @param endMillis when it ended
- * @param outcome how it ended: ended, cancelled, unloaded, restarted
- * @param meanBatch the mean number of streams in its steps
- * @param meanAdapters the mean number of distinct adapters in its steps
+ * @param adapter the adapter and version that served the stream
+ * @param fence the fencing token of the order
+ * @param promptTokens the number of prompt tokens
+ * @param cachedPromptTokens the number of prompt tokens that were cached
+ * @param tokens the number of tokens generated
+ * @param queuedMillis when the stream was queued, in milliseconds since the epoch
+ * @param startMillis when the stream joined the batch, in milliseconds since the epoch, 0 if it never did
+ * @param endMillis when the stream finished, in milliseconds since the epoch
+ * @param outcome the outcome: ended, cancelled, unloaded or restarted
+ * @param meanBatch the mean number of streams in the batch over the steps of the stream
+ * @param meanAdapters the mean number of distinct adapters in the batch over the steps of the stream
  */
 public record StreamRecord(
         long number,
--- a/standins/src/main/java/org/geraniumreach/standins/engine/WeightClient.java
+++ b/standins/src/main/java/org/geraniumreach/standins/engine/WeightClient.java
@@ -9,7 +9,7 @@
 import org.geraniumreach.model.AdapterReference;
 
 /**
- * Fetches adapters from the weight store.
+ * An HTTP client that fetches adapters from the weight store.
  *
  * <p>Safe for use by several threads.
  */
--- a/standins/src/main/java/org/geraniumreach/standins/engine/package-info.java
+++ b/standins/src/main/java/org/geraniumreach/standins/engine/package-info.java
@@ -1,2 +1,2 @@
-/** The stand-in of a model engine that batches continuously. */
+/** The stand-in for a model engine with continuous batching. */
 package org.geraniumreach.standins.engine;
--- a/standins/src/main/java/org/geraniumreach/standins/http/Administration.java
+++ b/standins/src/main/java/org/geraniumreach/standins/http/Administration.java
@@ -9,7 +9,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * The port that administers the stand-ins of one process; it shows no faults itself.
+ * The HTTP server that administers the stand-ins of one process. It injects no faults into its own answers.
  *
  * <p>Immutable and safe for use by several threads.
  */
@@ -17,24 +17,24 @@
 
     private static final String PART_PARAMETER = "part";
 
-    private final List<StandIn> parts;
+    private final List<StandIn> standIns;
 
-    private Administration(List<StandIn> parts) {
-        this.parts = List.copyOf(parts);
+    private Administration(List<StandIn> standIns) {
+        this.standIns = List.copyOf(standIns);
     }
 
     /**
-     * Starts the port.
+     * Starts the administration server.
      *
-     * @param port the port
-     * @param parts the stand-ins, not null
-     * @param timer delays answers, not null
+     * @param port the port to listen on
+     * @param standIns the stand-ins, not null
+     * @param timer runs delayed tasks, not null
      * @return the server, listening, not null
-     * @throws IOException if the port cannot be had
+     * @throws IOException if the port cannot be bound
      */
-    public static StandInServer start(int port, List<StandIn> parts, ScheduledExecutorService timer)
+    public static StandInServer start(int port, List<StandIn> standIns, ScheduledExecutorService timer)
             throws IOException {
-        Administration administration = new Administration(parts);
+        Administration administration = new Administration(standIns);
         return StandInServer.start("administration", port, (call, faults) -> administration.handle(call), timer);
     }
 
@@ -42,23 +42,24 @@
         if (call.route().equals("GET /admin/parts")) {
             return Answer.of(names()).toCompletedStage();
         }
-        Optional<StandIn> part = find(call);
-        if (part.isEmpty()) {
+        Optional<StandIn> standIn = find(call);
+        if (standIn.isEmpty()) {
             return Answer.malformed("no such part; one of " + names()).toCompletedStage();
         }
-        return handle(call, part.get());
+        return handle(call, standIn.get());
     }
 
-    private CompletionStage<Answer> handle(Call call, StandIn part) throws IOException {
+    private CompletionStage<Answer> handle(Call call, StandIn standIn) throws IOException {
         switch (call.route()) {
             case "GET /admin/faults" -> {
-                return Answer.of(Call.JSON.valueToTree(part.server().faults())).toCompletedStage();
+                return Answer.of(Call.JSON.valueToTree(standIn.server().faults()))
+                        .toCompletedStage();
             }
-            case "POST /admin/faults" -> part.server().setFaults(Call.JSON.treeToValue(call.json(), Faults.class));
-            case "POST /admin/silence" -> part.server().silenceConnections();
-            case "POST /admin/restart" -> part.restart();
+            case "POST /admin/faults" -> standIn.server().setFaults(Call.JSON.treeToValue(call.json(), Faults.class));
+            case "POST /admin/silence" -> standIn.server().silenceConnections();
+            case "POST /admin/restart" -> standIn.restart();
             default -> {
-                return part.administer(call);
+                return standIn.administer(call);
             }
         }
         return Answer.of(Call.JSON.createObjectNode().put("done", true)).toCompletedStage();
@@ -66,17 +67,17 @@
 
     private Optional<StandIn> find(Call call) {
         Optional<String> name = call.parameter(PART_PARAMETER);
-        if (name.isEmpty() && parts.size() == 1) {
-            return Optional.of(parts.get(0));
+        if (name.isEmpty() && standIns.size() == 1) {
+            return Optional.of(standIns.get(0));
         }
-        return parts.stream()
-                .filter(part -> name.equals(Optional.of(part.server().name())))
+        return standIns.stream()
+                .filter(standIn -> name.equals(Optional.of(standIn.server().name())))
                 .findFirst();
     }
 
     private ObjectNode names() {
         ObjectNode json = Call.JSON.createObjectNode();
-        parts.forEach(part -> json.withArray("parts").add(part.server().name()));
+        standIns.forEach(standIn -> json.withArray("parts").add(standIn.server().name()));
         return json;
     }
 }
--- a/standins/src/main/java/org/geraniumreach/standins/http/Answer.java
+++ b/standins/src/main/java/org/geraniumreach/standins/http/Answer.java
@@ -8,20 +8,20 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * What a stand-in answers: a body, or a stream of lines.
+ * The HTTP answer of a stand-in: a body, or a stream of lines.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @param status the HTTP status
- * @param body the body; not used by a stream
- * @param stream takes the lines' sink over, or null for a body
+ * @param body the body, ignored for a stream
+ * @param stream receives the sink to write lines to, or null for a body
  */
 public record Answer(int status, byte[] body, Consumer<LineSink> stream) {
 
     private static final int OK = 200;
 
     /**
-     * Makes an answer of JSON.
+     * Creates a successful answer with a JSON body.
      *
      * @param json the body, not null
      * @return the answer, not null
@@ -31,7 +31,7 @@
     }
 
     /**
-     * Makes an answer of bytes.
+     * Creates a successful answer with a binary body.
      *
      * @param body the body, not null
      * @return the answer, not null
@@ -41,9 +41,9 @@
     }
 
     /**
-     * Makes an answer that goes on as lines.
+     * Creates a successful answer that streams lines.
      *
-     * @param stream takes the sink over, not null
+     * @param stream receives the sink to write lines to, not null
      * @return the answer, not null
      */
     public static Answer ofStream(Consumer<LineSink> stream) {
@@ -51,12 +51,12 @@
     }
 
     /**
-     * Makes an answer that says that the call failed.
+     * Creates an answer that reports a failed call.
      *
      * @param status the HTTP status
-     * @param reason the reason as one word, not null
+     * @param reason the reason code, not null
      * @param tookEffect whether the call may have taken effect
-     * @param message what is wrong, not null
+     * @param message a description of the failure, not null
      * @return the answer, not null
      */
     public static Answer failure(int status, String reason, boolean tookEffect, String message) {
@@ -69,9 +69,9 @@
     }
 
     /**
-     * Makes the refusal of a call that cannot be read.
+     * Creates an answer that rejects a malformed call.
      *
-     * @param message what is wrong, not null
+     * @param message a description of the failure, not null
      * @return the answer, not null
      */
     public static Answer malformed(String message) {
@@ -79,7 +79,7 @@
     }
 
     /**
-     * Makes the answer for a path that there is not.
+     * Creates an answer that rejects an unknown method and path.
      *
      * @param call the call, not null
      * @return the answer, not null
@@ -89,7 +89,7 @@
     }
 
     /**
-     * Gets this answer as one that is there already.
+     * Returns a stage that is already completed with this answer.
      *
      * @return the stage, not null
      */
--- a/standins/src/main/java/org/geraniumreach/standins/http/Call.java
+++ b/standins/src/main/java/org/geraniumreach/standins/http/Call.java
@@ -8,13 +8,13 @@
 import org.glassfish.grizzly.http.server.Request;
 
 /**
- * One call to a stand-in, its body read whole.
+ * An HTTP call to a stand-in with its complete body.
  *
  * <p>Used by one thread at a time.
  */
 public final class Call {
 
-    /** Reads and writes JSON. */
+    /** The shared JSON mapper. */
     public static final ObjectMapper JSON = new ObjectMapper();
 
     private final Request request;
@@ -42,60 +42,60 @@
     }
 
     /**
-     * Gets what identifies the kind of call.
+     * Returns the method and path.
      *
-     * @return method and path
+     * @return the method and path, separated by a space
      */
     public String route() {
         return method() + " " + path();
     }
 
     /**
-     * Gets the rest of the path after a start.
+     * Returns the part of the path after a prefix.
      *
-     * @param start the start, not null
-     * @return the rest
+     * @param prefix the prefix, which the path must start with, not null
+     * @return the rest of the path
      */
-    public String pathAfter(String start) {
-        return path().substring(start.length());
+    public String pathAfter(String prefix) {
+        return path().substring(prefix.length());
     }
 
     /**
-     * Gets a parameter of the query.
+     * Returns a query parameter.
      *
-     * @param name its name, not null
-     * @return its value, or empty
+     * @param name the name, not null
+     * @return the value, or empty if it is missing
      */
     public Optional<String> parameter(String name) {
         return Optional.ofNullable(request.getParameter(name));
     }
 
     /**
-     * Gets a parameter of the query that is a number.
+     * Returns a numeric query parameter.
      *
-     * @param name its name, not null
-     * @param otherwise the value if it is missing
+     * @param name the name, not null
+     * @param defaultValue the value to return if the parameter is missing
      * @return the value
      */
-    public long number(String name, long otherwise) {
-        return parameter(name).map(Long::parseLong).orElse(otherwise);
+    public long number(String name, long defaultValue) {
+        return parameter(name).map(Long::parseLong).orElse(defaultValue);
     }
 
     /**
-     * Gets a header.
+     * Returns a request header.
      *
-     * @param name its name, not null
-     * @return its value, or empty
+     * @param name the name, not null
+     * @return the value, or empty if it is missing
      */
     public Optional<String> header(String name) {
         return Optional.ofNullable(request.getHeader(name));
     }
 
     /**
-     * Reads the body as JSON.
+     * Parses the body as JSON.
      *
      * @return the JSON, not null
-     * @throws IOException if it is none
+     * @throws IOException if the body is not valid JSON
      */
     public JsonNode json() throws IOException {
         return JSON.readTree(body);
--- a/standins/src/main/java/org/geraniumreach/standins/http/FaultInjector.java
+++ b/standins/src/main/java/org/geraniumreach/standins/http/FaultInjector.java
@@ -1,9 +1,9 @@
 package org.geraniumreach.standins.http;
 
 /**
- * Holds a stand-in's faults, and counts the calls struck by one that ends by itself.
+ * Holds the faults of a stand-in and disables them after a set number of affected calls.
  *
- * <p>Invariant: a fault with a count strikes exactly so many calls. Safe for use by several threads.
+ * <p>Invariant: faults with a count affect exactly that many calls. Safe for use by several threads.
  */
 public final class FaultInjector {
 
@@ -11,7 +11,7 @@
     private int remainingCalls;
 
     /**
-     * Sets the faults.
+     * Replaces the faults.
      *
      * @param newFaults the faults, not null
      */
@@ -25,19 +25,19 @@
     }
 
     /**
-     * Takes the faults that strike a call.
+     * Returns the faults to inject into a call, and counts the call if it is affected.
      *
      * @param path the call's path, not null
-     * @return the faults, not null
+     * @return the faults, {@link Faults#NONE} if the call is not affected, not null
      */
     public synchronized Faults takeFaults(String path) {
-        Faults now = faults;
-        if (now == Faults.NONE || !path.startsWith(now.path())) {
+        Faults active = faults;
+        if (active == Faults.NONE || !path.startsWith(active.path())) {
             return Faults.NONE;
         }
-        if (now.count() > 0 && --remainingCalls == 0) {
+        if (active.count() > 0 && --remainingCalls == 0) {
             faults = Faults.NONE;
         }
-        return now;
+        return active;
     }
 }
--- a/standins/src/main/java/org/geraniumreach/standins/http/Faults.java
+++ b/standins/src/main/java/org/geraniumreach/standins/http/Faults.java
@@ -1,20 +1,20 @@
 package org.geraniumreach.standins.http;
 
 /**
- * The faults that a stand-in shows at present.
+ * The faults that a stand-in injects into calls.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param down connections are refused
- * @param hang calls are accepted and never answered
- * @param slowMillis how much later each call is begun
- * @param loseAnswers the connection is closed after the call took effect, in place of an answer
- * @param swallowAnswers the call takes effect and its connection stays open without an answer
- * @param failLoads loads of adapters fail
- * @param wrongVersion the engine runs another version than named
- * @param dropAfterChunks the engine closes a stream's connection after so many chunks, 0 for never
- * @param path the start of the paths that are struck, empty for all
- * @param count the number of calls that are struck before the fault is over, 0 for no end
+ * @param down whether connections are refused
+ * @param hang whether calls are accepted and neither handled nor answered
+ * @param slowMillis the delay before a call is handled, in milliseconds
+ * @param loseAnswers whether the connection is closed in place of an answer, after the call took effect
+ * @param swallowAnswers whether the call takes effect and its connection stays open without an answer
+ * @param failLoads whether adapter loads fail
+ * @param wrongVersion whether the engine serves another version than requested
+ * @param dropAfterChunks the number of chunks after which the engine closes a stream's connection, 0 for never
+ * @param path the prefix of the affected paths, empty for all
+ * @param count the number of calls to affect before the faults are disabled, 0 for no limit
  */
 public record Faults(
         boolean down,
@@ -28,7 +28,7 @@
         String path,
         int count) {
 
-    /** No fault. */
+    /** No faults. */
     public static final Faults NONE = new Faults(false, false, 0, false, false, false, false, 0, "", 0);
 
     public Faults {
--- a/standins/src/main/java/org/geraniumreach/standins/http/LineSink.java
+++ b/standins/src/main/java/org/geraniumreach/standins/http/LineSink.java
@@ -7,10 +7,10 @@
 import org.glassfish.grizzly.http.server.Response;
 
 /**
- * Sends the lines of an answer as the caller takes them.
+ * Writes the lines of a streamed answer with back-pressure.
  *
- * <p>Invariant: after the connection broke or the answer was finished, nothing is sent and nothing fails. Calls of writing
- * come from one thread at a time; {@link #isOpen} is safe for all.
+ * <p>Invariant: once the connection is broken or the answer is finished, writes are ignored without an error. Writing
+ * methods must be called by one thread at a time; {@link #isOpen} is safe for use by several threads.
  */
 public final class LineSink {
 
@@ -30,7 +30,7 @@
     }
 
     /**
-     * Queries whether more can be written without filling memory.
+     * Queries whether more can be written without unbounded buffering.
      *
      * @return true if so
      */
@@ -39,9 +39,9 @@
     }
 
     /**
-     * Asks to be told once when more can be written.
+     * Registers an action to run once, when more can be written.
      *
-     * @param action what to do then, not null
+     * @param action the action, not null
      */
     public void whenWritable(Runnable action) {
         output.notifyCanWrite(new WriteHandler() {
@@ -58,7 +58,7 @@
     }
 
     /**
-     * Sends bytes at once.
+     * Writes and flushes bytes.
      *
      * @param bytes the bytes, not null
      */
@@ -70,12 +70,12 @@
             output.write(bytes);
             output.flush();
         } catch (IOException | RuntimeException e) {
-            // The caller is gone, which is no fault of the stand-in.
+            // The caller has disconnected, which is not an error of the stand-in.
             open = false;
         }
     }
 
-    /** Ends the answer, whole. */
+    /** Completes the answer. */
     public void finish() {
         if (!open || connection.isSilent()) {
             return;
@@ -89,7 +89,7 @@
         response.resume();
     }
 
-    /** Breaks the connection. */
+    /** Closes the connection without completing the answer. */
     public void drop() {
         open = false;
         connection.close();
--- a/standins/src/main/java/org/geraniumreach/standins/http/OpenConnection.java
+++ b/standins/src/main/java/org/geraniumreach/standins/http/OpenConnection.java
@@ -3,10 +3,10 @@
 import org.glassfish.grizzly.Connection;
 
 /**
- * A caller's connection, which can be made to go silent.
+ * A caller's connection, which can be silenced.
  *
- * <p>Invariant: once silent, nothing is sent on it any more and it stays open; this is how an end sees a connection that
- * something in between has lost track of. Safe for use by several threads.
+ * <p>Invariant: a silenced connection stays open and sends nothing more. To the caller it looks like a connection whose state
+ * was lost by a device on the network path. Safe for use by several threads.
  */
 final class OpenConnection {
 
--- a/standins/src/main/java/org/geraniumreach/standins/http/RateLimiter.java
+++ b/standins/src/main/java/org/geraniumreach/standins/http/RateLimiter.java
@@ -3,9 +3,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A limit of calls a second, with a quarter of a second's calls at once.
+ * A token bucket that limits calls per second, with a burst of a quarter of a second's calls, at least one.
  *
- * <p>Invariant: over any time, no more than the rate times that time plus the burst are let through. Safe for use by
+ * <p>Invariant: over any period, at most the rate times the period plus the burst are accepted. Safe for use by
  * several threads.
  */
 public final class RateLimiter {
@@ -20,9 +20,9 @@
     private long refused;
 
     /**
-     * Makes a limit.
+     * Creates a rate limiter.
      *
-     * @param perSecond the rate, 0 for none
+     * @param perSecond the calls allowed per second, 0 for no limit
      */
     public RateLimiter(double perSecond) {
         if (perSecond < 0) {
@@ -35,9 +35,9 @@
     }
 
     /**
-     * Takes a call if the rate allows it.
+     * Accepts a call if the rate allows it.
      *
-     * @return false if the call is above the rate
+     * @return false if the call exceeds the rate
      */
     public synchronized boolean tryAcquire() {
         long now = System.nanoTime();
--- a/standins/src/main/java/org/geraniumreach/standins/http/StandIn.java
+++ b/standins/src/main/java/org/geraniumreach/standins/http/StandIn.java
@@ -4,28 +4,28 @@
 import java.util.concurrent.CompletionStage;
 
 /**
- * What an operator of the test bench can do with one stand-in.
+ * A stand-in that can be administered.
  *
- * <p>Contract: safe for use by several threads.
+ * <p>Implementations must be safe for use by several threads.
  */
 public interface StandIn {
 
     /**
-     * Gets the stand-in's port.
+     * Returns the HTTP server of the stand-in.
      *
      * @return the server, not null
      */
     StandInServer server();
 
-    /** Restarts the stand-in without what it held in memory. */
+    /** Simulates a restart that discards all state in memory. */
     default void restart() {}
 
     /**
-     * Answers a call of administration that only this stand-in knows.
+     * Handles an administration call that is specific to this stand-in.
      *
      * @param call the call, not null
-     * @return the answer, not null
-     * @throws IOException if the call cannot be read
+     * @return a stage that completes with the answer, not null
+     * @throws IOException if the call cannot be parsed
      */
     default CompletionStage<Answer> administer(Call call) throws IOException {
         return Answer.unknownPath(call).toCompletedStage();
--- a/standins/src/main/java/org/geraniumreach/standins/http/StandInServer.java
+++ b/standins/src/main/java/org/geraniumreach/standins/http/StandInServer.java
@@ -23,7 +23,7 @@
 import org.tinylog.Logger;
 
 /**
- * One stand-in's HTTP port on loopback, with the faults that it is told to show.
+ * The HTTP server of a stand-in on the loopback address, with fault injection.
  *
  * <p>Safe for use by several threads.
  */
@@ -54,12 +54,12 @@
     /**
      * Starts a server.
      *
-     * @param name the stand-in's name, not null
-     * @param port its port
-     * @param handler answers its calls, not null
-     * @param timer delays answers, not null
-     * @return the server, listening, not null
-     * @throws IOException if the port cannot be had
+     * @param name the name of the stand-in, not null
+     * @param port the port to listen on
+     * @param handler handles the calls, not null
+     * @param timer runs delayed tasks, not null
+     * @return the listening server, not null
+     * @throws IOException if the port cannot be bound
      */
     public static StandInServer start(String name, int port, CallHandler handler, ScheduledExecutorService timer)
             throws IOException {
@@ -82,10 +82,10 @@
     }
 
     /**
-     * Shows other faults from now on.
+     * Replaces the faults to inject.
      *
      * @param newFaults the faults, not null
-     * @throws IOException if the port cannot be had again
+     * @throws IOException if the port cannot be bound again
      */
     public synchronized void setFaults(Faults newFaults) throws IOException {
         faults.set(newFaults);
@@ -99,12 +99,12 @@
         }
     }
 
-    /** Makes all connections open now silent for good, while new ones work. */
+    /** Silences all open connections permanently; new connections work. */
     public void silenceConnections() {
         connections.forEach(OpenConnection::silence);
     }
 
-    /** Breaks all connections open now. */
+    /** Closes all open connections. */
     public void dropConnections() {
         connections.forEach(OpenConnection::close);
     }
@@ -149,45 +149,47 @@
         return open;
     }
 
-    /** Reads calls and writes answers, as far as the faults let it. */
+    /** Handles calls and writes answers subject to the injected faults. */
     private final class FaultInjectingHandler extends HttpHandler {
 
         @Override
         public void service(Request request, Response response) throws IOException {
             OpenConnection connection = connectionOf(request);
             Call call = Call.read(request);
-            Faults struck = faults.takeFaults(call.path());
+            Faults injected = faults.takeFaults(call.path());
             response.suspend();
-            if (connection.isSilent() || struck.hang()) {
+            if (connection.isSilent() || injected.hang()) {
                 return;
             }
-            if (struck.slowMillis() > 0) {
+            if (injected.slowMillis() > 0) {
                 timer.schedule(
-                        () -> answer(call, struck, response, connection), struck.slowMillis(), TimeUnit.MILLISECONDS);
+                        () -> answer(call, injected, response, connection),
+                        injected.slowMillis(),
+                        TimeUnit.MILLISECONDS);
                 return;
             }
-            answer(call, struck, response, connection);
+            answer(call, injected, response, connection);
         }
 
-        private void answer(Call call, Faults struck, Response response, OpenConnection connection) {
+        private void answer(Call call, Faults injected, Response response, OpenConnection connection) {
             CompletionStage<Answer> answer;
             try {
-                answer = handler.handle(call, struck);
+                answer = handler.handle(call, injected);
             } catch (IOException | RuntimeException e) {
                 answer = Answer.malformed(e.toString()).toCompletedStage();
             }
-            answer.whenComplete((made, failure) -> {
-                Answer sent = failure == null ? made : Answer.failure(500, "failed", true, failure.toString());
-                send(sent, struck, response, connection);
+            answer.whenComplete((handled, failure) -> {
+                Answer sent = failure == null ? handled : Answer.failure(500, "failed", true, failure.toString());
+                send(sent, injected, response, connection);
             });
         }
 
-        private void send(Answer answer, Faults struck, Response response, OpenConnection connection) {
-            if (struck.loseAnswers()) {
+        private void send(Answer answer, Faults injected, Response response, OpenConnection connection) {
+            if (injected.loseAnswers()) {
                 connection.close();
                 return;
             }
-            if (struck.swallowAnswers() || connection.isSilent()) {
+            if (injected.swallowAnswers() || connection.isSilent()) {
                 return;
             }
             response.setStatus(answer.status());
--- a/standins/src/main/java/org/geraniumreach/standins/http/package-info.java
+++ b/standins/src/main/java/org/geraniumreach/standins/http/package-info.java
@@ -1,2 +1,2 @@
-/** What all stand-ins share: an HTTP server by Grizzly, faults to inject, and the port that administers them. */
+/** The HTTP server that all stand-ins share, based on Grizzly, with fault injection and administration. */
 package org.geraniumreach.standins.http;
--- a/standins/src/main/java/org/geraniumreach/standins/list/InstanceListStandIn.java
+++ b/standins/src/main/java/org/geraniumreach/standins/list/InstanceListStandIn.java
@@ -23,10 +23,10 @@
 import org.geraniumreach.standins.http.StandInServer;
 
 /**
- * The stand-in instance list: probes what is registered, and lists with a lag what it found.
+ * The stand-in for the instance list: probes registered instances and publishes the live ones with a lag.
  *
- * <p>An instance is listed from its first good probe until so many probes in a row have failed. Invariant: what is listed
- * is what was known one lag ago. Safe for use by several threads.
+ * <p>An instance is listed from its first successful probe until a set number of consecutive probes have failed.
+ * Invariant: the published list is the state known one lag earlier. Safe for use by several threads.
  */
 public final class InstanceListStandIn implements StandIn {
 
@@ -48,12 +48,12 @@
     private volatile ObjectNode publishedList = toJson(Map.of(), Set.of());
 
     /**
-     * Starts the list.
+     * Starts the instance list and its HTTP server.
      *
-     * @param port its port
-     * @param lagMillis how late the list is
-     * @param timer probes and delays, not null
-     * @throws IOException if the port cannot be had
+     * @param port the port to listen on
+     * @param lagMillis the delay before a change is published, in milliseconds
+     * @param timer runs the probes and delayed tasks, not null
+     * @throws IOException if the port cannot be bound
      */
     public InstanceListStandIn(int port, long lagMillis, ScheduledExecutorService timer) throws IOException {
         this.timer = timer;
@@ -105,8 +105,8 @@
 
     private void probe() {
         registrations.values().forEach(this::probe);
-        ObjectNode now = toJson(live(), leaving);
-        timer.schedule(() -> publishedList = now, lagMillis, TimeUnit.MILLISECONDS);
+        ObjectNode current = toJson(live(), leaving);
+        timer.schedule(() -> publishedList = current, lagMillis, TimeUnit.MILLISECONDS);
     }
 
     private void probe(Registration registration) {
--- a/standins/src/main/java/org/geraniumreach/standins/list/Registration.java
+++ b/standins/src/main/java/org/geraniumreach/standins/list/Registration.java
@@ -4,15 +4,15 @@
 import java.util.Objects;
 
 /**
- * An instance that the stand-in list watches.
+ * An instance that the stand-in instance list probes.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param instance its name
- * @param role entry or companion
- * @param failureDomain where it is
- * @param linkAddress where other processes reach it, number and port
- * @param healthUrl what is asked whether it is alive
+ * @param instance the name of the instance
+ * @param role {@code entry} or {@code companion}
+ * @param failureDomain the failure domain of the instance
+ * @param linkAddress the numeric address and port at which other processes reach the instance
+ * @param healthUrl the URL to probe
  */
 public record Registration(String instance, String role, String failureDomain, String linkAddress, URI healthUrl) {
 
--- a/standins/src/main/java/org/geraniumreach/standins/list/package-info.java
+++ b/standins/src/main/java/org/geraniumreach/standins/list/package-info.java
@@ -1,2 +1,2 @@
-/** The stand-in of the platform's lagging instance list. */
+/** The stand-in for the platform's instance list, which lags behind the actual state. */
 package org.geraniumreach.standins.list;
--- a/standins/src/main/java/org/geraniumreach/standins/service/ServiceStandIn.java
+++ b/standins/src/main/java/org/geraniumreach/standins/service/ServiceStandIn.java
@@ -17,10 +17,10 @@
 import org.geraniumreach.standins.http.StandInServer;
 
 /**
- * The stand-in plain service: runs any operation as often as it is asked to, and keeps a record of each run.
+ * The stand-in for a plain service: runs every operation it is called for and records each run.
  *
- * <p>It is the target that makes a doubled call visible: it knows no idempotency keys. Invariant: a call that was answered
- * is in the record. Safe for use by several threads.
+ * <p>It ignores idempotency keys, so duplicate calls are visible in its records. Invariant: every answered operation is
+ * recorded. Safe for use by several threads.
  */
 public final class ServiceStandIn implements StandIn {
 
@@ -33,12 +33,12 @@
     private final List<ServiceRun> runs = new ArrayList<>();
 
     /**
-     * Starts the service.
+     * Starts the service and its HTTP server.
      *
-     * @param port its port
-     * @param latencyMillis how long an operation takes
-     * @param timer delays answers, not null
-     * @throws IOException if the port cannot be had
+     * @param port the port to listen on
+     * @param latencyMillis the duration of an operation, in milliseconds
+     * @param timer runs delayed tasks, not null
+     * @throws IOException if the port cannot be bound
      */
     public ServiceStandIn(int port, long latencyMillis, ScheduledExecutorService timer) throws IOException {
         this.latencyMillis = latencyMillis;
@@ -79,9 +79,9 @@
         if (latencyMillis == 0) {
             return Answer.of(json).toCompletedStage();
         }
-        CompletableFuture<Answer> later = new CompletableFuture<>();
-        timer.schedule(() -> later.complete(Answer.of(json)), latencyMillis, TimeUnit.MILLISECONDS);
-        return later;
+        CompletableFuture<Answer> delayed = new CompletableFuture<>();
+        timer.schedule(() -> delayed.complete(Answer.of(json)), latencyMillis, TimeUnit.MILLISECONDS);
+        return delayed;
     }
 
     private ServiceRun record(Call call) {
--- a/standins/src/main/java/org/geraniumreach/standins/service/package-info.java
+++ b/standins/src/main/java/org/geraniumreach/standins/service/package-info.java
@@ -1,2 +1,2 @@
-/** The stand-in of a plain service whose operations may not all be repeated. */
+/** The stand-in for a plain service with operations that are not all idempotent. */
 package org.geraniumreach.standins.service;
--- a/standins/src/main/java/org/geraniumreach/standins/store/ObjectStoreStandIn.java
+++ b/standins/src/main/java/org/geraniumreach/standins/store/ObjectStoreStandIn.java
@@ -12,7 +12,7 @@
 import org.geraniumreach.standins.http.StandInServer;
 
 /**
- * The stand-in object store over HTTP.
+ * The stand-in for the object store, served over HTTP.
  *
  * <p>Safe for use by several threads.
  */
@@ -24,11 +24,11 @@
     private final StandInServer server;
 
     /**
-     * Starts the object store.
+     * Starts the object store and its HTTP server.
      *
-     * @param port its port
-     * @param timer delays answers, not null
-     * @throws IOException if the port cannot be had
+     * @param port the port to listen on
+     * @param timer runs delayed tasks, not null
+     * @throws IOException if the port cannot be bound
      */
     public ObjectStoreStandIn(int port, ScheduledExecutorService timer) throws IOException {
         this.server = StandInServer.start("objects", port, (call, faults) -> handle(call), timer);
--- a/standins/src/main/java/org/geraniumreach/standins/store/WeightStore.java
+++ b/standins/src/main/java/org/geraniumreach/standins/store/WeightStore.java
@@ -10,10 +10,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Transfers of adapters, which share a limited width and begin at a limited rate.
+ * Simulates adapter transfers that share a limited bandwidth and start at a limited rate.
  *
- * <p>A transfer takes the full-speed time while at most so many are in transit, and longer in proportion beyond. One that
- * comes above the rate waits for its turn in order. Invariant: each transfer is completed once. Safe for use by several
+ * <p>Up to a set number of concurrent transfers run at full speed; beyond it, all slow down in proportion. Transfers above
+ * the start rate wait in first-in, first-out order. Invariant: each transfer is completed once. Safe for use by several
  * threads, under one lock.
  */
 public final class WeightStore {
@@ -31,12 +31,12 @@
     private int maximumInTransit;
 
     /**
-     * Makes a store.
+     * Creates a store and starts its periodic task.
      *
-     * @param loadsPerSecond the rate at which transfers begin, 0 for no limit
-     * @param fullSpeedMillis how long a transfer takes at full speed
-     * @param fullSpeedCount how many may be in transit at full speed
-     * @param timer moves the transfers on, not null
+     * @param loadsPerSecond the maximum rate at which transfers start, 0 for no limit
+     * @param fullSpeedMillis the duration of a transfer at full speed, in milliseconds
+     * @param fullSpeedCount the maximum number of concurrent transfers at full speed
+     * @param timer advances the transfers, not null
      */
     public WeightStore(
             double loadsPerSecond, long fullSpeedMillis, int fullSpeedCount, ScheduledExecutorService timer) {
@@ -48,9 +48,9 @@
     }
 
     /**
-     * Begins a transfer.
+     * Queues a transfer.
      *
-     * @return done when the adapter is there
+     * @return a stage that completes when the transfer is complete, not null
      */
     public synchronized CompletionStage<Void> startTransfer() {
         Transfer transfer = new Transfer(fullSpeedMillis);
@@ -59,25 +59,26 @@
     }
 
     private void advanceTransfers() {
-        List<Transfer> arrived = new ArrayList<>();
+        List<Transfer> completed = new ArrayList<>();
         synchronized (this) {
-            long now = System.nanoTime();
-            double millis = (now - lastNanos) / (double) TimeUnit.MILLISECONDS.toNanos(1);
-            lastNanos = now;
+            long nowNanos = System.nanoTime();
+            double elapsedMillis = (nowNanos - lastNanos) / (double) TimeUnit.MILLISECONDS.toNanos(1);
+            lastNanos = nowNanos;
             double slowdown = Math.max(1, inTransit.size() / (double) fullSpeedCount);
             for (Transfer transfer : inTransit) {
-                transfer.remainingMillis -= millis / slowdown;
+                transfer.remainingMillis -= elapsedMillis / slowdown;
             }
-            inTransit.stream().filter(Transfer::isComplete).forEach(arrived::add);
-            inTransit.removeAll(arrived);
-            completedCount += arrived.size();
-            startWaiting(millis);
+            inTransit.stream().filter(Transfer::isComplete).forEach(completed::add);
+            inTransit.removeAll(completed);
+            completedCount += completed.size();
+            startWaiting(elapsedMillis);
         }
-        arrived.forEach(transfer -> transfer.completion.complete(null));
+        completed.forEach(transfer -> transfer.completion.complete(null));
     }
 
-    private void startWaiting(double millis) {
-        availableStarts = Math.min(Math.max(1, loadsPerSecond), availableStarts + loadsPerSecond * millis / 1000);
+    private void startWaiting(double elapsedMillis) {
+        availableStarts =
+                Math.min(Math.max(1, loadsPerSecond), availableStarts + loadsPerSecond * elapsedMillis / 1000);
         while (!waiting.isEmpty() && (loadsPerSecond == 0 || availableStarts >= 1)) {
             availableStarts--;
             inTransit.add(waiting.poll());
@@ -86,21 +87,21 @@
     }
 
     /**
-     * Gets the figures.
+     * Returns the current statistics.
      *
-     * @return the figures, not null
+     * @return the statistics, not null
      */
     public synchronized Statistics statistics() {
         return new Statistics(waiting.size(), inTransit.size(), maximumInTransit, completedCount);
     }
 
     /**
-     * Figures of the store.
+     * The statistics of the store.
      *
-     * @param waiting transfers that have not begun
-     * @param inTransit transfers begun
-     * @param mostInTransit the most ever in transit
-     * @param done transfers done
+     * @param waiting the number of transfers that have not started
+     * @param inTransit the number of transfers in progress
+     * @param mostInTransit the maximum number of transfers in progress so far
+     * @param done the number of completed transfers
      */
     public record Statistics(int waiting, int inTransit, int mostInTransit, long done) {}
 
--- a/standins/src/main/java/org/geraniumreach/standins/store/WeightStoreStandIn.java
+++ b/standins/src/main/java/org/geraniumreach/standins/store/WeightStoreStandIn.java
@@ -12,7 +12,7 @@
 import org.geraniumreach.standins.http.StandInServer;
 
 /**
- * The stand-in weight store over HTTP.
+ * The stand-in for the weight store, served over HTTP.
  *
  * <p>Safe for use by several threads.
  */
@@ -25,12 +25,12 @@
     private final StandInServer server;
 
     /**
-     * Starts the weight store.
+     * Starts the HTTP server of the weight store.
      *
-     * @param port its port
-     * @param store its transfers, not null
-     * @param timer delays answers, not null
-     * @throws IOException if the port cannot be had
+     * @param port the port to listen on
+     * @param store simulates the transfers, not null
+     * @param timer runs delayed tasks, not null
+     * @throws IOException if the port cannot be bound
      */
     public WeightStoreStandIn(int port, WeightStore store, ScheduledExecutorService timer) throws IOException {
         this.store = store;
@@ -63,6 +63,6 @@
                     .toCompletedStage();
         }
         return store.startTransfer()
-                .thenApply(arrived -> Answer.of(Call.JSON.createObjectNode().put("adapter", name)));
+                .thenApply(completed -> Answer.of(Call.JSON.createObjectNode().put("adapter", name)));
     }
 }
--- a/standins/src/main/java/org/geraniumreach/standins/store/package-info.java
+++ b/standins/src/main/java/org/geraniumreach/standins/store/package-info.java
@@ -1,2 +1,2 @@
-/** The stand-ins of the platform's object store and weight store. */
+/** The stand-ins for the platform's object store and weight store. */
 package org.geraniumreach.standins.store;
--- a/standins/src/main/java/org/geraniumreach/standins/table/Table.java
+++ b/standins/src/main/java/org/geraniumreach/standins/table/Table.java
@@ -13,10 +13,10 @@
 import org.geraniumreach.model.table.Transaction;
 
 /**
- * The rows of the stand-in table service.
+ * The in-memory rows of the stand-in table service.
  *
- * <p>Invariant: a transaction takes effect whole or not at all, and a row's versions rise for ever, also when it is deleted
- * and made again. Safe for use by several threads, under one lock.
+ * <p>Invariant: transactions are atomic, and the versions of a row strictly increase, even if it is deleted and created
+ * again. Safe for use by several threads, under one lock.
  */
 public final class Table {
 
@@ -26,46 +26,46 @@
     /**
      * Reads a row.
      *
-     * @param key the row, not null
-     * @return the row, or empty
+     * @param key the key of the row, not null
+     * @return the row, or empty if it does not exist
      */
     public synchronized Optional<Row> read(RowKey key) {
         return Optional.ofNullable(rows(key.table()).get(key.key()));
     }
 
     /**
-     * Reads rows in order.
+     * Reads rows in key order.
      *
      * @param table the table, not null
-     * @param prefix what their keys start with, not null
-     * @param after the key after which to begin, not null
-     * @param limit the greatest number
-     * @return the rows
+     * @param prefix the prefix of the keys, not null
+     * @param after the key after which to start, exclusive, not null
+     * @param limit the maximum number of rows
+     * @return the rows, not null
      */
     public synchronized List<Row> scan(String table, String prefix, String after, int limit) {
-        List<Row> found = new ArrayList<>();
+        List<Row> matching = new ArrayList<>();
         String start = after.compareTo(prefix) > 0 ? after : prefix;
         for (Row row : rows(table).tailMap(start, !start.equals(after)).values()) {
-            if (found.size() == limit || !row.key().key().startsWith(prefix)) {
-                return found;
+            if (matching.size() == limit || !row.key().key().startsWith(prefix)) {
+                return matching;
             }
-            found.add(row);
+            matching.add(row);
         }
-        return found;
+        return matching;
     }
 
     /**
-     * Applies a transaction.
+     * Applies a transaction if all its conditions are met.
      *
      * @param transaction the transaction, not null
-     * @return true if it took effect
+     * @return true if the transaction was applied
      */
     public synchronized boolean commit(Transaction transaction) {
-        boolean holds = transaction.conditions().stream().allMatch(this::isMet);
-        if (holds) {
+        boolean conditionsMet = transaction.conditions().stream().allMatch(this::isMet);
+        if (conditionsMet) {
             transaction.writes().forEach(this::apply);
         }
-        return holds;
+        return conditionsMet;
     }
 
     private boolean isMet(Transaction.Condition condition) {
--- a/standins/src/main/java/org/geraniumreach/standins/table/TableStandIn.java
+++ b/standins/src/main/java/org/geraniumreach/standins/table/TableStandIn.java
@@ -19,7 +19,7 @@
 import org.geraniumreach.standins.http.StandInServer;
 
 /**
- * The stand-in table service over HTTP, with limits on reads and writes a second.
+ * The stand-in for the table service, served over HTTP, with limits on reads and writes per second.
  *
  * <p>Safe for use by several threads.
  */
@@ -34,13 +34,13 @@
     private final StandInServer server;
 
     /**
-     * Starts the table service.
+     * Starts the table service and its HTTP server.
      *
-     * @param port its port
-     * @param readsPerSecond the limit of reads, 0 for none
-     * @param writesPerSecond the limit of transactions, 0 for none
-     * @param timer delays answers, not null
-     * @throws IOException if the port cannot be had
+     * @param port the port to listen on
+     * @param readsPerSecond the limit on reads per second, 0 for no limit
+     * @param writesPerSecond the limit on transactions per second, 0 for no limit
+     * @param timer runs delayed tasks, not null
+     * @throws IOException if the port cannot be bound
      */
     public TableStandIn(int port, double readsPerSecond, double writesPerSecond, ScheduledExecutorService timer)
             throws IOException {
@@ -78,11 +78,11 @@
         };
     }
 
-    private static Answer runWithinLimit(RateLimiter limit, RowOperation work) throws IOException {
+    private static Answer runWithinLimit(RateLimiter limit, RowOperation operation) throws IOException {
         if (!limit.tryAcquire()) {
             return Answer.failure(TOO_MANY_REQUESTS, "throttled", false, "above the rate");
         }
-        return work.run();
+        return operation.run();
     }
 
     private Answer read(Call call) {
@@ -131,7 +131,7 @@
         return RowKey.of(json.path("table").asText(), json.path("key").asText());
     }
 
-    /** Work that may meet a call that cannot be read. */
+    /** An operation that fails if the call cannot be parsed. */
     @FunctionalInterface
     private interface RowOperation {
         Answer run() throws IOException;
--- a/standins/src/main/java/org/geraniumreach/standins/table/package-info.java
+++ b/standins/src/main/java/org/geraniumreach/standins/table/package-info.java
@@ -1,2 +1,2 @@
-/** The stand-in of the platform's transactional table service. */
+/** The stand-in for the platform's transactional table service. */
 package org.geraniumreach.standins.table;
--- a/standins/src/test/java/org/geraniumreach/standins/EngineStandInTest.java
+++ b/standins/src/test/java/org/geraniumreach/standins/EngineStandInTest.java
@@ -32,19 +32,19 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.catchThrowableOfType;
 
-/** The engine's client against the stand-in. */
+/** Tests the engine client against the stand-in engine. */
 @Timeout(60)
 class EngineStandInTest {
 
     private static final AdapterReference ADAPTER = AdapterReference.of("winding", "v1");
     private static final String PROMPT = "Summarise the fault note of the pump motor that came in this morning.";
     private static final int TOKENS = 100;
-    private static final int LONG = 10_000;
+    private static final int LONG_ANSWER_TOKENS = 10_000;
     private static final Order ORDER = new Order(3, Duration.ofSeconds(5));
 
     private final StandInsFixture fixture = new StandInsFixture();
     private WeightStoreStandIn weights;
-    private EngineStandIn part;
+    private EngineStandIn engineStandIn;
     private ModelEngine engine;
 
     @BeforeEach
@@ -52,27 +52,28 @@
         int weightPort = StandInsFixture.freePort();
         weights = new WeightStoreStandIn(weightPort, new WeightStore(0, 10, 8, fixture.timer), fixture.timer);
         int port = StandInsFixture.freePort();
-        part = new EngineStandIn(port, StandInsFixture.fastEngine(), StandInsFixture.url(weightPort), fixture.timer);
+        engineStandIn =
+                new EngineStandIn(port, StandInsFixture.fastEngine(), StandInsFixture.url(weightPort), fixture.timer);
         engine = fixture.clients.modelEngine(StandInsFixture.url(port), StandInsFixture.ENGINE_LIMITS);
         engine.load(ADAPTER, ORDER);
     }
 
     @AfterEach
     void stop() {
-        part.server().close();
+        engineStandIn.server().close();
         weights.server().close();
         fixture.close();
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 7, 1000})
-    void anAnswerIsCompleteAndInOrderForAnyDemandPerRequest(int atATime) throws Exception {
+    void anAnswerIsCompleteAndInOrderForAnyDemandPerRequest(int demand) throws Exception {
         RecordingListener listener = new RecordingListener();
         EngineStream stream = engine.generate(generation("one"), ORDER, listener);
         int expected = ExpectedAnswer.of(ADAPTER, PROMPT).length(TOKENS);
-        for (int asked = atATime; asked < expected + atATime; asked += atATime) {
-            stream.request(atATime);
-            listener.awaitChunks(Math.min(asked, expected));
+        for (int requested = demand; requested < expected + demand; requested += demand) {
+            stream.request(demand);
+            listener.awaitChunks(Math.min(requested, expected));
         }
         GenerationEnd end = listener.end.get(30, TimeUnit.SECONDS);
         assertThat(end.served()).isEqualTo(ADAPTER);
@@ -95,9 +96,9 @@
 
     @Test
     void aStreamResumesAtTheNextTokenAfterItsConnectionBroke() throws Exception {
-        // The companion sees a stream fail after some tokens. The engine goes on generating without a reader.
-        // A new connection brings the rest, each token once.
-        part.server().setFaults(faults("{\"dropAfterChunks\":5,\"path\":\"/v1/streams\",\"count\":1}"));
+        // A stream fails after some tokens while the engine continues to generate without a reader.
+        // A new connection must deliver the remaining tokens, each exactly once.
+        engineStandIn.server().setFaults(faults("{\"dropAfterChunks\":5,\"path\":\"/v1/streams\",\"count\":1}"));
         RecordingListener broken = new RecordingListener();
         engine.generate(generation("dropped"), ORDER, broken).request(1000);
         ExecutionException failure =
@@ -112,21 +113,21 @@
 
     @Test
     void aStreamOnASilentConnectionTimesOutAndResumesOnANewConnection() throws Exception {
-        // The companion sees a stream stop without an end. Its connection stays open, but something in between has lost
-        // track of it. Without a limit on silence the answer would never come; a new connection brings the rest.
-        Generation running =
-                new Generation(AttemptId.of("silent"), AccountId.of("a"), ADAPTER, PROMPT + " At length.", LONG, 5);
+        // A device on the network path loses the state of a connection, which stays open without delivering anything.
+        // Without an idle timeout the answer would never arrive; a new connection delivers the remaining tokens.
+        Generation running = new Generation(
+                AttemptId.of("silent"), AccountId.of("a"), ADAPTER, PROMPT + " At length.", LONG_ANSWER_TOKENS, 5);
         ExpectedAnswer expected = ExpectedAnswer.of(ADAPTER, running.prompt());
-        assertThat(expected.length(LONG)).isEqualTo(LONG);
+        assertThat(expected.length(LONG_ANSWER_TOKENS)).isEqualTo(LONG_ANSWER_TOKENS);
         RecordingListener silent = new RecordingListener();
-        engine.generate(running, ORDER, silent).request(LONG);
+        engine.generate(running, ORDER, silent).request(LONG_ANSWER_TOKENS);
         silent.awaitChunks(2);
-        part.server().silenceConnections();
+        engineStandIn.server().silenceConnections();
         assertThat(failureOf(silent).effect()).isEqualTo(Effect.UNKNOWN);
         RecordingListener rest = new RecordingListener();
-        engine.resume(AttemptId.of("silent"), silent.sequences.size(), rest).request(LONG);
+        engine.resume(AttemptId.of("silent"), silent.sequences.size(), rest).request(LONG_ANSWER_TOKENS);
         rest.end.get(30, TimeUnit.SECONDS);
-        assertThat(silent.text.toString() + rest.text).isEqualTo(expected.text(LONG));
+        assertThat(silent.text.toString() + rest.text).isEqualTo(expected.text(LONG_ANSWER_TOKENS));
     }
 
     @Test
@@ -139,7 +140,7 @@
 
     @Test
     void resumingAtAnUnreachableEngineReportsAnUnknownEffect() throws Exception {
-        part.server().setFaults(faults("{\"down\":true}"));
+        engineStandIn.server().setFaults(faults("{\"down\":true}"));
         RecordingListener listener = new RecordingListener();
         engine.resume(AttemptId.of("perhaps"), 0, listener).request(1);
         assertThat(failureOf(listener).effect()).isEqualTo(Effect.UNKNOWN);
@@ -173,7 +174,7 @@
     @Test
     void aRestartDiscardsAdaptersAndStreams() throws Exception {
         long before = engine.state().incarnation();
-        part.restart();
+        engineStandIn.restart();
         ModelEngine.State state = engine.state();
         assertThat(state.incarnation()).isGreaterThan(before);
         assertThat(state.resident()).isEmpty();
@@ -182,7 +183,7 @@
 
     @Test
     void aWrongVersionIsReportedBeforeTheFirstChunkAndAtTheEnd() throws Exception {
-        part.server().setFaults(faults("{\"wrongVersion\":true,\"path\":\"/v1/streams\"}"));
+        engineStandIn.server().setFaults(faults("{\"wrongVersion\":true,\"path\":\"/v1/streams\"}"));
         RecordingListener listener = new RecordingListener();
         EngineStream stream = engine.generate(generation("wrong"), ORDER, listener);
         assertThat(listener.served.get(30, TimeUnit.SECONDS)).isNotEqualTo(ADAPTER);
--- a/standins/src/test/java/org/geraniumreach/standins/InstanceListStandInTest.java
+++ b/standins/src/test/java/org/geraniumreach/standins/InstanceListStandInTest.java
@@ -23,15 +23,15 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** The instance list's client against the stand-in. */
+/** Tests the instance list client against the stand-in. */
 @Timeout(60)
 class InstanceListStandInTest {
 
     private final StandInsFixture fixture = new StandInsFixture();
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-    private InstanceListStandIn part;
-    private ServiceStandIn watched;
+    private InstanceListStandIn standIn;
+    private ServiceStandIn probedService;
     private StandInServer administration;
     private URI administrationUrl;
     private InstanceList list;
@@ -39,25 +39,25 @@
     @BeforeEach
     void start() throws Exception {
         int port = StandInsFixture.freePort();
-        part = new InstanceListStandIn(port, 1, fixture.timer);
+        standIn = new InstanceListStandIn(port, 1, fixture.timer);
         list = fixture.clients.instanceList(StandInsFixture.url(port), StandInsFixture.LIMIT);
         int administrationPort = StandInsFixture.freePort();
-        administration = Administration.start(administrationPort, List.of(part), fixture.timer);
+        administration = Administration.start(administrationPort, List.of(standIn), fixture.timer);
         administrationUrl = StandInsFixture.url(administrationPort);
-        int watchedPort = StandInsFixture.freePort();
-        watched = new ServiceStandIn(watchedPort, 0, fixture.timer);
+        int probedPort = StandInsFixture.freePort();
+        probedService = new ServiceStandIn(probedPort, 0, fixture.timer);
         administer(
                 "/admin/instances",
                 "[{\"instance\":\"companion-1\",\"role\":\"companion\",\"failureDomain\":\"zone-1\","
-                        + "\"linkAddress\":\"127.0.0.1:9\",\"healthUrl\":\"" + StandInsFixture.url(watchedPort)
+                        + "\"linkAddress\":\"127.0.0.1:9\",\"healthUrl\":\"" + StandInsFixture.url(probedPort)
                         + "/v1/ran\"}]");
     }
 
     @AfterEach
     void stop() {
-        part.server().close();
+        standIn.server().close();
         administration.close();
-        watched.server().close();
+        probedService.server().close();
         fixture.close();
     }
 
@@ -65,7 +65,7 @@
     void anInstanceIsListedWhileItsProbesSucceed() throws Exception {
         await(listed -> listed.size() == 1);
         assertThat(list.read().get(0).linkAddress().getPort()).isEqualTo(9);
-        watched.server().setFaults(new Faults(true, false, 0, false, false, false, false, 0, "", 0));
+        probedService.server().setFaults(new Faults(true, false, 0, false, false, false, false, 0, "", 0));
         await(List::isEmpty);
     }
 
--- a/standins/src/test/java/org/geraniumreach/standins/RecordingListener.java
+++ b/standins/src/test/java/org/geraniumreach/standins/RecordingListener.java
@@ -9,7 +9,7 @@
 import org.geraniumreach.ports.ModelEngine.GenerationEnd;
 import org.geraniumreach.ports.PlatformException;
 
-/** Keeps what an engine's stream told. */
+/** Records the events of an engine stream. */
 final class RecordingListener implements EngineListener {
 
     final List<Long> sequences = new ArrayList<>();
--- a/standins/src/test/java/org/geraniumreach/standins/ServiceStandInTest.java
+++ b/standins/src/test/java/org/geraniumreach/standins/ServiceStandInTest.java
@@ -25,27 +25,27 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.catchThrowableOfType;
 
-/** The plain service's client against the stand-in. */
+/** Tests the plain service client against the stand-in. */
 class ServiceStandInTest {
 
     private static final byte[] BODY = "{\"booking\":\"b-1\"}".getBytes(StandardCharsets.UTF_8);
 
     private final StandInsFixture fixture = new StandInsFixture();
-    private ServiceStandIn part;
+    private ServiceStandIn standIn;
     private PlainService service;
     private URI url;
 
     @BeforeEach
     void start() throws IOException {
         int port = StandInsFixture.freePort();
-        part = new ServiceStandIn(port, 1, fixture.timer);
+        standIn = new ServiceStandIn(port, 1, fixture.timer);
         url = StandInsFixture.url(port);
         service = fixture.clients.plainService(url, StandInsFixture.LIMIT);
     }
 
     @AfterEach
     void stop() {
-        part.server().close();
+        standIn.server().close();
         fixture.close();
     }
 
@@ -53,27 +53,27 @@
     void anOperationRunsForItsAccountAndIsRecorded() throws Exception {
         JsonNode answer = Call.JSON.readTree(call());
         assertThat(answer.path("account").asText()).isEqualTo("counter");
-        assertThat(ran().path(0).path("attempt").asText()).isEqualTo("attempt-1");
+        assertThat(readRuns().path(0).path("attempt").asText()).isEqualTo("attempt-1");
     }
 
     @ParameterizedTest
     @CsvSource({"down, NONE, 0", "hang, UNKNOWN, 0", "loseAnswers, UNKNOWN, 1", "swallowAnswers, UNKNOWN, 1"})
     void aFailureReportsNoEffectOnlyIfTheOperationCannotHaveRun(String fault, Effect effect, int runs)
             throws Exception {
-        // The caller sees a booking fail. Whether it ran depends on where it broke, and the caller cannot see where.
-        // Only a connection that was never made proves that it did not; a second run would book twice.
-        part.server().setFaults(Call.JSON.readValue("{\"" + fault + "\":true}", Faults.class));
+        // Whether a failed booking ran depends on where the call failed, which the caller cannot observe. Only a
+        // connection that was never established proves that it did not run; repeating it otherwise could book twice.
+        standIn.server().setFaults(Call.JSON.readValue("{\"" + fault + "\":true}", Faults.class));
         PlatformException failure = catchThrowableOfType(PlatformException.class, this::call);
         assertThat(failure.effect()).isEqualTo(effect);
-        part.server().setFaults(Faults.NONE);
-        assertThat(ran()).hasSize(runs);
+        standIn.server().setFaults(Faults.NONE);
+        assertThat(readRuns()).hasSize(runs);
     }
 
     private byte[] call() throws PlatformException {
         return service.call(AttemptId.of("attempt-1"), AccountId.of("counter"), "book", BODY);
     }
 
-    private JsonNode ran() throws IOException, InterruptedException {
+    private JsonNode readRuns() throws IOException, InterruptedException {
         HttpClient client =
                 HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
         HttpRequest request = HttpRequest.newBuilder(url.resolve("/v1/ran")).build();
--- a/standins/src/test/java/org/geraniumreach/standins/StandInsFixture.java
+++ b/standins/src/test/java/org/geraniumreach/standins/StandInsFixture.java
@@ -16,7 +16,7 @@
 import org.geraniumreach.standins.engine.EngineSettings;
 import org.geraniumreach.standins.table.TableStandIn;
 
-/** Free ports, threads and settings that the tests of the stand-ins share. */
+/** Provides ports, clients, a timer and settings to the tests of the stand-ins. */
 final class StandInsFixture implements AutoCloseable {
 
     static final Duration LIMIT = Duration.ofMillis(500);
@@ -25,8 +25,8 @@
     private static final Duration WARM_UP_LIMIT = Duration.ofSeconds(30);
 
     static {
-        // The first call of a process loads the classes of client and server, which takes longer than the limit on a
-        // busy machine.
+        // The first call of a process loads the client and server classes, which can exceed the call timeout on a busy
+        // machine.
         warmUp();
     }
 
@@ -37,12 +37,12 @@
         ScheduledExecutorService timer = Timers.create();
         try (PlatformClients clients = PlatformClients.create(1)) {
             int port = freePort();
-            TableStandIn part = new TableStandIn(port, 0, 0, timer);
+            TableStandIn standIn = new TableStandIn(port, 0, 0, timer);
             TableService table = clients.tableService(url(port), WARM_UP_LIMIT);
             table.commit(Transaction.empty().withWrite(RowKey.of("warm", "up"), "0"));
-            part.server().close();
-        } catch (IOException | PlatformException failed) {
-            throw new ExceptionInInitializerError(failed);
+            standIn.server().close();
+        } catch (IOException | PlatformException failure) {
+            throw new ExceptionInInitializerError(failure);
         } finally {
             timer.shutdownNow();
         }
--- a/standins/src/test/java/org/geraniumreach/standins/TableStandInTest.java
+++ b/standins/src/test/java/org/geraniumreach/standins/TableStandInTest.java
@@ -21,25 +21,25 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.catchThrowableOfType;
 
-/** The table service's client against the stand-in. */
+/** Tests the table service client against the stand-in. */
 class TableStandInTest {
 
     private static final RowKey KEY = RowKey.of("head", "a/b c&d=é");
 
     private final StandInsFixture fixture = new StandInsFixture();
-    private TableStandIn part;
+    private TableStandIn standIn;
     private TableService table;
 
     @BeforeEach
     void start() throws IOException {
         int port = StandInsFixture.freePort();
-        part = new TableStandIn(port, 0, 0, fixture.timer);
+        standIn = new TableStandIn(port, 0, 0, fixture.timer);
         table = fixture.clients.tableService(StandInsFixture.url(port), StandInsFixture.LIMIT);
     }
 
     @AfterEach
     void stop() {
-        part.server().close();
+        standIn.server().close();
         fixture.close();
     }
 
@@ -85,19 +85,19 @@
 
     @Test
     void aCallToAServiceThatIsDownHasNoEffect() throws Exception {
-        part.server().setFaults(faults("{\"down\":true}"));
+        standIn.server().setFaults(faults("{\"down\":true}"));
         PlatformException failure = catchThrowableOfType(PlatformException.class, () -> table.commit(insert("1")));
         assertThat(failure.effect()).isEqualTo(Effect.NONE);
         assertThat(failure.reason()).isEqualTo(Reason.UNREACHABLE);
-        part.server().setFaults(Faults.NONE);
+        standIn.server().setFaults(Faults.NONE);
         assertThat(table.read(KEY)).isEmpty();
     }
 
     @Test
     void aLostAnswerReportsAnUnknownEffectThatAReadResolves() throws Exception {
-        // The caller sees a commit that fails. The service applied it and the connection broke before the answer.
-        // Reading on a new connection shows what took place.
-        part.server().setFaults(faults("{\"loseAnswers\":true,\"count\":1}"));
+        // The connection breaks after the service has applied a commit and before it answers.
+        // A read on a new connection shows whether the commit took effect.
+        standIn.server().setFaults(faults("{\"loseAnswers\":true,\"count\":1}"));
         PlatformException failure = catchThrowableOfType(PlatformException.class, () -> table.commit(insert("1")));
         assertThat(failure.effect()).isEqualTo(Effect.UNKNOWN);
         assertThat(table.read(KEY)).isPresent();
@@ -105,18 +105,18 @@
 
     @Test
     void aCallAfterASilentConnectionUsesANewConnection() throws Exception {
-        // The caller sees one call run out of time. Its pooled connections were lost track of in between, and stay open
-        // without a byte. The next call works, since it uses none of that pool, not even those that nobody tried yet.
+        // A device on the network path loses the state of all pooled connections, which stay open without delivering
+        // anything. One call times out; the next must use none of these connections, not even those not yet tried.
         table.commit(insert("1"));
         openTwoConnections();
-        part.server().silenceConnections();
+        standIn.server().silenceConnections();
         PlatformException failure = catchThrowableOfType(PlatformException.class, () -> table.read(KEY));
         assertThat(failure.effect()).isEqualTo(Effect.UNKNOWN);
         assertThat(table.read(KEY)).isPresent();
     }
 
     private void openTwoConnections() throws Exception {
-        part.server().setFaults(faults("{\"slowMillis\":200}"));
+        standIn.server().setFaults(faults("{\"slowMillis\":200}"));
         CompletableFuture<Void> other = CompletableFuture.runAsync(() -> {
             try {
                 table.read(KEY);
@@ -126,7 +126,7 @@
         });
         table.read(KEY);
         other.join();
-        part.server().setFaults(Faults.NONE);
+        standIn.server().setFaults(Faults.NONE);
     }
 
     @Test
