--- a/standins/src/main/java/org/geraniumreach/standins/CallCommand.java
+++ b/standins/src/main/java/org/geraniumreach/standins/CallCommand.java
@@ -16,7 +16,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** Calls URLs one after another and prints their answers, so that scripts need no other HTTP client. */
+/** Calls URLs in sequence and prints their answers, so that scripts need no other HTTP client. */
 final class CallCommand implements Command {
 
     private static final Duration TIMEOUT = Duration.ofSeconds(5);
@@ -51,7 +51,7 @@
     }
 
     private boolean call(URI url) throws IOException, InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(waitSeconds);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(waitSeconds);
         String problem = "";
         do {
             try {
@@ -65,7 +65,7 @@
                 problem = e.toString();
             }
             Thread.sleep(RETRY_DELAY_MILLIS);
-        } while (System.nanoTime() < end);
+        } while (System.nanoTime() < deadlineNanos);
         System.err.println(url + ": " + problem);
         return false;
     }
--- a/standins/src/main/java/org/geraniumreach/standins/Command.java
+++ b/standins/src/main/java/org/geraniumreach/standins/Command.java
@@ -1,12 +1,12 @@
 package org.geraniumreach.standins;
 
-/** A subcommand of the stand-ins' command line; used by one thread. */
+/** A subcommand of the command line. Used by one thread. */
 interface Command {
 
     /**
      * Runs the command.
      *
-     * @return the exit code, or a negative number to go on until the process is ended
+     * @return the exit code, or a negative number to keep the process running until it is terminated
      * @throws Exception if it fails
      */
     int run() throws Exception;
--- a/standins/src/main/java/org/geraniumreach/standins/EngineCommand.java
+++ b/standins/src/main/java/org/geraniumreach/standins/EngineCommand.java
@@ -12,7 +12,7 @@
 import org.geraniumreach.standins.http.StandIn;
 import org.kohsuke.args4j.Option;
 
-/** Serves one or several model engines. */
+/** Runs one or more stand-in engines. */
 final class EngineCommand implements Command {
 
     @Option(name = "--ports", required = true, usage = "the engines' ports, with commas")
@@ -66,11 +66,11 @@
     @Override
     public int run() throws IOException {
         ScheduledExecutorService timer = Timers.create();
-        List<StandIn> parts = new ArrayList<>();
+        List<StandIn> standIns = new ArrayList<>();
         for (String port : ports.split(",")) {
-            parts.add(new EngineStandIn(Integer.parseInt(port.trim()), settings(), weights, timer));
+            standIns.add(new EngineStandIn(Integer.parseInt(port.trim()), settings(), weights, timer));
         }
-        Administration.start(administrationPort, parts, timer);
+        Administration.start(administrationPort, standIns, timer);
         return -1;
     }
 
--- a/standins/src/main/java/org/geraniumreach/standins/LoadCommand.java
+++ b/standins/src/main/java/org/geraniumreach/standins/LoadCommand.java
@@ -9,7 +9,7 @@
 import org.geraniumreach.standins.load.LoadSettings;
 import org.kohsuke.args4j.Option;
 
-/** Sends a load, checks every answer, and prints what each account got. */
+/** Runs the load tool and prints the results by account. */
 final class LoadCommand implements Command {
 
     private static final int CHECKS_FAILED = 1;
@@ -22,11 +22,11 @@
 
     @Override
     public int run() throws IOException, InterruptedException {
-        LoadSettings read = LoadFiles.read(settings);
-        LoadResult result = LoadRun.run(read);
+        LoadSettings loadSettings = LoadFiles.read(settings);
+        LoadResult result = LoadRun.run(loadSettings);
         result.toTable().forEach(System.out::println);
         if (out != null) {
-            LoadFiles.write(out, read, result);
+            LoadFiles.write(out, loadSettings, result);
         }
         return result.held() ? 0 : CHECKS_FAILED;
     }
--- a/standins/src/main/java/org/geraniumreach/standins/Main.java
+++ b/standins/src/main/java/org/geraniumreach/standins/Main.java
@@ -11,7 +11,7 @@
 import org.kohsuke.args4j.CmdLineException;
 import org.kohsuke.args4j.CmdLineParser;
 
-/** The command line of the stand-ins and the load tool. Stateless. */
+/** Runs the command line of the stand-ins and the load tool. Stateless. */
 public final class Main {
 
     private static final int WRONG_USAGE = 2;
@@ -31,20 +31,20 @@
     /**
      * Runs a subcommand.
      *
-     * @param arguments the subcommand's name, then its options, not null
+     * @param arguments the name of the subcommand and its options, not null
      */
     public static void main(String[] arguments) {
-        // Grizzly logs each listener at INFO; the stand-ins have a line of their own for that.
+        // Grizzly logs each listener at INFO, which duplicates the log line of the stand-in.
         GRIZZLY_LOGGER.setLevel(Level.WARNING);
-        int code = run(arguments);
-        if (code >= 0) {
-            System.exit(code);
+        int exitCode = run(arguments);
+        if (exitCode >= 0) {
+            System.exit(exitCode);
         }
         sleepForEver();
     }
 
     private static void sleepForEver() {
-        // The servers' threads are daemons, so the process would end without one that is not.
+        // The server threads are daemon threads, so the process would exit if the main thread returned.
         while (true) {
             LockSupport.park();
         }
--- a/standins/src/main/java/org/geraniumreach/standins/PlatformCommand.java
+++ b/standins/src/main/java/org/geraniumreach/standins/PlatformCommand.java
@@ -13,7 +13,7 @@
 import org.geraniumreach.standins.table.TableStandIn;
 import org.kohsuke.args4j.Option;
 
-/** Serves table service, object store, weight store and instance list on ports in a row, then their administration. */
+/** Runs table service, object store, weight store, instance list and their administration on consecutive ports. */
 final class PlatformCommand implements Command {
 
     @Option(name = "--port", required = true, usage = "first port: table, objects, weights, list, administration")
@@ -40,13 +40,13 @@
     @Override
     public int run() throws IOException {
         ScheduledExecutorService timer = Timers.create();
-        int next = port;
-        List<StandIn> parts = List.of(
-                new TableStandIn(next++, reads, writes, timer),
-                new ObjectStoreStandIn(next++, timer),
-                new WeightStoreStandIn(next++, new WeightStore(loads, loadMillis, fullSpeed, timer), timer),
-                new InstanceListStandIn(next++, listLagMillis, timer));
-        Administration.start(next, parts, timer);
+        int nextPort = port;
+        List<StandIn> standIns = List.of(
+                new TableStandIn(nextPort++, reads, writes, timer),
+                new ObjectStoreStandIn(nextPort++, timer),
+                new WeightStoreStandIn(nextPort++, new WeightStore(loads, loadMillis, fullSpeed, timer), timer),
+                new InstanceListStandIn(nextPort++, listLagMillis, timer));
+        Administration.start(nextPort, standIns, timer);
         return -1;
     }
 }
--- a/standins/src/main/java/org/geraniumreach/standins/ReportCommand.java
+++ b/standins/src/main/java/org/geraniumreach/standins/ReportCommand.java
@@ -9,7 +9,7 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** Compares results of the load tool under several configurations. */
+/** Compares the results of load tool runs by configuration. */
 final class ReportCommand implements Command {
 
     @Option(name = "--out", required = true, usage = "directory for report.json and the plots")
--- a/standins/src/main/java/org/geraniumreach/standins/ServiceCommand.java
+++ b/standins/src/main/java/org/geraniumreach/standins/ServiceCommand.java
@@ -10,7 +10,7 @@
 import org.geraniumreach.standins.service.ServiceStandIn;
 import org.kohsuke.args4j.Option;
 
-/** Serves one or several plain services. */
+/** Runs one or more stand-ins for plain services. */
 final class ServiceCommand implements Command {
 
     @Option(name = "--ports", required = true, usage = "the services' ports, with commas")
@@ -25,11 +25,11 @@
     @Override
     public int run() throws IOException {
         ScheduledExecutorService timer = Timers.create();
-        List<StandIn> parts = new ArrayList<>();
+        List<StandIn> standIns = new ArrayList<>();
         for (String port : ports.split(",")) {
-            parts.add(new ServiceStandIn(Integer.parseInt(port.trim()), latencyMillis, timer));
+            standIns.add(new ServiceStandIn(Integer.parseInt(port.trim()), latencyMillis, timer));
         }
-        Administration.start(administrationPort, parts, timer);
+        Administration.start(administrationPort, standIns, timer);
         return -1;
     }
 }
--- a/standins/src/main/java/org/geraniumreach/standins/Timers.java
+++ b/standins/src/main/java/org/geraniumreach/standins/Timers.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 
-/** Makes the threads that delay things. Stateless and safe for use by several threads. */
+/** Creates timers with daemon threads. Stateless and safe for use by several threads. */
 public final class Timers {
 
     private static final int THREADS = 2;
@@ -11,7 +11,7 @@
     private Timers() {}
 
     /**
-     * Makes a timer.
+     * Creates a timer.
      *
      * @return the timer, not null
      */
--- a/standins/src/main/java/org/geraniumreach/standins/answer/ExpectedAnswer.java
+++ b/standins/src/main/java/org/geraniumreach/standins/answer/ExpectedAnswer.java
@@ -5,9 +5,9 @@
 /**
  * The answer that a version of an adapter must generate for a prompt.
  *
- * <p>Each token depends only on the adapter, version, prompt and token index, so a check detects a token that is missing,
- * duplicated, out of order, or from another adapter, version or prompt. One answer in four has a natural length, which
- * may be below the maximum number of tokens. Immutable and safe for use by several threads.
+ * <p>Each token depends only on the adapter, version, prompt and token index, so a check detects a token that is
+ * missing, duplicated, out of order, or from another adapter, version or prompt. One answer in four has a natural
+ * length, which may be below the maximum number of tokens. Immutable and safe for use by several threads.
  */
 public final class ExpectedAnswer {
 
--- a/standins/src/main/java/org/geraniumreach/standins/engine/CacheEvents.java
+++ b/standins/src/main/java/org/geraniumreach/standins/engine/CacheEvents.java
@@ -9,8 +9,8 @@
 /**
  * The event log of an engine's prefix cache, which publishes events with a lag and loses some of them.
  *
- * <p>Event numbers increase by one per event, including lost ones, so a reader can detect gaps. Invariant: holds a bounded number
- * of events. Safe for use by several threads, under one lock.
+ * <p>Event numbers increase by one per event, including lost ones, so a reader can detect gaps. Invariant: holds a
+ * bounded number of events. Safe for use by several threads, under one lock.
  */
 final class CacheEvents {
 
--- a/standins/src/main/java/org/geraniumreach/standins/engine/Engine.java
+++ b/standins/src/main/java/org/geraniumreach/standins/engine/Engine.java
@@ -19,8 +19,8 @@
 /**
  * The state of a stand-in model engine: its batch, adapter slots and streams, without timing or sockets.
  *
- * <p>Invariant: a stream joins the batch only while its adapter is resident; an attempt identifies at most one stream; every
- * finished stream is recorded once. Safe for use by several threads, under one lock.
+ * <p>Invariant: a stream joins the batch only while its adapter is resident; an attempt identifies at most one stream;
+ * every finished stream is recorded once. Safe for use by several threads, under one lock.
  */
 final class Engine {
 
--- a/standins/src/main/java/org/geraniumreach/standins/engine/EngineStream.java
+++ b/standins/src/main/java/org/geraniumreach/standins/engine/EngineStream.java
@@ -11,8 +11,8 @@
 /**
  * A stream at an engine: waiting, in the batch or finished.
  *
- * <p>Tokens are computed when they are sent, so a stream stores no text and can be sent again from any token. The fields are
- * guarded by the engine's lock, except the number of tokens, the outcome and the end time, which are read without it.
+ * <p>Tokens are computed when they are sent, so a stream stores no text and can be sent again from any token. The
+ * fields are guarded by the engine's lock, except the number of tokens and the outcome, which are read without it.
  */
 final class EngineStream implements Comparable<EngineStream> {
 
--- a/standins/src/main/java/org/geraniumreach/standins/http/OpenConnection.java
+++ b/standins/src/main/java/org/geraniumreach/standins/http/OpenConnection.java
@@ -5,8 +5,8 @@
 /**
  * A caller's connection, which can be silenced.
  *
- * <p>Invariant: a silenced connection stays open and sends nothing more. To the caller it looks like a connection whose state
- * was lost by a device on the network path. Safe for use by several threads.
+ * <p>Invariant: a silenced connection stays open and sends nothing more. To the caller it looks like a connection whose
+ * state was lost by a device on the network path. Safe for use by several threads.
  */
 final class OpenConnection {
 
--- a/standins/src/main/java/org/geraniumreach/standins/http/RateLimiter.java
+++ b/standins/src/main/java/org/geraniumreach/standins/http/RateLimiter.java
@@ -5,8 +5,8 @@
 /**
  * A token bucket that limits calls per second, with a burst of a quarter of a second's calls, at least one.
  *
- * <p>Invariant: over any period, at most the rate times the period plus the burst are accepted. Safe for use by
- * several threads.
+ * <p>Invariant: over any period, at most the rate times the period plus the burst are accepted. Safe for use by several
+ * threads.
  */
 public final class RateLimiter {
 
--- a/standins/src/main/java/org/geraniumreach/standins/load/AccountChecks.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/AccountChecks.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Says what did not hold for an account. Stateless and safe for use by several threads. */
+/** Checks the results of an account for faults. Stateless and safe for use by several threads. */
 final class AccountChecks {
 
     private AccountChecks() {}
--- a/standins/src/main/java/org/geraniumreach/standins/load/AccountTally.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/AccountTally.java
@@ -8,7 +8,7 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What one account got.
+ * Collects the results of one client account.
  *
  * <p>Safe for use by several threads, under its own lock.
  */
@@ -72,15 +72,15 @@
     }
 
     /**
-     * Gets the results.
+     * Returns the results.
      *
-     * @param load what the account sent
-     * @param idealAdmits how many generations one central bucket would have let through
-     * @param elapsedSeconds how long the run took
-     * @return the results
+     * @param load the load settings of the account
+     * @param referenceAdmits the number of generations that one central token bucket would have admitted
+     * @param elapsedSeconds the duration of the run
+     * @return the results, not null
      */
-    synchronized AccountResult result(LoadSettings.AccountLoad load, int idealAdmits, double elapsedSeconds) {
-        double allowed = load.tokensPerSecond() > 0
+    synchronized AccountResult result(LoadSettings.AccountLoad load, int referenceAdmits, double elapsedSeconds) {
+        double allowedTokens = load.tokensPerSecond() > 0
                 ? load.burstTokens() + load.tokensPerSecond() * elapsedSeconds
                 : Double.MAX_VALUE;
         return new AccountResult(
@@ -90,9 +90,9 @@
                 count(Outcome.Verdict.REFUSED),
                 count(Outcome.Verdict.FAILED),
                 count(Outcome.Verdict.WRONG),
-                Math.max(0, idealAdmits - generations + codes.getOrDefault(OUT_OF_BUDGET, 0)),
+                Math.max(0, referenceAdmits - generations + codes.getOrDefault(OUT_OF_BUDGET, 0)),
                 tokens,
-                tokens <= allowed,
+                tokens <= allowedTokens,
                 Map.copyOf(codes),
                 Map.copyOf(retriedCodes),
                 LatencySummary.of(firstToken),
--- a/standins/src/main/java/org/geraniumreach/standins/load/AnswerReceiver.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/AnswerReceiver.java
@@ -14,10 +14,10 @@
 import org.geraniumreach.standins.load.LoadSettings.Mode;
 
 /**
- * Receives one answer, times its parts and judges it.
+ * Receives one answer, measures the time between its parts and checks its content.
  *
- * <p>Invariant: an answer counts as served only if it is whole and equal to what the adapter's version must give. Used by
- * one thread at a time, in the order of the HTTP client's calls.
+ * <p>Invariant: an answer counts as served only if it is complete and equals the expected answer of the adapter
+ * version. Used by one thread at a time, in the order of the HTTP client's calls.
  */
 final class AnswerReceiver implements Flow.Subscriber<String> {
 
@@ -40,13 +40,13 @@
     private Outcome error;
 
     /**
-     * Makes a reception.
+     * Creates a receiver.
      *
      * @param request the request
-     * @param mode whom it was sent to
-     * @param dueNanos when it was due, by the system's clock
-     * @param firstPart told how long the first part took, in nanoseconds
-     * @param laterPart told how long after another each later part came
+     * @param mode the kind of process that the request was sent to
+     * @param dueNanos when the request was due, as {@link System#nanoTime}
+     * @param firstPart receives the time from the due time to the first part, in nanoseconds
+     * @param laterPart receives the time between each later part and its predecessor, in nanoseconds
      */
     AnswerReceiver(PlannedRequest request, Mode mode, long dueNanos, LongConsumer firstPart, LongConsumer laterPart) {
         this.request = request;
@@ -82,7 +82,7 @@
 
     @Override
     public void onError(Throwable failure) {
-        // The call's own future fails too, and its failure is what is judged.
+        // The future of the call fails too, and its failure determines the outcome.
     }
 
     @Override
@@ -150,7 +150,7 @@
     }
 
     /**
-     * Judges the answer once all of it has come.
+     * Evaluates the answer after it has been received completely.
      *
      * @return the outcome
      */
@@ -180,26 +180,29 @@
 
     private Outcome evaluateUnstreamed(JsonNode json) {
         JsonNode choice = json.path("choices").path(0);
-        String whole = choice.has("message")
+        String answer = choice.has("message")
                 ? choice.path("message").path("content").asText()
                 : choice.path("text").asText();
-        boolean named = json.path("model").asText().equals(request.adapter().toString());
-        return evaluateText(whole, named && choice.path("finish_reason").isTextual());
+        boolean expectedModel =
+                json.path("model").asText().equals(request.adapter().toString());
+        return evaluateText(
+                answer, expectedModel && choice.path("finish_reason").isTextual());
     }
 
-    private Outcome evaluateText(String answer, boolean whole) {
+    private Outcome evaluateText(String answer, boolean complete) {
         ExpectedAnswer expected = request.expected();
-        int most = request.account().maximumTokens();
-        String due = expected.text(most);
-        if (!due.startsWith(answer)) {
+        int maximumTokens = request.account().maximumTokens();
+        String expectedText = expected.text(maximumTokens);
+        if (!expectedText.startsWith(answer)) {
             return Outcome.wrong("request " + request.number() + " for " + request.adapter() + " got other text");
         }
-        if (!whole || answer.length() != due.length()) {
-            return whole
+        if (!complete || answer.length() != expectedText.length()) {
+            return complete
                     ? Outcome.wrong("request " + request.number() + " was ended before its whole answer")
-                    : Outcome.failed("answer broke off after " + answer.length() + " of " + due.length());
+                    : Outcome.failed("answer broke off after " + answer.length() + " of " + expectedText.length());
         }
-        return Outcome.served(ExpectedAnswer.promptTokens(request.promptAtEngine()) + expected.length(most), "");
+        return Outcome.served(
+                ExpectedAnswer.promptTokens(request.promptAtEngine()) + expected.length(maximumTokens), "");
     }
 
     private Outcome errorOf(JsonNode json) {
--- a/standins/src/main/java/org/geraniumreach/standins/load/BatchStatistics.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/BatchStatistics.java
@@ -1,13 +1,13 @@
 package org.geraniumreach.standins.load;
 
 /**
- * How well the engines' batches were used.
+ * Statistics of the batch use of the engines.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param streams the streams that ran
- * @param meanBatch the mean over streams of the mean number of streams in their steps
- * @param meanAdapters the same for the distinct adapters
+ * @param streams the number of streams that ran
+ * @param meanBatch the mean over all streams of the mean number of streams in the batch
+ * @param meanAdapters the mean over all streams of the mean number of distinct adapters in the batch
  */
 public record BatchStatistics(int streams, double meanBatch, double meanAdapters) {
 
--- a/standins/src/main/java/org/geraniumreach/standins/load/BookingRecords.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/BookingRecords.java
@@ -10,7 +10,7 @@
 import org.geraniumreach.standins.http.Call;
 
 /**
- * Holds what callers were told against the workers' records of what ran.
+ * Checks the outcomes that callers received against the workers' run records.
  *
  * <p>Used by one thread.
  */
@@ -33,10 +33,10 @@
     }
 
     /**
-     * Checks bookings: none ran twice, each served one ran, none that was told not to have run did.
+     * Checks that no booking ran twice, each served one ran, and no refused one ran.
      *
      * @param outcomes the outcomes by booking
-     * @return what did not hold
+     * @return the faults found
      */
     List<String> check(Map<String, Outcome> outcomes) {
         List<String> faults = new ArrayList<>();
--- a/standins/src/main/java/org/geraniumreach/standins/load/EngineRun.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/EngineRun.java
@@ -3,18 +3,18 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * One stream by an engine's own record.
+ * A stream as recorded by an engine.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @param request the digest of adapter, version and prompt
- * @param account the client account that it ran for
- * @param adapter the adapter and version that ran
- * @param outcome how it ended
- * @param tokens the tokens of the prompt and those generated
- * @param queuedMillis when the engine took it, since the epoch
- * @param batch the mean number of streams in its steps
- * @param adapters the mean number of distinct adapters in its steps
+ * @param account the client account
+ * @param adapter the adapter and version that served the stream
+ * @param outcome the recorded outcome
+ * @param tokens the number of prompt tokens and generated tokens
+ * @param queuedMillis when the engine queued the stream, in milliseconds since the epoch
+ * @param batch the mean number of streams in the batch over the steps of the stream
+ * @param adapters the mean number of distinct adapters in the batch over the steps of the stream
  */
 record EngineRun(
         String request,
--- a/standins/src/main/java/org/geraniumreach/standins/load/EngineWarmup.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/EngineWarmup.java
@@ -12,7 +12,7 @@
 import org.geraniumreach.standins.load.LoadSettings.EntryShare;
 
 /**
- * Loads the adapters of a run into engines that are called directly, where no companion does it.
+ * Loads the adapters of a run into engines that are called directly, without a companion to load them.
  *
  * <p>Used by one thread.
  */
--- a/standins/src/main/java/org/geraniumreach/standins/load/GenerationRecords.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/GenerationRecords.java
@@ -9,7 +9,7 @@
 import org.geraniumreach.standins.load.LoadSettings.AccountLoad;
 
 /**
- * Holds what callers were told against the engines' records of what ran.
+ * Checks the outcomes that callers received against the engines' stream records.
  *
  * <p>Used by one thread.
  */
@@ -25,12 +25,12 @@
     }
 
     /**
-     * Checks generations: each ran for its sender only, each served one ran whole on its adapter, none that was told not to
-     * have run did, and no account got more than its rate and burst in any window.
+     * Checks that each generation ran only for its sender, each served one ran completely on its adapter, no refused
+     * one ran, and no account exceeded its rate and burst in any time window.
      *
-     * @param sent the generations by digest
-     * @param accounts the accounts
-     * @return what did not hold
+     * @param sent the generations sent, by digest
+     * @param accounts the load settings of the accounts
+     * @return the faults found
      */
     List<String> check(Map<String, SentGeneration> sent, List<AccountLoad> accounts) {
         List<String> faults = new ArrayList<>();
@@ -53,10 +53,10 @@
         if (ran.stream().anyMatch(run -> !run.account().equals(generation.account()))) {
             faults.add("a request of " + generation.account() + " ran for another account");
         }
-        boolean whole = ran.stream()
+        boolean ranCompletely = ran.stream()
                 .anyMatch(run -> run.isWhole()
                         && run.adapter().equals(generation.adapter().toString()));
-        if (generation.outcome().isServed() && !whole) {
+        if (generation.outcome().isServed() && !ranCompletely) {
             faults.add("a request of " + generation.account() + " was answered and never ran whole on "
                     + generation.adapter());
         }
@@ -79,18 +79,18 @@
     }
 
     /**
-     * Gets how well the engines' batches were used by these generations.
+     * Computes the batch statistics of the engines over these generations.
      *
      * @param sent the generations by digest
-     * @return the figures
+     * @return the statistics
      */
     BatchStatistics batchStatistics(Map<String, SentGeneration> sent) {
-        List<EngineRun> ours = sent.keySet().stream()
+        List<EngineRun> matching = sent.keySet().stream()
                 .flatMap(request -> runs.getOrDefault(request, List.of()).stream())
                 .toList();
         return new BatchStatistics(
-                ours.size(),
-                ours.stream().mapToDouble(EngineRun::batch).average().orElse(0),
-                ours.stream().mapToDouble(EngineRun::adapters).average().orElse(0));
+                matching.size(),
+                matching.stream().mapToDouble(EngineRun::batch).average().orElse(0),
+                matching.stream().mapToDouble(EngineRun::adapters).average().orElse(0));
     }
 }
--- a/standins/src/main/java/org/geraniumreach/standins/load/HttpRequestFactory.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/HttpRequestFactory.java
@@ -11,7 +11,7 @@
 import org.geraniumreach.standins.load.PlannedRequest.Kind;
 
 /**
- * Writes requests as an entry or a stand-in engine reads them.
+ * Creates HTTP requests for entries and stand-in engines.
  *
  * <p>Immutable and safe for use by several threads.
  */
--- a/standins/src/main/java/org/geraniumreach/standins/load/LatencySummary.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/LatencySummary.java
@@ -3,16 +3,16 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How a set of times is spread, in milliseconds.
+ * Summary statistics of a set of latencies, in milliseconds.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param count how many times
- * @param mean their mean
+ * @param count the number of samples
+ * @param mean the mean
  * @param p50 the median
  * @param p95 the 95th percentile
  * @param p99 the 99th percentile
- * @param most the longest
+ * @param most the maximum
  */
 public record LatencySummary(long count, double mean, double p50, double p95, double p99, double most) {
 
--- a/standins/src/main/java/org/geraniumreach/standins/load/LoadFiles.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/LoadFiles.java
@@ -11,7 +11,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.fasterxml.jackson.dataformat.yaml.YAMLFactory;
 
-/** Reads settings of runs and writes results. Stateless and safe for use by several threads. */
+/** Reads the settings of runs and writes their results. Stateless and safe for use by several threads. */
 public final class LoadFiles {
 
     private static final ObjectMapper YAML = new ObjectMapper(new YAMLFactory());
@@ -20,7 +20,7 @@
     private LoadFiles() {}
 
     /**
-     * Reads settings.
+     * Reads the settings of a run.
      *
      * @param file a YAML file, not null
      * @return the settings, not null
@@ -31,7 +31,7 @@
     }
 
     /**
-     * Writes a run's settings, without keys, and its results.
+     * Writes the settings of a run, without the accounts' keys, and its results.
      *
      * @param file the file to write, not null
      * @param settings the settings, not null
--- a/standins/src/main/java/org/geraniumreach/standins/load/LoadResult.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/LoadResult.java
@@ -9,13 +9,13 @@
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param seed the run's seed
- * @param seconds how long it took, answers included
- * @param latestSendMillis how much later than due the latest request was sent
- * @param accounts what each account got
- * @param batches how well the engines' batches were used
- * @param stalls how requests stalled on loads
- * @param faults what did not hold
+ * @param seed the seed of the run
+ * @param seconds the duration of the run, including answers
+ * @param latestSendMillis the maximum delay between the due time and the send of a request, in milliseconds
+ * @param accounts the results by account
+ * @param batches the batch statistics of the engines
+ * @param stalls the statistics of requests stalled on adapter loads
+ * @param faults the checks that failed, empty if all passed
  */
 public record LoadResult(
         long seed,
@@ -27,7 +27,7 @@
         List<String> faults) {
 
     /**
-     * Queries whether all held.
+     * Queries whether all checks passed.
      *
      * @return true if so
      */
@@ -35,9 +35,9 @@
         return faults.isEmpty();
     }
 
-    LoadResult withFaults(List<String> more) {
+    LoadResult withFaults(List<String> additional) {
         List<String> all = new ArrayList<>(faults);
-        all.addAll(more);
+        all.addAll(additional);
         return new LoadResult(seed, seconds, latestSendMillis, accounts, batches, stalls, all);
     }
 
@@ -50,7 +50,7 @@
     }
 
     /**
-     * Gets the results as a table.
+     * Formats the results as a table.
      *
      * @return the lines, not null
      */
--- a/standins/src/main/java/org/geraniumreach/standins/load/LoadRun.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/LoadRun.java
@@ -22,10 +22,10 @@
 import org.geraniumreach.standins.load.LoadSettings.AccountLoad;
 
 /**
- * One run: sends each request when it is due, however many answers are outstanding.
+ * An open-loop load run: sends each request when it is due, regardless of outstanding answers.
  *
- * <p>Times are counted from when a request was due, so a tool that falls behind shows it as latency and does not hide it.
- * Safe for use by several threads.
+ * <p>Latency is measured from when a request was due, so a load tool that falls behind shows up as latency. Safe for
+ * use by several threads.
  */
 public final class LoadRun {
 
@@ -61,12 +61,13 @@
     }
 
     /**
-     * Sends all requests and waits for their answers.
+     * Sends all requests, waits for their answers and checks them.
      *
-     * @param settings what to send, not null
+     * @param settings the settings of the run, not null
      * @return the results, not null
      * @throws InterruptedException if the thread is interrupted
-     * @throws IOException if the processes observed cannot be read, or an engine called directly does not load
+     * @throws IOException if the counters of an observed process cannot be read, or a directly called engine fails to
+     *     load an adapter
      */
     public static LoadResult run(LoadSettings settings) throws InterruptedException, IOException {
         if (settings.mode() == LoadSettings.Mode.ENGINE) {
@@ -106,10 +107,10 @@
                 BatchStatistics.NONE,
                 StallStatistics.NONE,
                 faults);
-        TargetRecordCheck ran = new TargetRecordCheck(settings);
-        ran.check(bookings, generations);
-        return result.withFaults(ran.faults())
-                .withBatches(ran.batchStatistics())
+        TargetRecordCheck recordCheck = new TargetRecordCheck(settings);
+        recordCheck.check(bookings, generations);
+        return result.withFaults(recordCheck.faults())
+                .withBatches(recordCheck.batchStatistics())
                 .withStalls(SystemCounters.fetch(settings.observed()).since(before));
     }
 
@@ -136,11 +137,11 @@
         }
     }
 
-    private static void sleepUntil(long due) {
-        long left = due - System.nanoTime();
-        while (left > 0) {
-            LockSupport.parkNanos(left);
-            left = due - System.nanoTime();
+    private static void sleepUntil(long dueNanos) {
+        long remainingNanos = dueNanos - System.nanoTime();
+        while (remainingNanos > 0) {
+            LockSupport.parkNanos(remainingNanos);
+            remainingNanos = dueNanos - System.nanoTime();
         }
     }
 
@@ -170,12 +171,12 @@
         return request.dueNanos() >= settings.warmupSeconds() * TimeUnit.SECONDS.toNanos(1);
     }
 
-    private void book(PlannedRequest request, int triesLeft, long dueNanos) {
+    private void book(PlannedRequest request, int attemptsLeft, long dueNanos) {
         exchange(request, dueNanos, outcome -> {
-            if (outcome.verdict() == Outcome.Verdict.FAILED && triesLeft > 1) {
+            if (outcome.verdict() == Outcome.Verdict.FAILED && attemptsLeft > 1) {
                 tallies.get(request.account().name()).recordRetry(outcome);
                 timer.schedule(
-                        () -> book(request, triesLeft - 1, dueNanos),
+                        () -> book(request, attemptsLeft - 1, dueNanos),
                         BOOKING_RETRY_DELAY_MILLIS,
                         TimeUnit.MILLISECONDS);
                 return;
@@ -192,7 +193,7 @@
         });
     }
 
-    /** Sends a booking again that was answered: the answer must be the same, whole. */
+    /** Repeats an answered booking, whose second answer must be identical to the first. */
     private void repeatBooking(PlannedRequest request, Outcome first) {
         exchange(request, System.nanoTime(), second -> {
             boolean differs = second.isServed() && !second.body().equals(first.body());
@@ -208,7 +209,7 @@
     private void exchange(PlannedRequest request, long dueNanos, OutcomeListener listener) {
         AccountTally tally = tallies.get(request.account().name());
         boolean measured = isMeasured(request);
-        AnswerReceiver reception = new AnswerReceiver(
+        AnswerReceiver receiver = new AnswerReceiver(
                 request,
                 settings.mode(),
                 dueNanos,
@@ -222,9 +223,9 @@
                         tally.recordBetweenTokens(nanos);
                     }
                 });
-        HttpResponse.BodyHandler<Void> handler = reception::createBodySubscriber;
+        HttpResponse.BodyHandler<Void> handler = receiver::createBodySubscriber;
         client.sendAsync(requestFactory.create(request), handler).whenComplete((response, failure) -> {
-            Outcome outcome = failure == null ? reception.evaluate() : Outcome.failed(String.valueOf(failure));
+            Outcome outcome = failure == null ? receiver.evaluate() : Outcome.failed(String.valueOf(failure));
             listener.onEnded(outcome);
         });
     }
@@ -236,7 +237,7 @@
         outstanding.arriveAndDeregister();
     }
 
-    /** Is told of a request's end. */
+    /** Receives the outcome of a request. */
     private interface OutcomeListener {
         void onEnded(Outcome outcome);
     }
--- a/standins/src/main/java/org/geraniumreach/standins/load/LoadSettings.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/LoadSettings.java
@@ -5,20 +5,20 @@
 import java.util.Objects;
 
 /**
- * What a run of the load tool sends, and where.
+ * The settings of a run of the load tool.
  *
  * <p>Invariant: at least one entry and one account. Immutable and safe for use by several threads.
  *
- * @param seed what the whole sequence of requests follows from
- * @param seconds how long requests are sent
- * @param warmupSeconds how long at the start nothing is measured, though checked
- * @param drainSeconds how long answers are waited for after that
- * @param mode whom the entries' addresses belong to
- * @param entries where requests go
- * @param accounts who sends
- * @param service the plain service that bookings go to, may be null if there are none
- * @param engines the stand-in engines whose records are read after the run
- * @param observed whose counters are read before and after the run
+ * @param seed the seed that determines the sequence of requests
+ * @param seconds the duration for which requests are sent
+ * @param warmupSeconds the initial period in which requests are checked but not measured
+ * @param drainSeconds the maximum time to wait for answers after the last request
+ * @param mode what the addresses in {@code entries} belong to
+ * @param entries the addresses that requests are sent to
+ * @param accounts the client accounts that send requests
+ * @param service the plain service for bookings, may be null if there are none
+ * @param engines the stand-in engines whose records are checked after the run, null for none
+ * @param observed the processes whose counters are read before and after the run, null for none
  */
 public record LoadSettings(
         long seed,
@@ -47,19 +47,19 @@
         }
     }
 
-    /** Whom the load tool speaks to. */
+    /** The kind of process that receives the requests. */
     public enum Mode {
-        /** Entries, by the OpenAI conventions. */
+        /** Entries, called through the OpenAI-compatible API. */
         ENTRY,
-        /** Stand-in engines. */
+        /** Stand-in engines, called directly. */
         ENGINE
     }
 
     /**
-     * An entry and its part of the requests.
+     * An address and its share of the requests.
      *
-     * @param url its URL
-     * @param weight its part, relative to the others'
+     * @param url the URL
+     * @param weight the weight of the address relative to the others
      */
     public record EntryShare(URI url, double weight) {
 
@@ -72,20 +72,20 @@
     }
 
     /**
-     * What one client account sends.
+     * The load of one client account.
      *
-     * @param name the account
-     * @param key its key; never written to a result
-     * @param requestsPerSecond the rate of generations
-     * @param bookingsPerSecond the rate of bookings
-     * @param repeatShare the part of the bookings that is sent again after its answer, with the same idempotency key
-     * @param streamedShare the part of the generations that is streamed
-     * @param chatShare the part of the generations that is a chat
-     * @param promptCharacters the prompt's length
-     * @param maximumTokens the most tokens to generate
-     * @param adapters the adapters that it names
-     * @param tokensPerSecond the account's rate, 0 if it is not to be checked
-     * @param burstTokens the account's burst
+     * @param name the client account
+     * @param key the API key, never written to a result
+     * @param requestsPerSecond the mean rate of generations
+     * @param bookingsPerSecond the mean rate of bookings
+     * @param repeatShare the fraction of bookings repeated after the answer with the same idempotency key
+     * @param streamedShare the fraction of generations that are streamed
+     * @param chatShare the fraction of generations that are chats
+     * @param promptCharacters the length of the prompt text before the suffix that makes it unique
+     * @param maximumTokens the maximum number of tokens to generate
+     * @param adapters the adapters to request
+     * @param tokensPerSecond the account's token rate, 0 to skip the rate check
+     * @param burstTokens the account's token burst
      */
     public record AccountLoad(
             String name,
@@ -115,13 +115,13 @@
     }
 
     /**
-     * Adapters named by a prefix and a number, the first the most popular.
+     * A range of adapters named by a prefix and a number, most popular first.
      *
-     * @param prefix the prefix
+     * @param prefix the prefix of the names
      * @param first the first number
-     * @param count how many
-     * @param version the version named
-     * @param zipfExponent the skew of their popularity, 0 for none
+     * @param count the number of adapters
+     * @param version the version to request
+     * @param zipfExponent the Zipf exponent of the popularity, 0 for a uniform distribution
      */
     public record AdapterRange(String prefix, int first, int count, String version, double zipfExponent) {
 
@@ -133,10 +133,10 @@
     }
 
     /**
-     * Processes whose counters show how requests stalled on loads.
+     * The processes whose counters show stalls on adapter loads.
      *
-     * @param metrics the entries' management addresses
-     * @param platform the administration of the platform's stand-in, may be null
+     * @param metrics the management addresses of the entries
+     * @param platform the administration address of the stand-in platform, may be null
      */
     public record Observed(List<URI> metrics, URI platform) {
 
@@ -146,11 +146,11 @@
     }
 
     /**
-     * The service that bookings go to.
+     * The service that receives bookings.
      *
-     * @param name the service
-     * @param operation its operation that may run once only
-     * @param ran the workers' records of what ran
+     * @param name the name of the service
+     * @param operation the operation, which must run at most once per booking
+     * @param ran the addresses of the workers whose run records are checked
      */
     public record BookedService(String name, String operation, List<URI> ran) {
 
--- a/standins/src/main/java/org/geraniumreach/standins/load/LoadWaits.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/LoadWaits.java
@@ -7,11 +7,12 @@
 import java.util.regex.Pattern;
 
 /**
- * How long requests waited for their adapters' loads, by the entries' histograms.
+ * A histogram of the time that requests waited for adapter loads, read from the entries' metrics.
  *
- * <p>Invariant: the counts rise with their bounds. Immutable and safe for use by several threads.
+ * <p>Invariant: counts are cumulative, so they do not decrease with the bound. Immutable and safe for use by several
+ * threads.
  *
- * @param countsByBound the number of requests that waited at most so long, by the bound in seconds
+ * @param countsByBound the number of requests that waited at most as long as the bound, by bound in seconds
  */
 record LoadWaits(SortedMap<Double, Double> countsByBound) {
 
@@ -22,10 +23,10 @@
     static final LoadWaits NONE = new LoadWaits(new TreeMap<>());
 
     /**
-     * Reads an entry's metrics.
+     * Parses the metrics of an entry.
      *
-     * @param text the metrics in Prometheus' text form
-     * @return the waits
+     * @param text the metrics in the Prometheus text format
+     * @return the histogram
      */
     static LoadWaits parse(String text) {
         SortedMap<Double, Double> counts = new TreeMap<>();
@@ -56,9 +57,9 @@
     }
 
     /**
-     * Gets the part of the requests that waited longer than the least bound.
+     * Returns the fraction of requests that waited longer than the lowest bound.
      *
-     * @return the part, 0 to 1
+     * @return the fraction, 0 to 1
      */
     double stalledShare() {
         if (requests() == 0) {
@@ -68,19 +69,19 @@
     }
 
     /**
-     * Gets the bound below which a part of the requests waited.
+     * Returns the lowest bound within which a fraction of the requests waited.
      *
-     * @param part the part, 0 to 1
-     * @return milliseconds, the greatest bound if they waited longer
+     * @param fraction the fraction, 0 to 1
+     * @return the bound in milliseconds, or the highest finite bound if they waited longer
      */
-    double boundMillis(double part) {
+    double boundMillis(double fraction) {
         double bound = 0;
         for (Map.Entry<Double, Double> bucket : countsByBound.entrySet()) {
             if (bucket.getKey() == Double.MAX_VALUE) {
                 return bound;
             }
             bound = bucket.getKey() * MILLIS_PER_SECOND;
-            if (bucket.getValue() >= part * requests()) {
+            if (bucket.getValue() >= fraction * requests()) {
                 return bound;
             }
         }
--- a/standins/src/main/java/org/geraniumreach/standins/load/Outcome.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/Outcome.java
@@ -3,16 +3,16 @@
 import java.util.Objects;
 
 /**
- * How one request ended.
+ * The outcome of one request.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @param verdict the verdict
- * @param code the result code's name of an error, else empty
- * @param ran what an error says of whether the request ran, else empty
- * @param detail what was wrong, for a person
- * @param tokens the tokens of the prompt and of the answer that was served
- * @param body the answer's body of a booking, else empty
+ * @param code the name of the result code of an error, otherwise empty
+ * @param ran what an error states about whether the request ran, otherwise empty
+ * @param detail a readable description of the failure, otherwise empty
+ * @param tokens the number of prompt and answer tokens if served, otherwise 0
+ * @param body the body of the answer to a booking, otherwise empty
  */
 record Outcome(Verdict verdict, String code, String ran, String detail, int tokens, String body) {
 
@@ -20,15 +20,15 @@
         Objects.requireNonNull(verdict, "verdict");
     }
 
-    /** The verdict on one request. */
+    /** The result of checking the answer to one request. */
     enum Verdict {
-        /** The whole answer came, and it is the one due. */
+        /** The answer was complete and correct. */
         SERVED,
-        /** An error said that the request did not run. */
+        /** An error stated that the request did not run. */
         REFUSED,
-        /** An error, or a broken connection, left the request without its whole answer. */
+        /** An error or a broken connection left the request without a complete answer. */
         FAILED,
-        /** An answer came that is not the one due. */
+        /** The answer was incorrect. */
         WRONG
     }
 
--- a/standins/src/main/java/org/geraniumreach/standins/load/PlannedRequest.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/PlannedRequest.java
@@ -6,20 +6,20 @@
 import org.geraniumreach.standins.answer.ExpectedAnswer;
 
 /**
- * One request that the load tool is to send.
+ * A request that the load tool is scheduled to send.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param number its number in the run
- * @param dueNanos when it is sent, from the start of the run
- * @param account who sends it
- * @param kind what it asks for
+ * @param number the number of the request in the run
+ * @param dueNanos when the request is due, in nanoseconds after the start of the run
+ * @param account the client account that sends the request
+ * @param kind the kind of request
  * @param streamed whether a generation is streamed
- * @param adapter the adapter and version of a generation
- * @param text the prompt, or the booking's body
- * @param repeated whether a booking is sent again after its answer
- * @param idempotencyKey the booking's key, empty for a generation
- * @param entry where it goes
+ * @param adapter the adapter and version of a generation, null for a booking
+ * @param text the prompt, or the body of a booking
+ * @param repeated whether a booking is repeated after its answer
+ * @param idempotencyKey the idempotency key of a booking, empty for a generation
+ * @param entry the address that the request is sent to
  */
 record PlannedRequest(
         long number,
@@ -33,7 +33,7 @@
         String idempotencyKey,
         URI entry) {
 
-    /** What a request asks for. */
+    /** The kind of a request. */
     enum Kind {
         COMPLETION,
         CHAT,
@@ -45,7 +45,7 @@
     }
 
     /**
-     * Gets the prompt as it reaches the engine: a chat's message with its role before it.
+     * Returns the prompt as it reaches the engine, where a chat message is prefixed with its role.
      *
      * @return the prompt, not null
      */
@@ -58,18 +58,18 @@
     }
 
     /**
-     * Gets what the request uses of its account's budget.
+     * Returns the number of tokens that the request uses of its account's budget.
      *
-     * @return the tokens of the prompt and those generated
+     * @return the prompt tokens and the generated tokens
      */
     double usedTokens() {
         return ExpectedAnswer.promptTokens(promptAtEngine()) + expected().length(account.maximumTokens());
     }
 
     /**
-     * Gets what the request costs of its account's budget at most.
+     * Returns the maximum number of tokens that the request may use of its account's budget.
      *
-     * @return the tokens of the prompt and the most generated
+     * @return the prompt tokens and the maximum number of generated tokens
      */
     double reservedTokens() {
         return ExpectedAnswer.promptTokens(promptAtEngine()) + account.maximumTokens();
--- a/standins/src/main/java/org/geraniumreach/standins/load/ReferenceTokenBucket.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/ReferenceTokenBucket.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What one central bucket for an account would have let through, by which refusals are judged.
+ * A central token bucket of an account, the reference by which wrongful refusals are counted.
  *
  * <p>Invariant: holds at most the burst. Safe for use by several threads, under its own lock.
  */
@@ -27,19 +27,20 @@
     }
 
     /**
-     * Lets a request through if the bucket holds what it may use at most, and takes what it will use.
+     * Admits a request if the bucket holds the maximum number of tokens that it may use, and takes the number that it
+     * will use.
      *
-     * @param most the most tokens that the request may use
-     * @param used the tokens that it will use
-     * @param nowNanos the time
+     * @param maximumTokens the maximum number of tokens that the request may use
+     * @param usedTokens the number of tokens that the request will use
+     * @param nowNanos the current {@link System#nanoTime}
      */
-    synchronized void admitIfAvailable(double most, double used, long nowNanos) {
+    synchronized void admitIfAvailable(double maximumTokens, double usedTokens, long nowNanos) {
         available = Math.min(burst, available + tokensPerSecond * (nowNanos - lastNanos) / TimeUnit.SECONDS.toNanos(1));
         lastNanos = nowNanos;
         if (!isLimited()) {
             admitted++;
-        } else if (available >= most) {
-            available -= used;
+        } else if (available >= maximumTokens) {
+            available -= usedTokens;
             admitted++;
         }
     }
--- a/standins/src/main/java/org/geraniumreach/standins/load/RequestSource.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/RequestSource.java
@@ -13,9 +13,10 @@
 import org.geraniumreach.standins.load.PlannedRequest.Kind;
 
 /**
- * The requests of one account, of one sort, as a Poisson process.
+ * Generates the bookings or the generations of one account as a Poisson process.
  *
- * <p>Invariant: the sequence follows from the seed alone. Used by one thread.
+ * <p>Invariant: the same settings, including the seed, give the same sequence, apart from the run name in prompts and
+ * keys. Used by one thread.
  */
 final class RequestSource {
 
@@ -52,17 +53,17 @@
     }
 
     PlannedRequest next(long number) {
-        long due = nextDueNanos();
+        long dueNanos = nextDueNanos();
         scheduleNext();
         requestCount++;
-        return bookings ? booking(number, due) : generation(number, due);
+        return bookings ? booking(number, dueNanos) : generation(number, dueNanos);
     }
 
     private void scheduleNext() {
         nextSeconds = perSecond > 0 ? nextSeconds - Math.log(1 - random.nextDouble()) / perSecond : Double.MAX_VALUE;
     }
 
-    private PlannedRequest generation(long number, long due) {
+    private PlannedRequest generation(long number, long dueNanos) {
         int rank = popularity != null
                 ? popularity.sample()
                 : 1 + random.nextInt(account.adapters().count());
@@ -71,7 +72,7 @@
                 account.adapters().version());
         Kind kind = random.nextDouble() < account.chatShare() ? Kind.CHAT : Kind.COMPLETION;
         boolean streamed = random.nextDouble() < account.streamedShare();
-        return new PlannedRequest(number, due, account, kind, streamed, adapter, prompt(), false, "", entry());
+        return new PlannedRequest(number, dueNanos, account, kind, streamed, adapter, prompt(), false, "", entry());
     }
 
     private String prompt() {
@@ -89,19 +90,19 @@
                 .toString();
     }
 
-    private PlannedRequest booking(long number, long due) {
+    private PlannedRequest booking(long number, long dueNanos) {
         String key = run + "-" + account.name() + "-booking-" + requestCount;
         String body = "{\"booking\":\"" + key + "\",\"motor\":\"pump " + random.nextInt(1000) + "\"}";
         boolean repeated = random.nextDouble() < account.repeatShare();
-        return new PlannedRequest(number, due, account, Kind.BOOKING, false, null, body, repeated, key, entry());
+        return new PlannedRequest(number, dueNanos, account, Kind.BOOKING, false, null, body, repeated, key, entry());
     }
 
     private URI entry() {
         double total = entries.stream().mapToDouble(EntryShare::weight).sum();
-        double left = random.nextDouble() * total;
+        double remainingWeight = random.nextDouble() * total;
         for (EntryShare entry : entries) {
-            left -= entry.weight();
-            if (left < 0) {
+            remainingWeight -= entry.weight();
+            if (remainingWeight < 0) {
                 return entry.url();
             }
         }
--- a/standins/src/main/java/org/geraniumreach/standins/load/StallStatistics.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/StallStatistics.java
@@ -1,16 +1,17 @@
 package org.geraniumreach.standins.load;
 
 /**
- * How requests stalled on loads of adapters.
+ * Statistics of requests stalled on adapter loads.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param requests the requests that the entries measured
- * @param stalledShare the part of them that waited longer than the histogram's least bound
- * @param boundMillis95 the histogram's bound below which 95 in 100 waited, its greatest if they waited longer
- * @param boundMillis99 the same for 99 in 100
- * @param loads the adapters that the weight store delivered
- * @param loadsPerThousand the same for each thousand requests
+ * @param requests the number of requests measured by the entries
+ * @param stalledShare the fraction of requests that waited longer than the lowest bound of the histogram
+ * @param boundMillis95 the histogram bound within which 95 % of requests waited, the highest bound if they waited
+ *     longer
+ * @param boundMillis99 the corresponding bound for 99 % of requests
+ * @param loads the number of transfers that the weight store completed
+ * @param loadsPerThousand the number of transfers per thousand requests
  */
 public record StallStatistics(
         double requests,
--- a/standins/src/main/java/org/geraniumreach/standins/load/SystemCounters.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/SystemCounters.java
@@ -11,12 +11,12 @@
 import org.geraniumreach.standins.load.LoadSettings.Observed;
 
 /**
- * What entries and the weight store have counted so far.
+ * A reading of the counters of the entries and the weight store.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param waits the waits on loads over all entries
- * @param loads the adapters delivered
+ * @param waits the load waits, summed over all entries
+ * @param loads the number of transfers that the weight store completed
  */
 record SystemCounters(LoadWaits waits, long loads) {
 
--- a/standins/src/main/java/org/geraniumreach/standins/load/TargetRecordCheck.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/TargetRecordCheck.java
@@ -15,7 +15,7 @@
 import org.geraniumreach.standins.http.Call;
 
 /**
- * Reads the targets' records after a run and checks by them what callers were told.
+ * Reads the records of the targets after a run and checks the outcomes that callers received against them.
  *
  * <p>Used by one thread.
  */
@@ -80,14 +80,14 @@
             HttpRequest request = HttpRequest.newBuilder(target.resolve("/v1/ran?after=" + last))
                     .timeout(TIMEOUT)
                     .build();
-            JsonNode ran = Call.JSON.readTree(
+            JsonNode json = Call.JSON.readTree(
                     client.send(request, BodyHandlers.ofString()).body());
-            JsonNode read = ran.path(items);
-            if (read.isEmpty()) {
+            JsonNode page = json.path(items);
+            if (page.isEmpty()) {
                 return;
             }
-            consumer.accept(ran);
-            last = read.get(read.size() - 1).path("number").asLong();
+            consumer.accept(json);
+            last = page.get(page.size() - 1).path("number").asLong();
         }
     }
 }
--- a/standins/src/main/java/org/geraniumreach/standins/load/package-info.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The load tool: sends requests at their times whatever the answers, checks every answer, and measures.
+ * The load tool: sends requests in an open loop, checks every answer and measures latency.
  *
- * <p>It speaks to an entry as any client of the OpenAI conventions does, or directly to a stand-in engine, so that the two
- * can be compared.
+ * <p>It calls an entry through the OpenAI-compatible API, or a stand-in engine directly, so that the two can be
+ * compared.
  */
 package org.geraniumreach.standins.load;
--- a/standins/src/main/java/org/geraniumreach/standins/report/Comparison.java
+++ b/standins/src/main/java/org/geraniumreach/standins/report/Comparison.java
@@ -9,9 +9,9 @@
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 
 /**
- * The spread of each figure over the runs of each configuration.
+ * Summarizes each metric over the runs of each configuration.
  *
- * <p>Immutable after its making and safe for use by several threads.
+ * <p>Immutable after construction and safe for use by several threads.
  */
 final class Comparison {
 
@@ -34,9 +34,9 @@
         return runs.get(configuration).stream().filter(RunMetrics::held).count();
     }
 
-    SummaryStatistics spread(String configuration, Metric figure) {
+    SummaryStatistics summary(String configuration, Metric metric) {
         SummaryStatistics statistics = new SummaryStatistics();
-        runs.get(configuration).forEach(run -> statistics.addValue(run.values().get(figure)));
+        runs.get(configuration).forEach(run -> statistics.addValue(run.values().get(metric)));
         return statistics;
     }
 
@@ -44,15 +44,15 @@
         List<String> lines = new ArrayList<>();
         for (String configuration : configurations()) {
             lines.add(configuration + ": " + count(configuration) + " runs, all held in " + held(configuration));
-            for (Metric figure : Metric.values()) {
-                SummaryStatistics spread = spread(configuration, figure);
+            for (Metric metric : Metric.values()) {
+                SummaryStatistics summary = summary(configuration, metric);
                 lines.add(String.format(
                         Locale.ROOT,
                         "  %-62s %10.2f  (%.2f to %.2f)",
-                        figure.label(),
-                        spread.getMean(),
-                        spread.getMin(),
-                        spread.getMax()));
+                        metric.label(),
+                        summary.getMean(),
+                        summary.getMin(),
+                        summary.getMax()));
             }
         }
         return lines;
--- a/standins/src/main/java/org/geraniumreach/standins/report/Metric.java
+++ b/standins/src/main/java/org/geraniumreach/standins/report/Metric.java
@@ -1,6 +1,6 @@
 package org.geraniumreach.standins.report;
 
-/** What configurations are compared by. */
+/** The metrics by which configurations are compared. */
 enum Metric {
     STALLED("requests stalled on loads, in 100"),
     STALL_95("bound of the load wait of 95 in 100, ms"),
--- a/standins/src/main/java/org/geraniumreach/standins/report/ReportFiles.java
+++ b/standins/src/main/java/org/geraniumreach/standins/report/ReportFiles.java
@@ -16,20 +16,20 @@
 import org.knowm.xchart.VectorGraphicsEncoder;
 import org.knowm.xchart.VectorGraphicsEncoder.VectorGraphicsFormat;
 
-/** Reads results of runs, and writes their comparison as JSON and as a plot for each figure. Stateless. */
+/** Reads the results of runs and writes their comparison as JSON and as one plot per metric. Stateless. */
 public final class ReportFiles {
 
     private static final ObjectMapper JSON = new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
-    private static final int WIDTH = 640;
-    private static final int HEIGHT = 400;
+    private static final int WIDTH_PIXELS = 640;
+    private static final int HEIGHT_PIXELS = 400;
 
     private ReportFiles() {}
 
     /**
-     * Compares runs.
+     * Compares runs and writes the report.
      *
-     * @param results files named CONFIGURATION-ROUND.json as the load tool writes them, not null
-     * @param directory where the report goes, not null
+     * @param results the result files of the load tool, named CONFIGURATION-ROUND.json, not null
+     * @param directory the directory to write the report to, not null
      * @return the comparison as lines of text, not null
      * @throws IOException if a file cannot be read or written
      */
@@ -41,8 +41,8 @@
         Comparison comparison = new Comparison(runs);
         Files.createDirectories(directory);
         JSON.writeValue(directory.resolve("report.json").toFile(), toJson(comparison));
-        for (Metric figure : Metric.values()) {
-            plot(comparison, figure, directory);
+        for (Metric metric : Metric.values()) {
+            plot(comparison, metric, directory);
         }
         return comparison.toTable();
     }
@@ -59,38 +59,38 @@
     private static ObjectNode toJson(Comparison comparison) {
         ObjectNode json = JSON.createObjectNode();
         for (String configuration : comparison.configurations()) {
-            ObjectNode figures = json.putObject(configuration)
+            ObjectNode metrics = json.putObject(configuration)
                     .put("runs", comparison.count(configuration))
                     .put("held", comparison.held(configuration));
-            for (Metric figure : Metric.values()) {
-                SummaryStatistics spread = comparison.spread(configuration, figure);
-                figures.putObject(figure.name().toLowerCase(Locale.ROOT))
-                        .put("label", figure.label())
-                        .put("mean", spread.getMean())
-                        .put("least", spread.getMin())
-                        .put("most", spread.getMax());
+            for (Metric metric : Metric.values()) {
+                SummaryStatistics summary = comparison.summary(configuration, metric);
+                metrics.putObject(metric.name().toLowerCase(Locale.ROOT))
+                        .put("label", metric.label())
+                        .put("mean", summary.getMean())
+                        .put("least", summary.getMin())
+                        .put("most", summary.getMax());
             }
         }
         return json;
     }
 
-    private static void plot(Comparison comparison, Metric figure, Path directory) throws IOException {
+    private static void plot(Comparison comparison, Metric metric, Path directory) throws IOException {
         CategoryChart chart = new CategoryChartBuilder()
-                .width(WIDTH)
-                .height(HEIGHT)
-                .title(figure.label())
-                .yAxisTitle(figure.label())
+                .width(WIDTH_PIXELS)
+                .height(HEIGHT_PIXELS)
+                .title(metric.label())
+                .yAxisTitle(metric.label())
                 .build();
         chart.getStyler().setLegendVisible(false);
         List<Double> means = new ArrayList<>();
-        List<Double> spreads = new ArrayList<>();
+        List<Double> halfRanges = new ArrayList<>();
         for (String configuration : comparison.configurations()) {
-            SummaryStatistics spread = comparison.spread(configuration, figure);
-            means.add(spread.getMean());
-            spreads.add((spread.getMax() - spread.getMin()) / 2);
+            SummaryStatistics summary = comparison.summary(configuration, metric);
+            means.add(summary.getMean());
+            halfRanges.add((summary.getMax() - summary.getMin()) / 2);
         }
-        chart.addSeries("mean and half the range", comparison.configurations(), means, spreads);
-        String name = figure.name().toLowerCase(Locale.ROOT).replace('_', '-');
+        chart.addSeries("mean and half the range", comparison.configurations(), means, halfRanges);
+        String name = metric.name().toLowerCase(Locale.ROOT).replace('_', '-');
         VectorGraphicsEncoder.saveVectorGraphic(chart, directory.resolve(name).toString(), VectorGraphicsFormat.SVG);
     }
 }
--- a/standins/src/main/java/org/geraniumreach/standins/report/RunMetrics.java
+++ b/standins/src/main/java/org/geraniumreach/standins/report/RunMetrics.java
@@ -6,13 +6,13 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * The figures of one run by which configurations are compared.
+ * The metrics of one run.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param configuration the configuration's name
- * @param held whether all held
- * @param values the figures
+ * @param configuration the name of the configuration
+ * @param held whether all checks passed
+ * @param values the values of all metrics
  */
 record RunMetrics(String configuration, boolean held, Map<Metric, Double> values) {
 
@@ -48,29 +48,32 @@
         return sum;
     }
 
-    /** The least part of what was due that an account got; due is what one central bucket lets through. */
+    /**
+     * Returns the lowest fraction served of the requests that one central token bucket would admit, over all accounts.
+     */
     private static double minimumShare(JsonNode result) {
-        double worst = 1;
+        double minimum = 1;
         for (JsonNode account : result.path("accounts")) {
-            double due = account.path("sent").asDouble()
+            double admissible = account.path("sent").asDouble()
                     - account.path("codes").path(OUT_OF_BUDGET).asDouble()
                     + account.path("wrongfullyRefused").asDouble();
-            if (due > 0) {
-                worst = Math.min(worst, account.path("served").asDouble() / due);
+            if (admissible > 0) {
+                minimum = Math.min(minimum, account.path("served").asDouble() / admissible);
             }
         }
-        return worst;
+        return minimum;
     }
 
     private static double maximumFirstToken(JsonNode result) {
-        double worst = 0;
+        double maximum = 0;
         for (JsonNode account : result.path("accounts")) {
             boolean withinRate = account.path("codes").path(OUT_OF_BUDGET).asDouble()
                     <= account.path("wrongfullyRefused").asDouble();
             if (withinRate) {
-                worst = Math.max(worst, account.path("firstToken").path("p99").asDouble());
+                maximum =
+                        Math.max(maximum, account.path("firstToken").path("p99").asDouble());
             }
         }
-        return worst;
+        return maximum;
     }
 }
--- a/standins/src/main/java/org/geraniumreach/standins/store/WeightStore.java
+++ b/standins/src/main/java/org/geraniumreach/standins/store/WeightStore.java
@@ -12,9 +12,9 @@
 /**
  * Simulates adapter transfers that share a limited bandwidth and start at a limited rate.
  *
- * <p>Up to a set number of concurrent transfers run at full speed; beyond it, all slow down in proportion. Transfers above
- * the start rate wait in first-in, first-out order. Invariant: each transfer is completed once. Safe for use by several
- * threads, under one lock.
+ * <p>Up to a set number of concurrent transfers run at full speed; beyond it, all slow down in proportion. Transfers
+ * above the start rate wait in first-in, first-out order. Invariant: each transfer is completed once. Safe for use by
+ * several threads, under one lock.
  */
 public final class WeightStore {
 
--- a/standins/src/test/java/org/geraniumreach/standins/EngineStandInTest.java
+++ b/standins/src/test/java/org/geraniumreach/standins/EngineStandInTest.java
@@ -38,7 +38,7 @@
 
     private static final AdapterReference ADAPTER = AdapterReference.of("winding", "v1");
     private static final String PROMPT = "Summarise the fault note of the pump motor that came in this morning.";
-    private static final int TOKENS = 100;
+    private static final int MAXIMUM_TOKENS = 100;
     private static final int LONG_ANSWER_TOKENS = 10_000;
     private static final Order ORDER = new Order(3, Duration.ofSeconds(5));
 
@@ -70,7 +70,7 @@
     void anAnswerIsCompleteAndInOrderForAnyDemandPerRequest(int demand) throws Exception {
         RecordingListener listener = new RecordingListener();
         EngineStream stream = engine.generate(generation("one"), ORDER, listener);
-        int expected = ExpectedAnswer.of(ADAPTER, PROMPT).length(TOKENS);
+        int expected = ExpectedAnswer.of(ADAPTER, PROMPT).length(MAXIMUM_TOKENS);
         for (int requested = demand; requested < expected + demand; requested += demand) {
             stream.request(demand);
             listener.awaitChunks(Math.min(requested, expected));
@@ -79,7 +79,7 @@
         assertThat(end.served()).isEqualTo(ADAPTER);
         assertThat(end.chunks()).isEqualTo(expected);
         assertThat(listener.text.toString())
-                .isEqualTo(ExpectedAnswer.of(ADAPTER, PROMPT).text(TOKENS));
+                .isEqualTo(ExpectedAnswer.of(ADAPTER, PROMPT).text(MAXIMUM_TOKENS));
     }
 
     @Test
@@ -89,7 +89,7 @@
         stream.request(3);
         listener.awaitChunks(3);
         RecordingListener second = new RecordingListener();
-        engine.resume(AttemptId.of("slow"), 0, second).request(TOKENS);
+        engine.resume(AttemptId.of("slow"), 0, second).request(MAXIMUM_TOKENS);
         second.end.get(30, TimeUnit.SECONDS);
         assertThat(listener.sequences).containsExactly(0L, 1L, 2L);
     }
@@ -108,7 +108,7 @@
         engine.resume(AttemptId.of("dropped"), broken.sequences.size(), rest).request(1000);
         rest.end.get(30, TimeUnit.SECONDS);
         assertThat(broken.text.toString() + rest.text)
-                .isEqualTo(ExpectedAnswer.of(ADAPTER, PROMPT).text(TOKENS));
+                .isEqualTo(ExpectedAnswer.of(ADAPTER, PROMPT).text(MAXIMUM_TOKENS));
     }
 
     @Test
@@ -192,7 +192,7 @@
         GenerationEnd end = listener.end.get(30, TimeUnit.SECONDS);
         assertThat(end.served()).isNotEqualTo(ADAPTER);
         assertThat(listener.text.toString())
-                .isNotEqualTo(ExpectedAnswer.of(ADAPTER, PROMPT).text(TOKENS));
+                .isNotEqualTo(ExpectedAnswer.of(ADAPTER, PROMPT).text(MAXIMUM_TOKENS));
     }
 
     @Test
@@ -208,7 +208,7 @@
     }
 
     private static Generation generation(String attempt) {
-        return new Generation(AttemptId.of(attempt), AccountId.of("a"), ADAPTER, PROMPT, TOKENS, 5);
+        return new Generation(AttemptId.of(attempt), AccountId.of("a"), ADAPTER, PROMPT, MAXIMUM_TOKENS, 5);
     }
 
     private static PlatformException failureOf(RecordingListener listener) {
--- a/standins/src/test/java/org/geraniumreach/standins/InstanceListStandInTest.java
+++ b/standins/src/test/java/org/geraniumreach/standins/InstanceListStandInTest.java
@@ -40,7 +40,7 @@
     void start() throws Exception {
         int port = StandInsFixture.freePort();
         standIn = new InstanceListStandIn(port, 1, fixture.timer);
-        list = fixture.clients.instanceList(StandInsFixture.url(port), StandInsFixture.LIMIT);
+        list = fixture.clients.instanceList(StandInsFixture.url(port), StandInsFixture.CALL_TIMEOUT);
         int administrationPort = StandInsFixture.freePort();
         administration = Administration.start(administrationPort, List.of(standIn), fixture.timer);
         administrationUrl = StandInsFixture.url(administrationPort);
--- a/standins/src/test/java/org/geraniumreach/standins/LoadAtEngineTest.java
+++ b/standins/src/test/java/org/geraniumreach/standins/LoadAtEngineTest.java
@@ -21,7 +21,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-/** A run of the load tool directly at a stand-in engine. */
+/** Tests runs of the load tool directly against a stand-in engine. */
 class LoadAtEngineTest {
 
     private final StandInsFixture fixture = new StandInsFixture();
--- a/standins/src/test/java/org/geraniumreach/standins/ServiceStandInTest.java
+++ b/standins/src/test/java/org/geraniumreach/standins/ServiceStandInTest.java
@@ -40,7 +40,7 @@
         int port = StandInsFixture.freePort();
         standIn = new ServiceStandIn(port, 1, fixture.timer);
         url = StandInsFixture.url(port);
-        service = fixture.clients.plainService(url, StandInsFixture.LIMIT);
+        service = fixture.clients.plainService(url, StandInsFixture.CALL_TIMEOUT);
     }
 
     @AfterEach
--- a/standins/src/test/java/org/geraniumreach/standins/StandInsFixture.java
+++ b/standins/src/test/java/org/geraniumreach/standins/StandInsFixture.java
@@ -19,10 +19,11 @@
 /** Provides ports, clients, a timer and settings to the tests of the stand-ins. */
 final class StandInsFixture implements AutoCloseable {
 
-    static final Duration LIMIT = Duration.ofMillis(500);
-    static final EngineLimits ENGINE_LIMITS = new EngineLimits(LIMIT, Duration.ofSeconds(5), Duration.ofSeconds(2));
+    static final Duration CALL_TIMEOUT = Duration.ofMillis(500);
+    static final EngineLimits ENGINE_LIMITS =
+            new EngineLimits(CALL_TIMEOUT, Duration.ofSeconds(5), Duration.ofSeconds(2));
 
-    private static final Duration WARM_UP_LIMIT = Duration.ofSeconds(30);
+    private static final Duration WARM_UP_TIMEOUT = Duration.ofSeconds(30);
 
     static {
         // The first call of a process loads the client and server classes, which can exceed the call timeout on a busy
@@ -38,7 +39,7 @@
         try (PlatformClients clients = PlatformClients.create(1)) {
             int port = freePort();
             TableStandIn standIn = new TableStandIn(port, 0, 0, timer);
-            TableService table = clients.tableService(url(port), WARM_UP_LIMIT);
+            TableService table = clients.tableService(url(port), WARM_UP_TIMEOUT);
             table.commit(Transaction.empty().withWrite(RowKey.of("warm", "up"), "0"));
             standIn.server().close();
         } catch (IOException | PlatformException failure) {
--- a/standins/src/test/java/org/geraniumreach/standins/TableStandInTest.java
+++ b/standins/src/test/java/org/geraniumreach/standins/TableStandInTest.java
@@ -34,7 +34,7 @@
     void start() throws IOException {
         int port = StandInsFixture.freePort();
         standIn = new TableStandIn(port, 0, 0, fixture.timer);
-        table = fixture.clients.tableService(StandInsFixture.url(port), StandInsFixture.LIMIT);
+        table = fixture.clients.tableService(StandInsFixture.url(port), StandInsFixture.CALL_TIMEOUT);
     }
 
     @AfterEach
@@ -133,7 +133,7 @@
     void aCallAboveTheRateHasNoEffect() throws Exception {
         int port = StandInsFixture.freePort();
         TableStandIn limited = new TableStandIn(port, 1, 1, fixture.timer);
-        TableService throttled = fixture.clients.tableService(StandInsFixture.url(port), StandInsFixture.LIMIT);
+        TableService throttled = fixture.clients.tableService(StandInsFixture.url(port), StandInsFixture.CALL_TIMEOUT);
         throttled.read(KEY);
         PlatformException failure = catchThrowableOfType(PlatformException.class, () -> throttled.read(KEY));
         assertThat(failure.reason()).isEqualTo(Reason.THROTTLED);
--- a/standins/src/test/java/org/geraniumreach/standins/load/AnswerReceiverTest.java
+++ b/standins/src/test/java/org/geraniumreach/standins/load/AnswerReceiverTest.java
@@ -24,30 +24,32 @@
 
     private static final AdapterReference ADAPTER = AdapterReference.of("rewind", "v1");
     private static final ExpectedAnswer EXPECTED = ExpectedAnswer.of(ADAPTER, "p");
-    private static final int TOKENS = 3;
-    private static final String LAST =
+    private static final int MAXIMUM_TOKENS = 3;
+    private static final String FINISH_EVENT =
             "data: {\"model\":\"rewind@v1\",\"choices\":[{\"text\":\"\",\"finish_reason\":\"length\"}]}";
-    private static final String DONE = "data: [DONE]";
+    private static final String DONE_EVENT = "data: [DONE]";
 
     @ParameterizedTest
     @MethodSource("streams")
     void aStreamIsServedOnlyIfItIsCompleteAndCorrect(Verdict verdict, int status, String[] lines) {
-        assertThat(judge(status, lines).verdict()).isEqualTo(verdict);
+        assertThat(evaluate(status, lines).verdict()).isEqualTo(verdict);
     }
 
     static Stream<Arguments> streams() {
-        String[] tokens = {part(0), part(1), part(2)};
+        String[] events = {tokenEvent(0), tokenEvent(1), tokenEvent(2)};
         return Stream.of(
                 arguments(Verdict.SERVED, 200, new String[] {
-                    tokens[0], "", tokens[1], ": keep-alive", tokens[2], LAST, DONE
+                    events[0], "", events[1], ": keep-alive", events[2], FINISH_EVENT, DONE_EVENT
                 }),
-                arguments(Verdict.WRONG, 200, new String[] {tokens[0], tokens[2], tokens[1], LAST, DONE}),
-                arguments(Verdict.WRONG, 200, new String[] {tokens[0], tokens[1], tokens[1], tokens[2], LAST, DONE}),
-                arguments(Verdict.WRONG, 200, new String[] {tokens[0], tokens[1], LAST, DONE}),
-                arguments(Verdict.FAILED, 200, new String[] {tokens[0], tokens[1]}),
-                arguments(Verdict.FAILED, 200, new String[] {tokens[0], tokens[1], tokens[2], LAST}),
+                arguments(Verdict.WRONG, 200, new String[] {events[0], events[2], events[1], FINISH_EVENT, DONE_EVENT}),
+                arguments(Verdict.WRONG, 200, new String[] {
+                    events[0], events[1], events[1], events[2], FINISH_EVENT, DONE_EVENT
+                }),
+                arguments(Verdict.WRONG, 200, new String[] {events[0], events[1], FINISH_EVENT, DONE_EVENT}),
+                arguments(Verdict.FAILED, 200, new String[] {events[0], events[1]}),
+                arguments(Verdict.FAILED, 200, new String[] {events[0], events[1], events[2], FINISH_EVENT}),
                 arguments(Verdict.FAILED, 200, new String[] {
-                    tokens[0], "data: {\"error\":{\"name\":\"X\",\"ran\":\"unknown\"}}"
+                    events[0], "data: {\"error\":{\"name\":\"X\",\"ran\":\"unknown\"}}"
                 }),
                 arguments(
                         Verdict.REFUSED, 429, new String[] {"{\"error\":{\"name\":\"OUT_OF_BUDGET\",\"ran\":\"no\"}}"}),
@@ -55,24 +57,24 @@
                 arguments(Verdict.FAILED, 500, new String[] {"<html>"}));
     }
 
-    private static String part(int index) {
+    private static String tokenEvent(int index) {
         return "data: {\"model\":\"rewind@v1\",\"choices\":[{\"text\":\"" + EXPECTED.token(index)
                 + "\",\"finish_reason\":null}]}";
     }
 
-    private static Outcome judge(int status, String[] lines) {
-        AccountLoad account =
-                new AccountLoad("a", "", 1, 0, 0, 1, 0, 1, TOKENS, new AdapterRange("rewind", 0, 1, "v1", 0), 0, 0);
+    private static Outcome evaluate(int status, String[] lines) {
+        AccountLoad account = new AccountLoad(
+                "a", "", 1, 0, 0, 1, 0, 1, MAXIMUM_TOKENS, new AdapterRange("rewind", 0, 1, "v1", 0), 0, 0);
         PlannedRequest request = new PlannedRequest(
                 0, 0, account, PlannedRequest.Kind.COMPLETION, true, ADAPTER, "p", false, "", URI.create("http://h"));
-        AnswerReceiver reception = new AnswerReceiver(request, LoadSettings.Mode.ENTRY, 0, nanos -> {}, nanos -> {});
-        reception.createBodySubscriber(new Response(status));
-        reception.onSubscribe(new NoSubscription());
+        AnswerReceiver receiver = new AnswerReceiver(request, LoadSettings.Mode.ENTRY, 0, nanos -> {}, nanos -> {});
+        receiver.createBodySubscriber(new Response(status));
+        receiver.onSubscribe(new NoSubscription());
         for (String line : lines) {
-            reception.onNext(line);
+            receiver.onNext(line);
         }
-        reception.onComplete();
-        return reception.evaluate();
+        receiver.onComplete();
+        return receiver.evaluate();
     }
 
     private record Response(int statusCode) implements ResponseInfo {
--- a/standins/src/test/java/org/geraniumreach/standins/load/BookingRecordsTest.java
+++ b/standins/src/test/java/org/geraniumreach/standins/load/BookingRecordsTest.java
@@ -23,14 +23,14 @@
         "FAILED, 1, true",
         "FAILED, 2, false"
     })
-    void aBookingPassesIfItRanOnceWhenAnsweredAndNeverWhenRefused(Outcome.Verdict verdict, int runs, boolean holds) {
+    void aBookingPassesIfItRanOnceWhenAnsweredAndNeverWhenRefused(Outcome.Verdict verdict, int runs, boolean passes) {
         BookingRecords records = new BookingRecords();
-        records.add(ran("b-1", runs));
+        records.add(recordsOf("b-1", runs));
         Outcome outcome = new Outcome(verdict, "", "", "", 0, "");
-        assertThat(records.check(Map.of("b-1", outcome)).isEmpty()).isEqualTo(holds);
+        assertThat(records.check(Map.of("b-1", outcome)).isEmpty()).isEqualTo(passes);
     }
 
-    private static ObjectNode ran(String booking, int runs) {
+    private static ObjectNode recordsOf(String booking, int runs) {
         ObjectNode json = Call.JSON.createObjectNode();
         ArrayNode array = json.putArray("runs");
         for (int run = 0; run < runs; run++) {
--- a/standins/src/test/java/org/geraniumreach/standins/load/GenerationRecordsTest.java
+++ b/standins/src/test/java/org/geraniumreach/standins/load/GenerationRecordsTest.java
@@ -24,7 +24,7 @@
         "FAILED, other, rewind@v1, cancelled, false"
     })
     void aGenerationPassesIfItRanForItsSenderAsReported(
-            Outcome.Verdict verdict, String account, String adapter, String end, boolean holds) {
+            Outcome.Verdict verdict, String account, String adapter, String end, boolean passes) {
         GenerationRecords records = new GenerationRecords();
         ObjectNode json = Call.JSON.createObjectNode();
         json.putArray("streams")
@@ -36,6 +36,6 @@
         records.add(json);
         Outcome outcome = new Outcome(verdict, "", "", "", 0, "");
         SentGeneration sent = new SentGeneration("floor", AdapterReference.of("rewind", "v1"), 0, outcome);
-        assertThat(records.check(Map.of("r", sent), List.of()).isEmpty()).isEqualTo(holds);
+        assertThat(records.check(Map.of("r", sent), List.of()).isEmpty()).isEqualTo(passes);
     }
 }
--- a/standins/src/test/java/org/geraniumreach/standins/load/RateWindowsTest.java
+++ b/standins/src/test/java/org/geraniumreach/standins/load/RateWindowsTest.java
@@ -16,20 +16,21 @@
 
     @Test
     void aBurstAndThenTheRateIsAllowed() {
-        List<Usage> uses = List.of(new Usage(0, 0, 100), new Usage(1000, 1000, 50), new Usage(2000, 2000, 50));
-        assertThat(RateWindows.check("a", 50, 100, uses)).isEmpty();
+        List<Usage> usages = List.of(new Usage(0, 0, 100), new Usage(1000, 1000, 50), new Usage(2000, 2000, 50));
+        assertThat(RateWindows.check("a", 50, 100, usages)).isEmpty();
     }
 
     @Test
     void twoSimultaneousBurstsAreRejectedAfterAnIdlePeriod() {
-        List<Usage> uses = List.of(new Usage(0, 0, 10), new Usage(60_000, 60_000, 100), new Usage(60_000, 60_010, 100));
-        assertThat(RateWindows.check("a", 50, 100, uses)).isPresent();
+        List<Usage> usages =
+                List.of(new Usage(0, 0, 10), new Usage(60_000, 60_000, 100), new Usage(60_000, 60_010, 100));
+        assertThat(RateWindows.check("a", 50, 100, usages)).isPresent();
     }
 
     @Test
     void aRequestPossiblyAdmittedOutsideAWindowIsNotCountedInIt() {
-        List<Usage> uses = List.of(new Usage(0, 5000, 100), new Usage(5000, 5000, 100));
-        assertThat(RateWindows.check("a", 50, 100, uses)).isEmpty();
+        List<Usage> usages = List.of(new Usage(0, 5000, 100), new Usage(5000, 5000, 100));
+        assertThat(RateWindows.check("a", 50, 100, usages)).isEmpty();
     }
 
     @Property(seed = "1", tries = 200)
@@ -38,15 +39,15 @@
             @ForAll @IntRange(min = 1, max = 80) int tokens) {
         double available = 100;
         long now = 0;
-        List<Usage> uses = new ArrayList<>();
+        List<Usage> usages = new ArrayList<>();
         for (int gap : gaps) {
             now += gap;
             available = Math.min(100, available + gap * 0.05);
             if (available >= tokens) {
                 available -= tokens;
-                uses.add(new Usage(now, now, tokens));
+                usages.add(new Usage(now, now, tokens));
             }
         }
-        assertThat(RateWindows.check("a", 50, 100, uses)).isEmpty();
+        assertThat(RateWindows.check("a", 50, 100, usages)).isEmpty();
     }
 }
