--- a/standins/src/main/java/org/geraniumreach/standins/PlatformCommand.java
+++ b/standins/src/main/java/org/geraniumreach/standins/PlatformCommand.java
@@ -5,15 +5,15 @@
 import java.util.concurrent.ScheduledExecutorService;
 
 import org.geraniumreach.standins.http.Administration;
-import org.geraniumreach.standins.http.Part;
-import org.geraniumreach.standins.list.ListPart;
-import org.geraniumreach.standins.store.ObjectPart;
-import org.geraniumreach.standins.store.WeightPart;
+import org.geraniumreach.standins.http.StandIn;
+import org.geraniumreach.standins.list.InstanceListStandIn;
+import org.geraniumreach.standins.store.ObjectStoreStandIn;
 import org.geraniumreach.standins.store.WeightStore;
-import org.geraniumreach.standins.table.TablePart;
+import org.geraniumreach.standins.store.WeightStoreStandIn;
+import org.geraniumreach.standins.table.TableStandIn;
 import org.kohsuke.args4j.Option;
 
-/** Serves table service, object store, weight store and instance list on ports in a row, then their administration. */
+/** Runs table service, object store, weight store, instance list and their administration on consecutive ports. */
 final class PlatformCommand implements Command {
 
     @Option(name = "--port", required = true, usage = "first port: table, objects, weights, list, administration")
@@ -40,13 +40,13 @@
     @Override
     public int run() throws IOException {
         ScheduledExecutorService timer = Timers.create();
-        int next = port;
-        List<Part> parts = List.of(
-                new TablePart(next++, reads, writes, timer),
-                new ObjectPart(next++, timer),
-                new WeightPart(next++, new WeightStore(loads, loadMillis, fullSpeed, timer), timer),
-                new ListPart(next++, listLagMillis, timer));
-        Administration.start(next, parts, timer);
+        int nextPort = port;
+        List<StandIn> standIns = List.of(
+                new TableStandIn(nextPort++, reads, writes, timer),
+                new ObjectStoreStandIn(nextPort++, timer),
+                new WeightStoreStandIn(nextPort++, new WeightStore(loads, loadMillis, fullSpeed, timer), timer),
+                new InstanceListStandIn(nextPort++, listLagMillis, timer));
+        Administration.start(nextPort, standIns, timer);
         return -1;
     }
 }
--- a/standins/src/main/java/org/geraniumreach/standins/engine/CacheEvents.java
+++ b/standins/src/main/java/org/geraniumreach/standins/engine/CacheEvents.java
@@ -7,21 +7,21 @@
 import java.util.Random;
 
 /**
- * What an engine tells of its prefix cache, late and with gaps.
+ * The event log of an engine's prefix cache, which publishes events with a lag and loses some of them.
  *
- * <p>Numbers rise by one over all events, lost ones included, so a reader sees the gaps. Invariant: holds a bounded number
- * of events. Safe for use by several threads, under one lock.
+ * <p>Event numbers increase by one per event, including lost ones, so a reader can detect gaps. Invariant: holds a
+ * bounded number of events. Safe for use by several threads, under one lock.
  */
 final class CacheEvents {
 
-    private static final int MOST_EVENTS = 10_000;
+    private static final int MAXIMUM_EVENTS = 10_000;
     private static final int PERCENT = 100;
 
     private final long lagMillis;
     private final int lossPercent;
     private final Random random = new Random(1);
     private final Deque<Event> events = new ArrayDeque<>();
-    private long number;
+    private long lastNumber;
 
     CacheEvents(long lagMillis, int lossPercent) {
         this.lagMillis = lagMillis;
@@ -29,34 +29,34 @@
     }
 
     synchronized void add(PrefixCache.CacheEvent event) {
-        number++;
+        lastNumber++;
         if (random.nextInt(PERCENT) < lossPercent) {
             return;
         }
-        events.add(new Event(number, event.kind(), event.block(), System.currentTimeMillis()));
-        if (events.size() > MOST_EVENTS) {
+        events.add(new Event(lastNumber, event.kind(), event.block(), System.currentTimeMillis()));
+        if (events.size() > MAXIMUM_EVENTS) {
             events.poll();
         }
     }
 
     synchronized List<Event> after(long last, int limit) {
         long newest = System.currentTimeMillis() - lagMillis;
-        List<Event> found = new ArrayList<>();
+        List<Event> matching = new ArrayList<>();
         for (Event event : events) {
-            if (found.size() < limit && event.number() > last && event.timeMillis() <= newest) {
-                found.add(event);
+            if (matching.size() < limit && event.number() > last && event.timeMillis() <= newest) {
+                matching.add(event);
             }
         }
-        return found;
+        return matching;
     }
 
     /**
-     * An event.
+     * A published change of the prefix cache.
      *
-     * @param number its number
-     * @param kind stored or evicted
+     * @param number the event number, from 1
+     * @param kind {@code stored} or {@code evicted}
      * @param block the block's digest
-     * @param timeMillis when it happened, since the epoch
+     * @param timeMillis the time of the event, in milliseconds since the epoch
      */
     record Event(long number, String kind, String block, long timeMillis) {}
 }
--- a/standins/src/main/java/org/geraniumreach/standins/engine/Engine.java
+++ b/standins/src/main/java/org/geraniumreach/standins/engine/Engine.java
@@ -17,16 +17,16 @@
 import org.geraniumreach.standins.engine.EngineStream.Outcome;
 
 /**
- * A model engine's batch, slots and streams, without time or sockets.
+ * The state of a stand-in model engine: its batch, adapter slots and streams, without timing or sockets.
  *
- * <p>Invariant: a stream joins the batch only while its adapter is resident; an attempt's name is taken once; every stream
- * that is over is recorded once. Safe for use by several threads, under one lock.
+ * <p>Invariant: a stream joins the batch only while its adapter is resident; an attempt identifies at most one stream;
+ * every finished stream is recorded once. Safe for use by several threads, under one lock.
  */
 final class Engine {
 
     private static final int CONFLICT = 409;
     private static final int PRECONDITION_FAILED = 412;
-    private static final int MOST_RECORDS = 200_000;
+    private static final int MAXIMUM_RECORDS = 200_000;
 
     private final EngineSettings settings;
     private final PrefixCache prefixes;
@@ -40,8 +40,8 @@
     private long incarnation = System.currentTimeMillis();
     private long highestFence;
     private long arrivals;
-    private long recorded;
-    private EngineFigures figures = EngineFigures.NONE;
+    private long lastRecordNumber;
+    private EngineStatistics statistics = EngineStatistics.NONE;
 
     Engine(EngineSettings settings, Consumer<PrefixCache.CacheEvent> events) {
         this.settings = settings;
@@ -74,16 +74,16 @@
         }
         waiting.remove(stream);
         batch.remove(stream);
-        finish(stream, Outcome.CANCELLED);
+        finishStream(stream, Outcome.CANCELLED);
     }
 
     /**
-     * Begins a load.
+     * Reserves a slot for an adapter that is about to be loaded.
      *
      * @param adapter the adapter
-     * @param fence the order's fence
-     * @return false if the adapter is resident already
-     * @throws Refusal if the order is fenced off, or no slot is free
+     * @param fence the fencing token of the order
+     * @return false if the adapter is already resident
+     * @throws Refusal if the fencing token is outdated, or no slot is free
      */
     synchronized boolean beginLoad(AdapterReference adapter, long fence) throws Refusal {
         checkFence(fence);
@@ -104,24 +104,24 @@
     }
 
     /**
-     * Unloads an adapter. An engine does as it is told: streams on the adapter break off, and are counted.
+     * Unloads an adapter. Streams that use the adapter are aborted and counted.
      *
      * @param adapter the adapter
-     * @param fence the order's fence
-     * @throws Refusal if the order is fenced off
+     * @param fence the fencing token of the order
+     * @throws Refusal if the fencing token is outdated
      */
     synchronized void unload(AdapterReference adapter, long fence) throws Refusal {
         checkFence(fence);
         if (!resident.remove(adapter)) {
             return;
         }
-        List<EngineStream> broken = new ArrayList<>(batch);
-        broken.addAll(waiting);
-        broken.removeIf(stream -> !stream.order().adapter().equals(adapter));
-        batch.removeAll(broken);
-        waiting.removeAll(broken);
-        broken.forEach(stream -> finish(stream, Outcome.UNLOADED));
-        figures = figures.withUnloadedWhileServing(broken.size());
+        List<EngineStream> aborted = new ArrayList<>(batch);
+        aborted.addAll(waiting);
+        aborted.removeIf(stream -> !stream.order().adapter().equals(adapter));
+        batch.removeAll(aborted);
+        waiting.removeAll(aborted);
+        aborted.forEach(stream -> finishStream(stream, Outcome.UNLOADED));
+        statistics = statistics.withUnloadedWhileServing(aborted.size());
     }
 
     private void checkFence(long fence) throws Refusal {
@@ -132,9 +132,9 @@
     }
 
     synchronized void restart() {
-        List<EngineStream> broken = new ArrayList<>(batch);
-        broken.addAll(waiting);
-        broken.forEach(stream -> finish(stream, Outcome.RESTARTED));
+        List<EngineStream> aborted = new ArrayList<>(batch);
+        aborted.addAll(waiting);
+        aborted.forEach(stream -> finishStream(stream, Outcome.RESTARTED));
         batch.clear();
         waiting.clear();
         streams.clear();
@@ -147,9 +147,9 @@
     }
 
     /**
-     * Begins a step: lets waiting streams join, and waits if there are none.
+     * Begins a step: moves waiting streams into the batch, and blocks while there are no streams.
      *
-     * @return the time that the step takes, in microseconds
+     * @return the duration of the step, in microseconds
      * @throws InterruptedException if the engine is stopped
      */
     synchronized double beginStep() throws InterruptedException {
@@ -160,55 +160,56 @@
         while (batch.size() < settings.maximumBatch() && !waiting.isEmpty()) {
             micros += join(waiting.poll());
         }
-        return micros + batch.size() * settings.streamMicros() + adapters() * settings.adapterMicros();
+        return micros + batch.size() * settings.streamMicros() + distinctAdapters() * settings.adapterMicros();
     }
 
     private double join(EngineStream stream) {
-        int cached = prefixes.use(stream.order().adapter(), stream.order().prompt());
-        int fresh = Math.max(0, stream.promptTokens() - cached);
+        int cached =
+                prefixes.lookUpAndStore(stream.order().adapter(), stream.order().prompt());
+        int uncached = Math.max(0, stream.promptTokens() - cached);
         stream.join(cached);
         batch.add(stream);
-        return fresh * settings.prefillMicros() + cached * settings.cachedPrefillMicros();
+        return uncached * settings.prefillMicros() + cached * settings.cachedPrefillMicros();
     }
 
     /**
-     * Ends a step: each stream in the batch has one more token.
+     * Ends a step: each stream in the batch has generated one more token.
      *
-     * @param micros the time that it took
-     * @return the streams that have a token more
+     * @param micros the duration of the step, in microseconds
+     * @return the streams that were in the batch
      */
     synchronized List<EngineStream> endStep(double micros) {
         List<EngineStream> stepped = List.copyOf(batch);
-        int adapters = adapters();
-        figures = figures.withStep(stepped.size(), adapters, micros);
+        int adapters = distinctAdapters();
+        statistics = statistics.withStep(stepped.size(), adapters, micros);
         for (EngineStream stream : stepped) {
             if (stream.step(stepped.size(), adapters)) {
                 batch.remove(stream);
-                finish(stream, Outcome.ENDED);
+                finishStream(stream, Outcome.ENDED);
             }
         }
-        forget();
+        removeExpiredStreams();
         return stepped;
     }
 
-    private int adapters() {
+    private int distinctAdapters() {
         return (int) batch.stream()
                 .map(stream -> stream.order().adapter())
                 .distinct()
                 .count();
     }
 
-    private void finish(EngineStream stream, Outcome outcome) {
+    private void finishStream(EngineStream stream, Outcome outcome) {
         stream.end(outcome);
         finished.add(stream);
-        recorded++;
-        records.add(stream.toRecord(recorded));
-        if (records.size() > MOST_RECORDS) {
+        lastRecordNumber++;
+        records.add(stream.toRecord(lastRecordNumber));
+        if (records.size() > MAXIMUM_RECORDS) {
             records.poll();
         }
     }
 
-    private void forget() {
+    private void removeExpiredStreams() {
         long oldest = System.currentTimeMillis() - settings.keepFinishedMillis();
         while (!finished.isEmpty() && finished.peek().endMillis() < oldest) {
             streams.remove(finished.poll().order().attempt());
@@ -231,22 +232,22 @@
         return new EngineLoad(batch.size(), waiting.size());
     }
 
-    synchronized EngineFigures figures() {
-        return figures;
+    synchronized EngineStatistics statistics() {
+        return statistics;
     }
 
     synchronized List<StreamRecord> records(long after, int limit) {
         return records.stream()
-                .filter(ended -> ended.number() > after)
+                .filter(record -> record.number() > after)
                 .limit(limit)
                 .toList();
     }
 
     /**
-     * How much an engine has to do.
+     * The load of an engine.
      *
-     * @param running streams in the batch
-     * @param waiting streams that wait for the batch
+     * @param running the number of streams in the batch
+     * @param waiting the number of streams waiting to join the batch
      */
     record EngineLoad(int running, int waiting) {}
 }
--- a/standins/src/main/java/org/geraniumreach/standins/http/RateLimit.java
+++ b/standins/src/main/java/org/geraniumreach/standins/http/RateLimiter.java
@@ -3,12 +3,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A limit of calls a second, with a quarter of a second's calls at once.
+ * A token bucket that limits calls per second, with a burst of a quarter of a second's calls, at least one.
  *
- * <p>Invariant: over any time, no more than the rate times that time plus the burst are let through. Safe for use by
- * several threads.
+ * <p>Invariant: over any period, at most the rate times the period plus the burst are accepted. Safe for use by several
+ * threads.
  */
-public final class RateLimit {
+public final class RateLimiter {
 
     private static final double BURST_SECONDS = 0.25;
 
@@ -16,15 +16,15 @@
     private final double burst;
     private double available;
     private long lastNanos;
-    private long taken;
+    private long accepted;
     private long refused;
 
     /**
-     * Makes a limit.
+     * Creates a rate limiter.
      *
-     * @param perSecond the rate, 0 for none
+     * @param perSecond the calls allowed per second, 0 for no limit
      */
-    public RateLimit(double perSecond) {
+    public RateLimiter(double perSecond) {
         if (perSecond < 0) {
             throw new IllegalArgumentException("negative rate: " + perSecond);
         }
@@ -35,11 +35,11 @@
     }
 
     /**
-     * Takes a call if the rate allows it.
+     * Accepts a call if the rate allows it.
      *
-     * @return false if the call is above the rate
+     * @return false if the call exceeds the rate
      */
-    public synchronized boolean tryTake() {
+    public synchronized boolean tryAcquire() {
         long now = System.nanoTime();
         available = Math.min(burst, available + perSecond * (now - lastNanos) / TimeUnit.SECONDS.toNanos(1));
         lastNanos = now;
@@ -48,12 +48,12 @@
             return false;
         }
         available--;
-        taken++;
+        accepted++;
         return true;
     }
 
-    public synchronized long taken() {
-        return taken;
+    public synchronized long accepted() {
+        return accepted;
     }
 
     public synchronized long refused() {
--- a/standins/src/main/java/org/geraniumreach/standins/http/StandInServer.java
+++ b/standins/src/main/java/org/geraniumreach/standins/http/StandInServer.java
@@ -23,24 +23,24 @@
 import org.tinylog.Logger;
 
 /**
- * One stand-in's HTTP port on loopback, with the faults that it is told to show.
+ * The HTTP server of a stand-in on the loopback address, with fault injection.
  *
  * <p>Safe for use by several threads.
  */
 public final class StandInServer implements AutoCloseable {
 
     private static final String LOOPBACK = "127.0.0.1";
-    private static final int SELECTORS = 1;
-    private static final int WORKERS = 4;
+    private static final int SELECTOR_THREADS = 1;
+    private static final int WORKER_THREADS = 4;
     private static final int KEEP_ALIVE_SECONDS = 600;
-    private static final Attribute<OpenConnection> OPEN =
+    private static final Attribute<OpenConnection> OPEN_CONNECTION =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("stand-in connection");
 
     private final String name;
     private final int port;
     private final CallHandler handler;
     private final ScheduledExecutorService timer;
-    private final FaultSwitch faults = new FaultSwitch();
+    private final FaultInjector faults = new FaultInjector();
     private final Set<OpenConnection> connections = ConcurrentHashMap.newKeySet();
     private HttpServer server;
 
@@ -54,12 +54,12 @@
     /**
      * Starts a server.
      *
-     * @param name the stand-in's name, not null
-     * @param port its port
-     * @param handler answers its calls, not null
-     * @param timer delays answers, not null
-     * @return the server, listening, not null
-     * @throws IOException if the port cannot be had
+     * @param name the name of the stand-in, not null
+     * @param port the port to listen on
+     * @param handler handles the calls, not null
+     * @param timer runs delayed tasks, not null
+     * @return the listening server, not null
+     * @throws IOException if the port cannot be bound
      */
     public static StandInServer start(String name, int port, CallHandler handler, ScheduledExecutorService timer)
             throws IOException {
@@ -82,12 +82,12 @@
     }
 
     /**
-     * Shows other faults from now on.
+     * Replaces the faults to inject.
      *
      * @param newFaults the faults, not null
-     * @throws IOException if the port cannot be had again
+     * @throws IOException if the port cannot be bound again
      */
-    public synchronized void show(Faults newFaults) throws IOException {
+    public synchronized void setFaults(Faults newFaults) throws IOException {
         faults.set(newFaults);
         if (newFaults.down() && server != null) {
             server.shutdownNow();
@@ -99,12 +99,12 @@
         }
     }
 
-    /** Makes all connections open now silent for good, while new ones work. */
-    public void silence() {
+    /** Silences all open connections permanently; new connections work. */
+    public void silenceConnections() {
         connections.forEach(OpenConnection::silence);
     }
 
-    /** Breaks all connections open now. */
+    /** Closes all open connections. */
     public void dropConnections() {
         connections.forEach(OpenConnection::close);
     }
@@ -113,16 +113,16 @@
         NetworkListener listener = new NetworkListener(name, LOOPBACK, port);
         listener.getKeepAlive().setIdleTimeoutInSeconds(KEEP_ALIVE_SECONDS);
         listener.getKeepAlive().setMaxRequestsCount(-1);
-        listener.getTransport().setSelectorRunnersCount(SELECTORS);
+        listener.getTransport().setSelectorRunnersCount(SELECTOR_THREADS);
         listener.getTransport()
                 .setWorkerThreadPoolConfig(ThreadPoolConfig.defaultConfig()
                         .setPoolName(name)
-                        .setCorePoolSize(WORKERS)
-                        .setMaxPoolSize(WORKERS));
+                        .setCorePoolSize(WORKER_THREADS)
+                        .setMaxPoolSize(WORKER_THREADS));
         HttpServer starting = new HttpServer();
         starting.addListener(listener);
         starting.getServerConfiguration().setDefaultQueryEncoding(StandardCharsets.UTF_8);
-        starting.getServerConfiguration().addHttpHandler(new Front(), "/");
+        starting.getServerConfiguration().addHttpHandler(new FaultInjectingHandler(), "/");
         starting.start();
         server = starting;
     }
@@ -137,10 +137,10 @@
 
     private OpenConnection connectionOf(Request request) {
         Connection<?> connection = request.getContext().getConnection();
-        OpenConnection open = OPEN.get(connection);
+        OpenConnection open = OPEN_CONNECTION.get(connection);
         if (open == null) {
             OpenConnection added = new OpenConnection(connection);
-            OPEN.set(connection, added);
+            OPEN_CONNECTION.set(connection, added);
             connections.add(added);
             CloseListener<Closeable, CloseType> removal = (closed, kind) -> connections.remove(added);
             connection.addCloseListener(removal);
@@ -149,45 +149,47 @@
         return open;
     }
 
-    /** Reads calls and writes answers, as far as the faults let it. */
-    private final class Front extends HttpHandler {
+    /** Handles calls and writes answers subject to the injected faults. */
+    private final class FaultInjectingHandler extends HttpHandler {
 
         @Override
         public void service(Request request, Response response) throws IOException {
             OpenConnection connection = connectionOf(request);
             Call call = Call.read(request);
-            Faults struck = faults.strike(call.path());
+            Faults injected = faults.takeFaults(call.path());
             response.suspend();
-            if (connection.isSilent() || struck.hang()) {
+            if (connection.isSilent() || injected.hang()) {
                 return;
             }
-            if (struck.slowMillis() > 0) {
+            if (injected.slowMillis() > 0) {
                 timer.schedule(
-                        () -> answer(call, struck, response, connection), struck.slowMillis(), TimeUnit.MILLISECONDS);
+                        () -> answer(call, injected, response, connection),
+                        injected.slowMillis(),
+                        TimeUnit.MILLISECONDS);
                 return;
             }
-            answer(call, struck, response, connection);
+            answer(call, injected, response, connection);
         }
 
-        private void answer(Call call, Faults struck, Response response, OpenConnection connection) {
+        private void answer(Call call, Faults injected, Response response, OpenConnection connection) {
             CompletionStage<Answer> answer;
             try {
-                answer = handler.handle(call, struck);
+                answer = handler.handle(call, injected);
             } catch (IOException | RuntimeException e) {
-                answer = Answer.malformed(e.toString()).now();
+                answer = Answer.malformed(e.toString()).toCompletedStage();
             }
-            answer.whenComplete((made, failure) -> {
-                Answer sent = failure == null ? made : Answer.failure(500, "failed", true, failure.toString());
-                send(sent, struck, response, connection);
+            answer.whenComplete((handled, failure) -> {
+                Answer sent = failure == null ? handled : Answer.failure(500, "failed", true, failure.toString());
+                send(sent, injected, response, connection);
             });
         }
 
-        private void send(Answer answer, Faults struck, Response response, OpenConnection connection) {
-            if (struck.loseAnswers()) {
+        private void send(Answer answer, Faults injected, Response response, OpenConnection connection) {
+            if (injected.loseAnswers()) {
                 connection.close();
                 return;
             }
-            if (struck.swallowAnswers() || connection.isSilent()) {
+            if (injected.swallowAnswers() || connection.isSilent()) {
                 return;
             }
             response.setStatus(answer.status());
--- a/standins/src/main/java/org/geraniumreach/standins/load/Judgement.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/AccountChecks.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Says what did not hold for an account. Stateless and safe for use by several threads. */
-final class Judgement {
+/** Checks the results of an account for faults. Stateless and safe for use by several threads. */
+final class AccountChecks {
 
-    private Judgement() {}
+    private AccountChecks() {}
 
-    static List<String> of(AccountResult result) {
+    static List<String> check(AccountResult result) {
         List<String> faults = new ArrayList<>();
         if (result.wrong() > 0) {
             faults.add(result.account() + " got " + result.wrong() + " wrong answers: " + result.details());
--- a/standins/src/main/java/org/geraniumreach/standins/load/AccountTally.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/AccountTally.java
@@ -8,20 +8,20 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What one account got.
+ * Collects the results of one client account.
  *
  * <p>Safe for use by several threads, under its own lock.
  */
 final class AccountTally {
 
-    private static final int DIGITS = 3;
-    private static final int MOST_DETAILS = 10;
+    private static final int SIGNIFICANT_DIGITS = 3;
+    private static final int MAXIMUM_DETAILS = 10;
     private static final String OUT_OF_BUDGET = "OUT_OF_BUDGET";
 
     private final String account;
-    private final Histogram firstToken = new Histogram(DIGITS);
-    private final Histogram betweenTokens = new Histogram(DIGITS);
-    private final Histogram booking = new Histogram(DIGITS);
+    private final Histogram firstToken = new Histogram(SIGNIFICANT_DIGITS);
+    private final Histogram betweenTokens = new Histogram(SIGNIFICANT_DIGITS);
+    private final Histogram booking = new Histogram(SIGNIFICANT_DIGITS);
     private final Map<String, Integer> codes = new TreeMap<>();
     private final Map<Outcome.Verdict, Integer> verdicts = new TreeMap<>();
     private final List<String> details = new ArrayList<>();
@@ -38,49 +38,49 @@
         return account;
     }
 
-    synchronized void sent(boolean isBooking) {
+    synchronized void recordSent(boolean isBooking) {
         sent++;
         generations += isBooking ? 0 : 1;
     }
 
-    synchronized void firstToken(long nanos) {
+    synchronized void recordFirstToken(long nanos) {
         firstToken.recordValue(Math.max(0, nanos / 1000));
     }
 
-    synchronized void betweenTokens(long nanos) {
+    synchronized void recordBetweenTokens(long nanos) {
         betweenTokens.recordValue(Math.max(0, nanos / 1000));
     }
 
-    synchronized void booking(long nanos) {
+    synchronized void recordBooking(long nanos) {
         booking.recordValue(Math.max(0, nanos / 1000));
     }
 
-    synchronized void triedAgain(Outcome outcome) {
+    synchronized void recordRetry(Outcome outcome) {
         retriedCodes.merge(outcome.code().isEmpty() ? outcome.detail() : outcome.code(), 1, Integer::sum);
     }
 
-    synchronized void ended(Outcome outcome) {
+    synchronized void recordOutcome(Outcome outcome) {
         verdicts.merge(outcome.verdict(), 1, Integer::sum);
         tokens += outcome.tokens();
         if (!outcome.code().isEmpty()) {
             codes.merge(outcome.code(), 1, Integer::sum);
         }
         String detail = outcome.verdict() + " " + outcome.code() + ": " + outcome.detail();
-        if (!outcome.detail().isEmpty() && details.size() < MOST_DETAILS && !details.contains(detail)) {
+        if (!outcome.detail().isEmpty() && details.size() < MAXIMUM_DETAILS && !details.contains(detail)) {
             details.add(detail);
         }
     }
 
     /**
-     * Gets the results.
+     * Returns the results.
      *
-     * @param load what the account sent
-     * @param idealAdmits how many generations one central bucket would have let through
-     * @param elapsedSeconds how long the run took
-     * @return the results
+     * @param load the load settings of the account
+     * @param referenceAdmits the number of generations that one central token bucket would have admitted
+     * @param elapsedSeconds the duration of the run
+     * @return the results, not null
      */
-    synchronized AccountResult result(LoadSettings.AccountLoad load, int idealAdmits, double elapsedSeconds) {
-        double allowed = load.tokensPerSecond() > 0
+    synchronized AccountResult result(LoadSettings.AccountLoad load, int referenceAdmits, double elapsedSeconds) {
+        double allowedTokens = load.tokensPerSecond() > 0
                 ? load.burstTokens() + load.tokensPerSecond() * elapsedSeconds
                 : Double.MAX_VALUE;
         return new AccountResult(
@@ -90,14 +90,14 @@
                 count(Outcome.Verdict.REFUSED),
                 count(Outcome.Verdict.FAILED),
                 count(Outcome.Verdict.WRONG),
-                Math.max(0, idealAdmits - generations + codes.getOrDefault(OUT_OF_BUDGET, 0)),
+                Math.max(0, referenceAdmits - generations + codes.getOrDefault(OUT_OF_BUDGET, 0)),
                 tokens,
-                tokens <= allowed,
+                tokens <= allowedTokens,
                 Map.copyOf(codes),
                 Map.copyOf(retriedCodes),
-                Spread.of(firstToken),
-                Spread.of(betweenTokens),
-                Spread.of(booking),
+                LatencySummary.of(firstToken),
+                LatencySummary.of(betweenTokens),
+                LatencySummary.of(booking),
                 List.copyOf(details));
     }
 
--- a/standins/src/main/java/org/geraniumreach/standins/load/Reception.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/AnswerReceiver.java
@@ -14,12 +14,12 @@
 import org.geraniumreach.standins.load.LoadSettings.Mode;
 
 /**
- * Receives one answer, times its parts and judges it.
+ * Receives one answer, measures the time between its parts and checks its content.
  *
- * <p>Invariant: an answer counts as served only if it is whole and equal to what the adapter's version must give. Used by
- * one thread at a time, in the order of the HTTP client's calls.
+ * <p>Invariant: an answer counts as served only if it is complete and equals the expected answer of the adapter
+ * version. Used by one thread at a time, in the order of the HTTP client's calls.
  */
-final class Reception implements Flow.Subscriber<String> {
+final class AnswerReceiver implements Flow.Subscriber<String> {
 
     private static final int OK = 200;
     private static final String DATA = "data: ";
@@ -33,22 +33,22 @@
     private final StringBuilder text = new StringBuilder();
     private long lastPartNanos;
     private int status;
-    private boolean lines;
-    private boolean begun;
+    private boolean lineByLine;
+    private boolean firstPartReceived;
     private boolean done;
-    private boolean finished;
+    private boolean finishedAsExpected;
     private Outcome error;
 
     /**
-     * Makes a reception.
+     * Creates a receiver.
      *
      * @param request the request
-     * @param mode whom it was sent to
-     * @param dueNanos when it was due, by the system's clock
-     * @param firstPart told how long the first part took, in nanoseconds
-     * @param laterPart told how long after another each later part came
+     * @param mode the kind of process that the request was sent to
+     * @param dueNanos when the request was due, as {@link System#nanoTime}
+     * @param firstPart receives the time from the due time to the first part, in nanoseconds
+     * @param laterPart receives the time between each later part and its predecessor, in nanoseconds
      */
-    Reception(PlannedRequest request, Mode mode, long dueNanos, LongConsumer firstPart, LongConsumer laterPart) {
+    AnswerReceiver(PlannedRequest request, Mode mode, long dueNanos, LongConsumer firstPart, LongConsumer laterPart) {
         this.request = request;
         this.mode = mode;
         this.lastPartNanos = dueNanos;
@@ -56,9 +56,9 @@
         this.laterPart = laterPart;
     }
 
-    BodySubscriber<Void> body(ResponseInfo response) {
+    BodySubscriber<Void> createBodySubscriber(ResponseInfo response) {
         status = response.statusCode();
-        lines = status == OK && !request.isBooking() && (request.streamed() || mode == Mode.ENGINE);
+        lineByLine = status == OK && !request.isBooking() && (request.streamed() || mode == Mode.ENGINE);
         return BodySubscribers.fromLineSubscriber(this, reader -> null, StandardCharsets.UTF_8, "\n");
     }
 
@@ -69,7 +69,7 @@
 
     @Override
     public void onNext(String line) {
-        if (!lines) {
+        if (!lineByLine) {
             received.append(line);
             return;
         }
@@ -82,13 +82,13 @@
 
     @Override
     public void onError(Throwable failure) {
-        // The call's own future fails too, and its failure is what is judged.
+        // The future of the call fails too, and its failure determines the outcome.
     }
 
     @Override
     public void onComplete() {
-        if (!lines && status == OK && !request.isBooking()) {
-            part();
+        if (!lineByLine && status == OK && !request.isBooking()) {
+            recordPart();
         }
     }
 
@@ -99,7 +99,7 @@
         JsonNode json = parse(line);
         if (json.has("end")) {
             done = true;
-            finished = json.path("end")
+            finishedAsExpected = json.path("end")
                             .path("adapter")
                             .asText()
                             .equals(request.adapter().adapter())
@@ -131,30 +131,30 @@
                 choice.has("delta")
                         ? choice.path("delta").path("content").asText("")
                         : choice.path("text").asText(""));
-        finished |= choice.path("finish_reason").isTextual()
+        finishedAsExpected |= choice.path("finish_reason").isTextual()
                 && json.path("model").asText().equals(request.adapter().toString());
     }
 
     private void addText(String added) {
         if (!added.isEmpty()) {
             text.append(added);
-            part();
+            recordPart();
         }
     }
 
-    private void part() {
+    private void recordPart() {
         long now = System.nanoTime();
-        (begun ? laterPart : firstPart).accept(now - lastPartNanos);
+        (firstPartReceived ? laterPart : firstPart).accept(now - lastPartNanos);
         lastPartNanos = now;
-        begun = true;
+        firstPartReceived = true;
     }
 
     /**
-     * Judges the answer once all of it has come.
+     * Evaluates the answer after it has been received completely.
      *
      * @return the outcome
      */
-    Outcome judge() {
+    Outcome evaluate() {
         if (error != null) {
             return error;
         }
@@ -162,12 +162,14 @@
             return errorOf(parse(received.toString()));
         }
         if (request.isBooking()) {
-            return judgeBooking();
+            return evaluateBooking();
         }
-        return lines ? judgeText(text.toString(), done && finished) : judgeWhole(parse(received.toString()));
+        return lineByLine
+                ? evaluateText(text.toString(), done && finishedAsExpected)
+                : evaluateUnstreamed(parse(received.toString()));
     }
 
-    private Outcome judgeBooking() {
+    private Outcome evaluateBooking() {
         JsonNode json = parse(received.toString());
         if (!json.path("request").asText().equals(request.text())
                 || !json.path("account").asText().equals(request.account().name())) {
@@ -176,28 +178,31 @@
         return Outcome.served(0, received.toString());
     }
 
-    private Outcome judgeWhole(JsonNode json) {
+    private Outcome evaluateUnstreamed(JsonNode json) {
         JsonNode choice = json.path("choices").path(0);
-        String whole = choice.has("message")
+        String answer = choice.has("message")
                 ? choice.path("message").path("content").asText()
                 : choice.path("text").asText();
-        boolean named = json.path("model").asText().equals(request.adapter().toString());
-        return judgeText(whole, named && choice.path("finish_reason").isTextual());
+        boolean expectedModel =
+                json.path("model").asText().equals(request.adapter().toString());
+        return evaluateText(
+                answer, expectedModel && choice.path("finish_reason").isTextual());
     }
 
-    private Outcome judgeText(String answer, boolean whole) {
+    private Outcome evaluateText(String answer, boolean complete) {
         ExpectedAnswer expected = request.expected();
-        int most = request.account().maximumTokens();
-        String due = expected.text(most);
-        if (!due.startsWith(answer)) {
+        int maximumTokens = request.account().maximumTokens();
+        String expectedText = expected.text(maximumTokens);
+        if (!expectedText.startsWith(answer)) {
             return Outcome.wrong("request " + request.number() + " for " + request.adapter() + " got other text");
         }
-        if (!whole || answer.length() != due.length()) {
-            return whole
+        if (!complete || answer.length() != expectedText.length()) {
+            return complete
                     ? Outcome.wrong("request " + request.number() + " was ended before its whole answer")
-                    : Outcome.failed("answer broke off after " + answer.length() + " of " + due.length());
+                    : Outcome.failed("answer broke off after " + answer.length() + " of " + expectedText.length());
         }
-        return Outcome.served(ExpectedAnswer.promptTokens(request.promptAtEngine()) + expected.length(most), "");
+        return Outcome.served(
+                ExpectedAnswer.promptTokens(request.promptAtEngine()) + expected.length(maximumTokens), "");
     }
 
     private Outcome errorOf(JsonNode json) {
--- a/standins/src/main/java/org/geraniumreach/standins/load/RunRecords.java
+++ b/standins/src/main/java/org/geraniumreach/standins/load/BookingRecords.java
@@ -10,11 +10,11 @@
 import org.geraniumreach.standins.http.Call;
 
 /**
- * Holds what callers were told against the workers' records of what ran.
+ * Checks the outcomes that callers received against the workers' run records.
  *
  * <p>Used by one thread.
  */
-final class RunRecords {
+final class BookingRecords {
 
     private final Map<String, Integer> runsByBooking = new HashMap<>();
 
@@ -33,10 +33,10 @@
     }
 
     /**
-     * Checks bookings: none ran twice, each served one ran, none that was told not to have run did.
+     * Checks that no booking ran twice, each served one ran, and no refused one ran.
      *
      * @param outcomes the outcomes by booking
-     * @return what did not hold
+     * @return the faults found
      */
     List<String> check(Map<String, Outcome> outcomes) {
         List<String> faults = new ArrayList<>();
--- a/standins/src/main/java/org/geraniumreach/standins/report/Comparison.java
+++ b/standins/src/main/java/org/geraniumreach/standins/report/Comparison.java
@@ -9,15 +9,15 @@
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 
 /**
- * The spread of each figure over the runs of each configuration.
+ * Summarizes each metric over the runs of each configuration.
  *
- * <p>Immutable after its making and safe for use by several threads.
+ * <p>Immutable after construction and safe for use by several threads.
  */
 final class Comparison {
 
-    private final Map<String, List<RunFigures>> runs = new TreeMap<>();
+    private final Map<String, List<RunMetrics>> runs = new TreeMap<>();
 
-    Comparison(List<RunFigures> all) {
+    Comparison(List<RunMetrics> all) {
         all.forEach(run -> runs.computeIfAbsent(run.configuration(), name -> new ArrayList<>())
                 .add(run));
     }
@@ -31,12 +31,12 @@
     }
 
     long held(String configuration) {
-        return runs.get(configuration).stream().filter(RunFigures::held).count();
+        return runs.get(configuration).stream().filter(RunMetrics::held).count();
     }
 
-    SummaryStatistics spread(String configuration, Figure figure) {
+    SummaryStatistics summary(String configuration, Metric metric) {
         SummaryStatistics statistics = new SummaryStatistics();
-        runs.get(configuration).forEach(run -> statistics.addValue(run.values().get(figure)));
+        runs.get(configuration).forEach(run -> statistics.addValue(run.values().get(metric)));
         return statistics;
     }
 
@@ -44,15 +44,15 @@
         List<String> lines = new ArrayList<>();
         for (String configuration : configurations()) {
             lines.add(configuration + ": " + count(configuration) + " runs, all held in " + held(configuration));
-            for (Figure figure : Figure.values()) {
-                SummaryStatistics spread = spread(configuration, figure);
+            for (Metric metric : Metric.values()) {
+                SummaryStatistics summary = summary(configuration, metric);
                 lines.add(String.format(
                         Locale.ROOT,
                         "  %-62s %10.2f  (%.2f to %.2f)",
-                        figure.label(),
-                        spread.getMean(),
-                        spread.getMin(),
-                        spread.getMax()));
+                        metric.label(),
+                        summary.getMean(),
+                        summary.getMin(),
+                        summary.getMax()));
             }
         }
         return lines;
--- a/standins/src/main/java/org/geraniumreach/standins/service/ServicePart.java
+++ b/standins/src/main/java/org/geraniumreach/standins/service/ServiceStandIn.java
@@ -13,19 +13,19 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.geraniumreach.standins.http.Answer;
 import org.geraniumreach.standins.http.Call;
-import org.geraniumreach.standins.http.Part;
+import org.geraniumreach.standins.http.StandIn;
 import org.geraniumreach.standins.http.StandInServer;
 
 /**
- * The stand-in plain service: runs any operation as often as it is asked to, and keeps a record of each run.
+ * The stand-in for a plain service: runs every operation it is called for and records each run.
  *
- * <p>It is the target that makes a doubled call visible: it knows no idempotency keys. Invariant: a call that was answered
- * is in the record. Safe for use by several threads.
+ * <p>It ignores idempotency keys, so duplicate calls are visible in its records. Invariant: every answered operation is
+ * recorded. Safe for use by several threads.
  */
-public final class ServicePart implements Part {
+public final class ServiceStandIn implements StandIn {
 
-    private static final String START = "/v1/operations/";
-    private static final int MOST_RUNS_IN_ANSWER = 10_000;
+    private static final String OPERATIONS_PATH = "/v1/operations/";
+    private static final int MAXIMUM_RUNS_PER_RESPONSE = 10_000;
 
     private final long latencyMillis;
     private final ScheduledExecutorService timer;
@@ -33,14 +33,14 @@
     private final List<ServiceRun> runs = new ArrayList<>();
 
     /**
-     * Starts the service.
+     * Starts the service and its HTTP server.
      *
-     * @param port its port
-     * @param latencyMillis how long an operation takes
-     * @param timer delays answers, not null
-     * @throws IOException if the port cannot be had
+     * @param port the port to listen on
+     * @param latencyMillis the duration of an operation, in milliseconds
+     * @param timer runs delayed tasks, not null
+     * @throws IOException if the port cannot be bound
      */
-    public ServicePart(int port, long latencyMillis, ScheduledExecutorService timer) throws IOException {
+    public ServiceStandIn(int port, long latencyMillis, ScheduledExecutorService timer) throws IOException {
         this.latencyMillis = latencyMillis;
         this.timer = timer;
         this.server = StandInServer.start("service-" + port, port, (call, faults) -> handle(call), timer);
@@ -54,16 +54,16 @@
     @Override
     public CompletionStage<Answer> administer(Call call) {
         return call.route().equals("GET /admin/ran")
-                ? ran(call).now()
-                : Answer.unknownPath(call).now();
+                ? runRecords(call).toCompletedStage()
+                : Answer.unknownPath(call).toCompletedStage();
     }
 
     private CompletionStage<Answer> handle(Call call) {
         if (call.route().equals("GET /v1/ran")) {
-            return ran(call).now();
+            return runRecords(call).toCompletedStage();
         }
-        if (!call.route().startsWith("POST " + START)) {
-            return Answer.unknownPath(call).now();
+        if (!call.route().startsWith("POST " + OPERATIONS_PATH)) {
+            return Answer.unknownPath(call).toCompletedStage();
         }
         return run(call);
     }
@@ -77,18 +77,18 @@
                 .put("account", run.account())
                 .put("request", run.body());
         if (latencyMillis == 0) {
-            return Answer.of(json).now();
+            return Answer.of(json).toCompletedStage();
         }
-        CompletableFuture<Answer> later = new CompletableFuture<>();
-        timer.schedule(() -> later.complete(Answer.of(json)), latencyMillis, TimeUnit.MILLISECONDS);
-        return later;
+        CompletableFuture<Answer> delayed = new CompletableFuture<>();
+        timer.schedule(() -> delayed.complete(Answer.of(json)), latencyMillis, TimeUnit.MILLISECONDS);
+        return delayed;
     }
 
     private ServiceRun record(Call call) {
         synchronized (runs) {
             ServiceRun run = new ServiceRun(
                     runs.size() + 1,
-                    call.pathAfter(START),
+                    call.pathAfter(OPERATIONS_PATH),
                     call.header("X-Account").orElse(""),
                     call.header("X-Attempt").orElse(""),
                     new String(call.body(), StandardCharsets.UTF_8),
@@ -98,12 +98,12 @@
         }
     }
 
-    private Answer ran(Call call) {
+    private Answer runRecords(Call call) {
         ObjectNode json = Call.JSON.createObjectNode();
         ArrayNode array = json.putArray("runs");
         synchronized (runs) {
             int from = (int) Math.min(runs.size(), call.number("after", 0));
-            int to = Math.min(runs.size(), from + MOST_RUNS_IN_ANSWER);
+            int to = Math.min(runs.size(), from + MAXIMUM_RUNS_PER_RESPONSE);
             runs.subList(from, to).forEach(run -> array.add(Call.JSON.valueToTree(run)));
             json.put("total", runs.size());
         }
--- a/standins/src/test/java/org/geraniumreach/standins/EnginePartTest.java
+++ b/standins/src/test/java/org/geraniumreach/standins/EngineStandInTest.java
@@ -17,11 +17,11 @@
 import org.geraniumreach.ports.PlatformException.Effect;
 import org.geraniumreach.ports.PlatformException.Reason;
 import org.geraniumreach.standins.answer.ExpectedAnswer;
-import org.geraniumreach.standins.engine.EnginePart;
+import org.geraniumreach.standins.engine.EngineStandIn;
 import org.geraniumreach.standins.http.Call;
 import org.geraniumreach.standins.http.Faults;
-import org.geraniumreach.standins.store.WeightPart;
 import org.geraniumreach.standins.store.WeightStore;
+import org.geraniumreach.standins.store.WeightStoreStandIn;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -32,72 +32,73 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.catchThrowableOfType;
 
-/** The engine's client against the stand-in. */
+/** Tests the engine client against the stand-in engine. */
 @Timeout(60)
-class EnginePartTest {
+class EngineStandInTest {
 
     private static final AdapterReference ADAPTER = AdapterReference.of("winding", "v1");
     private static final String PROMPT = "Summarise the fault note of the pump motor that came in this morning.";
-    private static final int TOKENS = 100;
-    private static final int LONG = 10_000;
+    private static final int MAXIMUM_TOKENS = 100;
+    private static final int LONG_ANSWER_TOKENS = 10_000;
     private static final Order ORDER = new Order(3, Duration.ofSeconds(5));
 
     private final StandInsFixture fixture = new StandInsFixture();
-    private WeightPart weights;
-    private EnginePart part;
+    private WeightStoreStandIn weights;
+    private EngineStandIn engineStandIn;
     private ModelEngine engine;
 
     @BeforeEach
     void start() throws Exception {
         int weightPort = StandInsFixture.freePort();
-        weights = new WeightPart(weightPort, new WeightStore(0, 10, 8, fixture.timer), fixture.timer);
+        weights = new WeightStoreStandIn(weightPort, new WeightStore(0, 10, 8, fixture.timer), fixture.timer);
         int port = StandInsFixture.freePort();
-        part = new EnginePart(port, StandInsFixture.fastEngine(), StandInsFixture.url(weightPort), fixture.timer);
+        engineStandIn =
+                new EngineStandIn(port, StandInsFixture.fastEngine(), StandInsFixture.url(weightPort), fixture.timer);
         engine = fixture.clients.modelEngine(StandInsFixture.url(port), StandInsFixture.ENGINE_LIMITS);
         engine.load(ADAPTER, ORDER);
     }
 
     @AfterEach
     void stop() {
-        part.server().close();
+        engineStandIn.server().close();
         weights.server().close();
         fixture.close();
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 7, 1000})
-    void anAnswerIsWholeAndInOrderWhateverTheReaderAsksForAtATime(int atATime) throws Exception {
+    void anAnswerIsCompleteAndInOrderForAnyDemandPerRequest(int demand) throws Exception {
         RecordingListener listener = new RecordingListener();
         EngineStream stream = engine.generate(generation("one"), ORDER, listener);
-        int expected = ExpectedAnswer.of(ADAPTER, PROMPT).length(TOKENS);
-        for (int asked = atATime; asked < expected + atATime; asked += atATime) {
-            stream.request(atATime);
-            listener.awaitChunks(Math.min(asked, expected));
+        int expected = ExpectedAnswer.of(ADAPTER, PROMPT).length(MAXIMUM_TOKENS);
+        for (int requested = demand; requested < expected + demand; requested += demand) {
+            stream.request(demand);
+            listener.awaitChunks(Math.min(requested, expected));
         }
         GenerationEnd end = listener.end.get(30, TimeUnit.SECONDS);
         assertThat(end.served()).isEqualTo(ADAPTER);
         assertThat(end.chunks()).isEqualTo(expected);
         assertThat(listener.text.toString())
-                .isEqualTo(ExpectedAnswer.of(ADAPTER, PROMPT).text(TOKENS));
+                .isEqualTo(ExpectedAnswer.of(ADAPTER, PROMPT).text(MAXIMUM_TOKENS));
     }
 
     @Test
-    void aReaderThatAsksForNoMoreIsToldNoMore() throws Exception {
+    void noChunksAreDeliveredWithoutDemand() throws Exception {
         RecordingListener listener = new RecordingListener();
         EngineStream stream = engine.generate(generation("slow"), ORDER, listener);
         stream.request(3);
         listener.awaitChunks(3);
         RecordingListener second = new RecordingListener();
-        engine.resume(AttemptId.of("slow"), 0, second).request(TOKENS);
+        engine.resume(AttemptId.of("slow"), 0, second).request(MAXIMUM_TOKENS);
         second.end.get(30, TimeUnit.SECONDS);
         assertThat(listener.sequences).containsExactly(0L, 1L, 2L);
     }
 
     @Test
-    void aStreamWhoseConnectionBrokeGoesOnAtTheNextToken() throws Exception {
-        // The companion sees a stream fail after some tokens. The engine goes on generating without a reader.
-        // A new connection brings the rest, each token once.
-        part.server().show(faults("{\"dropAfterChunks\":5,\"path\":\"/v1/streams\",\"count\":1}"));
+    void aStreamResumesAtTheNextTokenAfterItsConnectionBroke() throws Exception {
+        // A stream fails after some tokens while the engine continues to generate without a reader.
+        // A new connection must deliver the remaining tokens, each exactly once.
+        engineStandIn.server().setFaults(faults("{\"dropAfterChunks\":5,\"path\":\"/v1/streams\",\"count\":1}"));
         RecordingListener broken = new RecordingListener();
         engine.generate(generation("dropped"), ORDER, broken).request(1000);
         ExecutionException failure =
@@ -107,30 +108,30 @@
         engine.resume(AttemptId.of("dropped"), broken.sequences.size(), rest).request(1000);
         rest.end.get(30, TimeUnit.SECONDS);
         assertThat(broken.text.toString() + rest.text)
-                .isEqualTo(ExpectedAnswer.of(ADAPTER, PROMPT).text(TOKENS));
+                .isEqualTo(ExpectedAnswer.of(ADAPTER, PROMPT).text(MAXIMUM_TOKENS));
     }
 
     @Test
-    void aStreamWhoseConnectionWentSilentIsGivenUpAndGoesOnOnANewOne() throws Exception {
-        // The companion sees a stream stop without an end. Its connection stays open, but something in between has lost
-        // track of it. Without a limit on silence the answer would never come; a new connection brings the rest.
-        Generation running =
-                new Generation(AttemptId.of("silent"), AccountId.of("a"), ADAPTER, PROMPT + " At length.", LONG, 5);
+    void aStreamOnASilentConnectionTimesOutAndResumesOnANewConnection() throws Exception {
+        // A device on the network path loses the state of a connection, which stays open without delivering anything.
+        // Without an idle timeout the answer would never arrive; a new connection delivers the remaining tokens.
+        Generation running = new Generation(
+                AttemptId.of("silent"), AccountId.of("a"), ADAPTER, PROMPT + " At length.", LONG_ANSWER_TOKENS, 5);
         ExpectedAnswer expected = ExpectedAnswer.of(ADAPTER, running.prompt());
-        assertThat(expected.length(LONG)).isEqualTo(LONG);
+        assertThat(expected.length(LONG_ANSWER_TOKENS)).isEqualTo(LONG_ANSWER_TOKENS);
         RecordingListener silent = new RecordingListener();
-        engine.generate(running, ORDER, silent).request(LONG);
+        engine.generate(running, ORDER, silent).request(LONG_ANSWER_TOKENS);
         silent.awaitChunks(2);
-        part.server().silence();
+        engineStandIn.server().silenceConnections();
         assertThat(failureOf(silent).effect()).isEqualTo(Effect.UNKNOWN);
         RecordingListener rest = new RecordingListener();
-        engine.resume(AttemptId.of("silent"), silent.sequences.size(), rest).request(LONG);
+        engine.resume(AttemptId.of("silent"), silent.sequences.size(), rest).request(LONG_ANSWER_TOKENS);
         rest.end.get(30, TimeUnit.SECONDS);
-        assertThat(silent.text.toString() + rest.text).isEqualTo(expected.text(LONG));
+        assertThat(silent.text.toString() + rest.text).isEqualTo(expected.text(LONG_ANSWER_TOKENS));
     }
 
     @Test
-    void aStreamThatTheEngineDoesNotKnowHasNotRun() {
+    void resumingAnUnknownStreamReportsThatItHadNoEffect() {
         RecordingListener listener = new RecordingListener();
         engine.resume(AttemptId.of("never"), 0, listener).request(1);
         assertThat(failureOf(listener).effect()).isEqualTo(Effect.NONE);
@@ -138,8 +139,8 @@
     }
 
     @Test
-    void aResumeAtAnEngineThatIsDownProvesNothing() throws Exception {
-        part.server().show(faults("{\"down\":true}"));
+    void resumingAtAnUnreachableEngineReportsAnUnknownEffect() throws Exception {
+        engineStandIn.server().setFaults(faults("{\"down\":true}"));
         RecordingListener listener = new RecordingListener();
         engine.resume(AttemptId.of("perhaps"), 0, listener).request(1);
         assertThat(failureOf(listener).effect()).isEqualTo(Effect.UNKNOWN);
@@ -163,7 +164,7 @@
     }
 
     @Test
-    void aLoadWithoutAFreeSlotIsRefused() throws Exception {
+    void aLoadIsRefusedWithoutAFreeSlot() throws Exception {
         engine.load(AdapterReference.of("winding", "v2"), ORDER);
         PlatformException failure = catchThrowableOfType(
                 PlatformException.class, () -> engine.load(AdapterReference.of("winding", "v3"), ORDER));
@@ -171,9 +172,9 @@
     }
 
     @Test
-    void aRestartForgetsAdaptersAndStreams() throws Exception {
+    void aRestartDiscardsAdaptersAndStreams() throws Exception {
         long before = engine.state().incarnation();
-        part.restart();
+        engineStandIn.restart();
         ModelEngine.State state = engine.state();
         assertThat(state.incarnation()).isGreaterThan(before);
         assertThat(state.resident()).isEmpty();
@@ -181,8 +182,8 @@
     }
 
     @Test
-    void aWrongVersionIsToldBeforeTheFirstChunkAndByTheEnd() throws Exception {
-        part.server().show(faults("{\"wrongVersion\":true,\"path\":\"/v1/streams\"}"));
+    void aWrongVersionIsReportedBeforeTheFirstChunkAndAtTheEnd() throws Exception {
+        engineStandIn.server().setFaults(faults("{\"wrongVersion\":true,\"path\":\"/v1/streams\"}"));
         RecordingListener listener = new RecordingListener();
         EngineStream stream = engine.generate(generation("wrong"), ORDER, listener);
         assertThat(listener.served.get(30, TimeUnit.SECONDS)).isNotEqualTo(ADAPTER);
@@ -191,7 +192,7 @@
         GenerationEnd end = listener.end.get(30, TimeUnit.SECONDS);
         assertThat(end.served()).isNotEqualTo(ADAPTER);
         assertThat(listener.text.toString())
-                .isNotEqualTo(ExpectedAnswer.of(ADAPTER, PROMPT).text(TOKENS));
+                .isNotEqualTo(ExpectedAnswer.of(ADAPTER, PROMPT).text(MAXIMUM_TOKENS));
     }
 
     @Test
@@ -207,7 +208,7 @@
     }
 
     private static Generation generation(String attempt) {
-        return new Generation(AttemptId.of(attempt), AccountId.of("a"), ADAPTER, PROMPT, TOKENS, 5);
+        return new Generation(AttemptId.of(attempt), AccountId.of("a"), ADAPTER, PROMPT, MAXIMUM_TOKENS, 5);
     }
 
     private static PlatformException failureOf(RecordingListener listener) {
--- a/standins/src/test/java/org/geraniumreach/standins/StandInsFixture.java
+++ b/standins/src/test/java/org/geraniumreach/standins/StandInsFixture.java
@@ -14,19 +14,20 @@
 import org.geraniumreach.standalone.PlatformClients;
 import org.geraniumreach.standalone.PlatformClients.EngineLimits;
 import org.geraniumreach.standins.engine.EngineSettings;
-import org.geraniumreach.standins.table.TablePart;
+import org.geraniumreach.standins.table.TableStandIn;
 
-/** Free ports, threads and settings that the tests of the stand-ins share. */
+/** Provides ports, clients, a timer and settings to the tests of the stand-ins. */
 final class StandInsFixture implements AutoCloseable {
 
-    static final Duration LIMIT = Duration.ofMillis(500);
-    static final EngineLimits ENGINE_LIMITS = new EngineLimits(LIMIT, Duration.ofSeconds(5), Duration.ofSeconds(2));
+    static final Duration CALL_TIMEOUT = Duration.ofMillis(500);
+    static final EngineLimits ENGINE_LIMITS =
+            new EngineLimits(CALL_TIMEOUT, Duration.ofSeconds(5), Duration.ofSeconds(2));
 
-    private static final Duration WARM_UP_LIMIT = Duration.ofSeconds(30);
+    private static final Duration WARM_UP_TIMEOUT = Duration.ofSeconds(30);
 
     static {
-        // The first call of a process loads the classes of client and server, which takes longer than the limit on a
-        // busy machine.
+        // The first call of a process loads the client and server classes, which can exceed the call timeout on a busy
+        // machine.
         warmUp();
     }
 
@@ -37,12 +38,12 @@
         ScheduledExecutorService timer = Timers.create();
         try (PlatformClients clients = PlatformClients.create(1)) {
             int port = freePort();
-            TablePart part = new TablePart(port, 0, 0, timer);
-            TableService table = clients.tableService(url(port), WARM_UP_LIMIT);
+            TableStandIn standIn = new TableStandIn(port, 0, 0, timer);
+            TableService table = clients.tableService(url(port), WARM_UP_TIMEOUT);
             table.commit(Transaction.empty().withWrite(RowKey.of("warm", "up"), "0"));
-            part.server().close();
-        } catch (IOException | PlatformException failed) {
-            throw new ExceptionInInitializerError(failed);
+            standIn.server().close();
+        } catch (IOException | PlatformException failure) {
+            throw new ExceptionInInitializerError(failure);
         } finally {
             timer.shutdownNow();
         }
