--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/AnswerSink.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/AnswerSink.java
@@ -15,7 +15,7 @@
      * @param text the part's text, not null
      * @param taken run once the sink can take another part, not null
      */
-    void part(String text, Runnable taken);
+    void writePart(String text, Runnable taken);
 
     /**
      * Takes the end of a whole answer.
@@ -23,7 +23,7 @@
      * @param usage the tokens used, not null
      * @param finishReason why it ended, not null
      */
-    void finish(OpenAiAnswers.Usage usage, String finishReason);
+    void finish(OpenAiResponseWriter.Usage usage, String finishReason);
 
     /**
      * Takes a failure.
@@ -37,11 +37,11 @@
      *
      * @return true if it has
      */
-    boolean hasBegun();
+    boolean hasSentParts();
 
     /** Drops what was taken, for another try; only called before the caller has been sent any part. */
     void restart();
 
     /** Does what is due at an interval: keeps a silent stream alive, gives up a caller that takes nothing. */
-    void tick();
+    void onTick();
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/WholeAnswer.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/BufferedAnswer.java
@@ -10,26 +10,26 @@
  * <p>Invariant: nothing reaches the caller before the end, so a failed try can be made again from its start with {@link
  * #restart}. Confined to the call's lock.
  */
-final class WholeAnswer implements AnswerSink {
+final class BufferedAnswer implements AnswerSink {
 
     private final Call call;
-    private final OpenAiAnswers format;
+    private final OpenAiResponseWriter format;
     private final StringBuilder text = new StringBuilder();
 
-    WholeAnswer(Call call, OpenAiAnswers format) {
+    BufferedAnswer(Call call, OpenAiResponseWriter format) {
         this.call = call;
         this.format = format;
     }
 
     @Override
-    public void part(String part, Runnable taken) {
+    public void writePart(String part, Runnable taken) {
         text.append(part);
         taken.run();
     }
 
     @Override
-    public void finish(OpenAiAnswers.Usage usage, String finishReason) {
-        call.reply(ResultCode.OK.httpStatus(), format.whole(text.toString(), usage, finishReason));
+    public void finish(OpenAiResponseWriter.Usage usage, String finishReason) {
+        call.reply(ResultCode.OK.httpStatus(), format.fullResponse(text.toString(), usage, finishReason));
     }
 
     @Override
@@ -38,7 +38,7 @@
     }
 
     @Override
-    public boolean hasBegun() {
+    public boolean hasSentParts() {
         return false;
     }
 
@@ -48,7 +48,7 @@
     }
 
     @Override
-    public void tick() {
+    public void onTick() {
         // A caller of a whole answer waits for one reply; nothing can be sent before it.
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/CallerFront.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/CallerEndpoints.java
@@ -25,33 +25,34 @@
  *
  * <p>Safe for use by several threads.
  */
-final class CallerFront {
+final class CallerEndpoints {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final String IDEMPOTENCY_KEY = "Idempotency-Key";
-    private static final int LONGEST_IDEMPOTENCY_KEY = 255;
+    private static final int MAXIMUM_IDEMPOTENCY_KEY_LENGTH = 255;
 
-    private final EntryParts parts;
+    private final EntryDependencies dependencies;
     private final Supplier<MembershipView> membership;
-    private final OpenAiRequests requests;
+    private final OpenAiRequestReader requests;
     private final HttpLimits httpLimits;
     private final Clock wallClock;
     private volatile boolean draining;
 
-    CallerFront(EntryParts parts, Supplier<MembershipView> membership, HttpLimits httpLimits, Clock wallClock) {
-        this.parts = parts;
+    CallerEndpoints(
+            EntryDependencies parts, Supplier<MembershipView> membership, HttpLimits httpLimits, Clock wallClock) {
+        this.dependencies = parts;
         this.membership = membership;
-        this.requests = new OpenAiRequests(parts.limits());
+        this.requests = new OpenAiRequestReader(parts.limits());
         this.httpLimits = httpLimits;
         this.wallClock = wallClock;
     }
 
     Routes routes() {
         return Routes.none()
-                .plus("POST", "/v1/completions", measured(this::completions))
-                .plus("POST", "/v1/chat/completions", measured(this::chatCompletions))
-                .plus("GET", "/v1/models", measured(this::models))
-                .plus("POST", "/v1/services/{service}/{operation}", measured(this::service));
+                .plus("POST", "/v1/completions", authenticated(this::completions))
+                .plus("POST", "/v1/chat/completions", authenticated(this::chatCompletions))
+                .plus("GET", "/v1/models", authenticated(this::models))
+                .plus("POST", "/v1/services/{service}/{operation}", authenticated(this::service));
     }
 
     /** Refuses what comes from now on. */
@@ -59,14 +60,14 @@
         draining = true;
     }
 
-    private Endpoint measured(AuthenticatedEndpoint endpoint) {
+    private Endpoint authenticated(AuthenticatedEndpoint endpoint) {
         return call -> {
             Caller caller;
             try {
                 requireNotDraining();
-                caller = parts.admittance().authenticate(call);
+                caller = dependencies.authorizer().authenticate(call);
             } catch (ServingException refused) {
-                parts.metrics().countUnknownCaller(refused.code());
+                dependencies.metrics().countUnknownCaller(refused.code());
                 throw refused;
             }
             endpoint.handle(call, caller);
@@ -95,34 +96,35 @@
     }
 
     private void generate(Call call, Caller caller, GenerationRequest request) throws ServingException {
-        AdapterReference adapter = parts.admittance().requireAdapter(caller.id(), request.model());
-        String baseModel = parts.admittance()
+        AdapterReference adapter = dependencies.authorizer().requireAdapter(caller.id(), request.model());
+        String baseModel = dependencies
+                .authorizer()
                 .adapter(adapter)
                 .orElseThrow(() -> ServingException.notRun(ResultCode.ADAPTER_UNKNOWN, "no adapter " + adapter))
                 .baseModel();
-        GenerationCall generation = new GenerationCall(parts, caller, adapter, baseModel, request);
-        call.onCallerGone(generation::callerGone);
+        GenerationCall generation = new GenerationCall(dependencies, caller, adapter, baseModel, request);
+        call.onCallerGone(generation::onCallerGone);
         generation.start(sink(call, request, generation));
     }
 
     private AnswerSink sink(Call call, GenerationRequest request, GenerationCall generation) {
-        String id = AttemptId.random(parts.random()).value();
-        OpenAiAnswers format = new OpenAiAnswers(
+        String id = AttemptId.random(dependencies.random()).value();
+        OpenAiResponseWriter format = new OpenAiResponseWriter(
                 request.kind(), id, request.model(), wallClock.instant().getEpochSecond());
         if (!request.streamed()) {
-            return new WholeAnswer(call, format);
+            return new BufferedAnswer(call, format);
         }
-        StreamedAnswer.Patience patience =
-                new StreamedAnswer.Patience(parts.limits().keepAlive(), httpLimits.writeStall());
+        StreamedAnswer.Timeouts patience =
+                new StreamedAnswer.Timeouts(dependencies.limits().keepAlive(), httpLimits.writeStall());
         return new StreamedAnswer(
-                call, format, request.usageInStream(), patience, parts.clock(), generation::callerGone);
+                call, format, request.usageInStream(), patience, dependencies.clock(), generation::onCallerGone);
     }
 
     private void models(Call call, Caller caller) {
         ObjectNode answer = MAPPER.createObjectNode();
         answer.put("object", "list");
         ArrayNode data = answer.putArray("data");
-        for (AdapterReference reference : parts.admittance().current().adaptersOf(caller.id())) {
+        for (AdapterReference reference : dependencies.authorizer().current().adaptersOf(caller.id())) {
             data.addObject()
                     .put("id", reference.toString())
                     .put("object", "model")
@@ -138,13 +140,13 @@
                 .orElseThrow(() -> ServingException.notRun(
                         ResultCode.IDEMPOTENCY_KEY_MISSING, "send an " + IDEMPOTENCY_KEY + " with each call"));
         if (key.isEmpty()
-                || key.length() > LONGEST_IDEMPOTENCY_KEY
-                || !key.chars().allMatch(CallerFront::isPlain)) {
+                || key.length() > MAXIMUM_IDEMPOTENCY_KEY_LENGTH
+                || !key.chars().allMatch(CallerEndpoints::isPlain)) {
             throw ServingException.notRun(
                     ResultCode.MALFORMED_REQUEST,
-                    IDEMPOTENCY_KEY + ": must be 1 to " + LONGEST_IDEMPOTENCY_KEY + " visible ASCII characters");
+                    IDEMPOTENCY_KEY + ": must be 1 to " + MAXIMUM_IDEMPOTENCY_KEY_LENGTH + " visible ASCII characters");
         }
-        new ServiceCall(parts, membership, call, caller, named, key).start();
+        new ServiceCall(dependencies, membership, call, caller, named, key).start();
     }
 
     private static boolean isPlain(int character) {
@@ -156,7 +158,8 @@
         if (!Names.isName(serviceName)) {
             throw unknown;
         }
-        Service service = parts.admittance()
+        Service service = dependencies
+                .authorizer()
                 .current()
                 .service(ServiceName.of(serviceName))
                 .orElseThrow(() -> unknown);
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/LastStatus.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/CompanionStatuses.java
@@ -17,12 +17,12 @@
  * membership and records let the entry know its target; if it were dropped, the entry would not know what the target holds
  * for as long as the link lives. Invariant: what is kept holds all that is resident. Safe for use by several threads.
  */
-final class LastStatus {
+final class CompanionStatuses {
 
-    private final Map<InstanceId, Word> words = new ConcurrentHashMap<>();
+    private final Map<InstanceId, LinkStatus> statuses = new ConcurrentHashMap<>();
 
     /** A status, and the link that brought it: of two links with one instance, the older may close after the newer opens. */
-    private record Word(Object link, TargetStatus status) {}
+    private record LinkStatus(Object link, TargetStatus status) {}
 
     /**
      * Takes a status in.
@@ -31,13 +31,13 @@
      * @param link the link that brought it, not null
      * @param status its status, whole or changes, not null
      */
-    void note(InstanceId instance, Object link, TargetStatus status) {
-        words.merge(instance, new Word(link, status), LastStatus::merge);
+    void update(InstanceId instance, Object link, TargetStatus status) {
+        statuses.merge(instance, new LinkStatus(link, status), CompanionStatuses::merge);
     }
 
-    private static Word merge(Word before, Word after) {
+    private static LinkStatus merge(LinkStatus before, LinkStatus after) {
         boolean fromOtherLink = before.link() != after.link();
-        return fromOtherLink ? after : new Word(after.link(), merge(before.status(), after.status()));
+        return fromOtherLink ? after : new LinkStatus(after.link(), merge(before.status(), after.status()));
     }
 
     private static TargetStatus merge(TargetStatus before, TargetStatus status) {
@@ -65,7 +65,7 @@
     }
 
     Optional<TargetStatus> find(InstanceId instance) {
-        return Optional.ofNullable(words.get(instance)).map(Word::status);
+        return Optional.ofNullable(statuses.get(instance)).map(LinkStatus::status);
     }
 
     /**
@@ -74,7 +74,7 @@
      * @param instance the companion, not null
      * @param link the link that closed, not null
      */
-    void forget(InstanceId instance, Object link) {
-        words.computeIfPresent(instance, (companion, word) -> word.link() == link ? null : word);
+    void remove(InstanceId instance, Object link) {
+        statuses.computeIfPresent(instance, (companion, word) -> word.link() == link ? null : word);
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/EntryDaemon.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/EntryDaemon.java
@@ -15,7 +15,7 @@
 import org.geraniumreach.daemon.configuration.History;
 import org.geraniumreach.daemon.configuration.Submitter;
 import org.geraniumreach.daemon.event.EventLog;
-import org.geraniumreach.daemon.http.HttpFront;
+import org.geraniumreach.daemon.http.HttpListener;
 import org.geraniumreach.daemon.ledger.LedgerService;
 import org.geraniumreach.daemon.node.Daemon;
 import org.geraniumreach.daemon.node.Foundation;
@@ -47,36 +47,36 @@
 
     private static final int BUDGET_THREADS = 2;
     private static final int LEDGER_THREADS = 16;
-    private static final Duration SHARES_BACK = Duration.ofSeconds(3);
+    private static final Duration SHARE_RELEASE_LIMIT = Duration.ofSeconds(3);
 
     private final EntrySettings settings;
-    private final Foundation foundation;
+    private final Foundation nodeServices;
     private final ScheduledThreadPoolExecutor budgetThreads = threads(BUDGET_THREADS, "budget");
     private final ScheduledThreadPoolExecutor ledgerThreads = threads(LEDGER_THREADS, "ledger");
     private final LinkAttempts attempts;
     private final BudgetService budget;
     private final LedgerService ledger;
     private final Fleet fleet;
-    private final ActiveCalls active = new ActiveCalls();
-    private final CallerFront callers;
+    private final ActiveCalls activeCalls = new ActiveCalls();
+    private final CallerEndpoints callers;
     private final Submitter submitter;
-    private HttpFront callersFront;
-    private HttpFront operatorFront;
+    private HttpListener callersFront;
+    private HttpListener operatorFront;
     private volatile boolean draining;
 
     private EntryDaemon(EntrySettings settings, Foundation foundation) {
         this.settings = settings;
-        this.foundation = foundation;
+        this.nodeServices = foundation;
         this.attempts = LinkAttempts.start(
                 foundation.links(),
                 foundation.linkSettings(),
                 foundation.clock(),
                 foundation.timer(),
                 (event, detail) -> EventLog.write(event, "{}", detail));
-        this.budget = new BudgetService(settings.budget(), budgetSurroundings());
-        this.ledger = new LedgerService(settings.ledger(), ledgerSurroundings());
+        this.budget = new BudgetService(settings.budget(), budgetDependencies());
+        this.ledger = new LedgerService(settings.ledger(), ledgerDependencies());
         this.fleet = fleet();
-        this.callers = new CallerFront(parts(), foundation.membership(), settings.http(), Clock.systemUTC());
+        this.callers = new CallerEndpoints(dependencies(), foundation.membership(), settings.http(), Clock.systemUTC());
         this.submitter = new Submitter(
                 foundation.configuration(),
                 settings.configuration(),
@@ -93,10 +93,10 @@
      * @throws IOException if an address cannot be had
      */
     public static EntryDaemon start(EntrySettings settings) throws IOException {
-        Foundation foundation = Foundation.start(settings.foundation(), Foundation.RoleHello.none());
+        Foundation foundation = Foundation.start(settings.nodeServices(), Foundation.RoleHello.none());
         EntryDaemon daemon = new EntryDaemon(settings, foundation);
         try {
-            daemon.startParts();
+            daemon.startServices();
         } catch (IOException taken) {
             daemon.close();
             throw taken;
@@ -105,22 +105,22 @@
         return daemon;
     }
 
-    private BudgetService.Surroundings budgetSurroundings() {
+    private BudgetService.Surroundings budgetDependencies() {
         return new BudgetService.Surroundings(
-                foundation.instance(),
+                nodeServices.instance(),
                 settings.node().link(),
-                foundation.incarnation(),
-                foundation.table(),
-                foundation.links(),
+                nodeServices.incarnation(),
+                nodeServices.table(),
+                nodeServices.links(),
                 this::listReading,
-                foundation.configuration()::current,
-                foundation.clock(),
-                foundation.random(),
+                nodeServices.configuration()::current,
+                nodeServices.clock(),
+                nodeServices.random(),
                 budgetThreads);
     }
 
     private Optional<ListReading> listReading() {
-        return foundation
+        return nodeServices
                 .membership()
                 .lastReading()
                 .map(reading -> new ListReading(
@@ -130,23 +130,23 @@
                                 .toList()));
     }
 
-    private LedgerService.Surroundings ledgerSurroundings() {
+    private LedgerService.Surroundings ledgerDependencies() {
         return new LedgerService.Surroundings(
-                foundation.instance(),
-                foundation.incarnation(),
-                foundation.table(),
-                foundation.objects(),
+                nodeServices.instance(),
+                nodeServices.incarnation(),
+                nodeServices.table(),
+                nodeServices.objects(),
                 attempts,
                 this::isLive,
                 this::isGone,
                 Clock.systemUTC(),
-                foundation.random(),
+                nodeServices.random(),
                 ledgerThreads);
     }
 
     private boolean isLive(InstanceId instance) {
-        return instance.equals(foundation.instance())
-                || foundation
+        return instance.equals(nodeServices.instance())
+                || nodeServices
                         .membership()
                         .get()
                         .member(instance)
@@ -156,57 +156,57 @@
 
     /** An entry that has not read the list yet knows of nobody, which says nothing of who is gone. */
     private boolean isGone(InstanceId instance) {
-        return foundation.membership().lastReading().isPresent() && !isLive(instance);
+        return nodeServices.membership().lastReading().isPresent() && !isLive(instance);
     }
 
     private Fleet fleet() {
         RoutingSettings routing = settings.routing();
-        FleetView view = FleetView.create(foundation.clock());
-        TargetHealth health = TargetHealth.create(routing.ejection(), foundation.clock(), foundation.random());
+        FleetView view = FleetView.create(nodeServices.clock());
+        TargetHealth health = TargetHealth.create(routing.ejection(), nodeServices.clock(), nodeServices.random());
         PrefixDirectory prefixes = DecayingPrefixDirectory.create(
-                foundation.clock(), routing.prefixHalfLife(), routing.rememberedPrefixes());
+                nodeServices.clock(), routing.prefixHalfLife(), routing.rememberedPrefixes());
         RouterSettings routerSettings = new RouterSettings(
                 routing.weights(),
                 Optional.of(FailureDomain.of(settings.node().failureDomain())),
                 routing.rememberedAdapters());
         Router router =
-                routing.policy().createRouter(view, health::admits, prefixes, routerSettings, foundation.random());
+                routing.policy().createRouter(view, health::admits, prefixes, routerSettings, nodeServices.random());
         return new Fleet(view, router, health, prefixes);
     }
 
-    private EntryParts parts() {
+    private EntryDependencies dependencies() {
         RoutingSettings routing = settings.routing();
         RetryBudget retryBudget = RetryBudget.create(
-                foundation.clock(),
+                nodeServices.clock(),
                 routing.retryRatio(),
                 routing.retryFloorPerSecond(),
-                RoutingSettings.RETRY_BUDGET_SIZE);
+                RoutingSettings.MAXIMUM_SAVED_RETRIES);
         RetryPolicy retries = RetryPolicy.budgeted(
                 retryBudget,
                 new Backoff(routing.firstBackoff(), routing.longestBackoff()),
                 routing.tries(),
-                foundation.random());
-        return new EntryParts(
-                new Admittance(foundation.configuration()),
+                nodeServices.random());
+        return new EntryDependencies(
+                new RequestAuthorizer(nodeServices.configuration()),
                 budget,
                 ledger,
                 fleet,
                 attempts,
-                active,
+                activeCalls,
                 retries,
                 retryBudget,
-                foundation.metrics(),
+                nodeServices.metrics(),
                 settings.requests(),
-                foundation.clock(),
-                foundation.random(),
-                foundation.timer());
+                nodeServices.clock(),
+                nodeServices.random(),
+                nodeServices.timer());
     }
 
-    private void startParts() throws IOException {
-        foundation.links().handle(EnumSet.of(Frame.BodyCase.STATUS), fleet);
-        foundation.membership().listen((before, after) -> refreshFleet());
-        foundation.configuration().listen((before, after, withdrawnKeys) -> {
-            active.cancel(withdrawnKeys);
+    private void startServices() throws IOException {
+        nodeServices.links().handle(EnumSet.of(Frame.BodyCase.STATUS), fleet);
+        nodeServices.membership().listen((before, after) -> refreshFleet());
+        nodeServices.configuration().listen((before, after, withdrawnKeys) -> {
+            activeCalls.cancel(withdrawnKeys);
             budget.configurationChanged();
             refreshFleet();
         });
@@ -214,54 +214,56 @@
         budget.start();
         ledger.start();
         startMeters();
-        operatorFront = HttpFront.start(
+        operatorFront = HttpListener.start(
                 "operator",
                 settings.operator().http(),
                 settings.operator().address(),
                 operatorEndpoints().routes(),
-                foundation.blocking());
-        callersFront = HttpFront.start("callers", settings.http(), settings.callers(), callers.routes(), Runnable::run);
-        foundation.startManagement(this::reasonNotReady);
+                nodeServices.blocking());
+        callersFront =
+                HttpListener.start("callers", settings.http(), settings.callers(), callers.routes(), Runnable::run);
+        nodeServices.startManagement(this::reasonNotReady);
     }
 
     private void refreshFleet() {
-        fleet.refresh(foundation.membership().get(), foundation.configuration().current());
+        fleet.refresh(
+                nodeServices.membership().get(), nodeServices.configuration().current());
     }
 
     private OperatorEndpoints operatorEndpoints() {
         return new OperatorEndpoints(
                 KeyDigest.ofHexadecimal(settings.operator().credentialDigest()),
-                foundation.configuration(),
+                nodeServices.configuration(),
                 submitter,
-                new History(foundation.table(), foundation.clock()),
+                new History(nodeServices.table(), nodeServices.clock()),
                 new OperatorStatus(
-                        foundation.instance(),
-                        foundation.configuration(),
-                        foundation.membership(),
-                        foundation.clock()));
+                        nodeServices.instance(),
+                        nodeServices.configuration(),
+                        nodeServices.membership(),
+                        nodeServices.clock()));
     }
 
     private void startMeters() {
-        foundation.metrics().gauge("geraniumreach.calls.active", "Generations that are running.", active::size);
-        foundation
+        nodeServices.metrics().gauge("geraniumreach.calls.active", "Generations that are running.", activeCalls::size);
+        nodeServices
                 .metrics()
                 .gauge(
                         "geraniumreach.configuration.revision",
                         "The configuration's revision in force.",
-                        () -> foundation.configuration().current().revision());
-        foundation
+                        () -> nodeServices.configuration().current().revision());
+        nodeServices
                 .metrics()
                 .gauge(
                         "geraniumreach.companions",
                         "Companions that new work may be sent to.",
-                        () -> Fleet.companions(foundation.membership().get()));
+                        () -> Fleet.countCompanions(nodeServices.membership().get()));
     }
 
     private Optional<String> reasonNotReady() {
         if (draining) {
             return Optional.of("the entry is leaving");
         }
-        return foundation.configuration().reasonNotReady();
+        return nodeServices.configuration().reasonNotReady();
     }
 
     @Override
@@ -270,7 +272,7 @@
         callers.drain();
         callersFront.drain();
         submitter.close();
-        foundation.membership().announceLeaving();
+        nodeServices.membership().announceLeaving();
     }
 
     @Override
@@ -292,19 +294,20 @@
             operatorFront.close();
         }
         if (draining) {
-            giveSharesBack();
+            releaseShares();
         }
         budget.close();
         ledger.close();
         attempts.close();
         budgetThreads.shutdownNow();
         ledgerThreads.shutdownNow();
-        foundation.close();
+        nodeServices.close();
     }
 
     /** Shares that are not given back stay with nobody until the quarantine is over, and their account is short of them. */
-    private void giveSharesBack() {
-        long patience = settings.budget().loanDuration().plus(SHARES_BACK).toMillis();
+    private void releaseShares() {
+        long patience =
+                settings.budget().loanDuration().plus(SHARE_RELEASE_LIMIT).toMillis();
         try {
             budget.release().get(patience, TimeUnit.MILLISECONDS);
         } catch (InterruptedException interrupted) {
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/EntryParts.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/EntryDependencies.java
@@ -16,13 +16,13 @@
  *
  * <p>Immutable; each part is safe for use by several threads.
  *
- * @param admittance checks who sent a call
+ * @param authorizer checks who sent a call
  * @param budget the client accounts' budgets
  * @param ledger the requests that may run once only
  * @param fleet the targets
  * @param attempts sends to companions
- * @param active the calls that are running
- * @param retries decides on further tries
+ * @param activeCalls the calls that are running
+ * @param retryPolicy decides on further tries
  * @param retryBudget bounds further tries
  * @param metrics the meters
  * @param limits what a request may ask for
@@ -30,14 +30,14 @@
  * @param random the source of attempt ids
  * @param timer runs what waits; its tasks do not block
  */
-record EntryParts(
-        Admittance admittance,
+record EntryDependencies(
+        RequestAuthorizer authorizer,
         BudgetService budget,
         LedgerService ledger,
         Fleet fleet,
         Attempts attempts,
-        ActiveCalls active,
-        RetryPolicy retries,
+        ActiveCalls activeCalls,
+        RetryPolicy retryPolicy,
         RetryBudget retryBudget,
         NodeMetrics metrics,
         GenerationLimits limits,
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/EntrySettings.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/EntrySettings.java
@@ -58,7 +58,7 @@
         }
     }
 
-    Foundation.Settings foundation() {
+    Foundation.Settings nodeServices() {
         return new Foundation.Settings(role, node, platform, links, membership, configuration);
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/Fleet.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/Fleet.java
@@ -45,8 +45,8 @@
     private final Router router;
     private final TargetHealth health;
     private final PrefixDirectory prefixes;
-    private final Set<TargetId> known = new HashSet<>();
-    private final LastStatus lastStatus = new LastStatus();
+    private final Set<TargetId> knownTargets = new HashSet<>();
+    private final CompanionStatuses companionStatuses = new CompanionStatuses();
     private final Map<InstanceId, Long> fences = new ConcurrentHashMap<>();
     private MembershipView membership = MembershipView.empty();
     private Configuration configuration = Configuration.empty();
@@ -68,8 +68,11 @@
         membership = present;
         configuration = records;
         Map<TargetId, Member> owners = owners();
-        owners.forEach((target, member) -> configuration.target(target).ifPresent(record -> join(record, member)));
-        known.stream().filter(target -> !owners.containsKey(target)).toList().forEach(this::leave);
+        owners.forEach((target, member) -> configuration.target(target).ifPresent(record -> addTarget(record, member)));
+        knownTargets.stream()
+                .filter(target -> !owners.containsKey(target))
+                .toList()
+                .forEach(this::removeTarget);
         fences.keySet().removeIf(instance -> membership.member(instance).isEmpty());
     }
 
@@ -95,24 +98,24 @@
         return fences.getOrDefault(instance, 0L);
     }
 
-    private void join(Target target, Member member) {
+    private void addTarget(Target target, Member member) {
         boolean same = view.find(target.id())
                 .filter(seen -> seen.instance().equals(member.instance()))
                 .isPresent();
         if (same) {
             return;
         }
-        known.add(target.id());
+        knownTargets.add(target.id());
         view.join(target, member.instance());
         health.add(target.id());
-        lastStatus
+        companionStatuses
                 .find(member.instance())
                 .filter(word -> word.target().equals(target.id()))
                 .ifPresent(view::apply);
     }
 
-    private void leave(TargetId target) {
-        known.remove(target);
+    private void removeTarget(TargetId target) {
+        knownTargets.remove(target);
         view.leave(target);
         health.remove(target);
         prefixes.invalidate(target);
@@ -120,10 +123,10 @@
 
     @Override
     public void opened(Peer peer) {
-        noteFence(peer, peer.hello().getFence());
+        updateFence(peer, peer.hello().getFence());
     }
 
-    private void noteFence(Peer peer, long fence) {
+    private void updateFence(Peer peer, long fence) {
         InstanceId instance = InstanceId.of(peer.hello().getInstance());
         if (fence > fenceOf(instance)) {
             fences.put(instance, fence);
@@ -139,13 +142,13 @@
     public void received(Peer peer, Frame frame) {
         TargetStatus status;
         try {
-            status = statusOf(frame.getStatus());
+            status = toTargetStatus(frame.getStatus());
         } catch (IllegalArgumentException invalid) {
             peer.close("invalid status: " + invalid.getMessage());
             return;
         }
-        lastStatus.note(InstanceId.of(peer.hello().getInstance()), peer, status);
-        noteFence(peer, frame.getStatus().getFence());
+        companionStatuses.update(InstanceId.of(peer.hello().getInstance()), peer, status);
+        updateFence(peer, frame.getStatus().getFence());
         if (isOwner(status.target(), peer)) {
             view.apply(status);
         }
@@ -160,10 +163,10 @@
 
     @Override
     public void closed(Peer peer, String reason) {
-        lastStatus.forget(InstanceId.of(peer.hello().getInstance()), peer);
+        companionStatuses.remove(InstanceId.of(peer.hello().getInstance()), peer);
     }
 
-    private static TargetStatus statusOf(Status status) {
+    private static TargetStatus toTargetStatus(Status status) {
         return new TargetStatus(
                 TargetId.of(status.getTarget()),
                 status.getSequence(),
@@ -192,21 +195,21 @@
         return router.route(request);
     }
 
-    SentRequest sent(TargetId target) {
+    SentRequest recordSent(TargetId target) {
         return view.recordSent(target);
     }
 
-    void prefixEnded(PrefixDigest prefix, TargetId target, boolean hit) {
+    void recordPrefixResult(PrefixDigest prefix, TargetId target, boolean hit) {
         prefixes.onRequestEnded(prefix, target, hit);
     }
 
-    void succeeded(TargetId target) {
+    void recordSuccess(TargetId target) {
         if (health.onSuccess(target) == TargetHealth.Change.RESTORED) {
             EventLog.write(EventCode.TARGET_RESTORED, "{}", target);
         }
     }
 
-    void failed(TargetId target) {
+    void recordFailure(TargetId target) {
         if (health.onFailure(target) == TargetHealth.Change.EJECTED) {
             EventLog.write(EventCode.TARGET_EJECTED, "{}", target);
         }
@@ -218,7 +221,7 @@
      * @param membership who is there, not null
      * @return the number
      */
-    static long companions(MembershipView membership) {
+    static long countCompanions(MembershipView membership) {
         return membership.members().stream()
                 .filter(member -> member.role() == MemberRole.COMPANION && member.acceptsWork())
                 .count();
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/GenerationCall.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/GenerationCall.java
@@ -40,23 +40,23 @@
  */
 final class GenerationCall implements BudgetCallback {
 
-    private static final int CREDIT = 32;
-    private static final Duration NO_TARGET_RETRY = Duration.ofSeconds(1);
+    private static final int INITIAL_CREDIT_CHUNKS = 32;
+    private static final Duration NO_TARGET_RETRY_AFTER = Duration.ofSeconds(1);
 
-    private final EntryParts parts;
+    private final EntryDependencies dependencies;
     private final Caller caller;
     private final AdapterReference adapter;
     private final String baseModel;
     private final GenerationRequest request;
     private final RequestMeters meters;
     private final Optional<PrefixDigest> prefix;
-    private final long tokensAtMost;
+    private final long reservedTokens;
     private final long startNanos;
     private final long deadlineNanos;
-    private final Set<TargetId> tried = new HashSet<>();
+    private final Set<TargetId> triedTargets = new HashSet<>();
     private AnswerSink sink;
     private Optional<Reservation> reservation = Optional.empty();
-    private Optional<Try> current = Optional.empty();
+    private Optional<Attempt> current = Optional.empty();
     private Optional<ScheduledFuture<?>> ticks = Optional.empty();
     private Optional<ServingException> lastFailure = Optional.empty();
     private boolean mayHaveRun;
@@ -67,15 +67,19 @@
     private long partsSeen;
 
     GenerationCall(
-            EntryParts parts, Caller caller, AdapterReference adapter, String baseModel, GenerationRequest request) {
-        this.parts = parts;
+            EntryDependencies parts,
+            Caller caller,
+            AdapterReference adapter,
+            String baseModel,
+            GenerationRequest request) {
+        this.dependencies = parts;
         this.caller = caller;
         this.adapter = adapter;
         this.baseModel = baseModel;
         this.request = request;
         this.meters = parts.metrics().requests(caller.id(), request.kind());
         this.prefix = prefixOf(adapter, request);
-        this.tokensAtMost = tokensAtMost(parts.limits(), request);
+        this.reservedTokens = reservedTokens(parts.limits(), request);
         this.startNanos = parts.clock().nanos();
         this.deadlineNanos = startNanos + parts.limits().deadline().toNanos();
     }
@@ -88,23 +92,24 @@
     void start(AnswerSink answer) {
         synchronized (this) {
             sink = answer;
-            long period = parts.limits().keepAlive().toMillis() / 2;
-            ticks = Optional.of(parts.timer().scheduleAtFixedRate(this::tick, period, period, TimeUnit.MILLISECONDS));
-            long left = parts.limits().deadline().toNanos();
-            deadline = Optional.of(parts.timer().schedule(this::deadlinePassed, left, TimeUnit.NANOSECONDS));
+            long period = dependencies.limits().keepAlive().toMillis() / 2;
+            ticks = Optional.of(
+                    dependencies.timer().scheduleAtFixedRate(this::onTick, period, period, TimeUnit.MILLISECONDS));
+            long left = dependencies.limits().deadline().toNanos();
+            deadline = Optional.of(dependencies.timer().schedule(this::onDeadline, left, TimeUnit.NANOSECONDS));
         }
-        parts.active().add(caller.key(), this::keyWithdrawn, this);
-        parts.budget().reserve(caller.id(), tokensAtMost, deadlineLeft(), this);
+        dependencies.activeCalls().add(caller.key(), this::onKeyWithdrawn, this);
+        dependencies.budget().reserve(caller.id(), reservedTokens, remainingTime(), this);
     }
 
-    private static long tokensAtMost(GenerationLimits limits, GenerationRequest request) {
+    private static long reservedTokens(GenerationLimits limits, GenerationRequest request) {
         int bytes = request.prompt().getBytes(StandardCharsets.UTF_8).length;
         int perToken = limits.bytesPerToken();
         return (bytes + perToken - 1) / perToken + (long) request.maximumTokens();
     }
 
-    private Duration deadlineLeft() {
-        return Duration.ofNanos(Math.max(0, deadlineNanos - parts.clock().nanos()));
+    private Duration remainingTime() {
+        return Duration.ofNanos(Math.max(0, deadlineNanos - dependencies.clock().nanos()));
     }
 
     @Override
@@ -123,22 +128,23 @@
     }
 
     private void send() {
-        Optional<Route> route = parts.fleet().route(routeRequest());
+        Optional<Route> route = dependencies.fleet().route(routeRequest());
         if (route.isEmpty()) {
             // After a failed try the caller is told of that failure: that no other target is left says less.
             fail(lastFailure.orElseGet(
                     () -> ServingException.notRun(ResultCode.NO_TARGET, "no live target can run " + adapter)
-                            .withRetryAfter(NO_TARGET_RETRY)));
+                            .withRetryAfter(NO_TARGET_RETRY_AFTER)));
             return;
         }
-        tried.add(route.get().target());
-        Try next = new Try(route.get(), parts.fleet().sent(route.get().target()));
+        triedTargets.add(route.get().target());
+        Attempt next = new Attempt(
+                route.get(), dependencies.fleet().recordSent(route.get().target()));
         current = Optional.of(next);
-        next.begin();
+        next.start();
     }
 
     private RouteRequest routeRequest() {
-        RouteRequest plain = RouteRequest.ofAdapter(baseModel, adapter).withExcluded(tried);
+        RouteRequest plain = RouteRequest.ofAdapter(baseModel, adapter).withExcluded(triedTargets);
         return prefix.map(plain::withPrefix).orElse(plain);
     }
 
@@ -153,7 +159,7 @@
     private Run runOf(AttemptId attempt) {
         return Run.newBuilder()
                 .setAttempt(attempt.value())
-                .setDeadlineLeftMillis(deadlineLeft().toMillis())
+                .setDeadlineLeftMillis(remainingTime().toMillis())
                 .setAccount(caller.id().value())
                 .setKeyDigest(ByteString.copyFrom(caller.key().toBytes()))
                 .setAdapter(adapter.adapter())
@@ -162,31 +168,31 @@
                 .setMaximumTokens(request.maximumTokens())
                 .setPriority(caller.account().priority())
                 .setRepeatable(true)
-                .setRevision(parts.admittance().current().revision())
-                .setPromptTokens(tokensAtMost - request.maximumTokens())
-                .setCredit(CREDIT)
+                .setRevision(dependencies.authorizer().current().revision())
+                .setPromptTokens(reservedTokens - request.maximumTokens())
+                .setCredit(INITIAL_CREDIT_CHUNKS)
                 .build();
     }
 
     /** One try at one target; it is heard only while it is the call's current one. */
-    private final class Try implements AttemptListener {
+    private final class Attempt implements AttemptListener {
 
         private final Route route;
-        private final SentRequest sending;
+        private final SentRequest sentRequest;
         private Optional<AttemptHandle> handle = Optional.empty();
-        private int owed;
+        private int pendingCredit;
 
-        Try(Route route, SentRequest sending) {
+        Attempt(Route route, SentRequest sending) {
             this.route = route;
-            this.sending = sending;
+            this.sentRequest = sending;
         }
 
-        void begin() {
-            Run run = runOf(AttemptId.random(parts.random()));
-            AttemptHandle started = parts.attempts().run(route.instance(), run, this);
+        void start() {
+            Run run = runOf(AttemptId.random(dependencies.random()));
+            AttemptHandle started = dependencies.attempts().run(route.instance(), run, this);
             handle = Optional.of(started);
-            if (owed > 0) {
-                started.request(owed);
+            if (pendingCredit > 0) {
+                started.request(pendingCredit);
             }
         }
 
@@ -196,7 +202,7 @@
 
         @Override
         public void accepted() {
-            sending.onAccepted();
+            sentRequest.onAccepted();
         }
 
         @Override
@@ -204,15 +210,15 @@
             synchronized (GenerationCall.this) {
                 if (isCurrent()) {
                     measurePart(tokens);
-                    sink.part(payload.toStringUtf8(), this::more);
+                    sink.writePart(payload.toStringUtf8(), this::requestMore);
                 }
             }
         }
 
-        private void more() {
+        private void requestMore() {
             synchronized (GenerationCall.this) {
                 if (handle.isEmpty()) {
-                    owed++;
+                    pendingCredit++;
                     return;
                 }
             }
@@ -221,9 +227,10 @@
 
         @Override
         public void ended(End end) {
-            sending.onEnded();
-            parts.fleet().succeeded(route.target());
-            prefix.ifPresent(digest -> parts.fleet().prefixEnded(digest, route.target(), end.getPrefixHit()));
+            sentRequest.onEnded();
+            dependencies.fleet().recordSuccess(route.target());
+            prefix.ifPresent(
+                    digest -> dependencies.fleet().recordPrefixResult(digest, route.target(), end.getPrefixHit()));
             synchronized (GenerationCall.this) {
                 if (isCurrent()) {
                     finish(end);
@@ -233,24 +240,25 @@
 
         @Override
         public void refused(Refused refused) {
-            sending.onEnded();
+            sentRequest.onEnded();
             ResultCode code = ResultCode.ofNumber(refused.getCode()).orElse(ResultCode.INTERNAL_ERROR);
-            ServingException failure = ServingException.of(code, ranOf(refused.getRan()), refused.getMessage());
+            ServingException failure =
+                    ServingException.of(code, executionStatusOf(refused.getRan()), refused.getMessage());
             if (refused.getRetryAfterMillis() > 0) {
                 failure = failure.withRetryAfter(Duration.ofMillis(refused.getRetryAfterMillis()));
             }
-            failed(failure, Retries.isTargetsFault(code), Retries.mayHelp(code));
+            onFailure(failure, RefusalClassifier.isTargetFailure(code), RefusalClassifier.isRetryable(code));
         }
 
         @Override
         public void lost(ExecutionStatus ran, String reason) {
-            sending.onEnded();
-            failed(ServingException.of(ResultCode.ANSWER_INTERRUPTED, ran, reason), true, true);
+            sentRequest.onEnded();
+            onFailure(ServingException.of(ResultCode.ANSWER_INTERRUPTED, ran, reason), true, true);
         }
 
-        private void failed(ServingException failure, boolean targetsFault, boolean mayHelp) {
+        private void onFailure(ServingException failure, boolean targetsFault, boolean mayHelp) {
             if (targetsFault) {
-                parts.fleet().failed(route.target());
+                dependencies.fleet().recordFailure(route.target());
             }
             synchronized (GenerationCall.this) {
                 if (isCurrent()) {
@@ -265,7 +273,7 @@
         }
     }
 
-    private static ExecutionStatus ranOf(int number) {
+    private static ExecutionStatus executionStatusOf(int number) {
         return number == 0 ? ExecutionStatus.NO : ExecutionStatus.UNKNOWN;
     }
 
@@ -273,8 +281,8 @@
         lastFailure = Optional.of(failure);
         mayHaveRun |= failure.executionStatus() != ExecutionStatus.NO;
         RetryPolicy.FailedAttempt facts = new RetryPolicy.FailedAttempt(
-                true, failure.executionStatus(), sink.hasBegun(), failures, deadlineLeft());
-        Optional<Duration> delay = mayHelp ? parts.retries().decide(facts) : Optional.empty();
+                true, failure.executionStatus(), sink.hasSentParts(), failures, remainingTime());
+        Optional<Duration> delay = mayHelp ? dependencies.retryPolicy().decide(facts) : Optional.empty();
         if (delay.isEmpty()) {
             fail(failure);
             return;
@@ -289,7 +297,7 @@
             reservation.ifPresent(used -> used.settle(used.tokens()));
             reservation = Optional.empty();
         }
-        parts.timer().schedule(this::sendAgain, delay.get().toNanos(), TimeUnit.NANOSECONDS);
+        dependencies.timer().schedule(this::sendAgain, delay.get().toNanos(), TimeUnit.NANOSECONDS);
     }
 
     private synchronized void sendAgain() {
@@ -297,18 +305,18 @@
             return;
         }
         if (reservation.isEmpty()) {
-            parts.budget().reserve(caller.id(), tokensAtMost, deadlineLeft(), this);
+            dependencies.budget().reserve(caller.id(), reservedTokens, remainingTime(), this);
             return;
         }
         send();
     }
 
     private void measurePart(int tokens) {
-        long now = parts.clock().nanos();
+        long now = dependencies.clock().nanos();
         if (partsSeen == 0) {
-            meters.firstToken(now - startNanos);
+            meters.recordFirstToken(now - startNanos);
         } else if (tokens > 0) {
-            meters.betweenTokens((now - lastPartNanos) / tokens);
+            meters.recordBetweenTokens((now - lastPartNanos) / tokens);
         }
         partsSeen++;
         lastPartNanos = now;
@@ -316,11 +324,12 @@
 
     private void finish(End end) {
         close(end.getPromptTokens() + (long) end.getGeneratedTokens());
-        parts.retryBudget().onSuccess();
-        meters.tokens(end.getPromptTokens(), end.getGeneratedTokens());
-        meters.waits(end.getQueueMicros(), end.getLoadMicros());
-        meters.result(ResultCode.OK);
-        sink.finish(new OpenAiAnswers.Usage(end.getPromptTokens(), end.getGeneratedTokens()), end.getFinishReason());
+        dependencies.retryBudget().onSuccess();
+        meters.countTokens(end.getPromptTokens(), end.getGeneratedTokens());
+        meters.recordWaits(end.getQueueMicros(), end.getLoadMicros());
+        meters.countResult(ResultCode.OK);
+        sink.finish(
+                new OpenAiResponseWriter.Usage(end.getPromptTokens(), end.getGeneratedTokens()), end.getFinishReason());
     }
 
     private void fail(ServingException failure) {
@@ -332,7 +341,7 @@
         ServingException told = mayHaveRun ? failure.withExecutionStatus(ExecutionStatus.UNKNOWN) : failure;
         // What a try may have used is counted as used, so that a failing target never lets an account above its rate.
         close(mayHaveRun ? reservation.map(Reservation::tokens).orElse(0L) : 0);
-        meters.result(told.code());
+        meters.countResult(told.code());
         EventLog.write(EventCode.REQUEST_REFUSED, "{} {} {}", caller.id(), adapter, told.code());
         sink.fail(told);
     }
@@ -342,33 +351,33 @@
         ticks.ifPresent(task -> task.cancel(false));
         deadline.ifPresent(task -> task.cancel(false));
         reservation.ifPresent(held -> held.settle(usedTokens));
-        parts.active().remove(caller.key(), this);
+        dependencies.activeCalls().remove(caller.key(), this);
     }
 
-    private synchronized void tick() {
+    private synchronized void onTick() {
         if (!ended) {
-            sink.tick();
+            sink.onTick();
         }
     }
 
-    private synchronized void deadlinePassed() {
-        giveUp(ServingException.of(ResultCode.DEADLINE_EXCEEDED, ranSoFar(), "the deadline has passed"));
+    private synchronized void onDeadline() {
+        abort(ServingException.of(ResultCode.DEADLINE_EXCEEDED, executionStatus(), "the deadline has passed"));
     }
 
-    private ExecutionStatus ranSoFar() {
-        return tried.isEmpty() ? ExecutionStatus.NO : ExecutionStatus.UNKNOWN;
+    private ExecutionStatus executionStatus() {
+        return triedTargets.isEmpty() ? ExecutionStatus.NO : ExecutionStatus.UNKNOWN;
     }
 
     /** Gives the call up because its caller went away. */
-    synchronized void callerGone() {
-        giveUp(ServingException.of(ResultCode.CANCELLED, ranSoFar(), "the caller went away"));
+    synchronized void onCallerGone() {
+        abort(ServingException.of(ResultCode.CANCELLED, executionStatus(), "the caller went away"));
     }
 
-    private synchronized void keyWithdrawn() {
-        giveUp(ServingException.of(ResultCode.KEY_REFUSED, ranSoFar(), "the key was withdrawn"));
+    private synchronized void onKeyWithdrawn() {
+        abort(ServingException.of(ResultCode.KEY_REFUSED, executionStatus(), "the key was withdrawn"));
     }
 
-    private void giveUp(ServingException failure) {
+    private void abort(ServingException failure) {
         if (ended) {
             return;
         }
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/OpenAiRequests.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/OpenAiRequestReader.java
@@ -11,16 +11,16 @@
  * <p>Contract: fields that choose how to sample, and others that are not known, are passed over, so that a client that
  * sends them can be used unchanged. Immutable and safe for use by several threads.
  */
-final class OpenAiRequests {
+final class OpenAiRequestReader {
 
     private final GenerationLimits limits;
 
-    OpenAiRequests(GenerationLimits limits) {
+    OpenAiRequestReader(GenerationLimits limits) {
         this.limits = limits;
     }
 
     GenerationRequest completion(JsonNode body) throws ServingException {
-        String prompt = text(body, "prompt");
+        String prompt = requireText(body, "prompt");
         return read(RequestClass.COMPLETION, body, prompt, 0);
     }
 
@@ -33,7 +33,7 @@
         int prefixLength = 0;
         for (JsonNode message : messages) {
             prefixLength = prompt.length();
-            prompt.append(text(message, "role"))
+            prompt.append(requireText(message, "role"))
                     .append(": ")
                     .append(content(message))
                     .append('\n');
@@ -48,12 +48,12 @@
         }
         return new GenerationRequest(
                 kind,
-                text(body, "model"),
+                requireText(body, "model"),
                 prompt,
                 prefixLength,
                 maximumTokens(body),
-                truth(body, "stream"),
-                truth(body.path("stream_options"), "include_usage"));
+                readBoolean(body, "stream"),
+                readBoolean(body.path("stream_options"), "include_usage"));
     }
 
     private int maximumTokens(JsonNode body) throws ServingException {
@@ -76,16 +76,16 @@
     private static String content(JsonNode message) throws ServingException {
         JsonNode content = message.path("content");
         if (!content.isArray()) {
-            return text(message, "content");
+            return requireText(message, "content");
         }
         StringBuilder parts = new StringBuilder();
         for (JsonNode part : content) {
-            parts.append(text(part, "text"));
+            parts.append(requireText(part, "text"));
         }
         return parts.toString();
     }
 
-    private static String text(JsonNode body, String field) throws ServingException {
+    private static String requireText(JsonNode body, String field) throws ServingException {
         JsonNode node = body.path(field);
         if (!node.isTextual()) {
             throw malformed(field, "must be text");
@@ -93,7 +93,7 @@
         return node.textValue();
     }
 
-    private static boolean truth(JsonNode body, String field) throws ServingException {
+    private static boolean readBoolean(JsonNode body, String field) throws ServingException {
         JsonNode node = body.path(field);
         if (node.isMissingNode() || node.isNull()) {
             return false;
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/OpenAiAnswers.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/OpenAiResponseWriter.java
@@ -11,7 +11,7 @@
  *
  * <p>Immutable and safe for use by several threads.
  */
-final class OpenAiAnswers {
+final class OpenAiResponseWriter {
 
     /** The data of the event that ends a stream. */
     static final byte[] DONE = "[DONE]".getBytes(StandardCharsets.US_ASCII);
@@ -23,7 +23,7 @@
     private final String model;
     private final long createdSeconds;
 
-    OpenAiAnswers(RequestClass kind, String attempt, String model, long createdSeconds) {
+    OpenAiResponseWriter(RequestClass kind, String attempt, String model, long createdSeconds) {
         this.chat = kind == RequestClass.CHAT;
         this.id = (chat ? "chatcmpl-" : "cmpl-") + attempt;
         this.model = model;
@@ -38,7 +38,7 @@
      * @param finishReason why it ended, not null
      * @return the JSON object, not null
      */
-    ObjectNode whole(String text, Usage usage, String finishReason) {
+    ObjectNode fullResponse(String text, Usage usage, String finishReason) {
         ObjectNode answer = start(chat ? "chat.completion" : "text_completion");
         ObjectNode choice = choice(answer);
         if (chat) {
@@ -58,8 +58,8 @@
      * @param first whether it is the first part
      * @return the event's data
      */
-    byte[] part(String text, boolean first) {
-        ObjectNode answer = start(partKind());
+    byte[] chunk(String text, boolean first) {
+        ObjectNode answer = start(chunkKind());
         ObjectNode choice = choice(answer);
         if (chat) {
             ObjectNode delta = choice.putObject("delta");
@@ -80,8 +80,8 @@
      * @param finishReason why it ended, not null
      * @return the event's data
      */
-    byte[] lastPart(String finishReason) {
-        ObjectNode answer = start(partKind());
+    byte[] finalChunk(String finishReason) {
+        ObjectNode answer = start(chunkKind());
         ObjectNode choice = choice(answer);
         if (chat) {
             choice.putObject("delta");
@@ -98,8 +98,8 @@
      * @param usage the tokens used, not null
      * @return the event's data
      */
-    byte[] usagePart(Usage usage) {
-        ObjectNode answer = start(partKind());
+    byte[] usageChunk(Usage usage) {
+        ObjectNode answer = start(chunkKind());
         answer.putArray("choices");
         putUsage(answer, usage);
         return bytes(answer);
@@ -113,7 +113,7 @@
      */
     record Usage(long promptTokens, long generatedTokens) {}
 
-    private String partKind() {
+    private String chunkKind() {
         return chat ? "chat.completion.chunk" : "text_completion";
     }
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/Retries.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/RefusalClassifier.java
@@ -10,16 +10,16 @@
  *
  * <p>Stateless and safe for use by several threads.
  */
-final class Retries {
+final class RefusalClassifier {
 
-    private static final Set<ResultCode> TARGETS_FAULT = EnumSet.of(
+    private static final Set<ResultCode> TARGET_FAILURES = EnumSet.of(
             ResultCode.LOAD_FAILED,
             ResultCode.TARGET_FAILED,
             ResultCode.WRONG_ADAPTER_SERVED,
             ResultCode.ANSWER_INTERRUPTED,
             ResultCode.INTERNAL_ERROR);
 
-    private static final Set<ResultCode> FINAL = EnumSet.of(
+    private static final Set<ResultCode> NOT_RETRYABLE = EnumSet.of(
             ResultCode.KEY_REFUSED,
             ResultCode.ADAPTER_NOT_ASSIGNED,
             ResultCode.ADAPTER_UNKNOWN,
@@ -27,7 +27,7 @@
             ResultCode.CANCELLED,
             ResultCode.DEADLINE_EXCEEDED);
 
-    private Retries() {}
+    private RefusalClassifier() {}
 
     /**
      * Queries whether a refusal counts against its target.
@@ -35,8 +35,8 @@
      * @param code the refusal, not null
      * @return true if it does; a companion that drains or is full is not at fault
      */
-    static boolean isTargetsFault(ResultCode code) {
-        return TARGETS_FAULT.contains(code);
+    static boolean isTargetFailure(ResultCode code) {
+        return TARGET_FAILURES.contains(code);
     }
 
     /**
@@ -45,7 +45,7 @@
      * @param code the refusal, not null
      * @return true if it might
      */
-    static boolean mayHelp(ResultCode code) {
-        return !FINAL.contains(code);
+    static boolean isRetryable(ResultCode code) {
+        return !NOT_RETRYABLE.contains(code);
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/Admittance.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/RequestAuthorizer.java
@@ -18,11 +18,11 @@
  * <p>Invariant: nothing is let through while the configuration cannot be confirmed as current, since a key may have been
  * withdrawn meanwhile. No message holds a key. Safe for use by several threads.
  */
-final class Admittance {
+final class RequestAuthorizer {
 
     private final ConfigurationService configuration;
 
-    Admittance(ConfigurationService configuration) {
+    RequestAuthorizer(ConfigurationService configuration) {
         this.configuration = configuration;
     }
 
@@ -39,7 +39,7 @@
      */
     Caller authenticate(Call call) throws ServingException {
         configuration.requireFresh();
-        String secret = call.bearer()
+        String secret = call.bearerToken()
                 .orElseThrow(() -> ServingException.notRun(ResultCode.KEY_MISSING, "send the key as a bearer token"));
         KeyDigest digest = KeyDigest.ofSecret(secret);
         Configuration now = configuration.current();
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/RoutingSettings.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/RoutingSettings.java
@@ -55,7 +55,7 @@
                 int rememberedPrefixes) {
 
     /** The retries that may be saved up. */
-    static final double RETRY_BUDGET_SIZE = 10;
+    static final double MAXIMUM_SAVED_RETRIES = 10;
 
     /** What counts most. */
     public enum Preset {
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/ServiceCall.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/ServiceCall.java
@@ -39,10 +39,10 @@
  */
 final class ServiceCall implements BudgetCallback, Dispatch {
 
-    private static final int CREDIT = 32;
-    private static final String REPLAYED = "Idempotency-Replayed";
+    private static final int INITIAL_CREDIT_CHUNKS = 32;
+    private static final String REPLAYED_HEADER = "Idempotency-Replayed";
 
-    private final EntryParts parts;
+    private final EntryDependencies dependencies;
     private final Supplier<MembershipView> membership;
     private final Call call;
     private final Caller caller;
@@ -52,17 +52,17 @@
     private final long tokens;
     private final RequestMeters meters;
     private final long deadlineNanos;
-    private final Map<InstanceId, TargetId> offered = new HashMap<>();
-    private final Set<TargetId> tried = new HashSet<>();
+    private final Map<InstanceId, TargetId> chosenTargets = new HashMap<>();
+    private final Set<TargetId> triedTargets = new HashSet<>();
 
     ServiceCall(
-            EntryParts parts,
+            EntryDependencies parts,
             Supplier<MembershipView> membership,
             Call call,
             Caller caller,
             Operation named,
             String idempotencyKey) {
-        this.parts = parts;
+        this.dependencies = parts;
         this.membership = membership;
         this.call = call;
         this.caller = caller;
@@ -84,16 +84,16 @@
     record Operation(ServiceName service, String name, long tokens) {}
 
     void start() {
-        parts.budget().reserve(caller.id(), tokens, deadlineLeft(), this);
+        dependencies.budget().reserve(caller.id(), tokens, remainingTime(), this);
     }
 
-    private Duration deadlineLeft() {
-        return Duration.ofNanos(Math.max(0, deadlineNanos - parts.clock().nanos()));
+    private Duration remainingTime() {
+        return Duration.ofNanos(Math.max(0, deadlineNanos - dependencies.clock().nanos()));
     }
 
     @Override
     public void granted(Reservation reservation) {
-        parts.ledger().perform(request, this).whenComplete((answer, failure) -> {
+        dependencies.ledger().perform(request, this).whenComplete((answer, failure) -> {
             if (failure == null) {
                 finish(answer, reservation);
             } else {
@@ -112,9 +112,9 @@
 
     private void finish(LedgerAnswer answer, Reservation reservation) {
         reservation.settle(answer.replayed() ? 0 : tokens);
-        meters.tokens(answer.replayed() ? 0 : tokens, 0);
-        meters.result(ResultCode.OK);
-        call.setHeader(REPLAYED, Boolean.toString(answer.replayed()));
+        meters.countTokens(answer.replayed() ? 0 : tokens, 0);
+        meters.countResult(ResultCode.OK);
+        call.setHeader(REPLAYED_HEADER, Boolean.toString(answer.replayed()));
         call.reply(ResultCode.OK.httpStatus(), "application/json", answer.body());
     }
 
@@ -125,15 +125,15 @@
 
     @Override
     public void refused(ServingException refusal) {
-        meters.result(refusal.code());
+        meters.countResult(refusal.code());
         call.fail(refusal);
     }
 
     @Override
     public synchronized Optional<Companion> choose() {
-        RouteRequest plain = RouteRequest.ofService(Offering.ofService(service)).withExcluded(tried);
-        return parts.fleet().route(plain).flatMap(route -> {
-            offered.put(route.instance(), route.target());
+        RouteRequest plain = RouteRequest.ofService(Offering.ofService(service)).withExcluded(triedTargets);
+        return dependencies.fleet().route(plain).flatMap(route -> {
+            chosenTargets.put(route.instance(), route.target());
             return membership
                     .get()
                     .member(route.instance())
@@ -146,10 +146,10 @@
     /** A target counts as tried once a request goes there; one that was only chosen may be chosen again. */
     @Override
     public synchronized Run runFor(AttemptId attempt, Companion companion) {
-        Optional.ofNullable(offered.get(companion.instance())).ifPresent(tried::add);
+        Optional.ofNullable(chosenTargets.get(companion.instance())).ifPresent(triedTargets::add);
         return Run.newBuilder()
                 .setAttempt(attempt.value())
-                .setDeadlineLeftMillis(deadlineLeft().toMillis())
+                .setDeadlineLeftMillis(remainingTime().toMillis())
                 .setAccount(caller.id().value())
                 .setKeyDigest(ByteString.copyFrom(caller.key().toBytes()))
                 .setService(service.value())
@@ -157,8 +157,8 @@
                 .setBody(ByteString.copyFrom(call.body()))
                 .setPriority(caller.account().priority())
                 .setCompanionIncarnation(companion.incarnation())
-                .setRevision(parts.admittance().current().revision())
-                .setCredit(CREDIT)
+                .setRevision(dependencies.authorizer().current().revision())
+                .setCredit(INITIAL_CREDIT_CHUNKS)
                 .build();
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/StreamedAnswer.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/StreamedAnswer.java
@@ -25,14 +25,14 @@
      * @param keepAlive the silence after which a comment is sent
      * @param stall how long the caller may take nothing
      */
-    record Patience(Duration keepAlive, Duration stall) {}
+    record Timeouts(Duration keepAlive, Duration stall) {}
 
     private final Call call;
-    private final OpenAiAnswers format;
+    private final OpenAiResponseWriter format;
     private final boolean withUsage;
-    private final Patience patience;
+    private final Timeouts timeouts;
     private final MonotonicClock clock;
-    private final Runnable callerGone;
+    private final Runnable onCallerGone;
     private EventStream stream;
     private volatile long lastWriteNanos;
     private volatile long blockedSinceNanos;
@@ -40,60 +40,60 @@
 
     StreamedAnswer(
             Call call,
-            OpenAiAnswers format,
+            OpenAiResponseWriter format,
             boolean withUsage,
-            Patience patience,
+            Timeouts patience,
             MonotonicClock clock,
             Runnable callerGone) {
         this.call = call;
         this.format = format;
         this.withUsage = withUsage;
-        this.patience = patience;
+        this.timeouts = patience;
         this.clock = clock;
-        this.callerGone = callerGone;
+        this.onCallerGone = callerGone;
     }
 
     @Override
-    public void part(String text, Runnable taken) {
+    public void writePart(String text, Runnable taken) {
         boolean first = stream == null;
-        if (first && !begin()) {
+        if (first && !open()) {
             return;
         }
-        if (!stream.event(format.part(text, first))) {
-            callerGone.run();
+        if (!stream.writeEvent(format.chunk(text, first))) {
+            onCallerGone.run();
             return;
         }
         lastWriteNanos = clock.nanos();
-        awaitRoom(taken);
+        awaitWritable(taken);
     }
 
-    private boolean begin() {
+    private boolean open() {
         Optional<EventStream> opened = call.stream();
         opened.ifPresent(open -> stream = open);
         return opened.isPresent();
     }
 
-    private void awaitRoom(Runnable taken) {
+    private void awaitWritable(Runnable taken) {
         blockedSinceNanos = clock.nanos();
         blocked = true;
-        stream.whenWritable(
+        stream.onWritable(
                 () -> {
                     blocked = false;
                     taken.run();
                 },
-                callerGone);
+                onCallerGone);
     }
 
     @Override
-    public void finish(OpenAiAnswers.Usage usage, String finishReason) {
-        if (stream == null && !begin()) {
+    public void finish(OpenAiResponseWriter.Usage usage, String finishReason) {
+        if (stream == null && !open()) {
             return;
         }
-        stream.event(format.lastPart(finishReason));
+        stream.writeEvent(format.finalChunk(finishReason));
         if (withUsage) {
-            stream.event(format.usagePart(usage));
+            stream.writeEvent(format.usageChunk(usage));
         }
-        stream.event(OpenAiAnswers.DONE);
+        stream.writeEvent(OpenAiResponseWriter.DONE);
         stream.end();
     }
 
@@ -105,12 +105,12 @@
         }
         // The status line is long sent. The error comes as an event, and the ending event never does, so that no client
         // takes the part it has for the whole.
-        stream.event(ErrorBody.of(failure).toString().getBytes(StandardCharsets.UTF_8));
+        stream.writeEvent(ErrorBody.of(failure).toString().getBytes(StandardCharsets.UTF_8));
         stream.end();
     }
 
     @Override
-    public boolean hasBegun() {
+    public boolean hasSentParts() {
         return stream != null;
     }
 
@@ -120,20 +120,20 @@
     }
 
     @Override
-    public void tick() {
+    public void onTick() {
         if (stream == null) {
             return;
         }
         long now = clock.nanos();
-        if (blocked && now - blockedSinceNanos > patience.stall().toNanos()) {
+        if (blocked && now - blockedSinceNanos > timeouts.stall().toNanos()) {
             stream.abort();
-            callerGone.run();
+            onCallerGone.run();
             return;
         }
-        if (!blocked && now - lastWriteNanos > patience.keepAlive().toNanos()) {
+        if (!blocked && now - lastWriteNanos > timeouts.keepAlive().toNanos()) {
             lastWriteNanos = now;
-            if (!stream.keepAlive()) {
-                callerGone.run();
+            if (!stream.writeKeepAlive()) {
+                onCallerGone.run();
             }
         }
     }
--- a/daemon/src/main/java/org/geraniumreach/daemon/event/JsonLinesWriter.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/event/JsonLinesWriter.java
@@ -24,7 +24,7 @@
 public final class JsonLinesWriter implements Writer {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final Pattern EVENT = Pattern.compile("\\[(\\d+)] (\\w+) (.*)", Pattern.DOTALL);
+    private static final Pattern EVENT_LINE = Pattern.compile("\\[(\\d+)] (\\w+) (.*)", Pattern.DOTALL);
 
     private final PrintStream output;
 
@@ -63,7 +63,7 @@
     }
 
     private static void putMessage(ObjectNode line, String message) {
-        Matcher event = EVENT.matcher(message);
+        Matcher event = EVENT_LINE.matcher(message);
         if (!event.matches()) {
             line.put("detail", message);
             return;
--- a/daemon/src/main/java/org/geraniumreach/daemon/http/Call.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/http/Call.java
@@ -28,22 +28,22 @@
 
     private static final ObjectMapper MAPPER =
             new ObjectMapper().enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS);
-    private static final String BEARER = "Bearer ";
+    private static final String BEARER_PREFIX = "Bearer ";
 
     private final Request request;
     private final Response response;
     private final byte[] body;
     private final List<String> parameters;
-    private final Runnable finished;
+    private final Runnable onFinished;
     private final AtomicBoolean answered = new AtomicBoolean();
-    private final List<CallerWatch> watches = new CopyOnWriteArrayList<>();
+    private final List<CallerWatch> callerWatches = new CopyOnWriteArrayList<>();
 
     Call(Request request, Response response, byte[] body, List<String> parameters, Runnable finished) {
         this.request = request;
         this.response = response;
         this.body = body;
         this.parameters = List.copyOf(parameters);
-        this.finished = finished;
+        this.onFinished = finished;
     }
 
     /**
@@ -81,10 +81,10 @@
      *
      * @return the secret, or empty if there is none
      */
-    public Optional<String> bearer() {
+    public Optional<String> bearerToken() {
         return header("Authorization")
-                .filter(value -> value.regionMatches(true, 0, BEARER, 0, BEARER.length()))
-                .map(value -> value.substring(BEARER.length()).trim())
+                .filter(value -> value.regionMatches(true, 0, BEARER_PREFIX, 0, BEARER_PREFIX.length()))
+                .map(value -> value.substring(BEARER_PREFIX.length()).trim())
                 .filter(secret -> !secret.isEmpty());
     }
 
@@ -195,14 +195,14 @@
      * @param action the action, run once at most, not null
      */
     public void onCallerGone(Runnable action) {
-        watches.add(CallerWatch.start(request.getRequest().getConnection(), action));
+        callerWatches.add(CallerWatch.start(request.getRequest().getConnection(), action));
     }
 
     private void finish() {
-        watches.forEach(CallerWatch::stop);
+        callerWatches.forEach(CallerWatch::stop);
         if (response.isSuspended()) {
             response.resume();
         }
-        finished.run();
+        onFinished.run();
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/http/EventStream.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/http/EventStream.java
@@ -11,24 +11,24 @@
  * A reply of server-sent events that is being written.
  *
  * <p>Invariant: what is written after the end is passed over, and the end is reached once. Contract: a writer that respects
- * {@link #whenWritable} keeps the memory of a slow caller bounded. Safe for use by several threads: a write and the end
+ * {@link #onWritable} keeps the memory of a slow caller bounded. Safe for use by several threads: a write and the end
  * exclude one another under the stream's lock.
  */
 public final class EventStream {
 
-    private static final byte[] PREFIX = "data: ".getBytes(StandardCharsets.US_ASCII);
-    private static final byte[] SUFFIX = "\n\n".getBytes(StandardCharsets.US_ASCII);
-    private static final byte[] COMMENT = ": keep-alive\n\n".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] EVENT_PREFIX = "data: ".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] EVENT_SUFFIX = "\n\n".getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] KEEP_ALIVE_COMMENT = ": keep-alive\n\n".getBytes(StandardCharsets.US_ASCII);
 
     private final Response response;
     private final NIOOutputStream output;
-    private final Runnable finished;
+    private final Runnable onFinished;
     private boolean ended;
 
     EventStream(Response response, Runnable finished) {
         this.response = response;
         this.output = response.getNIOOutputStream();
-        this.finished = finished;
+        this.onFinished = finished;
     }
 
     /**
@@ -37,8 +37,8 @@
      * @param data its data, one line of text, not null
      * @return false if the caller is gone or the stream has ended
      */
-    public synchronized boolean event(byte[] data) {
-        return write(PREFIX, data, SUFFIX);
+    public synchronized boolean writeEvent(byte[] data) {
+        return write(EVENT_PREFIX, data, EVENT_SUFFIX);
     }
 
     /**
@@ -46,8 +46,8 @@
      *
      * @return false if the caller is gone or the stream has ended
      */
-    public synchronized boolean keepAlive() {
-        return write(COMMENT);
+    public synchronized boolean writeKeepAlive() {
+        return write(KEEP_ALIVE_COMMENT);
     }
 
     private boolean write(byte[]... parts) {
@@ -71,7 +71,7 @@
      * @param action run at once if there is room, not null
      * @param gone run if the caller goes away first, not null
      */
-    public void whenWritable(Runnable action, Runnable gone) {
+    public void onWritable(Runnable action, Runnable gone) {
         if (output.canWrite()) {
             action.run();
             return;
@@ -92,7 +92,7 @@
     /** Ends the stream; harmless if it has ended. */
     public void end() {
         if (markEnded()) {
-            finished.run();
+            onFinished.run();
         }
     }
 
@@ -100,7 +100,7 @@
     public void abort() {
         if (markEnded()) {
             response.getRequest().getRequest().getConnection().closeSilently();
-            finished.run();
+            onFinished.run();
         }
     }
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/http/HttpFront.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/http/HttpListener.java
@@ -30,17 +30,17 @@
  * <p>Invariants: every call is answered, with a numbered error if an endpoint throws; a body above the limit is refused
  * before it is held. Safe for use by several threads.
  */
-public final class HttpFront implements AutoCloseable {
+public final class HttpListener implements AutoCloseable {
 
     private final String name;
     private final HttpLimits limits;
     private final HttpServer server;
     private final NetworkListener listener;
     private final Executor executor;
-    private final AtomicInteger open = new AtomicInteger();
+    private final AtomicInteger openCalls = new AtomicInteger();
     private volatile boolean draining;
 
-    private HttpFront(String name, HttpLimits limits, InetSocketAddress address, Executor executor) {
+    private HttpListener(String name, HttpLimits limits, InetSocketAddress address, Executor executor) {
         this.name = name;
         this.limits = limits;
         this.executor = executor;
@@ -59,10 +59,10 @@
      * @return the face, listening, not null
      * @throws IOException if the address cannot be had
      */
-    public static HttpFront start(
+    public static HttpListener start(
             String name, HttpLimits limits, InetSocketAddress address, Routes routes, Executor executor)
             throws IOException {
-        HttpFront front = new HttpFront(name, limits, address, executor);
+        HttpListener front = new HttpListener(name, limits, address, executor);
         front.configure(routes);
         front.server.start();
         return front;
@@ -102,8 +102,8 @@
         public void service(Request request, Response response) {
             Optional<Routes.Match> match = routes.find(request.getMethod().getMethodString(), request.getRequestURI());
             List<String> parameters = match.map(Routes.Match::parameters).orElse(List.of());
-            Endpoint endpoint = match.map(Routes.Match::endpoint).orElse(HttpFront::refuseUnknownPath);
-            open.incrementAndGet();
+            Endpoint endpoint = match.map(Routes.Match::endpoint).orElse(HttpListener::refuseUnknownPath);
+            openCalls.incrementAndGet();
             response.suspend();
             if (draining) {
                 response.setHeader("Connection", "close");
@@ -111,9 +111,10 @@
             BodyReader.read(
                     request,
                     limits.body().bytes(),
-                    body -> dispatch(endpoint, new Call(request, response, body, parameters, open::decrementAndGet)),
+                    body -> dispatch(
+                            endpoint, new Call(request, response, body, parameters, openCalls::decrementAndGet)),
                     failure -> refuse(
-                            new Call(request, response, new byte[0], parameters, open::decrementAndGet), failure));
+                            new Call(request, response, new byte[0], parameters, openCalls::decrementAndGet), failure));
         }
 
         private void refuse(Call call, ServingException failure) {
@@ -161,7 +162,7 @@
      * @return the number
      */
     public int openCalls() {
-        return open.get();
+        return openCalls.get();
     }
 
     /** Makes every further answer ask its caller to close the connection. */
--- a/daemon/src/main/java/org/geraniumreach/daemon/metrics/RequestMeters.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/metrics/RequestMeters.java
@@ -18,8 +18,8 @@
  */
 public final class RequestMeters {
 
-    private static final Duration[] WAITS = millis(1, 5, 20, 50, 100, 250, 500, 1_400, 3_000, 10_000);
-    private static final Duration[] GAPS = millis(1, 5, 10, 20, 40, 74, 150, 500, 2_000);
+    private static final Duration[] WAIT_BUCKETS = millis(1, 5, 20, 50, 100, 250, 500, 1_400, 3_000, 10_000);
+    private static final Duration[] TOKEN_GAP_BUCKETS = millis(1, 5, 10, 20, 40, 74, 150, 500, 2_000);
 
     private final MeterRegistry registry;
     private final Tags tags;
@@ -34,10 +34,13 @@
     RequestMeters(MeterRegistry registry, String account, RequestClass kind) {
         this.registry = registry;
         this.tags = Tags.of("account", account, "class", kind.label());
-        this.firstToken = timer("geraniumreach.first.token", "Time from the request to its first token.", WAITS);
-        this.betweenTokens = timer("geraniumreach.between.tokens", "Time between two tokens of an answer.", GAPS);
-        this.queueWait = timer("geraniumreach.queue.wait", "Time that a request waited at its companion.", WAITS);
-        this.loadWait = timer("geraniumreach.load.wait", "Time that a request waited for its adapter's load.", WAITS);
+        this.firstToken = timer("geraniumreach.first.token", "Time from the request to its first token.", WAIT_BUCKETS);
+        this.betweenTokens =
+                timer("geraniumreach.between.tokens", "Time between two tokens of an answer.", TOKEN_GAP_BUCKETS);
+        this.queueWait =
+                timer("geraniumreach.queue.wait", "Time that a request waited at its companion.", WAIT_BUCKETS);
+        this.loadWait =
+                timer("geraniumreach.load.wait", "Time that a request waited for its adapter's load.", WAIT_BUCKETS);
         this.promptTokens = counter("geraniumreach.tokens.prompt");
         this.generatedTokens = counter("geraniumreach.tokens.generated");
     }
@@ -58,11 +61,11 @@
         return Arrays.stream(values).mapToObj(Duration::ofMillis).toArray(Duration[]::new);
     }
 
-    public void firstToken(long nanos) {
+    public void recordFirstToken(long nanos) {
         firstToken.record(Duration.ofNanos(nanos));
     }
 
-    public void betweenTokens(long nanos) {
+    public void recordBetweenTokens(long nanos) {
         betweenTokens.record(Duration.ofNanos(nanos));
     }
 
@@ -72,7 +75,7 @@
      * @param queueMicros in its queue, in microseconds
      * @param loadMicros for its adapter, in microseconds
      */
-    public void waits(long queueMicros, long loadMicros) {
+    public void recordWaits(long queueMicros, long loadMicros) {
         queueWait.record(Duration.ofNanos(queueMicros * 1_000));
         loadWait.record(Duration.ofNanos(loadMicros * 1_000));
     }
@@ -83,7 +86,7 @@
      * @param prompt the prompt's tokens
      * @param generated the tokens generated
      */
-    public void tokens(long prompt, long generated) {
+    public void countTokens(long prompt, long generated) {
         promptTokens.increment(prompt);
         generatedTokens.increment(generated);
     }
@@ -93,7 +96,7 @@
      *
      * @param code the result, not null
      */
-    public void result(ResultCode code) {
+    public void countResult(ResultCode code) {
         results.computeIfAbsent(code, this::resultCounter).increment();
     }
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/node/DrainLoop.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/node/DrainLoop.java
@@ -16,13 +16,13 @@
  */
 public final class DrainLoop {
 
-    private static final long POLL_MILLIS = 50;
-    private static final long LEAST_POLLS_IDLE = 4;
+    private static final long POLL_INTERVAL_MILLIS = 50;
+    private static final long REQUIRED_IDLE_POLLS = 4;
 
     private final Daemon daemon;
     private final MonotonicClock clock;
     private final AtomicInteger signals = new AtomicInteger();
-    private final CountDownLatch told = new CountDownLatch(1);
+    private final CountDownLatch endSignalled = new CountDownLatch(1);
 
     /**
      * Makes a loop.
@@ -38,7 +38,7 @@
     /** Tells that the process is to end; a second call cuts off what runs. */
     public void signal() {
         signals.incrementAndGet();
-        told.countDown();
+        endSignalled.countDown();
     }
 
     /**
@@ -47,16 +47,16 @@
      * @throws InterruptedException if the thread is interrupted
      */
     public void run() throws InterruptedException {
-        told.await();
+        endSignalled.await();
         EventLog.write(EventCode.DRAINING, "{} requests running", daemon.running());
         daemon.drain();
         long deadline = clock.nanos() + daemon.drainLimit().toNanos();
         int idle = 0;
         // A request that had been sent before its sender heard of the drain may still be on its way, so one idle
         // reading is not the end.
-        while (idle < LEAST_POLLS_IDLE && signals.get() < 2 && clock.nanos() < deadline) {
+        while (idle < REQUIRED_IDLE_POLLS && signals.get() < 2 && clock.nanos() < deadline) {
             idle = daemon.running() == 0 ? idle + 1 : 0;
-            TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
         }
         int cut = daemon.running();
         if (cut > 0) {
--- a/daemon/src/main/java/org/geraniumreach/daemon/node/Foundation.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/node/Foundation.java
@@ -15,8 +15,8 @@
 import org.geraniumreach.daemon.configuration.ConfigurationSettings;
 import org.geraniumreach.daemon.configuration.ReplicatedConfiguration;
 import org.geraniumreach.daemon.event.EventLog;
-import org.geraniumreach.daemon.http.HttpFront;
 import org.geraniumreach.daemon.http.HttpLimits;
+import org.geraniumreach.daemon.http.HttpListener;
 import org.geraniumreach.daemon.membership.LinkedMembership;
 import org.geraniumreach.daemon.membership.MembershipSettings;
 import org.geraniumreach.daemon.metrics.NodeMetrics;
@@ -44,9 +44,9 @@
     private static final int PROTOCOL_VERSION = 1;
     private static final int PLATFORM_THREADS = 2;
     private static final int TIMER_THREADS = 2;
-    private static final int MOST_BLOCKING_THREADS = 64;
-    private static final long IDLE_SECONDS = 10;
-    private static final long MICROS_IN_MILLI = 1_000;
+    private static final int MAXIMUM_BLOCKING_THREADS = 64;
+    private static final long BLOCKING_THREAD_IDLE_SECONDS = 10;
+    private static final long MICROS_PER_MILLI = 1_000;
 
     private final Settings settings;
     private final InstanceId instance;
@@ -57,18 +57,24 @@
     private final LinkSettings linkSettings;
     private final PlatformClients clients = PlatformClients.create(PLATFORM_THREADS);
     private final TableService table;
-    private final ScheduledThreadPoolExecutor timer = new ScheduledThreadPoolExecutor(TIMER_THREADS, named("timer"));
+    private final ScheduledThreadPoolExecutor timer =
+            new ScheduledThreadPoolExecutor(TIMER_THREADS, threadFactory("timer"));
     private final ExecutorService blocking = new ThreadPoolExecutor(
-            0, MOST_BLOCKING_THREADS, IDLE_SECONDS, TimeUnit.SECONDS, new SynchronousQueue<>(), named("blocking"));
+            0,
+            MAXIMUM_BLOCKING_THREADS,
+            BLOCKING_THREAD_IDLE_SECONDS,
+            TimeUnit.SECONDS,
+            new SynchronousQueue<>(),
+            threadFactory("blocking"));
     private LinkNode links;
     private LinkedMembership membership;
     private ReplicatedConfiguration configuration;
-    private HttpFront management;
+    private HttpListener management;
 
     private Foundation(Settings settings) {
         this.settings = settings;
         this.instance = InstanceId.of(settings.node().instance());
-        this.incarnation = System.currentTimeMillis() * MICROS_IN_MILLI + random.nextInt((int) MICROS_IN_MILLI);
+        this.incarnation = System.currentTimeMillis() * MICROS_PER_MILLI + random.nextInt((int) MICROS_PER_MILLI);
         this.linkSettings = settings.links().toLinkSettings();
         this.table = clients.tableService(
                 PlatformSettings.uri(settings.platform().table()),
@@ -164,8 +170,8 @@
      * @throws IOException if the address cannot be had
      */
     public void startManagement(Supplier<Optional<String>> reasonNotReady) throws IOException {
-        ManagementFront front = new ManagementFront(metrics, reasonNotReady);
-        management = HttpFront.start(
+        ManagementEndpoints front = new ManagementEndpoints(metrics, reasonNotReady);
+        management = HttpListener.start(
                 "management", managementLimits(), settings.node().management(), front.routes(), blocking);
     }
 
@@ -177,7 +183,7 @@
         }
     }
 
-    private static ThreadFactory named(String name) {
+    private static ThreadFactory threadFactory(String name) {
         return task -> {
             Thread thread = new Thread(task, name);
             thread.setDaemon(true);
--- a/daemon/src/main/java/org/geraniumreach/daemon/node/ManagementFront.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/node/ManagementEndpoints.java
@@ -15,7 +15,7 @@
  * <p>Health says that the process can answer; readiness that it wants work, and if not, why. Immutable and safe for use by
  * several threads.
  */
-public final class ManagementFront {
+public final class ManagementEndpoints {
 
     private static final int UNAVAILABLE = 503;
     private static final String TEXT = "text/plain; charset=utf-8";
@@ -30,7 +30,7 @@
      * @param metrics the meters, not null
      * @param reasonNotReady tells why the process does not want work, empty if it does, not null
      */
-    public ManagementFront(NodeMetrics metrics, Supplier<Optional<String>> reasonNotReady) {
+    public ManagementEndpoints(NodeMetrics metrics, Supplier<Optional<String>> reasonNotReady) {
         this.metrics = metrics;
         this.reasonNotReady = reasonNotReady;
     }
--- a/daemon/src/main/java/org/geraniumreach/daemon/operator/OperatorEndpoints.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/operator/OperatorEndpoints.java
@@ -72,18 +72,18 @@
      */
     public Routes routes() {
         return Routes.none()
-                .plus("POST", "/operator/v1/submit", guarded(this::submit))
-                .plus("POST", "/operator/v1/withdraw", guarded(this::withdraw))
-                .plus("POST", "/operator/v1/validate", guarded(this::validate))
-                .plus("GET", "/operator/v1/records/{kind}", guarded(this::list))
-                .plus("GET", "/operator/v1/records/{kind}/{name}", guarded(this::show))
-                .plus("GET", "/operator/v1/history", guarded(this::history))
-                .plus("GET", "/operator/v1/status", guarded(call -> call.reply(OK, status.get())));
+                .plus("POST", "/operator/v1/submit", authenticated(this::submit))
+                .plus("POST", "/operator/v1/withdraw", authenticated(this::withdraw))
+                .plus("POST", "/operator/v1/validate", authenticated(this::validate))
+                .plus("GET", "/operator/v1/records/{kind}", authenticated(this::list))
+                .plus("GET", "/operator/v1/records/{kind}/{name}", authenticated(this::show))
+                .plus("GET", "/operator/v1/history", authenticated(this::history))
+                .plus("GET", "/operator/v1/status", authenticated(call -> call.reply(OK, status.get())));
     }
 
-    private Endpoint guarded(Endpoint endpoint) {
+    private Endpoint authenticated(Endpoint endpoint) {
         return call -> {
-            Optional<KeyDigest> given = call.bearer().map(KeyDigest::ofSecret);
+            Optional<KeyDigest> given = call.bearerToken().map(KeyDigest::ofSecret);
             if (given.filter(credential::equals).isEmpty()) {
                 throw ServingException.notRun(
                         ResultCode.OPERATOR_REFUSED, "the operator credential is missing or wrong");
--- a/daemon/src/main/java/org/geraniumreach/daemon/settings/SettingsReader.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/settings/SettingsReader.java
@@ -80,18 +80,18 @@
             JsonNode node = YAML.readTree(yaml);
             return node == null || node.isNull() ? MissingNode.getInstance() : node;
         } catch (JsonProcessingException malformed) {
-            mistake("", "not YAML: " + malformed.getOriginalMessage());
+            addMistake("", "not YAML: " + malformed.getOriginalMessage());
             return MissingNode.getInstance();
         }
     }
 
     private <T extends Record> Optional<T> readRecord(Class<T> type, String path, JsonNode node) {
         if (!node.isMissingNode() && !node.isObject()) {
-            mistake(path, "must hold names and values");
+            addMistake(path, "must hold names and values");
             return Optional.empty();
         }
         RecordComponent[] components = type.getRecordComponents();
-        findUnknown(path, node, components);
+        reportUnknownNames(path, node, components);
         Object[] values = new Object[components.length];
         int before = mistakes.size();
         for (int index = 0; index < components.length; index++) {
@@ -100,13 +100,13 @@
         return mistakes.size() > before ? Optional.empty() : construct(type, path, values);
     }
 
-    private void findUnknown(String path, JsonNode node, RecordComponent[] components) {
+    private void reportUnknownNames(String path, JsonNode node, RecordComponent[] components) {
         Set<String> known =
                 Arrays.stream(components).map(RecordComponent::getName).collect(Collectors.toSet());
         for (Iterator<String> names = node.fieldNames(); names.hasNext(); ) {
             String name = names.next();
             if (!known.contains(name)) {
-                mistake(
+                addMistake(
                         join(path, name),
                         "unknown; known are " + known.stream().sorted().toList());
             }
@@ -128,7 +128,7 @@
             return node.isMissingNode() ? Optional.empty() : readText(elementType(component), setting, here, node);
         }
         if (node.isMissingNode() && setting.value().isEmpty()) {
-            mistake(here, "must be given: " + format(type).description());
+            addMistake(here, "must be given: " + format(type).description());
             return null;
         }
         return node.isMissingNode()
@@ -139,7 +139,7 @@
     private List<Object> readList(RecordComponent component, Setting setting, String path, JsonNode node) {
         List<Object> values = new ArrayList<>();
         if (!node.isMissingNode() && !node.isArray()) {
-            mistake(path, "must be a list");
+            addMistake(path, "must be a list");
             return values;
         }
         for (int index = 0; index < node.size(); index++) {
@@ -153,7 +153,7 @@
         String description = format(type).description();
         String shown = setting.secret() || !node.isValueNode() ? "the value" : "'" + node.asText() + "'";
         if (!node.isValueNode() || node.isNull()) {
-            mistake(path, "must be " + description);
+            addMistake(path, "must be " + description);
             return Optional.empty();
         }
         try {
@@ -161,9 +161,9 @@
             if (isWithin(type, setting, value)) {
                 return Optional.of(value);
             }
-            mistake(path, shown + " is not " + bounds(setting));
+            addMistake(path, shown + " is not " + bounds(setting));
         } catch (IllegalArgumentException | ArithmeticException invalid) {
-            mistake(path, shown + " is not " + description);
+            addMistake(path, shown + " is not " + description);
         }
         return Optional.empty();
     }
@@ -204,10 +204,10 @@
             }
             return Optional.of(settings);
         } catch (IllegalArgumentException inconsistent) {
-            mistake(path, inconsistent.getMessage());
+            addMistake(path, inconsistent.getMessage());
             return Optional.empty();
         } catch (InvocationTargetException refused) {
-            mistake(path, refused.getCause().getMessage());
+            addMistake(path, refused.getCause().getMessage());
             return Optional.empty();
         } catch (ReflectiveOperationException impossible) {
             throw new IllegalStateException("settings record without its canonical constructor: " + type, impossible);
@@ -222,7 +222,7 @@
         return (Class<?>) ((ParameterizedType) component.getGenericType()).getActualTypeArguments()[0];
     }
 
-    private void mistake(String path, String fault) {
+    private void addMistake(String path, String fault) {
         mistakes.add(new Mistake(path, fault));
     }
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/settings/ValueFormat.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/settings/ValueFormat.java
@@ -43,7 +43,7 @@
             int.class, new ValueFormat("a whole number", Integer::valueOf),
             long.class, new ValueFormat("a whole number", Long::valueOf),
             double.class, new ValueFormat("a number", ValueFormat::number),
-            boolean.class, new ValueFormat("true or false", ValueFormat::truth),
+            boolean.class, new ValueFormat("true or false", ValueFormat::bool),
             String.class, new ValueFormat("text", text -> text),
             Duration.class, new ValueFormat("a time with its unit (us, ms, s, m, h, d)", ValueFormat::duration),
             DataSize.class, new ValueFormat("a size with its unit (B, KiB, MiB, GiB)", ValueFormat::size),
@@ -88,7 +88,7 @@
         return value;
     }
 
-    private static Object truth(String text) {
+    private static Object bool(String text) {
         if (!"true".equals(text) && !"false".equals(text)) {
             throw new IllegalArgumentException(text);
         }
--- a/daemon/src/test/java/org/geraniumreach/daemon/entry/LastStatusTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/entry/CompanionStatusesTest.java
@@ -10,7 +10,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class LastStatusTest {
+class CompanionStatusesTest {
 
     private static final InstanceId COMPANION = InstanceId.of("companion-1");
     private static final AdapterReference FIRST = AdapterReference.of("first", "1");
@@ -18,38 +18,38 @@
 
     private static final Object LINK = new Object();
 
-    private final LastStatus words = new LastStatus();
+    private final CompanionStatuses statuses = new CompanionStatuses();
 
     @Test
     void changesAreAddedToWhatWasToldBefore() {
         // Callers would wait for a load of an adapter that a target holds: the companion's whole first word came before
         // the
         // entry knew its target, and after it come only changes.
-        words.note(COMPANION, LINK, status(1, true, Set.of(FIRST), Set.of()));
-        words.note(COMPANION, LINK, status(2, false, Set.of(SECOND), Set.of()));
-        assertThat(words.find(COMPANION).orElseThrow().resident()).containsExactlyInAnyOrder(FIRST, SECOND);
-        assertThat(words.find(COMPANION).orElseThrow().complete()).isTrue();
+        statuses.update(COMPANION, LINK, status(1, true, Set.of(FIRST), Set.of()));
+        statuses.update(COMPANION, LINK, status(2, false, Set.of(SECOND), Set.of()));
+        assertThat(statuses.find(COMPANION).orElseThrow().resident()).containsExactlyInAnyOrder(FIRST, SECOND);
+        assertThat(statuses.find(COMPANION).orElseThrow().complete()).isTrue();
     }
 
     @Test
     void whatWasTakenAwayIsNotTold() {
-        words.note(COMPANION, LINK, status(1, true, Set.of(FIRST, SECOND), Set.of()));
-        words.note(COMPANION, LINK, status(2, false, Set.of(), Set.of(FIRST)));
-        assertThat(words.find(COMPANION).orElseThrow().resident()).containsExactly(SECOND);
+        statuses.update(COMPANION, LINK, status(1, true, Set.of(FIRST, SECOND), Set.of()));
+        statuses.update(COMPANION, LINK, status(2, false, Set.of(), Set.of(FIRST)));
+        assertThat(statuses.find(COMPANION).orElseThrow().resident()).containsExactly(SECOND);
     }
 
     @Test
     void aClosedLinksWordsAreForgotten() {
-        words.note(COMPANION, LINK, status(1, true, Set.of(FIRST), Set.of()));
-        words.forget(COMPANION, LINK);
-        assertThat(words.find(COMPANION)).isEmpty();
+        statuses.update(COMPANION, LINK, status(1, true, Set.of(FIRST), Set.of()));
+        statuses.remove(COMPANION, LINK);
+        assertThat(statuses.find(COMPANION)).isEmpty();
     }
 
     @Test
     void anOlderLinkThatClosesLateTakesNothingAway() {
-        words.note(COMPANION, LINK, status(1, true, Set.of(FIRST), Set.of()));
-        words.forget(COMPANION, new Object());
-        assertThat(words.find(COMPANION)).isPresent();
+        statuses.update(COMPANION, LINK, status(1, true, Set.of(FIRST), Set.of()));
+        statuses.remove(COMPANION, new Object());
+        assertThat(statuses.find(COMPANION)).isPresent();
     }
 
     private static TargetStatus status(
--- a/daemon/src/test/java/org/geraniumreach/daemon/entry/OpenAiRequestsTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/entry/OpenAiRequestReaderTest.java
@@ -13,12 +13,12 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.catchThrowableOfType;
 
-class OpenAiRequestsTest {
+class OpenAiRequestReaderTest {
 
     private static final GenerationLimits LIMITS =
             new GenerationLimits(100, 20, Duration.ofSeconds(60), 1, Duration.ofSeconds(10));
 
-    private final OpenAiRequests requests = new OpenAiRequests(LIMITS);
+    private final OpenAiRequestReader requests = new OpenAiRequestReader(LIMITS);
     private final ObjectMapper mapper = new ObjectMapper();
 
     @ParameterizedTest
--- a/daemon/src/test/java/org/geraniumreach/daemon/http/HttpFrontTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/http/HttpListenerTest.java
@@ -29,12 +29,12 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-class HttpFrontTest {
+class HttpListenerTest {
 
-    private static final int PATIENCE_MILLIS = 30_000;
+    private static final int TIMEOUT_MILLIS = 30_000;
 
     private final CountDownLatch callerGone = new CountDownLatch(1);
-    private HttpFront front;
+    private HttpListener front;
 
     @BeforeEach
     void start() throws Exception {
@@ -56,9 +56,9 @@
                 })
                 .plus("GET", "/forever", call -> {
                     call.onCallerGone(callerGone::countDown);
-                    call.stream().orElseThrow().event("1".getBytes(StandardCharsets.UTF_8));
+                    call.stream().orElseThrow().writeEvent("1".getBytes(StandardCharsets.UTF_8));
                 });
-        front = HttpFront.start(
+        front = HttpListener.start(
                 "test",
                 limits,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
@@ -84,7 +84,7 @@
         // server takes the body for bytes of that protocol.
         HttpRequest request = HttpRequest.newBuilder(
                         URI.create("http://127.0.0.1:" + front.address().getPort() + "/echo/x"))
-                .timeout(Duration.ofMillis(PATIENCE_MILLIS))
+                .timeout(Duration.ofMillis(TIMEOUT_MILLIS))
                 .POST(HttpRequest.BodyPublishers.ofString("hello"))
                 .build();
         HttpClient client =
@@ -153,7 +153,7 @@
                     .write("GET /forever HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             assertThat(socket.getInputStream().read()).isPositive();
         }
-        assertThat(callerGone.await(PATIENCE_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
+        assertThat(callerGone.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
     }
 
     @Test
@@ -175,8 +175,8 @@
 
     private Socket connect() throws IOException {
         Socket socket = new Socket();
-        socket.connect(front.address(), PATIENCE_MILLIS);
-        socket.setSoTimeout(PATIENCE_MILLIS);
+        socket.connect(front.address(), TIMEOUT_MILLIS);
+        socket.setSoTimeout(TIMEOUT_MILLIS);
         return socket;
     }
 
--- a/daemon/src/test/java/org/geraniumreach/daemon/operator/OperatorEndpointsTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/operator/OperatorEndpointsTest.java
@@ -19,8 +19,8 @@
 import org.geraniumreach.daemon.configuration.MemoryTable;
 import org.geraniumreach.daemon.configuration.ReplicatedConfiguration;
 import org.geraniumreach.daemon.configuration.Submitter;
-import org.geraniumreach.daemon.http.HttpFront;
 import org.geraniumreach.daemon.http.HttpLimits;
+import org.geraniumreach.daemon.http.HttpListener;
 import org.geraniumreach.daemon.settings.DataSize;
 import org.geraniumreach.model.KeyDigest;
 import org.geraniumreach.model.MonotonicClock;
@@ -56,7 +56,7 @@
     private final HttpClient client = HttpClient.newHttpClient();
     private ReplicatedConfiguration configuration;
     private Submitter submitter;
-    private HttpFront front;
+    private HttpListener front;
 
     @BeforeEach
     void start() throws Exception {
@@ -69,7 +69,7 @@
                 new History(table, clock),
                 RecordJson::object);
         InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        front = HttpFront.start("operator", LIMITS, address, endpoints.routes(), executor);
+        front = HttpListener.start("operator", LIMITS, address, endpoints.routes(), executor);
     }
 
     @AfterEach
