--- a/daemon/src/main/java/org/geraniumreach/daemon/Main.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/Main.java
@@ -23,8 +23,8 @@
 /**
  * The main program of the daemon.
  *
- * <p>Exit codes: 0 for an end as asked for, 1 for a failure to start, 2 for a wrong command line or wrong settings. Confined
- * to the main thread.
+ * <p>Exit codes: 0 for a regular end, 1 for a failure to start, 2 for an invalid command line or invalid settings.
+ * Confined to the main thread.
  */
 public final class Main {
 
@@ -56,8 +56,8 @@
         try {
             parser.parseArgument(arguments);
             return run(options, parser);
-        } catch (CmdLineException wrong) {
-            return usage(parser, wrong.getMessage());
+        } catch (CmdLineException invalid) {
+            return usage(parser, invalid.getMessage());
         }
     }
 
@@ -77,11 +77,11 @@
         try {
             String yaml = Files.readString(options.settings().toPath());
             return options.command().equals(CHECK) ? check(yaml) : serve(roleOf(options.command(), parser), yaml);
-        } catch (SettingsException wrong) {
-            wrong.mistakes().forEach(mistake -> errors.println(options.settings() + ": " + mistake));
+        } catch (SettingsException invalid) {
+            invalid.mistakes().forEach(mistake -> errors.println(options.settings() + ": " + mistake));
             return USAGE;
-        } catch (IOException impossible) {
-            errors.println("cannot start: " + impossible.getMessage());
+        } catch (IOException failure) {
+            errors.println("cannot start: " + failure.getMessage());
             return FAILURE;
         }
     }
--- a/daemon/src/main/java/org/geraniumreach/daemon/Options.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/Options.java
@@ -6,7 +6,7 @@
 import org.kohsuke.args4j.Option;
 
 /**
- * The command line of the daemon, as args4j fills it in.
+ * The command line options of the daemon, populated by args4j.
  *
  * <p>Confined to the main thread.
  */
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/ActiveCalls.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/ActiveCalls.java
@@ -11,10 +11,11 @@
 import org.geraniumreach.model.KeyDigest;
 
 /**
- * The calls that are running, by the key that came with them.
+ * Tracks the running calls by the API key that authenticated them.
  *
- * <p>A key is withdrawn while its callers are still connected; without this their streams would go on to their end.
- * Invariant: a call is held from its start to its end. Safe for use by several threads; each key is a shard of the map.
+ * <p>When a key is withdrawn, the calls that it authenticated are cancelled; otherwise their streams would continue to
+ * the end. Invariant: a call is registered from its start to its end. Safe for use by several threads; updates are
+ * atomic per key.
  */
 final class ActiveCalls {
 
@@ -22,9 +23,9 @@
 
     void add(KeyDigest key, Runnable cancel, Object call) {
         calls.compute(key, (digest, running) -> {
-            Map<Object, Runnable> held = running == null ? new ConcurrentHashMap<>() : running;
-            held.put(call, cancel);
-            return held;
+            Map<Object, Runnable> callsOfKey = running == null ? new ConcurrentHashMap<>() : running;
+            callsOfKey.put(call, cancel);
+            return callsOfKey;
         });
     }
 
@@ -36,16 +37,16 @@
     }
 
     /**
-     * Cancels the calls of keys that are good no more.
+     * Cancels the running calls of withdrawn keys.
      *
-     * @param keys the keys, not null
+     * @param keys the withdrawn keys, not null
      */
     void cancel(Set<KeyDigest> keys) {
         for (KeyDigest key : keys) {
             List<Runnable> running =
                     new ArrayList<>(calls.getOrDefault(key, Map.of()).values());
             if (!running.isEmpty()) {
-                EventLog.write(EventCode.STREAMS_CANCELLED, "{} requests", running.size());
+                EventLog.write(EventCode.STREAMS_CANCELLED, "{} requests of a withdrawn key cancelled", running.size());
             }
             running.forEach(Runnable::run);
         }
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/AnswerSink.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/AnswerSink.java
@@ -3,45 +3,46 @@
 import org.geraniumreach.model.ServingException;
 
 /**
- * Takes one answer on its way to the caller.
+ * Writes one answer to its caller.
  *
- * <p>Contract: calls come one at a time; after {@link #finish} or {@link #fail} nothing is taken.
+ * <p>Contract: methods are called one at a time; none is called after {@link #finish} or {@link #fail}.
  */
 interface AnswerSink {
 
     /**
-     * Takes a part.
+     * Writes a part of the answer.
      *
-     * @param text the part's text, not null
-     * @param taken run once the sink can take another part, not null
+     * @param text the text of the part, not null
+     * @param onReady run once the sink can accept another part, not null
      */
-    void writePart(String text, Runnable taken);
+    void writePart(String text, Runnable onReady);
 
     /**
-     * Takes the end of a whole answer.
+     * Completes the answer.
      *
      * @param usage the tokens used, not null
-     * @param finishReason why it ended, not null
+     * @param finishReason why the generation ended, not null
      */
     void finish(OpenAiResponseWriter.Usage usage, String finishReason);
 
     /**
-     * Takes a failure.
+     * Ends the answer with an error.
      *
-     * @param failure the failure, not null
+     * @param failure the error, not null
      */
     void fail(ServingException failure);
 
     /**
-     * Queries whether the caller has been sent any part, after which another try would repeat what it has.
+     * Queries whether any part has been sent to the caller. If so, a retry would repeat text that the caller has
+     * received.
      *
-     * @return true if it has
+     * @return true if a part has been sent
      */
     boolean hasSentParts();
 
-    /** Drops what was taken, for another try; only called before the caller has been sent any part. */
+    /** Discards the buffered parts before a retry; only called before any part has been sent to the caller. */
     void restart();
 
-    /** Does what is due at an interval: keeps a silent stream alive, gives up a caller that takes nothing. */
+    /** Runs periodic work: sends keep-alive comments on an idle stream and cancels the call of a stalled caller. */
     void onTick();
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/BufferedAnswer.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/BufferedAnswer.java
@@ -5,10 +5,10 @@
 import org.geraniumreach.model.ServingException;
 
 /**
- * Gathers an answer and gives it in one piece.
+ * Buffers an answer and sends it as a single response.
  *
- * <p>Invariant: nothing reaches the caller before the end, so a failed try can be made again from its start with {@link
- * #restart}. Confined to the call's lock.
+ * <p>Invariant: nothing is sent to the caller before the end, so a failed attempt can be retried after {@link
+ * #restart}. Guarded by the lock of the call.
  */
 final class BufferedAnswer implements AnswerSink {
 
@@ -22,9 +22,9 @@
     }
 
     @Override
-    public void writePart(String part, Runnable taken) {
+    public void writePart(String part, Runnable onReady) {
         text.append(part);
-        taken.run();
+        onReady.run();
     }
 
     @Override
@@ -49,6 +49,6 @@
 
     @Override
     public void onTick() {
-        // A caller of a whole answer waits for one reply; nothing can be sent before it.
+        // Nothing can be sent before the single response.
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/Caller.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/Caller.java
@@ -7,12 +7,12 @@
 import org.geraniumreach.model.record.ClientAccount;
 
 /**
- * Who sent a request.
+ * An authenticated sender of requests.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param account the client account that the key acts for
- * @param key the digest of the key that came with the request
+ * @param account the client account that the key belongs to
+ * @param key the digest of the key that the request presented
  */
 public record Caller(ClientAccount account, KeyDigest key) {
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/CallerEndpoints.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/CallerEndpoints.java
@@ -21,7 +21,7 @@
 import org.geraniumreach.model.record.Service;
 
 /**
- * The callers' endpoints.
+ * The HTTP endpoints for callers: completions, chat completions, models and service operations.
  *
  * <p>Safe for use by several threads.
  */
@@ -39,10 +39,13 @@
     private volatile boolean draining;
 
     CallerEndpoints(
-            EntryDependencies parts, Supplier<MembershipView> membership, HttpLimits httpLimits, Clock wallClock) {
-        this.dependencies = parts;
+            EntryDependencies dependencies,
+            Supplier<MembershipView> membership,
+            HttpLimits httpLimits,
+            Clock wallClock) {
+        this.dependencies = dependencies;
         this.membership = membership;
-        this.requests = new OpenAiRequestReader(parts.limits());
+        this.requests = new OpenAiRequestReader(dependencies.limits());
         this.httpLimits = httpLimits;
         this.wallClock = wallClock;
     }
@@ -55,7 +58,7 @@
                 .plus("POST", "/v1/services/{service}/{operation}", authenticated(this::service));
     }
 
-    /** Refuses what comes from now on. */
+    /** Refuses all further requests. */
     void drain() {
         draining = true;
     }
@@ -81,7 +84,7 @@
         }
     }
 
-    /** An endpoint that knows who calls. */
+    /** An endpoint that receives the authenticated caller. */
     private interface AuthenticatedEndpoint {
 
         void handle(Call call, Caller caller) throws ServingException;
@@ -114,10 +117,10 @@
         if (!request.streamed()) {
             return new BufferedAnswer(call, format);
         }
-        StreamedAnswer.Timeouts patience =
+        StreamedAnswer.Timeouts timeouts =
                 new StreamedAnswer.Timeouts(dependencies.limits().keepAlive(), httpLimits.writeStall());
         return new StreamedAnswer(
-                call, format, request.usageInStream(), patience, dependencies.clock(), generation::onCallerGone);
+                call, format, request.usageInStream(), timeouts, dependencies.clock(), generation::onCallerGone);
     }
 
     private void models(Call call, Caller caller) {
@@ -135,7 +138,7 @@
     }
 
     private void service(Call call, Caller caller) throws ServingException {
-        ServiceCall.Operation named = operation(call.parameter(0), call.parameter(1));
+        ServiceCall.Operation operation = operation(call.parameter(0), call.parameter(1));
         String key = call.header(IDEMPOTENCY_KEY)
                 .orElseThrow(() -> ServingException.notRun(
                         ResultCode.IDEMPOTENCY_KEY_MISSING, "send an " + IDEMPOTENCY_KEY + " with each call"));
@@ -146,7 +149,7 @@
                     ResultCode.MALFORMED_REQUEST,
                     IDEMPOTENCY_KEY + ": must be 1 to " + MAXIMUM_IDEMPOTENCY_KEY_LENGTH + " visible ASCII characters");
         }
-        new ServiceCall(dependencies, membership, call, caller, named, key).start();
+        new ServiceCall(dependencies, membership, call, caller, operation, key).start();
     }
 
     private static boolean isPlain(int character) {
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/CompanionStatuses.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/CompanionStatuses.java
@@ -11,40 +11,44 @@
 import org.geraniumreach.serving.routing.TargetStatus;
 
 /**
- * The last word of each linked companion on its target, made whole.
+ * Keeps the latest complete status of each linked companion's target.
  *
- * <p>A companion tells all that is resident when a link opens, and changes from then on. Its first word may come before
- * membership and records let the entry know its target; if it were dropped, the entry would not know what the target holds
- * for as long as the link lives. Invariant: what is kept holds all that is resident. Safe for use by several threads.
+ * <p>A companion sends its full set of resident adapters when a link opens, and only changes afterwards. The first
+ * status may arrive before membership and records make the target known; if it were dropped, the entry would not know
+ * the resident adapters as long as the link stays open. Invariant: a kept status contains all resident adapters. Safe
+ * for use by several threads.
  */
 final class CompanionStatuses {
 
     private final Map<InstanceId, LinkStatus> statuses = new ConcurrentHashMap<>();
 
-    /** A status, and the link that brought it: of two links with one instance, the older may close after the newer opens. */
+    /**
+     * A status and the link that it arrived on. An older link to the same instance may close after a newer one has
+     * opened.
+     */
     private record LinkStatus(Object link, TargetStatus status) {}
 
     /**
-     * Takes a status in.
+     * Updates the status of a companion.
      *
      * @param instance the companion, not null
-     * @param link the link that brought it, not null
-     * @param status its status, whole or changes, not null
+     * @param link the link that the status arrived on, not null
+     * @param status the status, complete or with changes only, not null
      */
     void update(InstanceId instance, Object link, TargetStatus status) {
         statuses.merge(instance, new LinkStatus(link, status), CompanionStatuses::merge);
     }
 
-    private static LinkStatus merge(LinkStatus before, LinkStatus after) {
-        boolean fromOtherLink = before.link() != after.link();
-        return fromOtherLink ? after : new LinkStatus(after.link(), merge(before.status(), after.status()));
+    private static LinkStatus merge(LinkStatus previous, LinkStatus latest) {
+        boolean fromNewLink = previous.link() != latest.link();
+        return fromNewLink ? latest : new LinkStatus(latest.link(), merge(previous.status(), latest.status()));
     }
 
-    private static TargetStatus merge(TargetStatus before, TargetStatus status) {
+    private static TargetStatus merge(TargetStatus previous, TargetStatus status) {
         if (status.complete()) {
             return status;
         }
-        Set<AdapterReference> resident = new HashSet<>(before.resident());
+        Set<AdapterReference> resident = new HashSet<>(previous.resident());
         resident.removeAll(status.removed());
         resident.addAll(status.resident());
         return new TargetStatus(
@@ -69,12 +73,12 @@
     }
 
     /**
-     * Drops a companion's words, when its link closes; a new link begins with a whole one.
+     * Removes the status of a companion whose link has closed; a new link starts with a complete status.
      *
      * @param instance the companion, not null
      * @param link the link that closed, not null
      */
     void remove(InstanceId instance, Object link) {
-        statuses.computeIfPresent(instance, (companion, word) -> word.link() == link ? null : word);
+        statuses.computeIfPresent(instance, (companion, last) -> last.link() == link ? null : last);
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/EntryDaemon.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/EntryDaemon.java
@@ -39,9 +39,10 @@
 import org.geraniumreach.serving.routing.RouterSettings;
 
 /**
- * An entry's process: the callers' front, the operators' port and what they stand on.
+ * The process of an entry: the HTTP endpoints for callers and operators, and the services that they use.
  *
- * <p>Invariant: callers are let in only once everything beneath is started. Safe for use by several threads.
+ * <p>Invariant: the callers' address is opened only after all other services have started. Safe for use by several
+ * threads.
  */
 public final class EntryDaemon implements Daemon {
 
@@ -60,29 +61,30 @@
     private final ActiveCalls activeCalls = new ActiveCalls();
     private final CallerEndpoints callers;
     private final Submitter submitter;
-    private HttpListener callersFront;
-    private HttpListener operatorFront;
+    private HttpListener callersListener;
+    private HttpListener operatorListener;
     private volatile boolean draining;
 
-    private EntryDaemon(EntrySettings settings, Foundation foundation) {
+    private EntryDaemon(EntrySettings settings, Foundation nodeServices) {
         this.settings = settings;
-        this.nodeServices = foundation;
+        this.nodeServices = nodeServices;
         this.attempts = LinkAttempts.start(
-                foundation.links(),
-                foundation.linkSettings(),
-                foundation.clock(),
-                foundation.timer(),
+                nodeServices.links(),
+                nodeServices.linkSettings(),
+                nodeServices.clock(),
+                nodeServices.timer(),
                 (event, detail) -> EventLog.write(event, "{}", detail));
         this.budget = new BudgetService(settings.budget(), budgetDependencies());
         this.ledger = new LedgerService(settings.ledger(), ledgerDependencies());
         this.fleet = fleet();
-        this.callers = new CallerEndpoints(dependencies(), foundation.membership(), settings.http(), Clock.systemUTC());
+        this.callers =
+                new CallerEndpoints(dependencies(), nodeServices.membership(), settings.http(), Clock.systemUTC());
         this.submitter = new Submitter(
-                foundation.configuration(),
+                nodeServices.configuration(),
                 settings.configuration(),
-                foundation.table(),
-                foundation.clock(),
-                foundation.random());
+                nodeServices.table(),
+                nodeServices.clock(),
+                nodeServices.random());
     }
 
     /**
@@ -90,18 +92,18 @@
      *
      * @param settings the settings, not null
      * @return the running entry, not null
-     * @throws IOException if an address cannot be had
+     * @throws IOException if an address cannot be bound
      */
     public static EntryDaemon start(EntrySettings settings) throws IOException {
-        Foundation foundation = Foundation.start(settings.nodeServices(), Foundation.RoleHello.none());
-        EntryDaemon daemon = new EntryDaemon(settings, foundation);
+        Foundation nodeServices = Foundation.start(settings.nodeServices(), Foundation.RoleHello.none());
+        EntryDaemon daemon = new EntryDaemon(settings, nodeServices);
         try {
             daemon.startServices();
-        } catch (IOException taken) {
+        } catch (IOException failure) {
             daemon.close();
-            throw taken;
+            throw failure;
         }
-        EventLog.write(EventCode.STARTING, "entry {}", foundation.instance());
+        EventLog.write(EventCode.STARTING, "entry {}", nodeServices.instance());
         return daemon;
     }
 
@@ -154,7 +156,10 @@
                         .isPresent();
     }
 
-    /** An entry that has not read the list yet knows of nobody, which says nothing of who is gone. */
+    /**
+     * Queries whether an instance has left. Before the first reading of the instance list no member is known, so none
+     * counts as gone.
+     */
     private boolean isGone(InstanceId instance) {
         return nodeServices.membership().lastReading().isPresent() && !isLive(instance);
     }
@@ -214,13 +219,13 @@
         budget.start();
         ledger.start();
         startMeters();
-        operatorFront = HttpListener.start(
+        operatorListener = HttpListener.start(
                 "operator",
                 settings.operator().http(),
                 settings.operator().address(),
                 operatorEndpoints().routes(),
                 nodeServices.blocking());
-        callersFront =
+        callersListener =
                 HttpListener.start("callers", settings.http(), settings.callers(), callers.routes(), Runnable::run);
         nodeServices.startManagement(this::reasonNotReady);
     }
@@ -270,14 +275,14 @@
     public void drain() {
         draining = true;
         callers.drain();
-        callersFront.drain();
+        callersListener.drain();
         submitter.close();
         nodeServices.membership().announceLeaving();
     }
 
     @Override
     public int running() {
-        return callersFront.openCalls() + operatorFront.openCalls();
+        return callersListener.openCalls() + operatorListener.openCalls();
     }
 
     @Override
@@ -287,11 +292,11 @@
 
     @Override
     public void close() {
-        if (callersFront != null) {
-            callersFront.close();
+        if (callersListener != null) {
+            callersListener.close();
         }
-        if (operatorFront != null) {
-            operatorFront.close();
+        if (operatorListener != null) {
+            operatorListener.close();
         }
         if (draining) {
             releaseShares();
@@ -304,16 +309,19 @@
         nodeServices.close();
     }
 
-    /** Shares that are not given back stay with nobody until the quarantine is over, and their account is short of them. */
+    /**
+     * Returns all quota shares. A share that is not returned stays unused until its quarantine is over, and its account
+     * lacks it until then.
+     */
     private void releaseShares() {
-        long patience =
+        long limitMillis =
                 settings.budget().loanDuration().plus(SHARE_RELEASE_LIMIT).toMillis();
         try {
-            budget.release().get(patience, TimeUnit.MILLISECONDS);
+            budget.release().get(limitMillis, TimeUnit.MILLISECONDS);
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
-        } catch (ExecutionException | TimeoutException unreachable) {
-            EventLog.write(EventCode.PLATFORM_UNREACHABLE, "budget shares are not given back");
+        } catch (ExecutionException | TimeoutException failure) {
+            EventLog.write(EventCode.PLATFORM_UNREACHABLE, "budget shares could not be released");
         }
     }
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/EntryDependencies.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/EntryDependencies.java
@@ -12,23 +12,23 @@
 import org.geraniumreach.serving.retry.RetryPolicy;
 
 /**
- * What the calls of one entry share.
+ * The services and settings that the calls of one entry share.
  *
- * <p>Immutable; each part is safe for use by several threads.
+ * <p>Immutable; each component is safe for use by several threads.
  *
- * @param authorizer checks who sent a call
+ * @param authorizer authenticates callers and checks what they may use
  * @param budget the client accounts' budgets
- * @param ledger the requests that may run once only
- * @param fleet the targets
- * @param attempts sends to companions
- * @param activeCalls the calls that are running
- * @param retryPolicy decides on further tries
- * @param retryBudget bounds further tries
+ * @param ledger runs service operations at most once
+ * @param fleet the targets that requests can be sent to
+ * @param attempts sends requests to companions
+ * @param activeCalls the running calls
+ * @param retryPolicy decides whether and when a request is retried
+ * @param retryBudget limits the rate of retries
  * @param metrics the meters
- * @param limits what a request may ask for
- * @param clock elapsed time
+ * @param limits the limits of one request
+ * @param clock the monotonic clock
  * @param random the source of attempt ids
- * @param timer runs what waits; its tasks do not block
+ * @param timer runs delayed tasks, which must not block
  */
 record EntryDependencies(
         RequestAuthorizer authorizer,
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/EntrySettings.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/EntrySettings.java
@@ -22,19 +22,19 @@
  * <p>Immutable and safe for use by several threads.
  *
  * @param role always {@link NodeRole#ENTRY}
- * @param node who and where it is
- * @param log how it logs
- * @param platform where the platform's services are
+ * @param node the identity and addresses of the instance
+ * @param log the log's format and level
+ * @param platform the addresses of the platform's services
  * @param callers the callers' address
- * @param http what the callers' address takes
+ * @param http the HTTP limits for callers
  * @param operator the operators' port
- * @param requests what a request may ask for
- * @param routing how targets are chosen
+ * @param requests the limits of one request
+ * @param routing the choice of targets and the retries
  * @param budget the client accounts' budgets
- * @param ledger the requests that may run once only
- * @param links its links
- * @param membership its membership
- * @param configuration its configuration
+ * @param ledger the ledger of requests that must run at most once
+ * @param links the links to other instances
+ * @param membership the membership
+ * @param configuration the replicated configuration
  */
 public record EntrySettings(
         @Setting(about = "What runs with these settings; here entry.") NodeRole role,
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/Fleet.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/Fleet.java
@@ -34,10 +34,11 @@
 import org.geraniumreach.serving.routing.TargetStatus;
 
 /**
- * The targets that this entry can send to, kept in step with membership, records and the companions' news.
+ * Maintains the targets that this entry can send requests to, from membership, configuration records and companion
+ * statuses.
  *
- * <p>Invariant: a target is routed to only while its record exists and a link to its companion is open and not leaving.
- * Safe for use by several threads.
+ * <p>Invariant: requests are routed to a target only while its record exists and a link to its companion is open and
+ * not leaving. Safe for use by several threads.
  */
 final class Fleet implements FrameHandler {
 
@@ -59,10 +60,10 @@
     }
 
     /**
-     * Brings the targets in step with who is there and what the records say.
+     * Updates the targets from the membership and the configuration records.
      *
-     * @param present who is there, not null
-     * @param records the records, not null
+     * @param present the current members, not null
+     * @param records the configuration, not null
      */
     synchronized void refresh(MembershipView present, Configuration records) {
         membership = present;
@@ -77,8 +78,8 @@
     }
 
     /**
-     * Finds each target's companion. Where two stand beside one target, the one with the higher fence: the other was
-     * replaced while it was frozen or cut off, and refuses all work once it notices.
+     * Finds the companion of each target. If two companions claim one target, the one with the higher fencing token
+     * owns it: the other was replaced while it was frozen or partitioned, and refuses all work once it detects this.
      */
     private Map<TargetId, Member> owners() {
         Map<TargetId, Member> owners = new HashMap<>();
@@ -99,10 +100,10 @@
     }
 
     private void addTarget(Target target, Member member) {
-        boolean same = view.find(target.id())
-                .filter(seen -> seen.instance().equals(member.instance()))
+        boolean unchanged = view.find(target.id())
+                .filter(known -> known.instance().equals(member.instance()))
                 .isPresent();
-        if (same) {
+        if (unchanged) {
             return;
         }
         knownTargets.add(target.id());
@@ -110,7 +111,7 @@
         health.add(target.id());
         companionStatuses
                 .find(member.instance())
-                .filter(word -> word.target().equals(target.id()))
+                .filter(status -> status.target().equals(target.id()))
                 .ifPresent(view::apply);
     }
 
@@ -154,10 +155,13 @@
         }
     }
 
-    /** What a replaced companion says of its target, that it drains for one, must not be taken for its successor's word. */
+    /**
+     * A status from a replaced companion, for example that it is draining, must not be applied as that of its
+     * successor.
+     */
     private boolean isOwner(TargetId target, Peer peer) {
         return view.find(target)
-                .filter(seen -> seen.instance().value().equals(peer.hello().getInstance()))
+                .filter(known -> known.instance().value().equals(peer.hello().getInstance()))
                 .isPresent();
     }
 
@@ -216,9 +220,9 @@
     }
 
     /**
-     * Counts the companions that take work, for readiness.
+     * Counts the companions that accept work.
      *
-     * @param membership who is there, not null
+     * @param membership the current members, not null
      * @return the number
      */
     static long countCompanions(MembershipView membership) {
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/GenerationCall.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/GenerationCall.java
@@ -32,11 +32,12 @@
 import org.geraniumreach.serving.routing.SentRequest;
 
 /**
- * One caller's generation, from its budget to its end.
+ * Runs one generation request of a caller, from the budget reservation to the final answer.
  *
- * <p>Invariants: the caller gets one final answer; the budget is settled once, at the end; a try that another one has
- * replaced is heard no more, so its late parts reach nobody; once the caller has a part, there is no other try. A request
- * given up on is answered at once. Safe for use by several threads under the call's own lock.
+ * <p>Invariants: the caller gets exactly one final answer; each reservation is settled once; events of an attempt that
+ * has been replaced are ignored, so its late parts never reach the caller; there is no retry after a part has been
+ * sent. An aborted request is answered at once. Safe for use by several threads; the state is guarded by the call's own
+ * lock.
  */
 final class GenerationCall implements BudgetCallback {
 
@@ -57,46 +58,47 @@
     private AnswerSink sink;
     private Optional<Reservation> reservation = Optional.empty();
     private Optional<Attempt> current = Optional.empty();
-    private Optional<ScheduledFuture<?>> ticks = Optional.empty();
+    private Optional<ScheduledFuture<?>> tickTask = Optional.empty();
     private Optional<ServingException> lastFailure = Optional.empty();
     private boolean mayHaveRun;
-    private Optional<ScheduledFuture<?>> deadline = Optional.empty();
+    private Optional<ScheduledFuture<?>> deadlineTask = Optional.empty();
     private int failures;
     private boolean ended;
     private long lastPartNanos;
-    private long partsSeen;
+    private long receivedParts;
 
     GenerationCall(
-            EntryDependencies parts,
+            EntryDependencies dependencies,
             Caller caller,
             AdapterReference adapter,
             String baseModel,
             GenerationRequest request) {
-        this.dependencies = parts;
+        this.dependencies = dependencies;
         this.caller = caller;
         this.adapter = adapter;
         this.baseModel = baseModel;
         this.request = request;
-        this.meters = parts.metrics().requests(caller.id(), request.kind());
+        this.meters = dependencies.metrics().requests(caller.id(), request.kind());
         this.prefix = prefixOf(adapter, request);
-        this.reservedTokens = reservedTokens(parts.limits(), request);
-        this.startNanos = parts.clock().nanos();
-        this.deadlineNanos = startNanos + parts.limits().deadline().toNanos();
+        this.reservedTokens = reservedTokens(dependencies.limits(), request);
+        this.startNanos = dependencies.clock().nanos();
+        this.deadlineNanos = startNanos + dependencies.limits().deadline().toNanos();
     }
 
     /**
-     * Begins.
+     * Starts the call: reserves budget, then sends the request to a target.
      *
-     * @param answer where the answer goes, not null
+     * @param answer writes the answer to the caller, not null
      */
     void start(AnswerSink answer) {
         synchronized (this) {
             sink = answer;
             long period = dependencies.limits().keepAlive().toMillis() / 2;
-            ticks = Optional.of(
+            tickTask = Optional.of(
                     dependencies.timer().scheduleAtFixedRate(this::onTick, period, period, TimeUnit.MILLISECONDS));
-            long left = dependencies.limits().deadline().toNanos();
-            deadline = Optional.of(dependencies.timer().schedule(this::onDeadline, left, TimeUnit.NANOSECONDS));
+            long limitNanos = dependencies.limits().deadline().toNanos();
+            deadlineTask =
+                    Optional.of(dependencies.timer().schedule(this::onDeadline, limitNanos, TimeUnit.NANOSECONDS));
         }
         dependencies.activeCalls().add(caller.key(), this::onKeyWithdrawn, this);
         dependencies.budget().reserve(caller.id(), reservedTokens, remainingTime(), this);
@@ -130,30 +132,32 @@
     private void send() {
         Optional<Route> route = dependencies.fleet().route(routeRequest());
         if (route.isEmpty()) {
-            // After a failed try the caller is told of that failure: that no other target is left says less.
+            // After a failed attempt, that failure is reported to the caller, since it says more than that no other
+            // target is available.
             fail(lastFailure.orElseGet(
                     () -> ServingException.notRun(ResultCode.NO_TARGET, "no live target can run " + adapter)
                             .withRetryAfter(NO_TARGET_RETRY_AFTER)));
             return;
         }
         triedTargets.add(route.get().target());
-        Attempt next = new Attempt(
+        Attempt attempt = new Attempt(
                 route.get(), dependencies.fleet().recordSent(route.get().target()));
-        current = Optional.of(next);
-        next.start();
+        current = Optional.of(attempt);
+        attempt.start();
     }
 
     private RouteRequest routeRequest() {
-        RouteRequest plain = RouteRequest.ofAdapter(baseModel, adapter).withExcluded(triedTargets);
-        return prefix.map(plain::withPrefix).orElse(plain);
+        RouteRequest routeRequest = RouteRequest.ofAdapter(baseModel, adapter).withExcluded(triedTargets);
+        return prefix.map(routeRequest::withPrefix).orElse(routeRequest);
     }
 
     private static Optional<PrefixDigest> prefixOf(AdapterReference adapter, GenerationRequest request) {
         if (request.prefixLength() == 0) {
             return Optional.empty();
         }
-        byte[] shared = request.prompt().substring(0, request.prefixLength()).getBytes(StandardCharsets.UTF_8);
-        return Optional.of(PrefixDigest.of(adapter, shared));
+        byte[] prefixBytes =
+                request.prompt().substring(0, request.prefixLength()).getBytes(StandardCharsets.UTF_8);
+        return Optional.of(PrefixDigest.of(adapter, prefixBytes));
     }
 
     private Run runOf(AttemptId attempt) {
@@ -174,7 +178,7 @@
                 .build();
     }
 
-    /** One try at one target; it is heard only while it is the call's current one. */
+    /** One attempt at one target. Its events are ignored unless it is the call's current attempt. */
     private final class Attempt implements AttemptListener {
 
         private final Route route;
@@ -182,17 +186,17 @@
         private Optional<AttemptHandle> handle = Optional.empty();
         private int pendingCredit;
 
-        Attempt(Route route, SentRequest sending) {
+        Attempt(Route route, SentRequest sentRequest) {
             this.route = route;
-            this.sentRequest = sending;
+            this.sentRequest = sentRequest;
         }
 
         void start() {
             Run run = runOf(AttemptId.random(dependencies.random()));
-            AttemptHandle started = dependencies.attempts().run(route.instance(), run, this);
-            handle = Optional.of(started);
+            AttemptHandle newHandle = dependencies.attempts().run(route.instance(), run, this);
+            handle = Optional.of(newHandle);
             if (pendingCredit > 0) {
-                started.request(pendingCredit);
+                newHandle.request(pendingCredit);
             }
         }
 
@@ -209,7 +213,7 @@
         public void chunk(long sequence, ByteString payload, int tokens) {
             synchronized (GenerationCall.this) {
                 if (isCurrent()) {
-                    measurePart(tokens);
+                    recordPartTiming(tokens);
                     sink.writePart(payload.toStringUtf8(), this::requestMore);
                 }
             }
@@ -256,14 +260,14 @@
             onFailure(ServingException.of(ResultCode.ANSWER_INTERRUPTED, ran, reason), true, true);
         }
 
-        private void onFailure(ServingException failure, boolean targetsFault, boolean mayHelp) {
-            if (targetsFault) {
+        private void onFailure(ServingException failure, boolean targetFailure, boolean retryable) {
+            if (targetFailure) {
                 dependencies.fleet().recordFailure(route.target());
             }
             synchronized (GenerationCall.this) {
                 if (isCurrent()) {
                     failures++;
-                    retryOrFail(failure, mayHelp);
+                    retryOrFail(failure, retryable);
                 }
             }
         }
@@ -273,16 +277,16 @@
         }
     }
 
-    private static ExecutionStatus executionStatusOf(int number) {
-        return number == 0 ? ExecutionStatus.NO : ExecutionStatus.UNKNOWN;
+    private static ExecutionStatus executionStatusOf(int ran) {
+        return ran == 0 ? ExecutionStatus.NO : ExecutionStatus.UNKNOWN;
     }
 
-    private void retryOrFail(ServingException failure, boolean mayHelp) {
+    private void retryOrFail(ServingException failure, boolean retryable) {
         lastFailure = Optional.of(failure);
         mayHaveRun |= failure.executionStatus() != ExecutionStatus.NO;
-        RetryPolicy.FailedAttempt facts = new RetryPolicy.FailedAttempt(
+        RetryPolicy.FailedAttempt attempt = new RetryPolicy.FailedAttempt(
                 true, failure.executionStatus(), sink.hasSentParts(), failures, remainingTime());
-        Optional<Duration> delay = mayHelp ? dependencies.retryPolicy().decide(facts) : Optional.empty();
+        Optional<Duration> delay = retryable ? dependencies.retryPolicy().decide(attempt) : Optional.empty();
         if (delay.isEmpty()) {
             fail(failure);
             return;
@@ -290,10 +294,10 @@
         EventLog.write(EventCode.ATTEMPT_RETRIED, "{} {} after {}", caller.id(), adapter, failure.code());
         current = Optional.empty();
         sink.restart();
-        partsSeen = 0;
+        receivedParts = 0;
         if (failure.executionStatus() != ExecutionStatus.NO) {
-            // The failed try may have used all of its tokens. Another try on the same reservation could bring the
-            // client account above its rate, so it needs one of its own.
+            // The failed attempt may have used all of its tokens. A retry on the same reservation could bring the
+            // client account above its rate, so the retry needs its own reservation.
             reservation.ifPresent(used -> used.settle(used.tokens()));
             reservation = Optional.empty();
         }
@@ -311,14 +315,14 @@
         send();
     }
 
-    private void measurePart(int tokens) {
+    private void recordPartTiming(int tokens) {
         long now = dependencies.clock().nanos();
-        if (partsSeen == 0) {
+        if (receivedParts == 0) {
             meters.recordFirstToken(now - startNanos);
         } else if (tokens > 0) {
             meters.recordBetweenTokens((now - lastPartNanos) / tokens);
         }
-        partsSeen++;
+        receivedParts++;
         lastPartNanos = now;
     }
 
@@ -336,20 +340,22 @@
         if (ended) {
             return;
         }
-        // One try may have run and a later one not: "not run" is true of the request only if it is true of every try.
+        // "Not run" is true of the request only if it is true of every attempt: an earlier one may have run when a
+        // later one has not.
         mayHaveRun |= failure.executionStatus() != ExecutionStatus.NO;
-        ServingException told = mayHaveRun ? failure.withExecutionStatus(ExecutionStatus.UNKNOWN) : failure;
-        // What a try may have used is counted as used, so that a failing target never lets an account above its rate.
+        ServingException reported = mayHaveRun ? failure.withExecutionStatus(ExecutionStatus.UNKNOWN) : failure;
+        // Tokens that an attempt may have used count as used, so that a failing target never lets an account exceed its
+        // rate.
         close(mayHaveRun ? reservation.map(Reservation::tokens).orElse(0L) : 0);
-        meters.countResult(told.code());
-        EventLog.write(EventCode.REQUEST_REFUSED, "{} {} {}", caller.id(), adapter, told.code());
-        sink.fail(told);
+        meters.countResult(reported.code());
+        EventLog.write(EventCode.REQUEST_REFUSED, "{} {} {}", caller.id(), adapter, reported.code());
+        sink.fail(reported);
     }
 
     private void close(long usedTokens) {
         ended = true;
-        ticks.ifPresent(task -> task.cancel(false));
-        deadline.ifPresent(task -> task.cancel(false));
+        tickTask.ifPresent(task -> task.cancel(false));
+        deadlineTask.ifPresent(task -> task.cancel(false));
         reservation.ifPresent(held -> held.settle(usedTokens));
         dependencies.activeCalls().remove(caller.key(), this);
     }
@@ -368,7 +374,7 @@
         return triedTargets.isEmpty() ? ExecutionStatus.NO : ExecutionStatus.UNKNOWN;
     }
 
-    /** Gives the call up because its caller went away. */
+    /** Aborts the call because its caller has disconnected. */
     synchronized void onCallerGone() {
         abort(ServingException.of(ResultCode.CANCELLED, executionStatus(), "the caller went away"));
     }
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/GenerationLimits.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/GenerationLimits.java
@@ -5,15 +5,15 @@
 import org.geraniumreach.daemon.settings.Setting;
 
 /**
- * What one request may ask for.
+ * Limits of one generation request.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param maximumTokens the most tokens that a request may ask for
- * @param defaultTokens the most tokens of a request that names none
- * @param deadline how long a request may take
- * @param bytesPerToken the least bytes that a token of a prompt stands for
- * @param keepAlive how often a silent stream gets a comment
+ * @param maximumTokens the most tokens that a request may ask to generate
+ * @param defaultTokens the most tokens to generate if the request gives no limit
+ * @param deadline the time limit of a request, with all retries
+ * @param bytesPerToken the assumed minimum number of prompt bytes per token
+ * @param keepAlive the silence on a stream after which a keep-alive comment is sent
  */
 public record GenerationLimits(
         @Setting(
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/GenerationRequest.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/GenerationRequest.java
@@ -5,17 +5,18 @@
 import org.geraniumreach.daemon.metrics.RequestClass;
 
 /**
- * What a caller asks a model to generate.
+ * A generation request as read from the caller's JSON.
  *
- * <p>Invariant: the prompt is not empty and the most tokens are at least 1. Immutable and safe for use by several threads.
+ * <p>Invariant: the prompt is not empty and the token limit is at least 1. Immutable and safe for use by several
+ * threads.
  *
  * @param kind completion or chat
  * @param model the model's name as the caller wrote it
- * @param prompt the prompt; of a chat, its messages one after another
- * @param prefixLength how many of the prompt's characters the conversation's earlier requests have sent too
+ * @param prompt the prompt; for a chat, its concatenated messages
+ * @param prefixLength the length in characters of the part that earlier requests of the conversation have also sent
  * @param maximumTokens the most tokens to generate
  * @param streamed whether the answer comes as server-sent events
- * @param usageInStream whether a streamed answer ends with the numbers of tokens
+ * @param usageInStream whether a streamed answer ends with the token usage
  */
 record GenerationRequest(
         RequestClass kind,
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/OpenAiRequestReader.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/OpenAiRequestReader.java
@@ -6,10 +6,10 @@
 import org.geraniumreach.model.ServingException;
 
 /**
- * Reads requests of the OpenAI conventions.
+ * Reads OpenAI-compatible completion and chat requests.
  *
- * <p>Contract: fields that choose how to sample, and others that are not known, are passed over, so that a client that
- * sends them can be used unchanged. Immutable and safe for use by several threads.
+ * <p>Contract: sampling parameters and unknown fields are ignored, so that clients which send them work unchanged.
+ * Immutable and safe for use by several threads.
  */
 final class OpenAiRequestReader {
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/OpenAiResponseWriter.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/OpenAiResponseWriter.java
@@ -7,13 +7,13 @@
 import org.geraniumreach.daemon.metrics.RequestClass;
 
 /**
- * Writes one answer in the OpenAI conventions, whole or in parts.
+ * Formats one answer as OpenAI-compatible JSON, as a single response or as chunks of a stream.
  *
  * <p>Immutable and safe for use by several threads.
  */
 final class OpenAiResponseWriter {
 
-    /** The data of the event that ends a stream. */
+    /** The data of the event that terminates a stream. */
     static final byte[] DONE = "[DONE]".getBytes(StandardCharsets.US_ASCII);
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -31,11 +31,11 @@
     }
 
     /**
-     * Writes a whole answer.
+     * Formats a complete response.
      *
-     * @param text the text generated, not null
+     * @param text the generated text, not null
      * @param usage the tokens used, not null
-     * @param finishReason why it ended, not null
+     * @param finishReason why the generation ended, not null
      * @return the JSON object, not null
      */
     ObjectNode fullResponse(String text, Usage usage, String finishReason) {
@@ -52,10 +52,10 @@
     }
 
     /**
-     * Writes a part of a streamed answer.
+     * Formats a chunk of a streamed answer.
      *
-     * @param text the text of the part, not null
-     * @param first whether it is the first part
+     * @param text the text of the chunk, not null
+     * @param first whether it is the first chunk
      * @return the event's data
      */
     byte[] chunk(String text, boolean first) {
@@ -75,9 +75,9 @@
     }
 
     /**
-     * Writes the last part of a streamed answer, which tells why it ended.
+     * Formats the final chunk of a streamed answer, which carries the finish reason.
      *
-     * @param finishReason why it ended, not null
+     * @param finishReason why the generation ended, not null
      * @return the event's data
      */
     byte[] finalChunk(String finishReason) {
@@ -93,7 +93,7 @@
     }
 
     /**
-     * Writes the event that tells the tokens used, at the end of a stream whose caller asked for it.
+     * Formats the usage chunk, sent at the end of a stream if the caller asked for it.
      *
      * @param usage the tokens used, not null
      * @return the event's data
@@ -108,8 +108,8 @@
     /**
      * The tokens that a request used.
      *
-     * @param promptTokens of the prompt
-     * @param generatedTokens of the answer
+     * @param promptTokens the tokens of the prompt
+     * @param generatedTokens the tokens of the answer
      */
     record Usage(long promptTokens, long generatedTokens) {}
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/RefusalClassifier.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/RefusalClassifier.java
@@ -6,7 +6,7 @@
 import org.geraniumreach.model.ResultCode;
 
 /**
- * What a companion's refusal says of its target and of another try.
+ * Classifies the result codes of refusals: whether the target failed, and whether a retry may succeed.
  *
  * <p>Stateless and safe for use by several threads.
  */
@@ -30,19 +30,19 @@
     private RefusalClassifier() {}
 
     /**
-     * Queries whether a refusal counts against its target.
+     * Queries whether a refusal counts as a failure of its target.
      *
-     * @param code the refusal, not null
-     * @return true if it does; a companion that drains or is full is not at fault
+     * @param code the result code of the refusal, not null
+     * @return true if it does; a draining or saturated companion does not count as failed
      */
     static boolean isTargetFailure(ResultCode code) {
         return TARGET_FAILURES.contains(code);
     }
 
     /**
-     * Queries whether another target might do better.
+     * Queries whether the request might succeed at another target.
      *
-     * @param code the refusal, not null
+     * @param code the result code of the refusal, not null
      * @return true if it might
      */
     static boolean isRetryable(ResultCode code) {
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/RequestAuthorizer.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/RequestAuthorizer.java
@@ -13,10 +13,10 @@
 import org.geraniumreach.model.record.Configuration;
 
 /**
- * Checks who sent a request and what they may use, by the configuration in force.
+ * Authenticates callers and checks what they may use, according to the current configuration.
  *
- * <p>Invariant: nothing is let through while the configuration cannot be confirmed as current, since a key may have been
- * withdrawn meanwhile. No message holds a key. Safe for use by several threads.
+ * <p>Invariant: no request is admitted while the configuration cannot be confirmed as current, since its key may have
+ * been withdrawn meanwhile. No message contains a key. Safe for use by several threads.
  */
 final class RequestAuthorizer {
 
@@ -31,31 +31,32 @@
     }
 
     /**
-     * Finds who sent a call.
+     * Authenticates the caller of a call by its bearer token.
      *
      * @param call the call, not null
      * @return the caller, not null
-     * @throws ServingException if the configuration is not fresh, or no good key came with the call
+     * @throws ServingException if the configuration is not fresh, or the key is missing, unknown or withdrawn
      */
     Caller authenticate(Call call) throws ServingException {
         configuration.requireFresh();
         String secret = call.bearerToken()
                 .orElseThrow(() -> ServingException.notRun(ResultCode.KEY_MISSING, "send the key as a bearer token"));
         KeyDigest digest = KeyDigest.ofSecret(secret);
-        Configuration now = configuration.current();
-        return now.key(digest)
-                .flatMap(key -> now.account(key.account()))
+        Configuration snapshot = configuration.current();
+        return snapshot.key(digest)
+                .flatMap(key -> snapshot.account(key.account()))
                 .map(account -> new Caller(account, digest))
                 .orElseThrow(() -> ServingException.notRun(ResultCode.KEY_REFUSED, "the key is unknown or withdrawn"));
     }
 
     /**
-     * Checks that a client account may use what it names.
+     * Checks that a client account may use the adapter version that a request names.
      *
      * @param account the account, not null
-     * @param model what the request names as its model, not null
-     * @return the adapter and version, not null
-     * @throws ServingException if it is not adapter and version, does not exist, or is not assigned
+     * @param model the model name of the request, not null
+     * @return the adapter version, not null
+     * @throws ServingException if the name is not adapter@version, or the adapter version does not exist or is not
+     *     assigned to the account
      */
     AdapterReference requireAdapter(AccountId account, String model) throws ServingException {
         Optional<AdapterReference> reference = AdapterReference.parse(model);
@@ -63,11 +64,11 @@
             throw ServingException.notRun(
                     ResultCode.ADAPTER_VERSION_MISSING, "model must name adapter and version, as adapter@version");
         }
-        Configuration now = configuration.current();
-        if (!now.hasAdapter(reference.get())) {
+        Configuration snapshot = configuration.current();
+        if (!snapshot.hasAdapter(reference.get())) {
             throw ServingException.notRun(ResultCode.ADAPTER_UNKNOWN, "no adapter and version " + reference.get());
         }
-        if (!now.isAssigned(account, reference.get().adapter())) {
+        if (!snapshot.isAssigned(account, reference.get().adapter())) {
             throw ServingException.notRun(
                     ResultCode.ADAPTER_NOT_ASSIGNED, reference.get() + " is not assigned to " + account);
         }
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/RoutingSettings.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/RoutingSettings.java
@@ -8,20 +8,20 @@
 import org.geraniumreach.serving.routing.RoutingWeights;
 
 /**
- * How targets are chosen, and when a request is tried again.
+ * Settings of the choice of targets and of retries.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param policy how a target is chosen
- * @param preset what the weights are for
- * @param rememberedAdapters the adapters whose order of targets is kept
- * @param tries the most tries of one request
- * @param retryRatio the retries allowed for each success
- * @param retryFloorPerSecond the retries a second allowed without any success
- * @param firstBackoff the bound on the wait before the first retry
- * @param longestBackoff the bound on the wait before any retry
- * @param prefixHalfLife the time in which a belief of a cached prefix halves
- * @param rememberedPrefixes the conversations whose prefix is remembered
+ * @param policy the routing policy
+ * @param preset the preset of the routing weights
+ * @param rememberedAdapters the number of adapters whose order of targets is cached
+ * @param tries the most attempts of one request
+ * @param retryRatio the retries allowed per success
+ * @param retryFloorPerSecond the retries allowed per second without any success
+ * @param firstBackoff the upper bound of the back-off before the first retry
+ * @param longestBackoff the upper bound of the back-off before any retry
+ * @param prefixHalfLife the half-life of the estimate that a prefix is still cached at a target
+ * @param rememberedPrefixes the number of conversations whose prefix is remembered
  */
 public record RoutingSettings(
         @Setting(value = "affinity", about = "How a target is chosen.") RoutingPolicy policy,
@@ -54,14 +54,14 @@
                         about = "The conversations whose prefix is remembered.")
                 int rememberedPrefixes) {
 
-    /** The retries that may be saved up. */
+    /** The most unused retries that the retry budget accumulates. */
     static final double MAXIMUM_SAVED_RETRIES = 10;
 
-    /** What counts most. */
+    /** Presets of the routing weights. */
     public enum Preset {
-        /** Stalls on loads and full batches count most. */
+        /** Minimises stalls on adapter loads and full batches. */
         FEWEST_STALLS,
-        /** The worst-served client account and wrongful refusals count most. */
+        /** Favours the worst-served client account and avoids unjustified refusals. */
         WORST_ACCOUNT_FIRST
     }
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/ServiceCall.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/ServiceCall.java
@@ -32,10 +32,10 @@
 import org.geraniumreach.serving.routing.RouteRequest;
 
 /**
- * One caller's call of a plain service's operation, through the ledger.
+ * Runs one caller's call of a service operation through the ledger.
  *
- * <p>Invariants: the caller gets one answer; the budget is settled once. That it runs at most once is the ledger's part.
- * Safe for use by several threads.
+ * <p>Invariants: the caller gets exactly one answer; the budget is settled once. The ledger ensures that the operation
+ * runs at most once. Safe for use by several threads.
  */
 final class ServiceCall implements BudgetCallback, Dispatch {
 
@@ -56,30 +56,31 @@
     private final Set<TargetId> triedTargets = new HashSet<>();
 
     ServiceCall(
-            EntryDependencies parts,
+            EntryDependencies dependencies,
             Supplier<MembershipView> membership,
             Call call,
             Caller caller,
-            Operation named,
+            Operation operation,
             String idempotencyKey) {
-        this.dependencies = parts;
+        this.dependencies = dependencies;
         this.membership = membership;
         this.call = call;
         this.caller = caller;
-        this.service = named.service();
-        this.operation = named.name();
-        this.request = new LedgerRequest(caller.id(), idempotencyKey, service + "/" + operation, call.body());
-        this.tokens = named.tokens();
-        this.meters = parts.metrics().requests(caller.id(), RequestClass.SERVICE);
-        this.deadlineNanos = parts.clock().nanos() + parts.limits().deadline().toNanos();
+        this.service = operation.service();
+        this.operation = operation.name();
+        this.request = new LedgerRequest(caller.id(), idempotencyKey, service + "/" + this.operation, call.body());
+        this.tokens = operation.tokens();
+        this.meters = dependencies.metrics().requests(caller.id(), RequestClass.SERVICE);
+        this.deadlineNanos =
+                dependencies.clock().nanos() + dependencies.limits().deadline().toNanos();
     }
 
     /**
-     * The operation named.
+     * The operation that a call names.
      *
-     * @param service the service
-     * @param name the operation
-     * @param tokens what it costs
+     * @param service the name of the service
+     * @param name the name of the operation
+     * @param tokens the cost of one call, in tokens
      */
     record Operation(ServiceName service, String name, long tokens) {}
 
@@ -131,8 +132,9 @@
 
     @Override
     public synchronized Optional<Companion> choose() {
-        RouteRequest plain = RouteRequest.ofService(Offering.ofService(service)).withExcluded(triedTargets);
-        return dependencies.fleet().route(plain).flatMap(route -> {
+        RouteRequest routeRequest =
+                RouteRequest.ofService(Offering.ofService(service)).withExcluded(triedTargets);
+        return dependencies.fleet().route(routeRequest).flatMap(route -> {
             chosenTargets.put(route.instance(), route.target());
             return membership
                     .get()
@@ -143,7 +145,10 @@
         });
     }
 
-    /** A target counts as tried once a request goes there; one that was only chosen may be chosen again. */
+    /**
+     * Creates the message for a chosen companion. A target counts as tried once a request is sent to it; one that was
+     * only chosen may be chosen again.
+     */
     @Override
     public synchronized Run runFor(AttemptId attempt, Companion companion) {
         Optional.ofNullable(chosenTargets.get(companion.instance())).ifPresent(triedTargets::add);
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/StreamedAnswer.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/StreamedAnswer.java
@@ -11,19 +11,20 @@
 import org.geraniumreach.model.ServingException;
 
 /**
- * Passes an answer on as server-sent events.
+ * Streams an answer to the caller as server-sent events.
  *
- * <p>A caller that takes nothing, or whose connection has gone silent, would hold its attempt and a slot at the target for
- * good; after the stall limit the call is given up, which frees both. Invariant: the event that ends a whole answer is sent
- * only after all parts. Calls come one at a time, but for the caller's own progress, which only touches volatile fields.
+ * <p>A caller that reads nothing, or whose connection is dead, would occupy its attempt and a slot at the target
+ * indefinitely; after the stall limit the call is aborted, which frees both. Invariant: the terminating event is sent
+ * only after all parts of a complete answer. Methods are called one at a time, except the writability callback, which
+ * accesses only volatile fields.
  */
 final class StreamedAnswer implements AnswerSink {
 
     /**
-     * When a silent stream gets a comment, and when a caller that takes nothing is given up.
+     * The timeouts of a stream.
      *
-     * @param keepAlive the silence after which a comment is sent
-     * @param stall how long the caller may take nothing
+     * @param keepAlive the idle time after which a keep-alive comment is sent
+     * @param stall how long the caller may read nothing before its call is aborted
      */
     record Timeouts(Duration keepAlive, Duration stall) {}
 
@@ -42,19 +43,19 @@
             Call call,
             OpenAiResponseWriter format,
             boolean withUsage,
-            Timeouts patience,
+            Timeouts timeouts,
             MonotonicClock clock,
-            Runnable callerGone) {
+            Runnable onCallerGone) {
         this.call = call;
         this.format = format;
         this.withUsage = withUsage;
-        this.timeouts = patience;
+        this.timeouts = timeouts;
         this.clock = clock;
-        this.onCallerGone = callerGone;
+        this.onCallerGone = onCallerGone;
     }
 
     @Override
-    public void writePart(String text, Runnable taken) {
+    public void writePart(String text, Runnable onReady) {
         boolean first = stream == null;
         if (first && !open()) {
             return;
@@ -64,22 +65,22 @@
             return;
         }
         lastWriteNanos = clock.nanos();
-        awaitWritable(taken);
+        awaitWritable(onReady);
     }
 
     private boolean open() {
         Optional<EventStream> opened = call.stream();
-        opened.ifPresent(open -> stream = open);
+        opened.ifPresent(eventStream -> stream = eventStream);
         return opened.isPresent();
     }
 
-    private void awaitWritable(Runnable taken) {
+    private void awaitWritable(Runnable onReady) {
         blockedSinceNanos = clock.nanos();
         blocked = true;
         stream.onWritable(
                 () -> {
                     blocked = false;
-                    taken.run();
+                    onReady.run();
                 },
                 onCallerGone);
     }
@@ -103,8 +104,8 @@
             call.fail(failure);
             return;
         }
-        // The status line is long sent. The error comes as an event, and the ending event never does, so that no client
-        // takes the part it has for the whole.
+        // The status line has been sent already. The error is sent as an event and the terminating event is omitted, so
+        // that no client takes a partial answer for a complete one.
         stream.writeEvent(ErrorBody.of(failure).toString().getBytes(StandardCharsets.UTF_8));
         stream.end();
     }
@@ -116,7 +117,7 @@
 
     @Override
     public void restart() {
-        // Nothing is held: each part is passed on as it comes.
+        // Nothing is buffered: each part is sent as it arrives.
     }
 
     @Override
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/package-info.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/package-info.java
@@ -1,9 +1,10 @@
 /**
- * An entry: takes callers' requests, checks key, assignment and budget, chooses a target, and passes the answer on.
+ * The entry process: authenticates callers' requests, checks assignment and budget, routes them to a target, and
+ * returns the answer.
  *
- * <p>A request's way: {@link org.geraniumreach.daemon.entry.CallerEndpoints} reads it, {@link
- * org.geraniumreach.daemon.entry.RequestAuthorizer} checks who sent it, {@link org.geraniumreach.daemon.entry.GenerationCall} or
- * {@link org.geraniumreach.daemon.entry.ServiceCall} takes it from its budget to its end, and {@link
- * org.geraniumreach.daemon.entry.Fleet} knows the targets.
+ * <p>Processing of a request: {@link org.geraniumreach.daemon.entry.CallerEndpoints} reads it; {@link
+ * org.geraniumreach.daemon.entry.RequestAuthorizer} authenticates its caller; {@link
+ * org.geraniumreach.daemon.entry.GenerationCall} or {@link org.geraniumreach.daemon.entry.ServiceCall} reserves its
+ * budget and runs it; and {@link org.geraniumreach.daemon.entry.Fleet} maintains the available targets.
  */
 package org.geraniumreach.daemon.entry;
--- a/daemon/src/main/java/org/geraniumreach/daemon/event/EventLog.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/event/EventLog.java
@@ -6,8 +6,8 @@
 /**
  * Writes numbered events to the log.
  *
- * <p>Contract: every line of the log comes through here and carries an event's number. Nobody passes a key, a credential
- * or a prompt. Stateless and safe for use by several threads.
+ * <p>Contract: every log line is written by this class and carries the number of an event. Callers must not pass keys,
+ * credentials or prompts. Stateless and safe for use by several threads.
  */
 public final class EventLog {
 
@@ -17,7 +17,7 @@
      * Writes an event.
      *
      * @param event the event, not null
-     * @param detail what happened to what, with {@code {}} for each argument, not null
+     * @param detail the message, with {@code {}} for each argument, not null
      * @param arguments the arguments
      */
     public static void write(EventCode event, String detail, Object... arguments) {
@@ -25,11 +25,11 @@
     }
 
     /**
-     * Writes an event with the failure that led to it.
+     * Writes an event with the exception that caused it.
      *
      * @param event the event, not null
-     * @param failure the failure, may be null
-     * @param detail what happened to what, with {@code {}} for each argument, not null
+     * @param failure the exception, may be null
+     * @param detail the message, with {@code {}} for each argument, not null
      * @param arguments the arguments
      */
     public static void write(EventCode event, Throwable failure, String detail, Object... arguments) {
--- a/daemon/src/main/java/org/geraniumreach/daemon/event/JsonLinesWriter.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/event/JsonLinesWriter.java
@@ -18,8 +18,8 @@
 /**
  * Writes each log line to the standard output as one JSON object.
  *
- * <p>Invariant: one object a line, whatever the message holds. Safe for use by several threads, since a line is printed by
- * one call.
+ * <p>Invariant: each object takes exactly one line, whatever the message contains. Safe for use by several threads,
+ * since each line is printed by a single call.
  */
 public final class JsonLinesWriter implements Writer {
 
@@ -29,9 +29,9 @@
     private final PrintStream output;
 
     /**
-     * Makes a writer, as tinylog does by name.
+     * Creates a writer; called by tinylog, which finds the class by name.
      *
-     * @param properties the writer's properties, none of which is used
+     * @param properties the properties of the writer, which are ignored
      */
     public JsonLinesWriter(Map<String, String> properties) {
         this.output = System.out;
--- a/daemon/src/main/java/org/geraniumreach/daemon/event/LibraryMessages.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/event/LibraryMessages.java
@@ -9,10 +9,10 @@
 import org.geraniumreach.model.EventCode;
 
 /**
- * Brings what libraries log by the JDK's own logging into the log, as numbered events.
+ * Forwards messages that libraries log through {@code java.util.logging} to the event log.
  *
- * <p>Otherwise Grizzly's lines would come to the standard error output in a form that no reader of the log expects. Safe for
- * use by several threads.
+ * <p>Otherwise Grizzly's messages would go to the standard error output in a format that log readers cannot parse. Safe
+ * for use by several threads.
  */
 final class LibraryMessages extends Handler {
 
@@ -20,7 +20,7 @@
         setLevel(Level.WARNING);
     }
 
-    /** Takes the place of the JDK's own output. */
+    /** Replaces the default handlers of {@code java.util.logging}. */
     static void install() {
         LogManager.getLogManager().reset();
         Logger root = Logger.getLogger("");
@@ -42,11 +42,11 @@
 
     @Override
     public void flush() {
-        // Each message is passed on at once.
+        // Messages are forwarded immediately.
     }
 
     @Override
     public void close() {
-        // Nothing is held.
+        // There are no resources to release.
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/event/LogSettings.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/event/LogSettings.java
@@ -6,24 +6,24 @@
 import org.tinylog.configuration.Configuration;
 
 /**
- * How the log is written.
+ * Settings of the log.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @param format text or JSON
- * @param level the least level written
+ * @param level the lowest level that is written
  */
 public record LogSettings(
         @Setting(value = "text", about = "How a log line is written.") Format format,
         @Setting(value = "info", about = "The least level that is written.") Level level) {
 
-    /** The forms of a log line. */
+    /** The formats of a log line. */
     public enum Format {
         TEXT,
         JSON
     }
 
-    /** The levels, least first. */
+    /** The levels, lowest first. */
     public enum Level {
         DEBUG,
         INFO,
@@ -31,7 +31,7 @@
         ERROR
     }
 
-    /** Puts these settings in force; must come before the first line is logged. */
+    /** Configures the log; must be called before the first line is logged. */
     public void apply() {
         LibraryMessages.install();
         Configuration.set("level", level.name().toLowerCase(Locale.ROOT));
--- a/daemon/src/main/java/org/geraniumreach/daemon/event/package-info.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/event/package-info.java
@@ -1,2 +1,2 @@
-/** The numbered events of the logs. */
+/** The event log: numbered events, written as text or JSON. */
 package org.geraniumreach.daemon.event;
--- a/daemon/src/main/java/org/geraniumreach/daemon/http/Call.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/http/Call.java
@@ -20,9 +20,9 @@
 import org.glassfish.grizzly.http.server.Response;
 
 /**
- * One call of a caller or an operator, with its body read whole.
+ * One HTTP request of a caller or an operator, whose body has been read completely, and its response.
  *
- * <p>Invariant: it is answered at most once; a second answer is passed over. Safe for use by several threads.
+ * <p>Invariant: a call is answered at most once; further answers are ignored. Safe for use by several threads.
  */
 public final class Call {
 
@@ -38,48 +38,48 @@
     private final AtomicBoolean answered = new AtomicBoolean();
     private final List<CallerWatch> callerWatches = new CopyOnWriteArrayList<>();
 
-    Call(Request request, Response response, byte[] body, List<String> parameters, Runnable finished) {
+    Call(Request request, Response response, byte[] body, List<String> parameters, Runnable onFinished) {
         this.request = request;
         this.response = response;
         this.body = body;
         this.parameters = List.copyOf(parameters);
-        this.onFinished = finished;
+        this.onFinished = onFinished;
     }
 
     /**
-     * Gets a parameter of the path.
+     * Gets a path parameter.
      *
-     * @param index its place among the parameters of the route, from 0
-     * @return the segment, not null
+     * @param index the index among the parameters of the route, from 0
+     * @return the path segment, not null
      */
     public String parameter(int index) {
         return parameters.get(index);
     }
 
     /**
-     * Finds a parameter of the query.
+     * Finds a query parameter.
      *
-     * @param name its name, not null
-     * @return its value, or empty if it was not given
+     * @param name the name, not null
+     * @return the value, or empty if absent
      */
     public Optional<String> query(String name) {
         return Optional.ofNullable(request.getParameter(name));
     }
 
     /**
-     * Finds a header.
+     * Finds a request header.
      *
-     * @param name its name, not null
-     * @return its value, or empty if it was not given
+     * @param name the name, not null
+     * @return the value, or empty if absent
      */
     public Optional<String> header(String name) {
         return Optional.ofNullable(request.getHeader(name));
     }
 
     /**
-     * Finds the secret that the caller presents as a bearer token.
+     * Finds the bearer token of the Authorization header.
      *
-     * @return the secret, or empty if there is none
+     * @return the token, or empty if there is none
      */
     public Optional<String> bearerToken() {
         return header("Authorization")
@@ -91,7 +91,7 @@
     /**
      * Gets the body.
      *
-     * @return the bytes, not to be changed
+     * @return the bytes, which must not be modified
      */
     public byte[] body() {
         return body;
@@ -101,7 +101,7 @@
      * Reads the body as a JSON object.
      *
      * @return the object, not null
-     * @throws ServingException if it is not one
+     * @throws ServingException if the body is not a JSON object
      */
     public JsonNode json() throws ServingException {
         JsonNode node;
@@ -130,10 +130,10 @@
     }
 
     /**
-     * Answers with bytes.
+     * Answers with a body of the given type.
      *
      * @param status the HTTP status
-     * @param contentType their type, not null
+     * @param contentType the content type, not null
      * @param content the bytes, not null
      */
     public void reply(int status, String contentType, byte[] content) {
@@ -145,9 +145,12 @@
         response.setContentLength(content.length);
         try {
             response.getNIOOutputStream().write(content);
-        } catch (IOException callerWentAway) {
-            // Nobody is left to answer; finishing the response below frees what it holds.
-            EventLog.write(EventCode.REQUEST_REFUSED, "the caller went away before its answer: {}", callerWentAway);
+        } catch (IOException disconnected) {
+            // The caller has disconnected; finishing the response below releases its resources.
+            EventLog.write(
+                    EventCode.REQUEST_REFUSED,
+                    "the caller disconnected before its response was written: {}",
+                    disconnected);
         }
         finish();
     }
@@ -165,10 +168,10 @@
     }
 
     /**
-     * Sets a header of the answer, before it is given.
+     * Sets a response header; must be called before the call is answered.
      *
-     * @param name the header, not null
-     * @param value its value, not null
+     * @param name the name, not null
+     * @param value the value, not null
      */
     public void setHeader(String name, String value) {
         response.setHeader(name, value);
@@ -177,7 +180,7 @@
     /**
      * Answers with a stream of server-sent events.
      *
-     * @return the stream, or empty if the call was answered already
+     * @return the stream, or empty if the call has been answered already
      */
     public Optional<EventStream> stream() {
         if (!answered.compareAndSet(false, true)) {
@@ -190,9 +193,9 @@
     }
 
     /**
-     * Registers what is done if the caller goes away before the answer is finished.
+     * Registers an action to run if the caller disconnects before the answer is finished.
      *
-     * @param action the action, run once at most, not null
+     * @param action the action, run at most once, not null
      */
     public void onCallerGone(Runnable action) {
         callerWatches.add(CallerWatch.start(request.getRequest().getConnection(), action));
--- a/daemon/src/main/java/org/geraniumreach/daemon/http/Endpoint.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/http/Endpoint.java
@@ -5,8 +5,8 @@
 /**
  * Answers the calls of one route.
  *
- * <p>Contract: the call is answered exactly once, before or after the method returns; an exception is the answer. Several
- * threads use one endpoint.
+ * <p>Contract: each call is answered exactly once, before or after the method returns; a thrown exception is sent as
+ * the answer. Implementations must be safe for use by several threads.
  */
 @FunctionalInterface
 public interface Endpoint {
--- a/daemon/src/main/java/org/geraniumreach/daemon/http/ErrorBody.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/http/ErrorBody.java
@@ -8,9 +8,9 @@
 import org.geraniumreach.model.ServingException;
 
 /**
- * The JSON that tells a caller of an error.
+ * Formats errors as JSON bodies.
  *
- * <p>Its shape is that of the OpenAI conventions, with the number of the result code and whether the request ran. Stateless
+ * <p>The format is OpenAI-compatible, with the number of the result code and whether the request ran added. Stateless
  * and safe for use by several threads.
  */
 public final class ErrorBody {
@@ -38,7 +38,8 @@
     }
 
     /**
-     * Gets the value of the Retry-After header for a delay: whole seconds, rounded up so that nobody comes too early.
+     * Gets the value of the Retry-After header for a delay: whole seconds, rounded up so that no caller retries too
+     * early.
      *
      * @param delay the delay, not null
      * @return the seconds, at least 1
--- a/daemon/src/main/java/org/geraniumreach/daemon/http/EventStream.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/http/EventStream.java
@@ -8,11 +8,11 @@
 import org.glassfish.grizzly.http.server.Response;
 
 /**
- * A reply of server-sent events that is being written.
+ * A response of server-sent events that is being written.
  *
- * <p>Invariant: what is written after the end is passed over, and the end is reached once. Contract: a writer that respects
- * {@link #onWritable} keeps the memory of a slow caller bounded. Safe for use by several threads: a write and the end
- * exclude one another under the stream's lock.
+ * <p>Invariant: writes after the end are ignored, and the stream ends once. Contract: a writer that waits for {@link
+ * #onWritable} before each write keeps the memory for a slow caller bounded. Safe for use by several threads: writing
+ * and ending exclude each other under the stream's lock.
  */
 public final class EventStream {
 
@@ -25,26 +25,26 @@
     private final Runnable onFinished;
     private boolean ended;
 
-    EventStream(Response response, Runnable finished) {
+    EventStream(Response response, Runnable onFinished) {
         this.response = response;
         this.output = response.getNIOOutputStream();
-        this.onFinished = finished;
+        this.onFinished = onFinished;
     }
 
     /**
      * Writes an event.
      *
-     * @param data its data, one line of text, not null
-     * @return false if the caller is gone or the stream has ended
+     * @param data the data of the event, one line of text, not null
+     * @return false if the caller has disconnected or the stream has ended
      */
     public synchronized boolean writeEvent(byte[] data) {
         return write(EVENT_PREFIX, data, EVENT_SUFFIX);
     }
 
     /**
-     * Writes a comment, which callers pass over, so that whatever stands between keeps the connection.
+     * Writes a comment, which clients ignore, so that proxies do not close an idle connection.
      *
-     * @return false if the caller is gone or the stream has ended
+     * @return false if the caller has disconnected or the stream has ended
      */
     public synchronized boolean writeKeepAlive() {
         return write(KEEP_ALIVE_COMMENT);
@@ -60,18 +60,18 @@
             }
             output.flush();
             return true;
-        } catch (IOException callerWentAway) {
+        } catch (IOException disconnected) {
             return false;
         }
     }
 
     /**
-     * Registers what is done once the caller has taken enough of what was written.
+     * Runs an action once the output buffer can accept another write.
      *
-     * @param action run at once if there is room, not null
-     * @param gone run if the caller goes away first, not null
+     * @param action run immediately if the buffer has space, not null
+     * @param onDisconnected run if the caller disconnects first, not null
      */
-    public void onWritable(Runnable action, Runnable gone) {
+    public void onWritable(Runnable action, Runnable onDisconnected) {
         if (output.canWrite()) {
             action.run();
             return;
@@ -84,19 +84,21 @@
 
             @Override
             public void onError(Throwable failure) {
-                gone.run();
+                onDisconnected.run();
             }
         });
     }
 
-    /** Ends the stream; harmless if it has ended. */
+    /** Ends the stream; no effect if it has ended. */
     public void end() {
         if (markEnded()) {
             onFinished.run();
         }
     }
 
-    /** Breaks the stream off, so that the caller sees that its answer is not whole; harmless if it has ended. */
+    /**
+     * Closes the connection, so that the caller sees that the answer is incomplete; no effect if the stream has ended.
+     */
     public void abort() {
         if (markEnded()) {
             response.getRequest().getRequest().getConnection().closeSilently();
--- a/daemon/src/main/java/org/geraniumreach/daemon/http/HttpLimits.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/http/HttpLimits.java
@@ -6,17 +6,17 @@
 import org.geraniumreach.daemon.settings.Setting;
 
 /**
- * What an HTTP face takes from one caller at most.
+ * The limits and timeouts of an HTTP listener.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param body the largest body
- * @param headers the largest header block
- * @param headerCount the most headers
+ * @param body the maximum size of a body
+ * @param headers the maximum size of a header block
+ * @param headerCount the maximum number of headers
  * @param idle how long a connection may be idle between calls
  * @param bodyWait how long a caller may take to send its body
- * @param writeStall how long a caller may take no bytes of a reply before its call is cancelled
- * @param workers the threads that read calls
+ * @param writeStall how long a caller may read no bytes of a response before its call is cancelled
+ * @param workers the number of threads that read calls
  */
 public record HttpLimits(
         @Setting(value = "1MiB", least = "1KiB", greatest = "64MiB", about = "The largest body of a call.")
--- a/daemon/src/main/java/org/geraniumreach/daemon/http/HttpListener.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/http/HttpListener.java
@@ -25,10 +25,10 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /**
- * One HTTP face: a listening address and its routes.
+ * An HTTP server on one address, with its routes.
  *
- * <p>Invariants: every call is answered, with a numbered error if an endpoint throws; a body above the limit is refused
- * before it is held. Safe for use by several threads.
+ * <p>Invariants: every call is answered, with a numbered error if an endpoint throws; a body above the limit is
+ * rejected before it is buffered. Safe for use by several threads.
  */
 public final class HttpListener implements AutoCloseable {
 
@@ -49,23 +49,23 @@
     }
 
     /**
-     * Opens an HTTP face.
+     * Starts an HTTP listener.
      *
-     * @param name its name, for threads and logs, not null
-     * @param limits what it takes from a caller, not null
-     * @param address where it listens, not null
-     * @param routes its endpoints, not null
+     * @param name the name for threads and logs, not null
+     * @param limits the limits for requests, not null
+     * @param address the address to listen on, not null
+     * @param routes the endpoints, not null
      * @param executor runs the endpoints, not null
-     * @return the face, listening, not null
-     * @throws IOException if the address cannot be had
+     * @return the started listener, not null
+     * @throws IOException if the address cannot be bound
      */
     public static HttpListener start(
             String name, HttpLimits limits, InetSocketAddress address, Routes routes, Executor executor)
             throws IOException {
-        HttpListener front = new HttpListener(name, limits, address, executor);
-        front.configure(routes);
-        front.server.start();
-        return front;
+        HttpListener started = new HttpListener(name, limits, address, executor);
+        started.configure(routes);
+        started.server.start();
+        return started;
     }
 
     private void configure(Routes routes) {
@@ -130,7 +130,7 @@
     private void dispatch(Endpoint endpoint, Call call) {
         try {
             executor.execute(() -> handle(endpoint, call));
-        } catch (RejectedExecutionException full) {
+        } catch (RejectedExecutionException saturated) {
             call.fail(ServingException.notRun(ResultCode.OVERLOADED, "too many calls are being read")
                     .withRetryAfter(Duration.ofSeconds(1)));
         }
@@ -148,16 +148,16 @@
     }
 
     /**
-     * Gets the address that the face listens on.
+     * Gets the address that this listens on.
      *
-     * @return the address, with the port given by the machine if the settings named port 0
+     * @return the address, with the port that the operating system assigned if port 0 was requested
      */
     public InetSocketAddress address() {
         return new InetSocketAddress(listener.getHost(), listener.getPort());
     }
 
     /**
-     * Gets the number of calls that are not answered yet.
+     * Gets the number of calls that have not been answered yet.
      *
      * @return the number
      */
@@ -165,7 +165,7 @@
         return openCalls.get();
     }
 
-    /** Makes every further answer ask its caller to close the connection. */
+    /** Adds {@code Connection: close} to the responses of all further calls. */
     public void drain() {
         draining = true;
     }
--- a/daemon/src/main/java/org/geraniumreach/daemon/http/PlainErrorPage.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/http/PlainErrorPage.java
@@ -8,9 +8,10 @@
 import org.glassfish.grizzly.http.server.Request;
 
 /**
- * Tells of what Grizzly itself refuses, such as a header block above the limit, in the system's own form.
+ * Formats the errors that Grizzly itself reports, such as a header block above the limit, as the JSON error bodies of
+ * this API.
  *
- * <p>Grizzly's own page would show a stack trace to the caller. Stateless and safe for use by several threads.
+ * <p>Grizzly's default page would show the caller a stack trace. Stateless and safe for use by several threads.
  */
 final class PlainErrorPage implements ErrorPageGenerator {
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/http/Routes.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/http/Routes.java
@@ -5,10 +5,10 @@
 import java.util.Optional;
 
 /**
- * The endpoints of an HTTP face, by method and path.
+ * The endpoints of an HTTP listener, by method and path.
  *
- * <p>A path's segments are matched one by one; a segment in braces, such as {@code {service}}, matches any one segment and
- * is a parameter of the call. Immutable and safe for use by several threads.
+ * <p>A path's segments are matched one by one; a segment in braces, such as {@code {service}}, matches any single
+ * segment and becomes a parameter of the call. Immutable and safe for use by several threads.
  */
 public final class Routes {
 
@@ -23,10 +23,10 @@
     private record Route(String method, String[] segments, Endpoint endpoint) {}
 
     /**
-     * An endpoint found, with the parameters of its path.
+     * The endpoint that matches a request, with its path parameters.
      *
      * @param endpoint the endpoint
-     * @param parameters the segments that stood for the braces, in order
+     * @param parameters the segments that matched the braces, in order
      */
     record Match(Endpoint endpoint, List<String> parameters) {}
 
@@ -42,7 +42,7 @@
     /**
      * Gets a copy with one more endpoint.
      *
-     * @param method the method, not null
+     * @param method the HTTP method, not null
      * @param path the path, beginning with a slash, not null
      * @param endpoint the endpoint, not null
      * @return the copy, not null
--- a/daemon/src/main/java/org/geraniumreach/daemon/http/package-info.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/http/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The HTTP faces of the daemon, by Grizzly: routes to endpoints, bounded bodies, numbered errors and streamed replies.
+ * HTTP listeners of the daemon, built on Grizzly: routes, bounded bodies, numbered errors and streamed responses.
  *
- * <p>An endpoint gets a {@link org.geraniumreach.daemon.http.Call} whose body has been read whole, and answers it once, at
- * once or later and from any thread.
+ * <p>An endpoint receives a {@link org.geraniumreach.daemon.http.Call} whose body has been read completely, and answers
+ * it once, immediately or later, from any thread.
  */
 package org.geraniumreach.daemon.http;
--- a/daemon/src/main/java/org/geraniumreach/daemon/metrics/NodeMetrics.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/metrics/NodeMetrics.java
@@ -9,11 +9,10 @@
 import org.geraniumreach.process.ProcessMeters;
 
 /**
- * The meters of one process.
+ * The metrics of one process.
  *
- * <p>Invariant: the number of series is bounded. Client accounts beyond the first
- * {@link ProcessMeters#MOST_ACCOUNTS} share their meters. Safe for use
- * by several threads.
+ * <p>Invariant: the number of series is bounded. Client accounts beyond the first {@link ProcessMeters#MOST_ACCOUNTS}
+ * share one set of meters. Safe for use by several threads.
  */
 public final class NodeMetrics {
 
@@ -23,7 +22,7 @@
     private record Series(String account, RequestClass kind) {}
 
     /**
-     * Gets the meters of a client account's requests of a class.
+     * Gets the meters for one client account and class of requests.
      *
      * @param account the account, not null
      * @param kind the class, not null
@@ -36,9 +35,9 @@
     }
 
     /**
-     * Counts a refusal of a caller that is not known to be any client account's.
+     * Counts a refusal of a caller that was not authenticated.
      *
-     * @param code the result, not null
+     * @param code the result code, not null
      */
     public void countUnknownCaller(ResultCode code) {
         shared.registry()
@@ -49,16 +48,16 @@
     /**
      * Adds a gauge.
      *
-     * @param name its name, not null
-     * @param about what it shows, not null
-     * @param value reads it, not null
+     * @param name the name, not null
+     * @param description the description, not null
+     * @param value supplies the value, not null
      */
-    public void gauge(String name, String about, DoubleSupplier value) {
-        shared.gauge(name, about, value);
+    public void gauge(String name, String description, DoubleSupplier value) {
+        shared.gauge(name, description, value);
     }
 
     /**
-     * Prints all meters in Prometheus' text form.
+     * Formats all meters in the Prometheus text format.
      *
      * @return the text, not null
      */
--- a/daemon/src/main/java/org/geraniumreach/daemon/metrics/RequestClass.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/metrics/RequestClass.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** The classes of request that are measured apart. */
+/** The classes of requests that are measured separately. */
 public enum RequestClass {
     COMPLETION,
     CHAT,
--- a/daemon/src/main/java/org/geraniumreach/daemon/metrics/RequestMeters.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/metrics/RequestMeters.java
@@ -12,7 +12,7 @@
 import org.geraniumreach.model.ResultCode;
 
 /**
- * The meters of one client account's requests of one class.
+ * The meters for one client account and class of requests.
  *
  * <p>Safe for use by several threads.
  */
@@ -45,9 +45,9 @@
         this.generatedTokens = counter("geraniumreach.tokens.generated");
     }
 
-    private Timer timer(String name, String about, Duration[] buckets) {
+    private Timer timer(String name, String description, Duration[] buckets) {
         return Timer.builder(name)
-                .description(about)
+                .description(description)
                 .tags(tags)
                 .serviceLevelObjectives(buckets)
                 .register(registry);
@@ -70,10 +70,10 @@
     }
 
     /**
-     * Records how long a request waited at its companion.
+     * Records the wait times of a request at its companion.
      *
-     * @param queueMicros in its queue, in microseconds
-     * @param loadMicros for its adapter, in microseconds
+     * @param queueMicros the time in the queue, in microseconds
+     * @param loadMicros the time until its adapter was loaded, in microseconds
      */
     public void recordWaits(long queueMicros, long loadMicros) {
         queueWait.record(Duration.ofNanos(queueMicros * 1_000));
@@ -81,10 +81,10 @@
     }
 
     /**
-     * Counts the tokens of a request that has ended.
+     * Counts the tokens of a finished request.
      *
-     * @param prompt the prompt's tokens
-     * @param generated the tokens generated
+     * @param prompt the number of prompt tokens
+     * @param generated the number of generated tokens
      */
     public void countTokens(long prompt, long generated) {
         promptTokens.increment(prompt);
@@ -92,9 +92,9 @@
     }
 
     /**
-     * Counts a request's result.
+     * Counts the result of a request.
      *
-     * @param code the result, not null
+     * @param code the result code, not null
      */
     public void countResult(ResultCode code) {
         results.computeIfAbsent(code, this::resultCounter).increment();
--- a/daemon/src/main/java/org/geraniumreach/daemon/metrics/package-info.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** What the daemon measures of itself, by Micrometer, with histograms for each client account and class of request. */
+/** The metrics of the daemon, recorded with Micrometer, with histograms per client account and class of requests. */
 package org.geraniumreach.daemon.metrics;
--- a/daemon/src/main/java/org/geraniumreach/daemon/node/Daemon.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/node/Daemon.java
@@ -3,19 +3,19 @@
 import java.time.Duration;
 
 /**
- * A running process of the system, as its main program sees it.
+ * A running entry or companion, as its main program controls it.
  *
- * <p>Contract: {@link #drain} begins and returns at once; safe for use by several threads.
+ * <p>Contract: {@link #drain} starts draining and returns immediately; safe for use by several threads.
  */
 public interface Daemon extends AutoCloseable {
 
-    /** Takes no new work from now on, and tells its peers so. */
+    /** Stops accepting new work, and announces this to the peers. */
     void drain();
 
     /**
-     * Counts the work that is still running.
+     * Counts the requests that are still running.
      *
-     * @return the number of requests
+     * @return the number
      */
     int running();
 
@@ -26,7 +26,7 @@
      */
     Duration drainLimit();
 
-    /** Ends, and cuts off what is still running. */
+    /** Stops the process's services and aborts the requests that are still running. */
     @Override
     void close();
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/node/DrainLoop.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/node/DrainLoop.java
@@ -9,10 +9,10 @@
 import org.geraniumreach.model.MonotonicClock;
 
 /**
- * Keeps the main thread of a daemon until it is told to end and its work is done.
+ * Blocks the main thread of a daemon until the process is told to end and its requests are finished.
  *
- * <p>Invariant: a first signal cuts nothing off; a second one, or the drain's limit, does, and the log says how much. Safe
- * for use by several threads.
+ * <p>Invariant: the first signal aborts no request; a second signal or the drain limit does, and the number of aborted
+ * requests is logged. Safe for use by several threads.
  */
 public final class DrainLoop {
 
@@ -25,24 +25,24 @@
     private final CountDownLatch endSignalled = new CountDownLatch(1);
 
     /**
-     * Makes a loop.
+     * Creates a loop.
      *
      * @param daemon the daemon, not null
-     * @param clock elapsed time, not null
+     * @param clock the monotonic clock, not null
      */
     public DrainLoop(Daemon daemon, MonotonicClock clock) {
         this.daemon = daemon;
         this.clock = clock;
     }
 
-    /** Tells that the process is to end; a second call cuts off what runs. */
+    /** Starts the drain; a second call aborts the running requests. */
     public void signal() {
         signals.incrementAndGet();
         endSignalled.countDown();
     }
 
     /**
-     * Waits for the signal and the end of the work, and closes the daemon.
+     * Waits for the signal and the end of the running requests, then closes the daemon.
      *
      * @throws InterruptedException if the thread is interrupted
      */
@@ -52,17 +52,17 @@
         daemon.drain();
         long deadline = clock.nanos() + daemon.drainLimit().toNanos();
         int idle = 0;
-        // A request that had been sent before its sender heard of the drain may still be on its way, so one idle
-        // reading is not the end.
+        // A request sent before its sender learned of the drain may still be in transit, so a single idle poll does not
+        // end the drain.
         while (idle < REQUIRED_IDLE_POLLS && signals.get() < 2 && clock.nanos() < deadline) {
             idle = daemon.running() == 0 ? idle + 1 : 0;
             TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
         }
-        int cut = daemon.running();
-        if (cut > 0) {
-            EventLog.write(EventCode.DRAIN_CUT, "{} requests cut off", cut);
+        int aborted = daemon.running();
+        if (aborted > 0) {
+            EventLog.write(EventCode.DRAIN_CUT, "{} requests aborted", aborted);
         } else {
-            EventLog.write(EventCode.DRAINED, "nothing cut off");
+            EventLog.write(EventCode.DRAINED, "all requests have finished");
         }
         daemon.close();
     }
--- a/daemon/src/main/java/org/geraniumreach/daemon/node/Foundation.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/node/Foundation.java
@@ -34,10 +34,10 @@
 import org.geraniumreach.standalone.PlatformClients;
 
 /**
- * What every process of the system stands on: links, the platform's clients, membership and configuration.
+ * The services that every process of the system uses: links, clients of the platform, membership and configuration.
  *
- * <p>Invariant: the link address is bound before the instance list is read, so that whoever hears of this instance can
- * reach it. Safe for use by several threads.
+ * <p>Invariant: the link address is bound before the instance list is read, so that every process that finds this
+ * instance on the list can connect to it. Safe for use by several threads.
  */
 public final class Foundation implements AutoCloseable {
 
@@ -83,14 +83,14 @@
     }
 
     /**
-     * The settings of what every process stands on.
+     * The settings of these services.
      *
-     * @param role what it does
-     * @param node who and where it is
-     * @param platform where the platform's services are
-     * @param links its links
-     * @param membership its membership
-     * @param configuration its configuration
+     * @param role the role of the process
+     * @param node the identity and addresses of the instance
+     * @param platform the addresses of the platform's services
+     * @param links the links to other instances
+     * @param membership the membership
+     * @param configuration the replicated configuration
      */
     public record Settings(
             NodeRole role,
@@ -101,15 +101,15 @@
             ConfigurationSettings configuration) {}
 
     /**
-     * What a role adds to the Hello.
+     * The fields that a role adds to the Hello message.
      *
-     * @param target a companion's target
-     * @param fence a companion's fence
+     * @param target the target of a companion, empty for an entry
+     * @param fence supplies the fencing token of a companion, 0 for an entry
      */
     public record RoleHello(Optional<String> target, LongSupplier fence) {
 
         /**
-         * Obtains what an entry adds: nothing.
+         * Obtains the addition of an entry, which is empty.
          *
          * @return the addition, not null
          */
@@ -122,20 +122,20 @@
      * Starts links, membership and configuration.
      *
      * @param settings the settings, not null
-     * @param roleHello what the role adds to the Hello, not null
-     * @return the foundation, not null
-     * @throws IOException if an address cannot be had
+     * @param roleHello the fields that the role adds to the Hello message, not null
+     * @return the started services, not null
+     * @throws IOException if an address cannot be bound
      */
     public static Foundation start(Settings settings, RoleHello roleHello) throws IOException {
         FailureDomain.of(settings.node().failureDomain());
-        Foundation foundation = new Foundation(settings);
+        Foundation services = new Foundation(settings);
         try {
-            foundation.startLinks(roleHello);
-        } catch (IOException taken) {
-            foundation.close();
-            throw taken;
+            services.startLinks(roleHello);
+        } catch (IOException failure) {
+            services.close();
+            throw failure;
         }
-        return foundation;
+        return services;
     }
 
     private void startLinks(RoleHello roleHello) throws IOException {
@@ -164,15 +164,15 @@
     }
 
     /**
-     * Opens the address where health, readiness and metrics are read.
+     * Starts the HTTP listener for health, readiness and metrics.
      *
-     * @param reasonNotReady tells why the process does not want work, empty if it does, not null
-     * @throws IOException if the address cannot be had
+     * @param reasonNotReady supplies why the process is not ready, empty if it is ready, not null
+     * @throws IOException if the address cannot be bound
      */
     public void startManagement(Supplier<Optional<String>> reasonNotReady) throws IOException {
-        ManagementEndpoints front = new ManagementEndpoints(metrics, reasonNotReady);
+        ManagementEndpoints endpoints = new ManagementEndpoints(metrics, reasonNotReady);
         management = HttpListener.start(
-                "management", managementLimits(), settings.node().management(), front.routes(), blocking);
+                "management", managementLimits(), settings.node().management(), endpoints.routes(), blocking);
     }
 
     private static HttpLimits managementLimits() {
@@ -247,7 +247,7 @@
     }
 
     /**
-     * Gets the threads for tasks that wait; the tasks must not block.
+     * Gets the executor for delayed tasks, which must not block.
      *
      * @return the timer, not null
      */
@@ -256,9 +256,9 @@
     }
 
     /**
-     * Gets the threads for calls that block.
+     * Gets the executor for blocking tasks.
      *
-     * @return the executor, which refuses tasks when all its threads are taken, not null
+     * @return the executor, which rejects tasks when all its threads are busy, not null
      */
     public ExecutorService blocking() {
         return blocking;
--- a/daemon/src/main/java/org/geraniumreach/daemon/node/LinkTuning.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/node/LinkTuning.java
@@ -8,15 +8,15 @@
 import org.geraniumreach.link.LinkSettings;
 
 /**
- * The settings of links that an operator may have cause to change.
+ * The link settings that operators can change.
  *
  * <p>Immutable and safe for use by several threads.
  *
  * @param pingInterval the time between two heartbeats
- * @param unansweredPings the heartbeats without an answer after which a link is given up
+ * @param unansweredPings the number of unanswered heartbeats after which a link is closed
  * @param resumeLimit how long an attempt waits for a new link to its companion
- * @param maximumFrame the largest frame
- * @param threads the event loops
+ * @param maximumFrame the maximum size of a frame
+ * @param threads the number of event loop threads
  */
 public record LinkTuning(
         @Setting(value = "500ms", least = "20ms", greatest = "1m", about = "The time between two heartbeats.")
--- a/daemon/src/main/java/org/geraniumreach/daemon/node/ManagementEndpoints.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/node/ManagementEndpoints.java
@@ -10,10 +10,10 @@
 import org.geraniumreach.model.ResultCode;
 
 /**
- * The endpoints for health, readiness and metrics.
+ * The HTTP endpoints for health, readiness and metrics.
  *
- * <p>Health says that the process can answer; readiness that it wants work, and if not, why. Immutable and safe for use by
- * several threads.
+ * <p>Health shows that the process responds; readiness shows whether it accepts work, and if not, why. Immutable and
+ * safe for use by several threads.
  */
 public final class ManagementEndpoints {
 
@@ -25,10 +25,10 @@
     private final Supplier<Optional<String>> reasonNotReady;
 
     /**
-     * Makes the endpoints.
+     * Creates the endpoints.
      *
-     * @param metrics the meters, not null
-     * @param reasonNotReady tells why the process does not want work, empty if it does, not null
+     * @param metrics the metrics of the process, not null
+     * @param reasonNotReady supplies why the process is not ready, empty if it is ready, not null
      */
     public ManagementEndpoints(NodeMetrics metrics, Supplier<Optional<String>> reasonNotReady) {
         this.metrics = metrics;
@@ -36,7 +36,7 @@
     }
 
     /**
-     * Gets the endpoints.
+     * Gets the routes.
      *
      * @return the routes, not null
      */
--- a/daemon/src/main/java/org/geraniumreach/daemon/node/NodeRole.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/node/NodeRole.java
@@ -2,15 +2,15 @@
 
 import java.util.Locale;
 
-/** What a process of the system does. */
+/** The roles of a process. */
 public enum NodeRole {
-    /** Takes callers' requests. */
+    /** Accepts requests of callers and routes them to companions. */
     ENTRY,
-    /** Speaks to one target. */
+    /** Runs requests at one target. */
     COMPANION;
 
     /**
-     * Gets the role as links and the instance list write it.
+     * Gets the label of the role on links and on the instance list.
      *
      * @return the label, not null
      */
--- a/daemon/src/main/java/org/geraniumreach/daemon/node/NodeSettings.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/node/NodeSettings.java
@@ -8,15 +8,15 @@
 import org.geraniumreach.model.InstanceId;
 
 /**
- * Who and where a process is.
+ * The identity and addresses of a process.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param instance its name on the instance list
- * @param failureDomain where it is
- * @param link where other processes of the system reach it
- * @param management where health, readiness and metrics are read
- * @param drainLimit how long running work may take after the process is told to end
+ * @param instance the name on the instance list
+ * @param failureDomain the failure domain of the instance
+ * @param link the address for links from other processes of the system
+ * @param management the address of health, readiness and metrics
+ * @param drainLimit how long running requests may take after the process is told to end
  */
 public record NodeSettings(
         @Setting(about = "The name of this instance on the platform's list.") String instance,
--- a/daemon/src/main/java/org/geraniumreach/daemon/node/PlatformSettings.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/node/PlatformSettings.java
@@ -7,14 +7,14 @@
 import org.geraniumreach.daemon.settings.Setting;
 
 /**
- * Where the platform's services are.
+ * The addresses of the platform's services.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param table the table service
- * @param objects the object store
- * @param list the instance list
- * @param callLimit how long a call may take
+ * @param table the address of the table service
+ * @param objects the address of the object store
+ * @param list the address of the instance list
+ * @param callLimit the timeout of one call
  */
 public record PlatformSettings(
         @Setting(about = "The address of the table service.") InetSocketAddress table,
@@ -24,7 +24,7 @@
                 Duration callLimit) {
 
     /**
-     * Gets the base of a service's URIs.
+     * Gets the base URI of a service.
      *
      * @param address the service's address, not null
      * @return the URI, not null
--- a/daemon/src/main/java/org/geraniumreach/daemon/node/package-info.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/node/package-info.java
@@ -1,2 +1,2 @@
-/** What an entry and a companion have in common: who they are, what they stand on, and how they end. */
+/** The parts that an entry and a companion share: identity, common services, management endpoints and draining. */
 package org.geraniumreach.daemon.node;
--- a/daemon/src/main/java/org/geraniumreach/daemon/operator/OperatorEndpoints.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/operator/OperatorEndpoints.java
@@ -29,9 +29,10 @@
 import org.geraniumreach.model.record.RecordKind;
 
 /**
- * The endpoints of the operators' port.
+ * The HTTP endpoints for operators: submissions, records, history and status.
  *
- * <p>Invariant: without the operator credential nothing is answered but OPERATOR_REFUSED. Safe for use by several threads.
+ * <p>Invariant: a request without the operator credential is always answered with OPERATOR_REFUSED. Safe for use by
+ * several threads.
  */
 public final class OperatorEndpoints {
 
@@ -44,13 +45,13 @@
     private final Supplier<ObjectNode> status;
 
     /**
-     * Makes the endpoints.
+     * Creates the endpoints.
      *
      * @param credential the digest of the operator credential, not null
-     * @param configuration the configuration in force, not null
-     * @param submitter takes submissions, not null
-     * @param history reads the log, not null
-     * @param status tells the state of this process, not null
+     * @param configuration provides the current configuration, not null
+     * @param submitter processes submissions, not null
+     * @param history reads the configuration log, not null
+     * @param status supplies the state of this process as JSON, not null
      */
     public OperatorEndpoints(
             KeyDigest credential,
@@ -83,8 +84,8 @@
 
     private Endpoint authenticated(Endpoint endpoint) {
         return call -> {
-            Optional<KeyDigest> given = call.bearerToken().map(KeyDigest::ofSecret);
-            if (given.filter(credential::equals).isEmpty()) {
+            Optional<KeyDigest> presented = call.bearerToken().map(KeyDigest::ofSecret);
+            if (presented.filter(credential::equals).isEmpty()) {
                 throw ServingException.notRun(
                         ResultCode.OPERATOR_REFUSED, "the operator credential is missing or wrong");
             }
@@ -117,7 +118,7 @@
     private Submitter.Outcome outcome(Submission submission) throws ServingException {
         try {
             return submitter.submit(submission);
-        } catch (InterruptedException ending) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
             String message = "this instance ends; submit operation " + submission.operation() + " elsewhere";
             throw ServingException.of(ResultCode.SUBMISSION_UNSETTLED, ExecutionStatus.UNKNOWN, message);
@@ -138,7 +139,8 @@
         return json;
     }
 
-    /* Records of one request may refer to one another, so each is checked on top of those before it. */
+    // Records of one request may refer to one another, so each is checked against the configuration with the preceding
+    // ones applied.
     private void validate(Call call) throws ServingException {
         Configuration checked = configuration.current();
         int count = 0;
@@ -150,8 +152,8 @@
                 Optional<String> body =
                         SubmissionCheck.check(new Submission("validation", revision, key, record), checked);
                 checked = checked.plus(List.of(new LogEntry(revision + 1, "validation", key, body)));
-            } catch (RecordException wrong) {
-                throw ServingException.notRun(wrong.code(), key + ": " + wrong.getMessage());
+            } catch (RecordException invalid) {
+                throw ServingException.notRun(invalid.code(), key + ": " + invalid.getMessage());
             }
             count++;
         }
--- a/daemon/src/main/java/org/geraniumreach/daemon/operator/OperatorSettings.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/operator/OperatorSettings.java
@@ -7,13 +7,13 @@
 import org.geraniumreach.model.KeyDigest;
 
 /**
- * Settings of the operators' port.
+ * Settings of the HTTP listener for operators.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param address where it listens
+ * @param address the address to listen on
  * @param credentialDigest the SHA-256 digest of the operator credential
- * @param http what it takes from one caller
+ * @param http the HTTP limits
  */
 public record OperatorSettings(
         @Setting(value = "127.0.0.1:8081", about = "Where the operators' port listens.") InetSocketAddress address,
--- a/daemon/src/main/java/org/geraniumreach/daemon/operator/OperatorStatus.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/operator/OperatorStatus.java
@@ -15,7 +15,7 @@
 import org.geraniumreach.model.MonotonicClock;
 
 /**
- * Tells operators the state of this process.
+ * Supplies the state of this process as JSON for operators.
  *
  * <p>Safe for use by several threads.
  */
@@ -27,12 +27,12 @@
     private final MonotonicClock clock;
 
     /**
-     * Makes the teller.
+     * Creates a supplier.
      *
      * @param self this instance, not null
      * @param configuration the configuration of this process, not null
      * @param membership the membership of this process, not null
-     * @param clock the clock, not null
+     * @param clock the monotonic clock, not null
      */
     public OperatorStatus(
             InstanceId self,
@@ -48,12 +48,12 @@
     @Override
     public ObjectNode get() {
         ConfigurationState state = configuration.state();
-        long left = TimeUnit.NANOSECONDS.toMillis(Math.max(0, state.freshUntil() - clock.nanos()));
+        long freshForMillis = TimeUnit.NANOSECONDS.toMillis(Math.max(0, state.freshUntil() - clock.nanos()));
         ObjectNode json = RecordJson.object()
                 .put("instance", self.value())
                 .put("revision", state.configuration().revision())
                 .put("ready", configuration.reasonNotReady().isEmpty())
-                .put("freshForMillis", left)
+                .put("freshForMillis", freshForMillis)
                 .put("storeReachable", !state.storeUnreachable())
                 .put("poller", state.poller())
                 .put("unreadableRecords", state.configuration().unreadable().size());
--- a/daemon/src/main/java/org/geraniumreach/daemon/operator/RecordJson.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/operator/RecordJson.java
@@ -9,7 +9,7 @@
 import org.geraniumreach.model.record.LogEntry;
 
 /**
- * Shows changes and records as JSON.
+ * Formats configuration changes and records as JSON.
  *
  * <p>Stateless and safe for use by several threads.
  */
--- a/daemon/src/main/java/org/geraniumreach/daemon/operator/SubmissionRequests.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/operator/SubmissionRequests.java
@@ -12,9 +12,9 @@
 import org.geraniumreach.model.record.RecordKind;
 
 /**
- * Reads what operators send.
+ * Reads the JSON requests of operators.
  *
- * <p>Contract: every fault is named with its path. Stateless and safe for use by several threads.
+ * <p>Contract: every error message names the path of the faulty field. Stateless and safe for use by several threads.
  */
 final class SubmissionRequests {
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/operator/package-info.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/operator/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' HTTP port: records, their history and this process's state. */
+/** The HTTP API for operators: configuration records, their history and the state of this process. */
 package org.geraniumreach.daemon.operator;
--- a/daemon/src/main/java/org/geraniumreach/daemon/package-info.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/package-info.java
@@ -1,2 +1,2 @@
-/** The daemon: its command line, and the wiring of an entry and of a companion. */
+/** The command line of the daemon, which starts an entry or a companion. */
 package org.geraniumreach.daemon;
--- a/daemon/src/main/java/org/geraniumreach/daemon/settings/ConsistentSettings.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/settings/ConsistentSettings.java
@@ -1,17 +1,18 @@
 package org.geraniumreach.daemon.settings;
 
 /**
- * Settings between which something must hold.
+ * Settings with constraints between their components.
  *
- * <p>Contract: the reader asks once all components are read, and names a fault with the path of the record.
+ * <p>Contract: the reader calls the check after all components have been read, and reports a violation with the path of
+ * the record.
  */
 @FunctionalInterface
 public interface ConsistentSettings {
 
     /**
-     * Checks what must hold between the settings.
+     * Checks the constraints.
      *
-     * @throws IllegalArgumentException naming what does not hold
+     * @throws IllegalArgumentException if a constraint is violated; the message names it
      */
     void requireConsistent();
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/settings/SettingsException.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/settings/SettingsException.java
@@ -4,16 +4,16 @@
 import java.util.stream.Collectors;
 
 /**
- * Settings that cannot be used, with every mistake in them.
+ * Thrown if settings are invalid; carries every mistake found.
  *
- * <p>Invariant: at least one mistake; no mistake repeats the value of a secret. Immutable.
+ * <p>Invariant: there is at least one mistake, and no mistake contains the value of a secret. Immutable.
  */
 public final class SettingsException extends Exception {
 
     private final transient List<Mistake> mistakes;
 
     /**
-     * Makes an exception.
+     * Creates an exception.
      *
      * @param mistakes the mistakes, at least one, not null
      */
@@ -27,10 +27,10 @@
     }
 
     /**
-     * One mistake.
+     * One invalid setting or structural error.
      *
-     * @param path where it is, such as {@code budget.loan}, empty for the whole file
-     * @param fault what is wrong, with the value and what is allowed
+     * @param path the path of the setting, such as {@code budget.loan}, empty for the whole file
+     * @param fault the error, with the value and the allowed values
      */
     public record Mistake(String path, String fault) {
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/settings/SettingsPrinter.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/settings/SettingsPrinter.java
@@ -7,8 +7,8 @@
 /**
  * Prints a settings record's names, defaults, bounds and purposes as YAML.
  *
- * <p>Invariant: what is printed, with the settings that must be given filled in, is read back as the defaults. Confined to
- * one printing.
+ * <p>Invariant: the printed text, with the required settings filled in, is read back as the defaults. An instance is
+ * used for one call only.
  */
 public final class SettingsPrinter {
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/settings/SettingsReader.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/settings/SettingsReader.java
@@ -21,10 +21,10 @@
 import org.geraniumreach.daemon.settings.SettingsException.Mistake;
 
 /**
- * Reads a settings record from YAML and checks it whole.
+ * Reads and validates a settings record from YAML.
  *
- * <p>Contract: all mistakes are found in one reading; an unknown name, a name given twice and a number without its unit
- * are mistakes, because each of them otherwise leaves a default silently in force. Confined to one reading.
+ * <p>Contract: all mistakes are reported together. Unknown names, duplicate names and numbers without a unit are
+ * mistakes, because otherwise a default would silently stay in force. An instance is used for one call only.
  */
 public final class SettingsReader {
 
@@ -56,14 +56,14 @@
     }
 
     /**
-     * Reads one setting at the top, whatever the others are.
+     * Reads one top-level setting and ignores all others.
      *
-     * @param type its type, not null
-     * @param name its name, not null
+     * @param type the type of the setting, not null
+     * @param name the name of the setting, not null
      * @param yaml the text, not null
-     * @param <T> its type
+     * @param <T> the type of the setting
      * @return the value, not null
-     * @throws SettingsException if it is missing or wrong
+     * @throws SettingsException if the setting is missing or invalid
      */
     public static <T> T readOne(Class<T> type, String name, String yaml) throws SettingsException {
         JsonNode node = new SettingsReader().parse(yaml).path(name);
@@ -93,11 +93,11 @@
         RecordComponent[] components = type.getRecordComponents();
         reportUnknownNames(path, node, components);
         Object[] values = new Object[components.length];
-        int before = mistakes.size();
+        int mistakesBefore = mistakes.size();
         for (int index = 0; index < components.length; index++) {
             values[index] = readComponent(components[index], path, node);
         }
-        return mistakes.size() > before ? Optional.empty() : construct(type, path, values);
+        return mistakes.size() > mistakesBefore ? Optional.empty() : construct(type, path, values);
     }
 
     private void reportUnknownNames(String path, JsonNode node, RecordComponent[] components) {
@@ -114,26 +114,29 @@
     }
 
     private Object readComponent(RecordComponent component, String path, JsonNode parent) {
-        String here = join(path, component.getName());
+        String componentPath = join(path, component.getName());
         JsonNode node = parent.path(component.getName());
         Class<?> type = component.getType();
         if (type.isRecord() && ValueFormat.of(type).isEmpty()) {
-            return readRecord(type.asSubclass(Record.class), here, node).orElse(null);
+            return readRecord(type.asSubclass(Record.class), componentPath, node)
+                    .orElse(null);
         }
         Setting setting = component.getAnnotation(Setting.class);
         if (type == List.class) {
-            return readList(component, setting, here, node);
+            return readList(component, setting, componentPath, node);
         }
         if (type == Optional.class) {
-            return node.isMissingNode() ? Optional.empty() : readText(elementType(component), setting, here, node);
+            return node.isMissingNode()
+                    ? Optional.empty()
+                    : readText(elementType(component), setting, componentPath, node);
         }
         if (node.isMissingNode() && setting.value().isEmpty()) {
-            addMistake(here, "must be given: " + format(type).description());
+            addMistake(componentPath, "must be given: " + format(type).description());
             return null;
         }
         return node.isMissingNode()
                 ? format(type).reader().apply(setting.value())
-                : readText(type, setting, here, node).orElse(null);
+                : readText(type, setting, componentPath, node).orElse(null);
     }
 
     private List<Object> readList(RecordComponent component, Setting setting, String path, JsonNode node) {
@@ -151,7 +154,7 @@
 
     private Optional<Object> readText(Class<?> type, Setting setting, String path, JsonNode node) {
         String description = format(type).description();
-        String shown = setting.secret() || !node.isValueNode() ? "the value" : "'" + node.asText() + "'";
+        String shownValue = setting.secret() || !node.isValueNode() ? "the value" : "'" + node.asText() + "'";
         if (!node.isValueNode() || node.isNull()) {
             addMistake(path, "must be " + description);
             return Optional.empty();
@@ -161,9 +164,9 @@
             if (isWithin(type, setting, value)) {
                 return Optional.of(value);
             }
-            addMistake(path, shown + " is not " + bounds(setting));
+            addMistake(path, shownValue + " is not " + bounds(setting));
         } catch (IllegalArgumentException | ArithmeticException invalid) {
-            addMistake(path, shown + " is not " + description);
+            addMistake(path, shownValue + " is not " + description);
         }
         return Optional.empty();
     }
--- a/daemon/src/main/java/org/geraniumreach/daemon/settings/ValueFormat.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/settings/ValueFormat.java
@@ -14,12 +14,12 @@
 import java.util.stream.Collectors;
 
 /**
- * How the values of one type are written in settings.
+ * The textual format of a type of settings values.
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param description what is allowed, for messages
- * @param reader reads a value, and throws {@link IllegalArgumentException} for text of another form
+ * @param description the allowed values, for messages
+ * @param reader parses a value, and throws {@link IllegalArgumentException} if the text is malformed
  */
 record ValueFormat(String description, Function<String, Object> reader) {
 
@@ -53,7 +53,7 @@
      * Finds the format of a type.
      *
      * @param type the type, not null
-     * @return the format, or empty if values of the type cannot be written as one text
+     * @return the format, or empty if values of the type have no single-value format
      */
     static Optional<ValueFormat> of(Class<?> type) {
         if (type.isEnum()) {
@@ -71,7 +71,7 @@
     }
 
     /**
-     * Gets how an enum constant is written.
+     * Gets the text of an enum constant.
      *
      * @param constant the constant, not null
      * @return its name in lower case with hyphens
@@ -126,10 +126,10 @@
             throw new IllegalArgumentException(text);
         }
         try {
-            // The pattern admits IP numbers only, so no name is ever looked up here.
+            // The pattern matches numeric addresses only, so this never performs a DNS lookup.
             return new InetSocketAddress(InetAddress.getByName(matcher.group(1)), port);
-        } catch (UnknownHostException notAnIpNumber) {
-            throw new IllegalArgumentException(text, notAnIpNumber);
+        } catch (UnknownHostException invalidAddress) {
+            throw new IllegalArgumentException(text, invalidAddress);
         }
     }
 }
--- a/daemon/src/test/java/org/geraniumreach/architecture/DependencyDirectionTest.java
+++ b/daemon/src/test/java/org/geraniumreach/architecture/DependencyDirectionTest.java
@@ -11,7 +11,7 @@
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
 
-/** Holds the modules to their order, and the decisions to their promise that they do no I/O. */
+/** Checks the dependency order of the modules, and that the decision modules perform no I/O. */
 class DependencyDirectionTest {
 
     private static final JavaClasses CLASSES = new ClassFileImporter()
@@ -20,7 +20,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"model", "coordination", "serving"})
-    void decisionsHoldNoSocketThreadSleepOrFramework(String module) {
+    void decisionModulesUseNoSocketsThreadsSleepsOrFrameworks(String module) {
         ArchRule rule = noClasses()
                 .that()
                 .resideInAPackage("org.geraniumreach." + module + "..")
@@ -51,7 +51,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"model", "coordination", "serving", "ports", "standalone", "link"})
-    void whatTheDaemonStandsOnDoesNotKnowIt(String module) {
+    void lowerModulesDoNotDependOnTheDaemon(String module) {
         noClasses()
                 .that()
                 .resideInAPackage("org.geraniumreach." + module + "..")
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void theShippedDaemonKnowsNoStandIn() {
+    void shippedCodeDoesNotDependOnStandIns() {
         noClasses()
                 .should()
                 .dependOnClassesThat()
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void theDaemonsPackagesDoNotDependOnOneAnotherInACircle() {
+    void daemonPackagesAreFreeOfCycles() {
         slices().matching("org.geraniumreach.daemon.(*)..")
                 .should()
                 .beFreeOfCycles()
--- a/daemon/src/test/java/org/geraniumreach/daemon/FaultyTable.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/FaultyTable.java
@@ -12,14 +12,14 @@
 import org.geraniumreach.ports.PlatformException;
 import org.geraniumreach.ports.TableService;
 
-/** A table service in memory, whose answers can be taken away. */
+/** An in-memory table service with injectable faults. */
 public final class FaultyTable implements TableService {
 
     private final Map<String, Row> rows = new ConcurrentSkipListMap<>();
     private final Supplier<Fault> faults;
     private long lastVersion;
 
-    /** What befalls a call. */
+    /** The fault of one call. */
     public enum Fault {
         NONE,
         UNREACHABLE,
--- a/daemon/src/test/java/org/geraniumreach/daemon/entry/CompanionStatusesTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/entry/CompanionStatusesTest.java
@@ -21,10 +21,9 @@
     private final CompanionStatuses statuses = new CompanionStatuses();
 
     @Test
-    void changesAreAddedToWhatWasToldBefore() {
-        // Callers would wait for a load of an adapter that a target holds: the companion's whole first word came before
-        // the
-        // entry knew its target, and after it come only changes.
+    void changesAreMergedIntoTheEarlierCompleteStatus() {
+        // The companion's complete first status may arrive before the entry knows its target, and only changes follow.
+        // If the first one were lost, requests would wait for the load of an adapter that is already resident.
         statuses.update(COMPANION, LINK, status(1, true, Set.of(FIRST), Set.of()));
         statuses.update(COMPANION, LINK, status(2, false, Set.of(SECOND), Set.of()));
         assertThat(statuses.find(COMPANION).orElseThrow().resident()).containsExactlyInAnyOrder(FIRST, SECOND);
@@ -32,21 +31,21 @@
     }
 
     @Test
-    void whatWasTakenAwayIsNotTold() {
+    void removedAdaptersAreNotResident() {
         statuses.update(COMPANION, LINK, status(1, true, Set.of(FIRST, SECOND), Set.of()));
         statuses.update(COMPANION, LINK, status(2, false, Set.of(), Set.of(FIRST)));
         assertThat(statuses.find(COMPANION).orElseThrow().resident()).containsExactly(SECOND);
     }
 
     @Test
-    void aClosedLinksWordsAreForgotten() {
+    void closingALinkRemovesItsStatus() {
         statuses.update(COMPANION, LINK, status(1, true, Set.of(FIRST), Set.of()));
         statuses.remove(COMPANION, LINK);
         assertThat(statuses.find(COMPANION)).isEmpty();
     }
 
     @Test
-    void anOlderLinkThatClosesLateTakesNothingAway() {
+    void closingAnOlderLinkKeepsTheStatusOfTheNewerLink() {
         statuses.update(COMPANION, LINK, status(1, true, Set.of(FIRST), Set.of()));
         statuses.remove(COMPANION, new Object());
         assertThat(statuses.find(COMPANION)).isPresent();
--- a/daemon/src/test/java/org/geraniumreach/daemon/entry/OpenAiRequestReaderTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/entry/OpenAiRequestReaderTest.java
@@ -36,7 +36,7 @@
                 "{'prompt': 'x', 'model': 'a@1', 'max_tokens': 1.5}|MALFORMED_REQUEST|max_tokens: must be a whole number",
                 "{'prompt': 'x', 'model': 'a@1', 'stream': 'yes'}|MALFORMED_REQUEST|stream: must be true or false",
             })
-    void completionRefusesWhatIsWrong(String body, ResultCode code, String message) throws Exception {
+    void invalidCompletionRequestIsRefused(String body, ResultCode code, String message) throws Exception {
         var node = mapper.readTree(body.replace('\'', '"'));
         ServingException refused = catchThrowableOfType(ServingException.class, () -> requests.completion(node));
         assertThat(refused.code()).isEqualTo(code);
@@ -54,7 +54,7 @@
                 "{'model': 'a@1', 'messages': [{'role': 'user'}]}|content: must be text",
                 "{'model': 'a@1', 'messages': [{'role': 'user', 'content': [{'type': 'image'}]}]}|text: must be text",
             })
-    void chatRefusesWhatIsWrong(String body, String message) throws Exception {
+    void invalidChatRequestIsRefused(String body, String message) throws Exception {
         var node = mapper.readTree(body.replace('\'', '"'));
         ServingException refused = catchThrowableOfType(ServingException.class, () -> requests.chat(node));
         assertThat(refused.code()).isEqualTo(ResultCode.MALFORMED_REQUEST);
@@ -62,13 +62,13 @@
     }
 
     @Test
-    void completionPassesOverFieldsThatChooseHowToSample() throws Exception {
+    void completionIgnoresSamplingParameters() throws Exception {
         var node = mapper.readTree("{\"model\":\"a@1\",\"prompt\":\"x\",\"temperature\":0.3,\"n\":1,\"seed\":7}");
         assertThat(requests.completion(node).maximumTokens()).isEqualTo(20);
     }
 
     @Test
-    void chatTellsHowMuchOfThePromptEarlierRequestsHaveSent() throws Exception {
+    void chatPrefixLengthCoversAllMessagesButTheLast() throws Exception {
         var node = mapper.readTree("{\"model\":\"a@1\",\"max_completion_tokens\":5,\"messages\":["
                 + "{\"role\":\"user\",\"content\":\"hi\"},"
                 + "{\"role\":\"user\",\"content\":[{\"type\":\"text\",\"text\":\"you\"}]}]}");
--- a/daemon/src/test/java/org/geraniumreach/daemon/http/HttpListenerTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/http/HttpListenerTest.java
@@ -34,7 +34,7 @@
     private static final int TIMEOUT_MILLIS = 30_000;
 
     private final CountDownLatch callerGone = new CountDownLatch(1);
-    private HttpListener front;
+    private HttpListener listener;
 
     @BeforeEach
     void start() throws Exception {
@@ -58,7 +58,7 @@
                     call.onCallerGone(callerGone::countDown);
                     call.stream().orElseThrow().writeEvent("1".getBytes(StandardCharsets.UTF_8));
                 });
-        front = HttpListener.start(
+        listener = HttpListener.start(
                 "test",
                 limits,
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
@@ -68,7 +68,7 @@
 
     @AfterEach
     void stop() {
-        front.close();
+        listener.close();
     }
 
     @ParameterizedTest
@@ -79,11 +79,11 @@
     }
 
     @Test
-    void aBodyIsReadThoughItsCallerOffersAnotherProtocol() throws Exception {
-        // The caller sees its POST hang until its time limit. The JDK's client offers HTTP/2 with each request, and the
-        // server takes the body for bytes of that protocol.
+    void aBodyIsReadIfTheCallerOffersAnHttp2Upgrade() throws Exception {
+        // The JDK's client offers an HTTP/2 upgrade with each request. A server that reacts to the offer takes the body
+        // for bytes of that protocol, and the POST hangs until its timeout.
         HttpRequest request = HttpRequest.newBuilder(
-                        URI.create("http://127.0.0.1:" + front.address().getPort() + "/echo/x"))
+                        URI.create("http://127.0.0.1:" + listener.address().getPort() + "/echo/x"))
                 .timeout(Duration.ofMillis(TIMEOUT_MILLIS))
                 .POST(HttpRequest.BodyPublishers.ofString("hello"))
                 .build();
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void aBodyAboveTheLimitIsRefusedWhenItsLengthIsNotDeclared() throws IOException {
+    void aChunkedBodyAboveTheLimitIsRefused() throws IOException {
         String chunk = "400\r\n" + "a".repeat(0x400) + "\r\n";
         String answer = exchange(
                 "POST /json HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk.repeat(3) + "0\r\n\r\n");
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void aFaultOfTheSystemTellsNothingOfItsInside() throws IOException {
+    void anInternalErrorDoesNotExposeTheExceptionMessage() throws IOException {
         assertThat(exchange("GET /fault HTTP/1.1\r\nHost: a\r\n\r\n"))
                 .startsWith("HTTP/1.1 500")
                 .contains("\"code\":900")
@@ -139,15 +139,15 @@
                 "GET / HTTP/9.9\r\n\r\n",
                 "POST /json HTTP/1.1\r\nHost: a\r\nContent-Length: -5\r\n\r\n"
             })
-    void whatIsNotHttpStopsNothing(String bytes) throws IOException {
+    void malformedHttpDoesNotStopTheListener(String bytes) throws IOException {
         exchange(bytes);
         assertThat(exchange(post("/echo/a", "still here"))).endsWith("still here");
     }
 
     @Test
-    void aCallerThatGoesAwayIsNoticed() throws Exception {
-        // The caller sees nothing more: it opens a stream, reads its first event and closes the connection. The
-        // endpoint must be told, because the work behind the stream would otherwise run to its end for nobody.
+    void anEndpointIsNotifiedWhenTheCallerDisconnects() throws Exception {
+        // The caller opens a stream, reads the first event and closes the connection. The endpoint must be notified,
+        // because otherwise the work for the stream would run to its end without a reader.
         try (Socket socket = connect()) {
             socket.getOutputStream()
                     .write("GET /forever HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
@@ -157,9 +157,9 @@
     }
 
     @Test
-    void requestsSentTogetherOnOneConnectionAreAnsweredInTheirOrder() throws IOException {
-        // The caller sends two requests without waiting. The first is answered later than the second would be. A caller
-        // matches answers by their order alone, so an answer that overtook another would reach the wrong request.
+    void pipelinedRequestsAreAnsweredInOrder() throws IOException {
+        // The caller pipelines two requests, and the first takes longer to answer. Callers match pipelined responses by
+        // order alone, so a response sent out of order would be assigned to the wrong request.
         String request = "GET /later/%s HTTP/1.1\r\nHost: a\r\n%s\r\n";
         String answers =
                 exchange(false, request.formatted("longest", "") + request.formatted("x", "Connection: close\r\n"));
@@ -175,7 +175,7 @@
 
     private Socket connect() throws IOException {
         Socket socket = new Socket();
-        socket.connect(front.address(), TIMEOUT_MILLIS);
+        socket.connect(listener.address(), TIMEOUT_MILLIS);
         socket.setSoTimeout(TIMEOUT_MILLIS);
         return socket;
     }
@@ -199,7 +199,7 @@
         try {
             input.transferTo(content);
         } catch (SocketException reset) {
-            // A server that refuses what it has not read whole may reset the connection after its answer.
+            // A server that refuses a request before reading it completely may reset the connection after its response.
             return content.toString(StandardCharsets.UTF_8);
         }
         return content.toString(StandardCharsets.UTF_8);
--- a/daemon/src/test/java/org/geraniumreach/daemon/operator/OperatorEndpointsTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/operator/OperatorEndpointsTest.java
@@ -56,7 +56,7 @@
     private final HttpClient client = HttpClient.newHttpClient();
     private ReplicatedConfiguration configuration;
     private Submitter submitter;
-    private HttpListener front;
+    private HttpListener listener;
 
     @BeforeEach
     void start() throws Exception {
@@ -69,19 +69,19 @@
                 new History(table, clock),
                 RecordJson::object);
         InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
-        front = HttpListener.start("operator", LIMITS, address, endpoints.routes(), executor);
+        listener = HttpListener.start("operator", LIMITS, address, endpoints.routes(), executor);
     }
 
     @AfterEach
     void close() {
-        front.close();
+        listener.close();
         configuration.close();
         executor.shutdownNow();
     }
 
     private JsonNode call(String credential, String method, String path, String body) throws Exception {
         HttpRequest request = HttpRequest.newBuilder(
-                        URI.create("http://127.0.0.1:" + front.address().getPort() + "/operator/v1/" + path))
+                        URI.create("http://127.0.0.1:" + listener.address().getPort() + "/operator/v1/" + path))
                 .header("Authorization", "Bearer " + credential)
                 .method(method, HttpRequest.BodyPublishers.ofString(body == null ? "" : body.replace('\'', '"')))
                 .build();
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void aRecordIsSubmittedListedShownTracedAndWithdrawn() throws Exception {
+    void aRecordCanBeSubmittedListedShownAndWithdrawnAndHasAHistory() throws Exception {
         JsonNode accepted = call("operator", "POST", "submit", ACCOUNT);
         assertThat(accepted.path("change").path("revision").asInt()).isEqualTo(1);
         assertThat(call("operator", "GET", "records/account", null).path("records"))
@@ -132,7 +132,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"wrong", "operator2", "operato"})
-    void withoutTheCredentialNothingIsAnsweredAndNothingWritten(String credential) throws Exception {
+    void aWrongCredentialIsRefusedAndNothingIsWritten(String credential) throws Exception {
         for (String path : new String[] {"submit", "withdraw", "validate"}) {
             assertThat(code(call(credential, "POST", path, ACCOUNT))).isEqualTo(ResultCode.OPERATOR_REFUSED.number());
         }
@@ -165,7 +165,7 @@
                     GET  | history?kind=key |                                              | MALFORMED_REQUEST
                     GET  | submit           |                                              | UNKNOWN_PATH
                     """)
-    void badInputGetsItsNumberAndChangesNothing(String method, String path, String body, ResultCode code)
+    void invalidInputGetsItsResultCodeAndChangesNothing(String method, String path, String body, ResultCode code)
             throws Exception {
         JsonNode answer = call("operator", method, path, body);
         assertThat(code(answer)).isEqualTo(code.number());
@@ -180,13 +180,13 @@
     }
 
     @Test
-    void aLeavingEntryTakesNoSubmission() throws Exception {
+    void aDrainingEntryRefusesSubmissions() throws Exception {
         submitter.close();
         assertThat(code(call("operator", "POST", "submit", ACCOUNT))).isEqualTo(ResultCode.DRAINING.number());
     }
 
     @Test
-    void aTableThatIsAwayIsNamed() throws Exception {
+    void anUnavailableTableIsReported() throws Exception {
         table.setAway(true);
         JsonNode answer = call("operator", "POST", "submit", ACCOUNT);
         assertThat(code(answer)).isEqualTo(ResultCode.STORE_UNAVAILABLE.number());
--- a/daemon/src/test/java/org/geraniumreach/daemon/settings/SettingsReaderTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/settings/SettingsReaderTest.java
@@ -34,7 +34,7 @@
             Inner inner) {}
 
     @Test
-    void readTakesDefaultsForWhatIsNotGiven() throws SettingsException {
+    void readUsesDefaultsForMissingSettings() throws SettingsException {
         Outer outer = SettingsReader.read(Outer.class, "listen: 127.0.0.1:80");
         assertThat(outer.count()).isEqualTo(7);
         assertThat(outer.peers()).isEmpty();
@@ -63,7 +63,7 @@
                 "word: [secret]|word: must be text",
                 "inner: {pause: 999999999999d}|inner.pause: '999999999999d' is not",
             })
-    void readNamesTheMistakeWithItsPath(String line, String expected) {
+    void readReportsTheMistakeWithItsPath(String line, String expected) {
         SettingsException refused = catchThrowableOfType(
                 SettingsException.class, () -> SettingsReader.read(Outer.class, "listen: 127.0.0.1:80\n" + line));
         assertThat(refused.mistakes()).hasSize(1);
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void readNamesEveryMistakeAtOnce() {
+    void readReportsAllMistakesTogether() {
         SettingsException refused = catchThrowableOfType(
                 SettingsException.class,
                 () -> SettingsReader.read(Outer.class, "count: 0\ninner: {pause: 1, colour: x}\nother: 1"));
@@ -96,14 +96,14 @@
     record WithRange(Range range) {}
 
     @Test
-    void readNamesThePathOfSettingsThatDoNotGoTogether() {
+    void readReportsThePathOfInconsistentSettings() {
         SettingsException refused = catchThrowableOfType(
                 SettingsException.class, () -> SettingsReader.read(WithRange.class, "range: {least: 10}"));
         assertThat(refused).hasMessage("range: least 10 is above greatest 9");
     }
 
     @Test
-    void readRefusesANameGivenTwice() {
+    void readRefusesDuplicateNames() {
         SettingsException refused = catchThrowableOfType(
                 SettingsException.class,
                 () -> SettingsReader.read(Outer.class, "listen: 127.0.0.1:80\ncount: 1\ncount: 2"));
@@ -111,7 +111,7 @@
     }
 
     @Property(seed = "2")
-    void readThrowsNothingElseWhateverTheText(@ForAll String text) {
+    void readThrowsOnlySettingsExceptionForAnyText(@ForAll String text) {
         try {
             SettingsReader.read(Outer.class, text);
         } catch (SettingsException refused) {
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void printerPrintsWhatIsReadBackAsTheDefaults() throws SettingsException {
+    void printedSettingsAreReadBackAsTheDefaults() throws SettingsException {
         String printed = SettingsPrinter.print(Outer.class) + "\nlisten: 127.0.0.1:80";
         assertThat(SettingsReader.read(Outer.class, printed))
                 .isEqualTo(SettingsReader.read(Outer.class, "listen: 127.0.0.1:80"));
