--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/Fleet.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/Fleet.java
@@ -34,10 +34,11 @@
 import org.geraniumreach.serving.routing.TargetStatus;
 
 /**
- * The targets that this entry can send to, kept in step with membership, records and the companions' news.
+ * Maintains the targets that this entry can send requests to, from membership, configuration records and companion
+ * statuses.
  *
- * <p>Invariant: a target is routed to only while its record exists and a link to its companion is open and not leaving.
- * Safe for use by several threads.
+ * <p>Invariant: requests are routed to a target only while its record exists and a link to its companion is open and
+ * not leaving. Safe for use by several threads.
  */
 final class Fleet implements FrameHandler {
 
@@ -45,8 +46,8 @@
     private final Router router;
     private final TargetHealth health;
     private final PrefixDirectory prefixes;
-    private final Set<TargetId> known = new HashSet<>();
-    private final LastStatus lastStatus = new LastStatus();
+    private final Set<TargetId> knownTargets = new HashSet<>();
+    private final CompanionStatuses companionStatuses = new CompanionStatuses();
     private final Map<InstanceId, Long> fences = new ConcurrentHashMap<>();
     private MembershipView membership = MembershipView.empty();
     private Configuration configuration = Configuration.empty();
@@ -59,23 +60,26 @@
     }
 
     /**
-     * Brings the targets in step with who is there and what the records say.
+     * Updates the targets from the membership and the configuration records.
      *
-     * @param present who is there, not null
-     * @param records the records, not null
+     * @param present the current members, not null
+     * @param records the configuration, not null
      */
     synchronized void refresh(MembershipView present, Configuration records) {
         membership = present;
         configuration = records;
         Map<TargetId, Member> owners = owners();
-        owners.forEach((target, member) -> configuration.target(target).ifPresent(record -> join(record, member)));
-        known.stream().filter(target -> !owners.containsKey(target)).toList().forEach(this::leave);
+        owners.forEach((target, member) -> configuration.target(target).ifPresent(record -> addTarget(record, member)));
+        knownTargets.stream()
+                .filter(target -> !owners.containsKey(target))
+                .toList()
+                .forEach(this::removeTarget);
         fences.keySet().removeIf(instance -> membership.member(instance).isEmpty());
     }
 
     /**
-     * Finds each target's companion. Where two stand beside one target, the one with the higher fence: the other was
-     * replaced while it was frozen or cut off, and refuses all work once it notices.
+     * Finds the companion of each target. If two companions claim one target, the one with the higher fencing token
+     * owns it: the other was replaced while it was frozen or partitioned, and refuses all work once it detects this.
      */
     private Map<TargetId, Member> owners() {
         Map<TargetId, Member> owners = new HashMap<>();
@@ -95,24 +99,24 @@
         return fences.getOrDefault(instance, 0L);
     }
 
-    private void join(Target target, Member member) {
-        boolean same = view.find(target.id())
-                .filter(seen -> seen.instance().equals(member.instance()))
+    private void addTarget(Target target, Member member) {
+        boolean unchanged = view.find(target.id())
+                .filter(known -> known.instance().equals(member.instance()))
                 .isPresent();
-        if (same) {
+        if (unchanged) {
             return;
         }
-        known.add(target.id());
+        knownTargets.add(target.id());
         view.join(target, member.instance());
         health.add(target.id());
-        lastStatus
+        companionStatuses
                 .find(member.instance())
-                .filter(word -> word.target().equals(target.id()))
+                .filter(status -> status.target().equals(target.id()))
                 .ifPresent(view::apply);
     }
 
-    private void leave(TargetId target) {
-        known.remove(target);
+    private void removeTarget(TargetId target) {
+        knownTargets.remove(target);
         view.leave(target);
         health.remove(target);
         prefixes.invalidate(target);
@@ -120,10 +124,10 @@
 
     @Override
     public void opened(Peer peer) {
-        noteFence(peer, peer.hello().getFence());
+        updateFence(peer, peer.hello().getFence());
     }
 
-    private void noteFence(Peer peer, long fence) {
+    private void updateFence(Peer peer, long fence) {
         InstanceId instance = InstanceId.of(peer.hello().getInstance());
         if (fence > fenceOf(instance)) {
             fences.put(instance, fence);
@@ -139,31 +143,34 @@
     public void received(Peer peer, Frame frame) {
         TargetStatus status;
         try {
-            status = statusOf(frame.getStatus());
+            status = toTargetStatus(frame.getStatus());
         } catch (IllegalArgumentException invalid) {
             peer.close("invalid status: " + invalid.getMessage());
             return;
         }
-        lastStatus.note(InstanceId.of(peer.hello().getInstance()), peer, status);
-        noteFence(peer, frame.getStatus().getFence());
+        companionStatuses.update(InstanceId.of(peer.hello().getInstance()), peer, status);
+        updateFence(peer, frame.getStatus().getFence());
         if (isOwner(status.target(), peer)) {
             view.apply(status);
         }
     }
 
-    /** What a replaced companion says of its target, that it drains for one, must not be taken for its successor's word. */
+    /**
+     * A status from a replaced companion, for example that it is draining, must not be applied as that of its
+     * successor.
+     */
     private boolean isOwner(TargetId target, Peer peer) {
         return view.find(target)
-                .filter(seen -> seen.instance().value().equals(peer.hello().getInstance()))
+                .filter(known -> known.instance().value().equals(peer.hello().getInstance()))
                 .isPresent();
     }
 
     @Override
     public void closed(Peer peer, String reason) {
-        lastStatus.forget(InstanceId.of(peer.hello().getInstance()), peer);
+        companionStatuses.remove(InstanceId.of(peer.hello().getInstance()), peer);
     }
 
-    private static TargetStatus statusOf(Status status) {
+    private static TargetStatus toTargetStatus(Status status) {
         return new TargetStatus(
                 TargetId.of(status.getTarget()),
                 status.getSequence(),
@@ -192,33 +199,33 @@
         return router.route(request);
     }
 
-    SentRequest sent(TargetId target) {
+    SentRequest recordSent(TargetId target) {
         return view.recordSent(target);
     }
 
-    void prefixEnded(PrefixDigest prefix, TargetId target, boolean hit) {
+    void recordPrefixResult(PrefixDigest prefix, TargetId target, boolean hit) {
         prefixes.onRequestEnded(prefix, target, hit);
     }
 
-    void succeeded(TargetId target) {
+    void recordSuccess(TargetId target) {
         if (health.onSuccess(target) == TargetHealth.Change.RESTORED) {
             EventLog.write(EventCode.TARGET_RESTORED, "{}", target);
         }
     }
 
-    void failed(TargetId target) {
+    void recordFailure(TargetId target) {
         if (health.onFailure(target) == TargetHealth.Change.EJECTED) {
             EventLog.write(EventCode.TARGET_EJECTED, "{}", target);
         }
     }
 
     /**
-     * Counts the companions that take work, for readiness.
+     * Counts the companions that accept work.
      *
-     * @param membership who is there, not null
+     * @param membership the current members, not null
      * @return the number
      */
-    static long companions(MembershipView membership) {
+    static long countCompanions(MembershipView membership) {
         return membership.members().stream()
                 .filter(member -> member.role() == MemberRole.COMPANION && member.acceptsWork())
                 .count();
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/GenerationCall.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/GenerationCall.java
@@ -32,79 +32,86 @@
 import org.geraniumreach.serving.routing.SentRequest;
 
 /**
- * One caller's generation, from its budget to its end.
+ * Runs one generation request of a caller, from the budget reservation to the final answer.
  *
- * <p>Invariants: the caller gets one final answer; the budget is settled once, at the end; a try that another one has
- * replaced is heard no more, so its late parts reach nobody; once the caller has a part, there is no other try. A request
- * given up on is answered at once. Safe for use by several threads under the call's own lock.
+ * <p>Invariants: the caller gets exactly one final answer; each reservation is settled once; events of an attempt that
+ * has been replaced are ignored, so its late parts never reach the caller; there is no retry after a part has been
+ * sent. An aborted request is answered at once. Safe for use by several threads; the state is guarded by the call's own
+ * lock.
  */
 final class GenerationCall implements BudgetCallback {
 
-    private static final int CREDIT = 32;
-    private static final Duration NO_TARGET_RETRY = Duration.ofSeconds(1);
+    private static final int INITIAL_CREDIT_CHUNKS = 32;
+    private static final Duration NO_TARGET_RETRY_AFTER = Duration.ofSeconds(1);
 
-    private final EntryParts parts;
+    private final EntryDependencies dependencies;
     private final Caller caller;
     private final AdapterReference adapter;
     private final String baseModel;
     private final GenerationRequest request;
     private final RequestMeters meters;
     private final Optional<PrefixDigest> prefix;
-    private final long tokensAtMost;
+    private final long reservedTokens;
     private final long startNanos;
     private final long deadlineNanos;
-    private final Set<TargetId> tried = new HashSet<>();
+    private final Set<TargetId> triedTargets = new HashSet<>();
     private AnswerSink sink;
     private Optional<Reservation> reservation = Optional.empty();
-    private Optional<Try> current = Optional.empty();
-    private Optional<ScheduledFuture<?>> ticks = Optional.empty();
+    private Optional<Attempt> current = Optional.empty();
+    private Optional<ScheduledFuture<?>> tickTask = Optional.empty();
     private Optional<ServingException> lastFailure = Optional.empty();
     private boolean mayHaveRun;
-    private Optional<ScheduledFuture<?>> deadline = Optional.empty();
+    private Optional<ScheduledFuture<?>> deadlineTask = Optional.empty();
     private int failures;
     private boolean ended;
     private long lastPartNanos;
-    private long partsSeen;
+    private long receivedParts;
 
     GenerationCall(
-            EntryParts parts, Caller caller, AdapterReference adapter, String baseModel, GenerationRequest request) {
-        this.parts = parts;
+            EntryDependencies dependencies,
+            Caller caller,
+            AdapterReference adapter,
+            String baseModel,
+            GenerationRequest request) {
+        this.dependencies = dependencies;
         this.caller = caller;
         this.adapter = adapter;
         this.baseModel = baseModel;
         this.request = request;
-        this.meters = parts.metrics().requests(caller.id(), request.kind());
+        this.meters = dependencies.metrics().requests(caller.id(), request.kind());
         this.prefix = prefixOf(adapter, request);
-        this.tokensAtMost = tokensAtMost(parts.limits(), request);
-        this.startNanos = parts.clock().nanos();
-        this.deadlineNanos = startNanos + parts.limits().deadline().toNanos();
+        this.reservedTokens = reservedTokens(dependencies.limits(), request);
+        this.startNanos = dependencies.clock().nanos();
+        this.deadlineNanos = startNanos + dependencies.limits().deadline().toNanos();
     }
 
     /**
-     * Begins.
+     * Starts the call: reserves budget, then sends the request to a target.
      *
-     * @param answer where the answer goes, not null
+     * @param answer writes the answer to the caller, not null
      */
     void start(AnswerSink answer) {
         synchronized (this) {
             sink = answer;
-            long period = parts.limits().keepAlive().toMillis() / 2;
-            ticks = Optional.of(parts.timer().scheduleAtFixedRate(this::tick, period, period, TimeUnit.MILLISECONDS));
-            long left = parts.limits().deadline().toNanos();
-            deadline = Optional.of(parts.timer().schedule(this::deadlinePassed, left, TimeUnit.NANOSECONDS));
+            long period = dependencies.limits().keepAlive().toMillis() / 2;
+            tickTask = Optional.of(
+                    dependencies.timer().scheduleAtFixedRate(this::onTick, period, period, TimeUnit.MILLISECONDS));
+            long limitNanos = dependencies.limits().deadline().toNanos();
+            deadlineTask =
+                    Optional.of(dependencies.timer().schedule(this::onDeadline, limitNanos, TimeUnit.NANOSECONDS));
         }
-        parts.active().add(caller.key(), this::keyWithdrawn, this);
-        parts.budget().reserve(caller.id(), tokensAtMost, deadlineLeft(), this);
+        dependencies.activeCalls().add(caller.key(), this::onKeyWithdrawn, this);
+        dependencies.budget().reserve(caller.id(), reservedTokens, remainingTime(), this);
     }
 
-    private static long tokensAtMost(GenerationLimits limits, GenerationRequest request) {
+    private static long reservedTokens(GenerationLimits limits, GenerationRequest request) {
         int bytes = request.prompt().getBytes(StandardCharsets.UTF_8).length;
         int perToken = limits.bytesPerToken();
         return (bytes + perToken - 1) / perToken + (long) request.maximumTokens();
     }
 
-    private Duration deadlineLeft() {
-        return Duration.ofNanos(Math.max(0, deadlineNanos - parts.clock().nanos()));
+    private Duration remainingTime() {
+        return Duration.ofNanos(Math.max(0, deadlineNanos - dependencies.clock().nanos()));
     }
 
     @Override
@@ -123,37 +130,40 @@
     }
 
     private void send() {
-        Optional<Route> route = parts.fleet().route(routeRequest());
+        Optional<Route> route = dependencies.fleet().route(routeRequest());
         if (route.isEmpty()) {
-            // After a failed try the caller is told of that failure: that no other target is left says less.
+            // After a failed attempt, that failure is reported to the caller, since it says more than that no other
+            // target is available.
             fail(lastFailure.orElseGet(
                     () -> ServingException.notRun(ResultCode.NO_TARGET, "no live target can run " + adapter)
-                            .withRetryAfter(NO_TARGET_RETRY)));
+                            .withRetryAfter(NO_TARGET_RETRY_AFTER)));
             return;
         }
-        tried.add(route.get().target());
-        Try next = new Try(route.get(), parts.fleet().sent(route.get().target()));
-        current = Optional.of(next);
-        next.begin();
+        triedTargets.add(route.get().target());
+        Attempt attempt = new Attempt(
+                route.get(), dependencies.fleet().recordSent(route.get().target()));
+        current = Optional.of(attempt);
+        attempt.start();
     }
 
     private RouteRequest routeRequest() {
-        RouteRequest plain = RouteRequest.ofAdapter(baseModel, adapter).withExcluded(tried);
-        return prefix.map(plain::withPrefix).orElse(plain);
+        RouteRequest routeRequest = RouteRequest.ofAdapter(baseModel, adapter).withExcluded(triedTargets);
+        return prefix.map(routeRequest::withPrefix).orElse(routeRequest);
     }
 
     private static Optional<PrefixDigest> prefixOf(AdapterReference adapter, GenerationRequest request) {
         if (request.prefixLength() == 0) {
             return Optional.empty();
         }
-        byte[] shared = request.prompt().substring(0, request.prefixLength()).getBytes(StandardCharsets.UTF_8);
-        return Optional.of(PrefixDigest.of(adapter, shared));
+        byte[] prefixBytes =
+                request.prompt().substring(0, request.prefixLength()).getBytes(StandardCharsets.UTF_8);
+        return Optional.of(PrefixDigest.of(adapter, prefixBytes));
     }
 
     private Run runOf(AttemptId attempt) {
         return Run.newBuilder()
                 .setAttempt(attempt.value())
-                .setDeadlineLeftMillis(deadlineLeft().toMillis())
+                .setDeadlineLeftMillis(remainingTime().toMillis())
                 .setAccount(caller.id().value())
                 .setKeyDigest(ByteString.copyFrom(caller.key().toBytes()))
                 .setAdapter(adapter.adapter())
@@ -162,31 +172,31 @@
                 .setMaximumTokens(request.maximumTokens())
                 .setPriority(caller.account().priority())
                 .setRepeatable(true)
-                .setRevision(parts.admittance().current().revision())
-                .setPromptTokens(tokensAtMost - request.maximumTokens())
-                .setCredit(CREDIT)
+                .setRevision(dependencies.authorizer().current().revision())
+                .setPromptTokens(reservedTokens - request.maximumTokens())
+                .setCredit(INITIAL_CREDIT_CHUNKS)
                 .build();
     }
 
-    /** One try at one target; it is heard only while it is the call's current one. */
-    private final class Try implements AttemptListener {
+    /** One attempt at one target. Its events are ignored unless it is the call's current attempt. */
+    private final class Attempt implements AttemptListener {
 
         private final Route route;
-        private final SentRequest sending;
+        private final SentRequest sentRequest;
         private Optional<AttemptHandle> handle = Optional.empty();
-        private int owed;
+        private int pendingCredit;
 
-        Try(Route route, SentRequest sending) {
+        Attempt(Route route, SentRequest sentRequest) {
             this.route = route;
-            this.sending = sending;
+            this.sentRequest = sentRequest;
         }
 
-        void begin() {
-            Run run = runOf(AttemptId.random(parts.random()));
-            AttemptHandle started = parts.attempts().run(route.instance(), run, this);
-            handle = Optional.of(started);
-            if (owed > 0) {
-                started.request(owed);
+        void start() {
+            Run run = runOf(AttemptId.random(dependencies.random()));
+            AttemptHandle newHandle = dependencies.attempts().run(route.instance(), run, this);
+            handle = Optional.of(newHandle);
+            if (pendingCredit > 0) {
+                newHandle.request(pendingCredit);
             }
         }
 
@@ -196,23 +206,23 @@
 
         @Override
         public void accepted() {
-            sending.onAccepted();
+            sentRequest.onAccepted();
         }
 
         @Override
         public void chunk(long sequence, ByteString payload, int tokens) {
             synchronized (GenerationCall.this) {
                 if (isCurrent()) {
-                    measurePart(tokens);
-                    sink.part(payload.toStringUtf8(), this::more);
+                    recordPartTiming(tokens);
+                    sink.writePart(payload.toStringUtf8(), this::requestMore);
                 }
             }
         }
 
-        private void more() {
+        private void requestMore() {
             synchronized (GenerationCall.this) {
                 if (handle.isEmpty()) {
-                    owed++;
+                    pendingCredit++;
                     return;
                 }
             }
@@ -221,9 +231,10 @@
 
         @Override
         public void ended(End end) {
-            sending.onEnded();
-            parts.fleet().succeeded(route.target());
-            prefix.ifPresent(digest -> parts.fleet().prefixEnded(digest, route.target(), end.getPrefixHit()));
+            sentRequest.onEnded();
+            dependencies.fleet().recordSuccess(route.target());
+            prefix.ifPresent(
+                    digest -> dependencies.fleet().recordPrefixResult(digest, route.target(), end.getPrefixHit()));
             synchronized (GenerationCall.this) {
                 if (isCurrent()) {
                     finish(end);
@@ -233,29 +244,30 @@
 
         @Override
         public void refused(Refused refused) {
-            sending.onEnded();
+            sentRequest.onEnded();
             ResultCode code = ResultCode.ofNumber(refused.getCode()).orElse(ResultCode.INTERNAL_ERROR);
-            ServingException failure = ServingException.of(code, ranOf(refused.getRan()), refused.getMessage());
+            ServingException failure =
+                    ServingException.of(code, executionStatusOf(refused.getRan()), refused.getMessage());
             if (refused.getRetryAfterMillis() > 0) {
                 failure = failure.withRetryAfter(Duration.ofMillis(refused.getRetryAfterMillis()));
             }
-            failed(failure, Retries.isTargetsFault(code), Retries.mayHelp(code));
+            onFailure(failure, RefusalClassifier.isTargetFailure(code), RefusalClassifier.isRetryable(code));
         }
 
         @Override
         public void lost(ExecutionStatus ran, String reason) {
-            sending.onEnded();
-            failed(ServingException.of(ResultCode.ANSWER_INTERRUPTED, ran, reason), true, true);
+            sentRequest.onEnded();
+            onFailure(ServingException.of(ResultCode.ANSWER_INTERRUPTED, ran, reason), true, true);
         }
 
-        private void failed(ServingException failure, boolean targetsFault, boolean mayHelp) {
-            if (targetsFault) {
-                parts.fleet().failed(route.target());
+        private void onFailure(ServingException failure, boolean targetFailure, boolean retryable) {
+            if (targetFailure) {
+                dependencies.fleet().recordFailure(route.target());
             }
             synchronized (GenerationCall.this) {
                 if (isCurrent()) {
                     failures++;
-                    retryOrFail(failure, mayHelp);
+                    retryOrFail(failure, retryable);
                 }
             }
         }
@@ -265,16 +277,16 @@
         }
     }
 
-    private static ExecutionStatus ranOf(int number) {
-        return number == 0 ? ExecutionStatus.NO : ExecutionStatus.UNKNOWN;
+    private static ExecutionStatus executionStatusOf(int ran) {
+        return ran == 0 ? ExecutionStatus.NO : ExecutionStatus.UNKNOWN;
     }
 
-    private void retryOrFail(ServingException failure, boolean mayHelp) {
+    private void retryOrFail(ServingException failure, boolean retryable) {
         lastFailure = Optional.of(failure);
         mayHaveRun |= failure.executionStatus() != ExecutionStatus.NO;
-        RetryPolicy.FailedAttempt facts = new RetryPolicy.FailedAttempt(
-                true, failure.executionStatus(), sink.hasBegun(), failures, deadlineLeft());
-        Optional<Duration> delay = mayHelp ? parts.retries().decide(facts) : Optional.empty();
+        RetryPolicy.FailedAttempt attempt = new RetryPolicy.FailedAttempt(
+                true, failure.executionStatus(), sink.hasSentParts(), failures, remainingTime());
+        Optional<Duration> delay = retryable ? dependencies.retryPolicy().decide(attempt) : Optional.empty();
         if (delay.isEmpty()) {
             fail(failure);
             return;
@@ -282,14 +294,14 @@
         EventLog.write(EventCode.ATTEMPT_RETRIED, "{} {} after {}", caller.id(), adapter, failure.code());
         current = Optional.empty();
         sink.restart();
-        partsSeen = 0;
+        receivedParts = 0;
         if (failure.executionStatus() != ExecutionStatus.NO) {
-            // The failed try may have used all of its tokens. Another try on the same reservation could bring the
-            // client account above its rate, so it needs one of its own.
+            // The failed attempt may have used all of its tokens. A retry on the same reservation could bring the
+            // client account above its rate, so the retry needs its own reservation.
             reservation.ifPresent(used -> used.settle(used.tokens()));
             reservation = Optional.empty();
         }
-        parts.timer().schedule(this::sendAgain, delay.get().toNanos(), TimeUnit.NANOSECONDS);
+        dependencies.timer().schedule(this::sendAgain, delay.get().toNanos(), TimeUnit.NANOSECONDS);
     }
 
     private synchronized void sendAgain() {
@@ -297,78 +309,81 @@
             return;
         }
         if (reservation.isEmpty()) {
-            parts.budget().reserve(caller.id(), tokensAtMost, deadlineLeft(), this);
+            dependencies.budget().reserve(caller.id(), reservedTokens, remainingTime(), this);
             return;
         }
         send();
     }
 
-    private void measurePart(int tokens) {
-        long now = parts.clock().nanos();
-        if (partsSeen == 0) {
-            meters.firstToken(now - startNanos);
+    private void recordPartTiming(int tokens) {
+        long now = dependencies.clock().nanos();
+        if (receivedParts == 0) {
+            meters.recordFirstToken(now - startNanos);
         } else if (tokens > 0) {
-            meters.betweenTokens((now - lastPartNanos) / tokens);
+            meters.recordBetweenTokens((now - lastPartNanos) / tokens);
         }
-        partsSeen++;
+        receivedParts++;
         lastPartNanos = now;
     }
 
     private void finish(End end) {
         close(end.getPromptTokens() + (long) end.getGeneratedTokens());
-        parts.retryBudget().onSuccess();
-        meters.tokens(end.getPromptTokens(), end.getGeneratedTokens());
-        meters.waits(end.getQueueMicros(), end.getLoadMicros());
-        meters.result(ResultCode.OK);
-        sink.finish(new OpenAiAnswers.Usage(end.getPromptTokens(), end.getGeneratedTokens()), end.getFinishReason());
+        dependencies.retryBudget().onSuccess();
+        meters.countTokens(end.getPromptTokens(), end.getGeneratedTokens());
+        meters.recordWaits(end.getQueueMicros(), end.getLoadMicros());
+        meters.countResult(ResultCode.OK);
+        sink.finish(
+                new OpenAiResponseWriter.Usage(end.getPromptTokens(), end.getGeneratedTokens()), end.getFinishReason());
     }
 
     private void fail(ServingException failure) {
         if (ended) {
             return;
         }
-        // One try may have run and a later one not: "not run" is true of the request only if it is true of every try.
+        // "Not run" is true of the request only if it is true of every attempt: an earlier one may have run when a
+        // later one has not.
         mayHaveRun |= failure.executionStatus() != ExecutionStatus.NO;
-        ServingException told = mayHaveRun ? failure.withExecutionStatus(ExecutionStatus.UNKNOWN) : failure;
-        // What a try may have used is counted as used, so that a failing target never lets an account above its rate.
+        ServingException reported = mayHaveRun ? failure.withExecutionStatus(ExecutionStatus.UNKNOWN) : failure;
+        // Tokens that an attempt may have used count as used, so that a failing target never lets an account exceed its
+        // rate.
         close(mayHaveRun ? reservation.map(Reservation::tokens).orElse(0L) : 0);
-        meters.result(told.code());
-        EventLog.write(EventCode.REQUEST_REFUSED, "{} {} {}", caller.id(), adapter, told.code());
-        sink.fail(told);
+        meters.countResult(reported.code());
+        EventLog.write(EventCode.REQUEST_REFUSED, "{} {} {}", caller.id(), adapter, reported.code());
+        sink.fail(reported);
     }
 
     private void close(long usedTokens) {
         ended = true;
-        ticks.ifPresent(task -> task.cancel(false));
-        deadline.ifPresent(task -> task.cancel(false));
+        tickTask.ifPresent(task -> task.cancel(false));
+        deadlineTask.ifPresent(task -> task.cancel(false));
         reservation.ifPresent(held -> held.settle(usedTokens));
-        parts.active().remove(caller.key(), this);
+        dependencies.activeCalls().remove(caller.key(), this);
     }
 
-    private synchronized void tick() {
+    private synchronized void onTick() {
         if (!ended) {
-            sink.tick();
+            sink.onTick();
         }
     }
 
-    private synchronized void deadlinePassed() {
-        giveUp(ServingException.of(ResultCode.DEADLINE_EXCEEDED, ranSoFar(), "the deadline has passed"));
+    private synchronized void onDeadline() {
+        abort(ServingException.of(ResultCode.DEADLINE_EXCEEDED, executionStatus(), "the deadline has passed"));
     }
 
-    private ExecutionStatus ranSoFar() {
-        return tried.isEmpty() ? ExecutionStatus.NO : ExecutionStatus.UNKNOWN;
+    private ExecutionStatus executionStatus() {
+        return triedTargets.isEmpty() ? ExecutionStatus.NO : ExecutionStatus.UNKNOWN;
     }
 
-    /** Gives the call up because its caller went away. */
-    synchronized void callerGone() {
-        giveUp(ServingException.of(ResultCode.CANCELLED, ranSoFar(), "the caller went away"));
+    /** Aborts the call because its caller has disconnected. */
+    synchronized void onCallerGone() {
+        abort(ServingException.of(ResultCode.CANCELLED, executionStatus(), "the caller went away"));
     }
 
-    private synchronized void keyWithdrawn() {
-        giveUp(ServingException.of(ResultCode.KEY_REFUSED, ranSoFar(), "the key was withdrawn"));
+    private synchronized void onKeyWithdrawn() {
+        abort(ServingException.of(ResultCode.KEY_REFUSED, executionStatus(), "the key was withdrawn"));
     }
 
-    private void giveUp(ServingException failure) {
+    private void abort(ServingException failure) {
         if (ended) {
             return;
         }
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/OpenAiAnswers.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/OpenAiResponseWriter.java
@@ -7,13 +7,13 @@
 import org.geraniumreach.daemon.metrics.RequestClass;
 
 /**
- * Writes one answer in the OpenAI conventions, whole or in parts.
+ * Formats one answer as OpenAI-compatible JSON, as a single response or as chunks of a stream.
  *
  * <p>Immutable and safe for use by several threads.
  */
-final class OpenAiAnswers {
+final class OpenAiResponseWriter {
 
-    /** The data of the event that ends a stream. */
+    /** The data of the event that terminates a stream. */
     static final byte[] DONE = "[DONE]".getBytes(StandardCharsets.US_ASCII);
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -23,7 +23,7 @@
     private final String model;
     private final long createdSeconds;
 
-    OpenAiAnswers(RequestClass kind, String attempt, String model, long createdSeconds) {
+    OpenAiResponseWriter(RequestClass kind, String attempt, String model, long createdSeconds) {
         this.chat = kind == RequestClass.CHAT;
         this.id = (chat ? "chatcmpl-" : "cmpl-") + attempt;
         this.model = model;
@@ -31,14 +31,14 @@
     }
 
     /**
-     * Writes a whole answer.
+     * Formats a complete response.
      *
-     * @param text the text generated, not null
+     * @param text the generated text, not null
      * @param usage the tokens used, not null
-     * @param finishReason why it ended, not null
+     * @param finishReason why the generation ended, not null
      * @return the JSON object, not null
      */
-    ObjectNode whole(String text, Usage usage, String finishReason) {
+    ObjectNode fullResponse(String text, Usage usage, String finishReason) {
         ObjectNode answer = start(chat ? "chat.completion" : "text_completion");
         ObjectNode choice = choice(answer);
         if (chat) {
@@ -52,14 +52,14 @@
     }
 
     /**
-     * Writes a part of a streamed answer.
+     * Formats a chunk of a streamed answer.
      *
-     * @param text the text of the part, not null
-     * @param first whether it is the first part
+     * @param text the text of the chunk, not null
+     * @param first whether it is the first chunk
      * @return the event's data
      */
-    byte[] part(String text, boolean first) {
-        ObjectNode answer = start(partKind());
+    byte[] chunk(String text, boolean first) {
+        ObjectNode answer = start(chunkKind());
         ObjectNode choice = choice(answer);
         if (chat) {
             ObjectNode delta = choice.putObject("delta");
@@ -75,13 +75,13 @@
     }
 
     /**
-     * Writes the last part of a streamed answer, which tells why it ended.
+     * Formats the final chunk of a streamed answer, which carries the finish reason.
      *
-     * @param finishReason why it ended, not null
+     * @param finishReason why the generation ended, not null
      * @return the event's data
      */
-    byte[] lastPart(String finishReason) {
-        ObjectNode answer = start(partKind());
+    byte[] finalChunk(String finishReason) {
+        ObjectNode answer = start(chunkKind());
         ObjectNode choice = choice(answer);
         if (chat) {
             choice.putObject("delta");
@@ -93,13 +93,13 @@
     }
 
     /**
-     * Writes the event that tells the tokens used, at the end of a stream whose caller asked for it.
+     * Formats the usage chunk, sent at the end of a stream if the caller asked for it.
      *
      * @param usage the tokens used, not null
      * @return the event's data
      */
-    byte[] usagePart(Usage usage) {
-        ObjectNode answer = start(partKind());
+    byte[] usageChunk(Usage usage) {
+        ObjectNode answer = start(chunkKind());
         answer.putArray("choices");
         putUsage(answer, usage);
         return bytes(answer);
@@ -108,12 +108,12 @@
     /**
      * The tokens that a request used.
      *
-     * @param promptTokens of the prompt
-     * @param generatedTokens of the answer
+     * @param promptTokens the tokens of the prompt
+     * @param generatedTokens the tokens of the answer
      */
     record Usage(long promptTokens, long generatedTokens) {}
 
-    private String partKind() {
+    private String chunkKind() {
         return chat ? "chat.completion.chunk" : "text_completion";
     }
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/StreamedAnswer.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/StreamedAnswer.java
@@ -11,28 +11,29 @@
 import org.geraniumreach.model.ServingException;
 
 /**
- * Passes an answer on as server-sent events.
+ * Streams an answer to the caller as server-sent events.
  *
- * <p>A caller that takes nothing, or whose connection has gone silent, would hold its attempt and a slot at the target for
- * good; after the stall limit the call is given up, which frees both. Invariant: the event that ends a whole answer is sent
- * only after all parts. Calls come one at a time, but for the caller's own progress, which only touches volatile fields.
+ * <p>A caller that reads nothing, or whose connection is dead, would occupy its attempt and a slot at the target
+ * indefinitely; after the stall limit the call is aborted, which frees both. Invariant: the terminating event is sent
+ * only after all parts of a complete answer. Methods are called one at a time, except the writability callback, which
+ * accesses only volatile fields.
  */
 final class StreamedAnswer implements AnswerSink {
 
     /**
-     * When a silent stream gets a comment, and when a caller that takes nothing is given up.
+     * The timeouts of a stream.
      *
-     * @param keepAlive the silence after which a comment is sent
-     * @param stall how long the caller may take nothing
+     * @param keepAlive the idle time after which a keep-alive comment is sent
+     * @param stall how long the caller may read nothing before its call is aborted
      */
-    record Patience(Duration keepAlive, Duration stall) {}
+    record Timeouts(Duration keepAlive, Duration stall) {}
 
     private final Call call;
-    private final OpenAiAnswers format;
+    private final OpenAiResponseWriter format;
     private final boolean withUsage;
-    private final Patience patience;
+    private final Timeouts timeouts;
     private final MonotonicClock clock;
-    private final Runnable callerGone;
+    private final Runnable onCallerGone;
     private EventStream stream;
     private volatile long lastWriteNanos;
     private volatile long blockedSinceNanos;
@@ -40,60 +41,60 @@
 
     StreamedAnswer(
             Call call,
-            OpenAiAnswers format,
+            OpenAiResponseWriter format,
             boolean withUsage,
-            Patience patience,
+            Timeouts timeouts,
             MonotonicClock clock,
-            Runnable callerGone) {
+            Runnable onCallerGone) {
         this.call = call;
         this.format = format;
         this.withUsage = withUsage;
-        this.patience = patience;
+        this.timeouts = timeouts;
         this.clock = clock;
-        this.callerGone = callerGone;
+        this.onCallerGone = onCallerGone;
     }
 
     @Override
-    public void part(String text, Runnable taken) {
+    public void writePart(String text, Runnable onReady) {
         boolean first = stream == null;
-        if (first && !begin()) {
+        if (first && !open()) {
             return;
         }
-        if (!stream.event(format.part(text, first))) {
-            callerGone.run();
+        if (!stream.writeEvent(format.chunk(text, first))) {
+            onCallerGone.run();
             return;
         }
         lastWriteNanos = clock.nanos();
-        awaitRoom(taken);
+        awaitWritable(onReady);
     }
 
-    private boolean begin() {
+    private boolean open() {
         Optional<EventStream> opened = call.stream();
-        opened.ifPresent(open -> stream = open);
+        opened.ifPresent(eventStream -> stream = eventStream);
         return opened.isPresent();
     }
 
-    private void awaitRoom(Runnable taken) {
+    private void awaitWritable(Runnable onReady) {
         blockedSinceNanos = clock.nanos();
         blocked = true;
-        stream.whenWritable(
+        stream.onWritable(
                 () -> {
                     blocked = false;
-                    taken.run();
+                    onReady.run();
                 },
-                callerGone);
+                onCallerGone);
     }
 
     @Override
-    public void finish(OpenAiAnswers.Usage usage, String finishReason) {
-        if (stream == null && !begin()) {
+    public void finish(OpenAiResponseWriter.Usage usage, String finishReason) {
+        if (stream == null && !open()) {
             return;
         }
-        stream.event(format.lastPart(finishReason));
+        stream.writeEvent(format.finalChunk(finishReason));
         if (withUsage) {
-            stream.event(format.usagePart(usage));
+            stream.writeEvent(format.usageChunk(usage));
         }
-        stream.event(OpenAiAnswers.DONE);
+        stream.writeEvent(OpenAiResponseWriter.DONE);
         stream.end();
     }
 
@@ -103,37 +104,37 @@
             call.fail(failure);
             return;
         }
-        // The status line is long sent. The error comes as an event, and the ending event never does, so that no client
-        // takes the part it has for the whole.
-        stream.event(ErrorBody.of(failure).toString().getBytes(StandardCharsets.UTF_8));
+        // The status line has been sent already. The error is sent as an event and the terminating event is omitted, so
+        // that no client takes a partial answer for a complete one.
+        stream.writeEvent(ErrorBody.of(failure).toString().getBytes(StandardCharsets.UTF_8));
         stream.end();
     }
 
     @Override
-    public boolean hasBegun() {
+    public boolean hasSentParts() {
         return stream != null;
     }
 
     @Override
     public void restart() {
-        // Nothing is held: each part is passed on as it comes.
+        // Nothing is buffered: each part is sent as it arrives.
     }
 
     @Override
-    public void tick() {
+    public void onTick() {
         if (stream == null) {
             return;
         }
         long now = clock.nanos();
-        if (blocked && now - blockedSinceNanos > patience.stall().toNanos()) {
+        if (blocked && now - blockedSinceNanos > timeouts.stall().toNanos()) {
             stream.abort();
-            callerGone.run();
+            onCallerGone.run();
             return;
         }
-        if (!blocked && now - lastWriteNanos > patience.keepAlive().toNanos()) {
+        if (!blocked && now - lastWriteNanos > timeouts.keepAlive().toNanos()) {
             lastWriteNanos = now;
-            if (!stream.keepAlive()) {
-                callerGone.run();
+            if (!stream.writeKeepAlive()) {
+                onCallerGone.run();
             }
         }
     }
--- a/daemon/src/main/java/org/geraniumreach/daemon/event/JsonLinesWriter.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/event/JsonLinesWriter.java
@@ -18,20 +18,20 @@
 /**
  * Writes each log line to the standard output as one JSON object.
  *
- * <p>Invariant: one object a line, whatever the message holds. Safe for use by several threads, since a line is printed by
- * one call.
+ * <p>Invariant: each object takes exactly one line, whatever the message contains. Safe for use by several threads,
+ * since each line is printed by a single call.
  */
 public final class JsonLinesWriter implements Writer {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final Pattern EVENT = Pattern.compile("\\[(\\d+)] (\\w+) (.*)", Pattern.DOTALL);
+    private static final Pattern EVENT_LINE = Pattern.compile("\\[(\\d+)] (\\w+) (.*)", Pattern.DOTALL);
 
     private final PrintStream output;
 
     /**
-     * Makes a writer, as tinylog does by name.
+     * Creates a writer; called by tinylog, which finds the class by name.
      *
-     * @param properties the writer's properties, none of which is used
+     * @param properties the properties of the writer, which are ignored
      */
     public JsonLinesWriter(Map<String, String> properties) {
         this.output = System.out;
@@ -63,7 +63,7 @@
     }
 
     private static void putMessage(ObjectNode line, String message) {
-        Matcher event = EVENT.matcher(message);
+        Matcher event = EVENT_LINE.matcher(message);
         if (!event.matches()) {
             line.put("detail", message);
             return;
--- a/daemon/src/main/java/org/geraniumreach/daemon/http/HttpFront.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/http/HttpListener.java
@@ -25,22 +25,22 @@
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
 /**
- * One HTTP face: a listening address and its routes.
+ * An HTTP server on one address, with its routes.
  *
- * <p>Invariants: every call is answered, with a numbered error if an endpoint throws; a body above the limit is refused
- * before it is held. Safe for use by several threads.
+ * <p>Invariants: every call is answered, with a numbered error if an endpoint throws; a body above the limit is
+ * rejected before it is buffered. Safe for use by several threads.
  */
-public final class HttpFront implements AutoCloseable {
+public final class HttpListener implements AutoCloseable {
 
     private final String name;
     private final HttpLimits limits;
     private final HttpServer server;
     private final NetworkListener listener;
     private final Executor executor;
-    private final AtomicInteger open = new AtomicInteger();
+    private final AtomicInteger openCalls = new AtomicInteger();
     private volatile boolean draining;
 
-    private HttpFront(String name, HttpLimits limits, InetSocketAddress address, Executor executor) {
+    private HttpListener(String name, HttpLimits limits, InetSocketAddress address, Executor executor) {
         this.name = name;
         this.limits = limits;
         this.executor = executor;
@@ -49,23 +49,23 @@
     }
 
     /**
-     * Opens an HTTP face.
+     * Starts an HTTP listener.
      *
-     * @param name its name, for threads and logs, not null
-     * @param limits what it takes from a caller, not null
-     * @param address where it listens, not null
-     * @param routes its endpoints, not null
+     * @param name the name for threads and logs, not null
+     * @param limits the limits for requests, not null
+     * @param address the address to listen on, not null
+     * @param routes the endpoints, not null
      * @param executor runs the endpoints, not null
-     * @return the face, listening, not null
-     * @throws IOException if the address cannot be had
+     * @return the started listener, not null
+     * @throws IOException if the address cannot be bound
      */
-    public static HttpFront start(
+    public static HttpListener start(
             String name, HttpLimits limits, InetSocketAddress address, Routes routes, Executor executor)
             throws IOException {
-        HttpFront front = new HttpFront(name, limits, address, executor);
-        front.configure(routes);
-        front.server.start();
-        return front;
+        HttpListener started = new HttpListener(name, limits, address, executor);
+        started.configure(routes);
+        started.server.start();
+        return started;
     }
 
     private void configure(Routes routes) {
@@ -102,8 +102,8 @@
         public void service(Request request, Response response) {
             Optional<Routes.Match> match = routes.find(request.getMethod().getMethodString(), request.getRequestURI());
             List<String> parameters = match.map(Routes.Match::parameters).orElse(List.of());
-            Endpoint endpoint = match.map(Routes.Match::endpoint).orElse(HttpFront::refuseUnknownPath);
-            open.incrementAndGet();
+            Endpoint endpoint = match.map(Routes.Match::endpoint).orElse(HttpListener::refuseUnknownPath);
+            openCalls.incrementAndGet();
             response.suspend();
             if (draining) {
                 response.setHeader("Connection", "close");
@@ -111,9 +111,10 @@
             BodyReader.read(
                     request,
                     limits.body().bytes(),
-                    body -> dispatch(endpoint, new Call(request, response, body, parameters, open::decrementAndGet)),
+                    body -> dispatch(
+                            endpoint, new Call(request, response, body, parameters, openCalls::decrementAndGet)),
                     failure -> refuse(
-                            new Call(request, response, new byte[0], parameters, open::decrementAndGet), failure));
+                            new Call(request, response, new byte[0], parameters, openCalls::decrementAndGet), failure));
         }
 
         private void refuse(Call call, ServingException failure) {
@@ -129,7 +130,7 @@
     private void dispatch(Endpoint endpoint, Call call) {
         try {
             executor.execute(() -> handle(endpoint, call));
-        } catch (RejectedExecutionException full) {
+        } catch (RejectedExecutionException saturated) {
             call.fail(ServingException.notRun(ResultCode.OVERLOADED, "too many calls are being read")
                     .withRetryAfter(Duration.ofSeconds(1)));
         }
@@ -147,24 +148,24 @@
     }
 
     /**
-     * Gets the address that the face listens on.
+     * Gets the address that this listens on.
      *
-     * @return the address, with the port given by the machine if the settings named port 0
+     * @return the address, with the port that the operating system assigned if port 0 was requested
      */
     public InetSocketAddress address() {
         return new InetSocketAddress(listener.getHost(), listener.getPort());
     }
 
     /**
-     * Gets the number of calls that are not answered yet.
+     * Gets the number of calls that have not been answered yet.
      *
      * @return the number
      */
     public int openCalls() {
-        return open.get();
+        return openCalls.get();
     }
 
-    /** Makes every further answer ask its caller to close the connection. */
+    /** Adds {@code Connection: close} to the responses of all further calls. */
     public void drain() {
         draining = true;
     }
