--- a/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/BudgetTrial.java
+++ b/benchmarks/src/main/java/org/geraniumreach/benchmarks/budget/BudgetTrial.java
@@ -11,15 +11,15 @@
 import java.util.stream.IntStream;
 
 import org.geraniumreach.coordination.budget.AccountBudget;
+import org.geraniumreach.coordination.budget.BorrowRequest;
 import org.geraniumreach.coordination.budget.BudgetAction;
 import org.geraniumreach.coordination.budget.BudgetPolicy;
 import org.geraniumreach.coordination.budget.BudgetStep;
 import org.geraniumreach.coordination.budget.EntryBudget;
 import org.geraniumreach.coordination.budget.Grant;
 import org.geraniumreach.coordination.budget.HolderId;
-import org.geraniumreach.coordination.budget.HoldingProof;
+import org.geraniumreach.coordination.budget.LeaseValidity;
 import org.geraniumreach.coordination.budget.Loan;
-import org.geraniumreach.coordination.budget.LoanWish;
 import org.geraniumreach.coordination.budget.ShareParts;
 import org.geraniumreach.coordination.budget.SharingPolicy;
 import org.geraniumreach.coordination.budget.StoreCall;
@@ -54,8 +54,8 @@
 
     BudgetTrial(BudgetTrialPlan plan) {
         this.plan = plan;
-        HoldingProof proof = new HoldingProof(UNLIMITED_NANOS);
-        proof.renewed(0);
+        LeaseValidity proof = new LeaseValidity(UNLIMITED_NANOS);
+        proof.onRenewed(0);
         this.centralBudget =
                 new AccountBudget(ACCOUNT, createPolicy(SharingPolicy.staticSplit()), proof, scheduler, new Random(0));
         centralBudget.setRate(plan.rate(), plan.burst());
@@ -107,8 +107,8 @@
                     new HolderId(instance, "address" + index, 1), createPolicy(sharing), scheduler, new Random(index));
             budget.setAccounts(Set.of(ACCOUNT));
             budget.setRate(ACCOUNT, plan.rate(), plan.burst());
-            HoldingProof proof = new HoldingProof(UNLIMITED_NANOS);
-            proof.renewed(0);
+            LeaseValidity proof = new LeaseValidity(UNLIMITED_NANOS);
+            proof.onRenewed(0);
             staticBudget = new AccountBudget(ACCOUNT, createPolicy(sharing), proof, scheduler, new Random(index));
             staticBudget.setRate(plan.rate(), plan.burst());
             staticBudget.setOwnParts(ShareParts.WHOLE / plan.entries(), true);
@@ -123,15 +123,15 @@
             for (int index = 0; index < plan.entries(); index++) {
                 listedEntries.add(new HolderId.ListedHolder(entries.get(index).instance, "address" + index));
             }
-            budget.listed(listedEntries, scheduler.nanos());
+            budget.onHoldersListed(listedEntries, scheduler.nanos());
             callStore();
             scheduler.scheduleAfter(TICK_INTERVAL_SECONDS, this::tick);
         }
 
         private void callStore() {
-            budget.publish().forEach(changed -> execute(changed.step()));
-            budget.keeper()
-                    .next()
+            budget.publishShares().forEach(changed -> execute(changed.step()));
+            budget.shareManager()
+                    .nextCall()
                     .ifPresent(call -> scheduler.scheduleAfter(STORE_LATENCY_SECONDS, () -> {
                         Runnable answer = applyToTable(call);
                         scheduler.scheduleAfter(STORE_LATENCY_SECONDS, () -> {
@@ -144,14 +144,14 @@
         private Runnable applyToTable(StoreCall call) {
             if (call instanceof StoreCall.Read read) {
                 var row = table.read(read.key());
-                return () -> budget.keeper().read(row);
+                return () -> budget.shareManager().onRowRead(row);
             }
             if (call instanceof StoreCall.Scan scan) {
                 var rows = table.scan(scan.table());
-                return () -> budget.keeper().scanned(rows);
+                return () -> budget.shareManager().onScanned(rows);
             }
             boolean committed = table.commit(((StoreCall.Commit) call).transaction());
-            return () -> budget.keeper().committed(committed);
+            return () -> budget.shareManager().onCommitted(committed);
         }
 
         private void reserve(long ticket, long tokens, Duration deadline) {
@@ -170,9 +170,9 @@
 
         private void receive(InstanceId sender, Object message) {
             execute(
-                    message instanceof LoanWish loanRequest
-                            ? budget.loanAsked(sender, loanRequest)
-                            : budget.loanAnswered(sender, (Loan) message));
+                    message instanceof BorrowRequest loanRequest
+                            ? budget.onLoanRequested(sender, loanRequest)
+                            : budget.onLoanAnswered(sender, (Loan) message));
         }
 
         private void execute(BudgetStep step) {
@@ -182,9 +182,9 @@
                     onGranted(granted);
                 } else if (action instanceof BudgetAction.Refused refused) {
                     onRefused(requests.remove(refused.ticket()));
-                } else if (action instanceof BudgetAction.AskLoan loanRequestAction) {
-                    send(loanRequestAction.peer(), loanRequestAction.wish());
-                } else if (action instanceof BudgetAction.GiveLoan loanAction) {
+                } else if (action instanceof BudgetAction.RequestLoan loanRequestAction) {
+                    send(loanRequestAction.peer(), loanRequestAction.request());
+                } else if (action instanceof BudgetAction.AnswerLoanRequest loanAction) {
                     send(loanAction.peer(), loanAction.loan());
                 }
             }
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/AccountBudget.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/AccountBudget.java
@@ -33,7 +33,7 @@
 
     private final AccountId account;
     private final BudgetPolicy policy;
-    private final HoldingProof leaseValidity;
+    private final LeaseValidity leaseValidity;
     private final MonotonicClock clock;
     private final TokenBucket bucket;
     private final WaitQueue waitQueue = new WaitQueue();
@@ -62,7 +62,7 @@
     public AccountBudget(
             AccountId account,
             BudgetPolicy policy,
-            HoldingProof leaseValidity,
+            LeaseValidity leaseValidity,
             MonotonicClock clock,
             RandomGenerator random) {
         this.account = Objects.requireNonNull(account, "account");
@@ -85,8 +85,8 @@
      */
     public synchronized BudgetStep setRate(long newTokensPerSecond, long newBurstTokens) {
         long now = advance();
-        tokensPerSecond = Math.min(newTokensPerSecond, ShareParts.GREATEST_TOKENS);
-        burstTokens = Math.min(newBurstTokens, ShareParts.GREATEST_TOKENS);
+        tokensPerSecond = Math.min(newTokensPerSecond, ShareParts.MAX_TOKENS);
+        burstTokens = Math.min(newBurstTokens, ShareParts.MAX_TOKENS);
         resize(now);
         return processQueue(now);
     }
@@ -113,7 +113,7 @@
     public synchronized BudgetStep setOwnParts(long parts, boolean full) {
         long now = advance();
         long before = ownParts;
-        ownParts = released ? 0 : ShareParts.require(parts);
+        ownParts = released ? 0 : ShareParts.requireValid(parts);
         firstClaimDeadline = ownParts > 0 ? now : firstClaimDeadline;
         resize(now);
         if (full && ownParts > before) {
@@ -214,7 +214,7 @@
      * @param request its request, not null
      * @return the resulting step, not null
      */
-    public synchronized BudgetStep onLoanRequested(InstanceId peer, LoanWish request) {
+    public synchronized BudgetStep onLoanRequested(InstanceId peer, BorrowRequest request) {
         long now = advance();
         List<BudgetAction> actions = new ArrayList<>();
         SharingPolicy.Decision decision = decideLoan(request, now);
@@ -228,12 +228,13 @@
                 request.duration().compareTo(policy.loanDuration()) < 0 ? request.duration() : policy.loanDuration();
         loansGiven.add(parts, now + policy.lenderNanos(duration));
         resize(now);
-        actions.add(new BudgetAction.GiveLoan(peer, new Loan(request.number(), account, tokens, parts, duration)));
+        actions.add(
+                new BudgetAction.AnswerLoanRequest(peer, new Loan(request.number(), account, tokens, parts, duration)));
         planHandover(decision.handedOverParts(), request, now).ifPresent(actions::add);
         return new BudgetStep(actions, OptionalLong.empty());
     }
 
-    private SharingPolicy.Decision decideLoan(LoanWish request, long now) {
+    private SharingPolicy.Decision decideLoan(BorrowRequest request, long now) {
         if (!leaseValidity.isValid(now) || tokensPerSecond <= 0 || released) {
             return SharingPolicy.Decision.NONE;
         }
@@ -247,12 +248,13 @@
         return policy.sharing().decide(position, request);
     }
 
-    private Optional<BudgetAction> planHandover(long parts, LoanWish request, long now) {
-        if (parts <= 0 || request.holder().isEmpty() || now < nextHandoverAt) {
+    private Optional<BudgetAction> planHandover(long parts, BorrowRequest request, long now) {
+        if (parts <= 0 || request.holderRow().isEmpty() || now < nextHandoverAt) {
             return Optional.empty();
         }
         nextHandoverAt = now + HANDOVER_INTERVAL_NANOS;
-        return Optional.of(new BudgetAction.HandOver(account, request.holder().get(), parts));
+        return Optional.of(
+                new BudgetAction.HandOver(account, request.holderRow().get(), parts));
     }
 
     /**
@@ -326,7 +328,7 @@
         if (!loanRequester.isPending()) {
             loanRequester
                     .nextLender(peers, now)
-                    .ifPresent(peer -> actions.add(new BudgetAction.AskLoan(peer, loanRequest(now))));
+                    .ifPresent(peer -> actions.add(new BudgetAction.RequestLoan(peer, loanRequest(now))));
         }
         refuseUnservable(actions, now);
         return new BudgetStep(actions, wakeAt(now));
@@ -344,7 +346,7 @@
         }
     }
 
-    private LoanWish loanRequest(long now) {
+    private BorrowRequest loanRequest(long now) {
         long demandedPerSecond = demand.tokensPerSecond(now);
         long missing = waitQueue.totalTokens() - Math.max(0, bucket.level() / ShareParts.WHOLE);
         long tokens = Math.min(burstTokens, Math.max(missing, demandedPerSecond / 2));
@@ -353,7 +355,7 @@
         double parts = Math.max(
                 Math.max(0, missingCapacity) / Math.max(1, burstTokens),
                 (double) demandedPerSecond / Math.max(1, tokensPerSecond) * ShareParts.WHOLE - unlentParts());
-        return new LoanWish(
+        return new BorrowRequest(
                 loanRequester.requestNumber(),
                 account,
                 tokens,
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/AccountRow.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/AccountRow.java
@@ -25,7 +25,7 @@
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     public AccountRow {
-        ShareParts.require(freeParts);
+        ShareParts.requireValid(freeParts);
     }
 
     /**
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/LoanWish.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/BorrowRequest.java
@@ -17,24 +17,24 @@
  * @param tokens the tokens requested for immediate use
  * @param parts the parts of the share requested for the duration of the loan
  * @param duration the duration of the loan
- * @param demand the demand of the requesting entry's callers in tokens per second
+ * @param tokensPerSecondDemanded the demand of the requesting entry's callers in tokens per second
  * @param heldParts the parts that the requesting entry holds itself
- * @param holder the requesting entry's row in the table service, to which parts may be handed over; empty if it has no
+ * @param holderRow the requesting entry's row in the table service, to which parts may be handed over; empty if it has no
  *     row yet
  */
-public record LoanWish(
+public record BorrowRequest(
         long number,
         AccountId account,
         long tokens,
         long parts,
         Duration duration,
-        long demand,
+        long tokensPerSecondDemanded,
         long heldParts,
-        Optional<RowKey> holder) {
+        Optional<RowKey> holderRow) {
 
-    public LoanWish {
+    public BorrowRequest {
         Objects.requireNonNull(account, "account");
         Objects.requireNonNull(duration, "duration");
-        Objects.requireNonNull(holder, "holder");
+        Objects.requireNonNull(holderRow, "holderRow");
     }
 }
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/BudgetAction.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/BudgetAction.java
@@ -35,9 +35,9 @@
      * Asks another entry for a loan.
      *
      * @param peer the entry
-     * @param wish the request to send
+     * @param request the request to send
      */
-    record AskLoan(InstanceId peer, LoanWish wish) implements BudgetAction {}
+    record RequestLoan(InstanceId peer, BorrowRequest request) implements BudgetAction {}
 
     /**
      * Answers another entry's request for a loan.
@@ -45,7 +45,7 @@
      * @param peer the entry
      * @param loan the loan, which may have no tokens and no parts
      */
-    record GiveLoan(InstanceId peer, Loan loan) implements BudgetAction {}
+    record AnswerLoanRequest(InstanceId peer, Loan loan) implements BudgetAction {}
 
     /**
      * Hands over parts of the share permanently, by a transaction.
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/DemandSharing.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/DemandSharing.java
@@ -22,7 +22,7 @@
 
     private DemandSharing() {}
 
-    static Decision decide(LenderState lender, LoanWish request) {
+    static Decision decide(LenderState lender, BorrowRequest request) {
         if (lender.hasWaitingRequests()) {
             return Decision.NONE;
         }
@@ -37,10 +37,10 @@
         return new Decision(tokens, Math.min(parts, lender.parts()), handover(lender, request));
     }
 
-    private static long handover(LenderState lender, LoanWish request) {
+    private static long handover(LenderState lender, BorrowRequest request) {
         long totalParts = lender.parts() + request.heldParts();
-        double borrowerFraction =
-                (request.demand() + 1.0) / (request.demand() + lender.tokensPerSecondDemanded() + 2.0);
+        double borrowerFraction = (request.tokensPerSecondDemanded() + 1.0)
+                / (request.tokensPerSecondDemanded() + lender.tokensPerSecondDemanded() + 2.0);
         long minimumParts = totalParts / MIN_KEPT_DIVISOR;
         long borrowerTarget =
                 Math.min(Math.max((long) (totalParts * borrowerFraction), minimumParts), totalParts - minimumParts);
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/EntryBudget.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/EntryBudget.java
@@ -17,9 +17,9 @@
 /**
  * The budgets of all client accounts at one entry and the shares that back them.
  *
- * <p>Invariants: an account's budget never has more own parts than {@link ShareKeeper#usableParts}; the caller of each
+ * <p>Invariants: an account's budget never has more own parts than {@link ShareManager#usableParts}; the caller of each
  * method carries out the actions of the returned step. Safe for use by several threads: each account and the {@link
- * ShareKeeper} have locks of their own, and an account's lock may be acquired while holding the latter, never the other
+ * ShareManager} have locks of their own, and an account's lock may be acquired while holding the latter, never the other
  * way round.
  */
 public final class EntryBudget {
@@ -27,8 +27,8 @@
     private final BudgetPolicy policy;
     private final MonotonicClock clock;
     private final RandomGenerator random;
-    private final HoldingProof leaseValidity;
-    private final ShareKeeper shareManager;
+    private final LeaseValidity leaseValidity;
+    private final ShareManager shareManager;
     private final Map<AccountId, AccountBudget> accounts = new ConcurrentHashMap<>();
     private volatile List<InstanceId> peers = List.of();
 
@@ -52,8 +52,8 @@
         this.policy = Objects.requireNonNull(policy, "policy");
         this.clock = Objects.requireNonNull(clock, "clock");
         this.random = Objects.requireNonNull(random, "random");
-        this.leaseValidity = new HoldingProof(policy.proofLimit().toNanos());
-        this.shareManager = new ShareKeeper(self, policy, leaseValidity, clock, this::withdraw);
+        this.leaseValidity = new LeaseValidity(policy.proofLimit().toNanos());
+        this.shareManager = new ShareManager(self, policy, leaseValidity, clock, this::withdraw);
     }
 
     private long withdraw(AccountId account, long parts) {
@@ -106,7 +106,7 @@
      * @param listed the listed entries, not null
      * @param requestedAt a time before the list was requested
      */
-    public void listed(Set<ListedHolder> listed, long requestedAt) {
+    public void onHoldersListed(Set<ListedHolder> listed, long requestedAt) {
         shareManager.onHoldersListed(listed, requestedAt);
     }
 
@@ -157,7 +157,7 @@
      * @param request its request, not null
      * @return the resulting step, not null
      */
-    public BudgetStep loanAsked(InstanceId peer, LoanWish request) {
+    public BudgetStep onLoanRequested(InstanceId peer, BorrowRequest request) {
         BudgetStep step = budget(request.account()).onLoanRequested(peer, request);
         step.actions().stream()
                 .filter(BudgetAction.HandOver.class::isInstance)
@@ -173,16 +173,16 @@
      * @param loan the loan, not null
      * @return the resulting step, not null
      */
-    public BudgetStep loanAnswered(InstanceId peer, Loan loan) {
+    public BudgetStep onLoanAnswered(InstanceId peer, Loan loan) {
         return budget(loan.account()).onLoanAnswered(peer, loan);
     }
 
     /**
-     * Gets the object that manages this entry's shares; {@link #publish} must be called after each result reported to it.
+     * Gets the object that manages this entry's shares; {@link #publishShares} must be called after each result reported to it.
      *
      * @return the object, not null
      */
-    public ShareKeeper keeper() {
+    public ShareManager shareManager() {
         return shareManager;
     }
 
@@ -191,7 +191,7 @@
      *
      * @return the steps of the accounts whose parts have changed, not null
      */
-    public List<AccountStep> publish() {
+    public List<AccountStep> publishShares() {
         Set<AccountId> first = shareManager.takeFirstIssued();
         List<AccountStep> steps = new ArrayList<>();
         for (Map.Entry<AccountId, AccountBudget> entry : accounts.entrySet()) {
@@ -230,7 +230,7 @@
      *
      * @return true if they may
      */
-    public boolean isProved() {
+    public boolean mayUseShares() {
         return leaseValidity.isValid(clock.nanos());
     }
 
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/HoldingProof.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/LeaseValidity.java
@@ -9,7 +9,7 @@
  * entry that was long absent from the list may be listed again after its shares were taken over, so the list does not
  * restore it. Safe for use by several threads.
  */
-public final class HoldingProof {
+public final class LeaseValidity {
 
     private final long validityNanos;
     private long validUntil = Long.MIN_VALUE;
@@ -19,7 +19,7 @@
      *
      * @param validityNanos how long a commit or listing keeps the shares valid
      */
-    public HoldingProof(long validityNanos) {
+    public LeaseValidity(long validityNanos) {
         this.validityNanos = validityNanos;
     }
 
@@ -28,7 +28,7 @@
      *
      * @param sentAt a time before the commit was sent
      */
-    public synchronized void renewed(long sentAt) {
+    public synchronized void onRenewed(long sentAt) {
         validUntil = Math.max(validUntil, sentAt + validityNanos);
     }
 
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/Loan.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/Loan.java
@@ -23,7 +23,7 @@
     public Loan {
         Objects.requireNonNull(account, "account");
         Objects.requireNonNull(duration, "duration");
-        ShareParts.require(parts);
+        ShareParts.requireValid(parts);
         if (tokens < 0) {
             throw new IllegalArgumentException("negative tokens lent: " + tokens);
         }
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/ShareKeeper.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/ShareManager.java
@@ -24,11 +24,11 @@
  * succeeded or the row's version has changed: until then it may still take effect, even if a read returns the old row.
  * Received parts count only once they have been read or their commit has been confirmed.
  *
- * <p>At most one call to the table service is pending: {@link #next} returns it, and one of {@link #read}, {@link
- * #scanned}, {@link #committed} and {@link #failed} reports its result. Safe for use by several threads; the state is
+ * <p>At most one call to the table service is pending: {@link #nextCall} returns it, and one of {@link #onRowRead}, {@link
+ * #onScanned}, {@link #onCommitted} and {@link #onCallFailed} reports its result. Safe for use by several threads; the state is
  * guarded by this object's lock.
  */
-public final class ShareKeeper {
+public final class ShareManager {
 
     private static final int SCAN_ROW_LIMIT = 1000;
     private static final int SCANNER_COUNT = 3;
@@ -36,7 +36,7 @@
 
     private final HolderId self;
     private final BudgetPolicy policy;
-    private final HoldingProof leaseValidity;
+    private final LeaseValidity leaseValidity;
     private final MonotonicClock clock;
     private final Withdrawal withdrawal;
     private final DepartedHolderDetector departedHolders;
@@ -100,10 +100,10 @@
      * @param clock the source of elapsed time, not null
      * @param withdrawal withdraws parts before they are given away, not null
      */
-    public ShareKeeper(
+    public ShareManager(
             HolderId self,
             BudgetPolicy policy,
-            HoldingProof leaseValidity,
+            LeaseValidity leaseValidity,
             MonotonicClock clock,
             Withdrawal withdrawal) {
         this.self = Objects.requireNonNull(self, "self");
@@ -155,7 +155,7 @@
      *
      * @return the rows, not null
      */
-    public synchronized Set<RowKey> takeHandedOverTo() {
+    public synchronized Set<RowKey> takeHandoverRecipients() {
         Set<RowKey> taken = handoverRecipients;
         handoverRecipients = new HashSet<>();
         return taken;
@@ -265,7 +265,7 @@
      *
      * @return the call, empty if none is due or one is pending
      */
-    public synchronized Optional<StoreCall> next() {
+    public synchronized Optional<StoreCall> nextCall() {
         long now = clock.nanos();
         if (pendingCall.isPresent() || now < retryAt) {
             return Optional.empty();
@@ -370,7 +370,7 @@
      *
      * @param found the row, empty if there is none, not null
      */
-    public synchronized void read(Optional<Row> found) {
+    public synchronized void onRowRead(Optional<Row> found) {
         PendingCall answeredCall = takePending();
         if (answeredCall.transfer().isPresent()) {
             prepareTransfer(answeredCall.transfer().get(), found);
@@ -430,7 +430,7 @@
      *
      * @param rows the rows, not null
      */
-    public synchronized void scanned(List<Row> rows) {
+    public synchronized void onScanned(List<Row> rows) {
         StoreCall.Scan scan = (StoreCall.Scan) takePending().call();
         if (scan.table().equals(HolderRow.TABLE)) {
             departedHolders.onRowsScanned(rows, clock.nanos());
@@ -450,7 +450,7 @@
      *
      * @param effective whether the commit took effect; false if a condition did not hold
      */
-    public synchronized void committed(boolean effective) {
+    public synchronized void onCommitted(boolean effective) {
         PendingCall answeredCall = takePending();
         if (!effective) {
             mustReadRow = true;
@@ -469,7 +469,7 @@
                 new KnownRow(version, knownRow.map(KnownRow::renewals).orElse(0L) + 1, after));
         sharesIfCommitApplied = Optional.empty();
         renewedAt = answeredCall.sentAt();
-        leaseValidity.renewed(answeredCall.sentAt());
+        leaseValidity.onRenewed(answeredCall.sentAt());
         answeredCall
                 .transfer()
                 .filter(transfer -> transfer.kind() == ShareTransfer.Kind.HANDOVER)
@@ -490,7 +490,7 @@
      *
      * @param mayTakeEffect whether the call may have taken effect or may still do so
      */
-    public synchronized void failed(boolean mayTakeEffect) {
+    public synchronized void onCallFailed(boolean mayTakeEffect) {
         PendingCall answeredCall = takePending();
         retryAt = clock.nanos() + RETRY_DELAY.toNanos();
         if (!(answeredCall.call() instanceof StoreCall.Commit) || !mayTakeEffect) {
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/ShareParts.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/ShareParts.java
@@ -12,7 +12,7 @@
     public static final long WHOLE = 1L << 20;
 
     /** The maximum rate or burst in tokens for which no product overflows. */
-    public static final long GREATEST_TOKENS = 1L << 40;
+    public static final long MAX_TOKENS = 1L << 40;
 
     private ShareParts() {}
 
@@ -23,7 +23,7 @@
      * @return the same number
      * @throws IllegalArgumentException if it is negative or above the whole
      */
-    public static long require(long parts) {
+    public static long requireValid(long parts) {
         if (parts < 0 || parts > WHOLE) {
             throw new IllegalArgumentException("share of " + parts + " parts is not within 0 to " + WHOLE);
         }
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/ShareSet.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/ShareSet.java
@@ -51,7 +51,7 @@
      * @throws IllegalArgumentException if the parts are negative or above the whole
      */
     public ShareSet with(AccountId account, long newParts) {
-        ShareParts.require(newParts);
+        ShareParts.requireValid(newParts);
         Map<AccountId, Long> changed = new TreeMap<>(parts);
         if (newParts == 0) {
             changed.remove(account);
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/SharingPolicy.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/SharingPolicy.java
@@ -16,7 +16,7 @@
      * @param request the request of the other entry, not null
      * @return the decision, not null
      */
-    Decision decide(LenderState lender, LoanWish request);
+    Decision decide(LenderState lender, BorrowRequest request);
 
     /**
      * The budget of an account at the lending entry and the demand there.
--- a/coordination/src/main/java/org/geraniumreach/coordination/budget/StoreCall.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/budget/StoreCall.java
@@ -4,21 +4,21 @@
 import org.geraniumreach.model.table.Transaction;
 
 /**
- * A call to the table service requested by a {@link ShareKeeper}, which has at most one call pending.
+ * A call to the table service requested by a {@link ShareManager}, which has at most one call pending.
  *
  * <p>Immutable and safe for use by several threads.
  */
 public sealed interface StoreCall {
 
     /**
-     * Reads a row; answered by {@link ShareKeeper#read} or {@link ShareKeeper#failed}.
+     * Reads a row; answered by {@link ShareManager#onRowRead} or {@link ShareManager#onCallFailed}.
      *
      * @param key the key of the row
      */
     record Read(RowKey key) implements StoreCall {}
 
     /**
-     * Reads rows in the order of their keys; answered by {@link ShareKeeper#scanned} or {@link ShareKeeper#failed}.
+     * Reads rows in the order of their keys; answered by {@link ShareManager#onScanned} or {@link ShareManager#onCallFailed}.
      *
      * @param table the table
      * @param after the key after which to start
@@ -27,7 +27,7 @@
     record Scan(String table, String after, int limit) implements StoreCall {}
 
     /**
-     * Commits a transaction; answered by {@link ShareKeeper#committed} or {@link ShareKeeper#failed}.
+     * Commits a transaction; answered by {@link ShareManager#onCommitted} or {@link ShareManager#onCallFailed}.
      *
      * @param transaction the transaction
      */
--- a/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerAction.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerAction.java
@@ -18,30 +18,30 @@
 public sealed interface LedgerAction {
 
     /**
-     * Commits a transaction; answered by {@link LedgerCall#committed}, {@link LedgerCall#conflicted} or {@link
-     * LedgerCall#commitFailed}.
+     * Commits a transaction; answered by {@link LedgerCall#onCommitted}, {@link LedgerCall#onConflict} or {@link
+     * LedgerCall#onCommitFailed}.
      *
      * @param transaction the transaction
      */
     record Commit(Transaction transaction) implements LedgerAction {}
 
     /**
-     * Reads the row; answered by {@link LedgerCall#read} or {@link LedgerCall#readFailed}.
+     * Reads the row; answered by {@link LedgerCall#onRowRead} or {@link LedgerCall#onReadFailed}.
      *
      * @param key the key of the row
      */
     record Read(RowKey key) implements LedgerAction {}
 
     /**
-     * Waits; answered by {@link LedgerCall#waited}.
+     * Waits; answered by {@link LedgerCall#onWaitFinished}.
      *
      * @param delay the time to wait
      */
     record Wait(Duration delay) implements LedgerAction {}
 
     /**
-     * Sends the request; answered by {@link LedgerCall#answered}, {@link LedgerCall#refused} or {@link
-     * LedgerCall#lost}.
+     * Sends the request; answered by {@link LedgerCall#onAnswered}, {@link LedgerCall#onRefused} or {@link
+     * LedgerCall#onConnectionLost}.
      *
      * @param attempt the attempt
      * @param companion the only companion incarnation that may run it
@@ -52,7 +52,7 @@
 
     /**
      * Asks the companion to prevent the attempt from starting if it has not started; answered by {@link
-     * LedgerCall#sealed}.
+     * LedgerCall#onSealResult}.
      *
      * @param attempt the attempt
      * @param companion the companion to which it was sent
@@ -74,7 +74,7 @@
      *
      * @param answer the answer
      * @param replayed whether the answer is that of an earlier call
-     * @param storeAgainAfter the delay after which to call {@link LedgerCall#waited}, which retries to store the
+     * @param storeAgainAfter the delay after which to call {@link LedgerCall#onWaitFinished}, which retries to store the
      *     answer; empty if the call is finished
      */
     record Reply(StoredAnswer answer, boolean replayed, Optional<Duration> storeAgainAfter) implements LedgerAction {}
@@ -83,11 +83,11 @@
      * Refuses the call, which is then finished.
      *
      * @param code the result code
-     * @param ran whether the request ran; NO means that this call started no run and never will
+     * @param executionStatus whether the request ran; NO means that this call started no run and never will
      * @param retryAfter the delay before a retry, if a retry may succeed
      * @param message the reason
      */
-    record Refuse(ResultCode code, ExecutionStatus ran, Optional<Duration> retryAfter, String message)
+    record Refuse(ResultCode code, ExecutionStatus executionStatus, Optional<Duration> retryAfter, String message)
             implements LedgerAction {}
 
     /** Ends the call without further action. */
--- a/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerCall.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerCall.java
@@ -46,7 +46,7 @@
     private final String requestDigest;
     private final Sender self;
     private final LedgerPolicy policy;
-    private final LedgerView context;
+    private final LedgerContext context;
     private final Instant waitDeadline;
 
     private Step step = Step.IDLE;
@@ -94,7 +94,7 @@
      * @param policy the time limits and retry limits, not null
      * @param context the functions to query the environment, not null
      */
-    public LedgerCall(RowKey key, String requestDigest, Sender self, LedgerPolicy policy, LedgerView context) {
+    public LedgerCall(RowKey key, String requestDigest, Sender self, LedgerPolicy policy, LedgerContext context) {
         this.key = Objects.requireNonNull(key, "key");
         this.requestDigest = Objects.requireNonNull(requestDigest, "requestDigest");
         this.self = Objects.requireNonNull(self, "self");
@@ -149,7 +149,7 @@
      *
      * @return the next action, not null
      */
-    public LedgerAction committed() {
+    public LedgerAction onCommitted() {
         version = VERSION_UNKNOWN;
         return step == Step.CLAIMING ? send() : finishRecorded();
     }
@@ -180,7 +180,7 @@
      *
      * @return the next action, not null
      */
-    public LedgerAction conflicted() {
+    public LedgerAction onConflict() {
         if (step != Step.CLAIMING) {
             return readRow(Step.VERIFYING_RECORD);
         }
@@ -194,7 +194,7 @@
      * @param mayTakeEffect whether the commit may have taken effect or may still do so
      * @return the next action, not null
      */
-    public LedgerAction commitFailed(boolean mayTakeEffect) {
+    public LedgerAction onCommitFailed(boolean mayTakeEffect) {
         storeTriesLeft--;
         if (step == Step.CLAIMING) {
             // The commit may have taken effect, or another call's commit may have preceded it. Sending without knowing
@@ -214,7 +214,7 @@
      *
      * @return the next action, not null
      */
-    public LedgerAction readFailed() {
+    public LedgerAction onReadFailed() {
         storeTriesLeft--;
         if (step == Step.VERIFYING_RECORD) {
             return retryRecord();
@@ -240,7 +240,7 @@
      * @param found the row, empty if there is none, not null
      * @return the next action, not null
      */
-    public LedgerAction read(Optional<Row> found) {
+    public LedgerAction onRowRead(Optional<Row> found) {
         if (found.isEmpty()) {
             return handleAbsentRow();
         }
@@ -342,7 +342,7 @@
      *
      * @return the next action, not null
      */
-    public LedgerAction waited() {
+    public LedgerAction onWaitFinished() {
         if (step == Step.RECORD_RETRY_WAIT) {
             return record();
         }
@@ -368,7 +368,7 @@
      * @param result the answer, not null
      * @return the next action, not null
      */
-    public LedgerAction sealed(SealResult result) {
+    public LedgerAction onSealResult(SealResult result) {
         boolean late = sealRequestedAt
                 .plus(policy.sealLimit())
                 .isBefore(context.clock().get());
@@ -411,7 +411,7 @@
      * @param stored the stored answer, not null
      * @return the next action, not null
      */
-    public LedgerAction answered(StoredAnswer stored) {
+    public LedgerAction onAnswered(StoredAnswer stored) {
         answer = stored;
         row = row.withAnswer(stored);
         storeTriesLeft = policy.storeTries();
@@ -424,8 +424,8 @@
      * @param refusal the reason and whether the attempt ran, not null
      * @return the next action, not null
      */
-    public LedgerAction refused(LedgerAction.Refuse refusal) {
-        if (refusal.ran() != ExecutionStatus.NO) {
+    public LedgerAction onRefused(LedgerAction.Refuse refusal) {
+        if (refusal.executionStatus() != ExecutionStatus.NO) {
             return recordUnknown(refusal.code() + ": " + refusal.message());
         }
         return resumed ? seal(row) : handleNeverStarted(refusal);
@@ -437,7 +437,7 @@
      * @param executionStatus NO only if no byte of the attempt was sent or the companion has sealed it, not null
      * @return the next action, not null
      */
-    public LedgerAction lost(ExecutionStatus executionStatus) {
+    public LedgerAction onConnectionLost(ExecutionStatus executionStatus) {
         // An unsent resume says nothing about the attempt, which has been sent before.
         return executionStatus == ExecutionStatus.NO && !resumed
                 ? handleNeverStarted(NEVER_STARTED_REFUSAL)
--- a/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerView.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/ledger/LedgerContext.java
@@ -18,7 +18,7 @@
  * @param isSenderLive whether an entry is live
  * @param isCompanionGone whether a companion's instance is permanently gone
  */
-public record LedgerView(
+public record LedgerContext(
         Supplier<Instant> clock,
         Supplier<AttemptId> attemptIds,
         Supplier<Optional<Companion>> companionSelector,
--- a/coordination/src/main/java/org/geraniumreach/coordination/ledger/TransactionGroup.java
+++ b/coordination/src/main/java/org/geraniumreach/coordination/ledger/TransactionGroup.java
@@ -26,10 +26,10 @@
      * A transaction and its attached object.
      *
      * @param transaction the transaction
-     * @param tag the attached object
+     * @param attachment the attached object
      * @param <T> the type of the attached object
      */
-    public record Member<T>(Transaction transaction, T tag) {}
+    public record Member<T>(Transaction transaction, T attachment) {}
 
     /**
      * Adds a transaction unless it touches a row that a transaction of the group touches already.
@@ -64,7 +64,7 @@
      *
      * @return the transaction, not null
      */
-    public Transaction merged() {
+    public Transaction merge() {
         List<Transaction.Condition> conditions = new ArrayList<>();
         List<Transaction.Write> writes = new ArrayList<>();
         for (Member<T> member : members) {
@@ -79,7 +79,7 @@
      *
      * @return the two halves, not null
      */
-    public List<TransactionGroup<T>> halves() {
+    public List<TransactionGroup<T>> split() {
         TransactionGroup<T> first = new TransactionGroup<>();
         TransactionGroup<T> second = new TransactionGroup<>();
         for (int index = 0; index < members.size(); index++) {
--- a/coordination/src/test/java/org/geraniumreach/coordination/budget/AccountBudgetTest.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/budget/AccountBudgetTest.java
@@ -33,9 +33,9 @@
                 MAX_WAIT,
                 SCAN_INTERVAL,
                 500);
-        HoldingProof leaseValidity = new HoldingProof(Duration.ofSeconds(12).toNanos());
+        LeaseValidity leaseValidity = new LeaseValidity(Duration.ofSeconds(12).toNanos());
         leaseValidity.onListed(now.get(), now.get());
-        leaseValidity.renewed(now.get());
+        leaseValidity.onRenewed(now.get());
         budget = new AccountBudget(AccountId.of("a"), policy, leaseValidity, now::get, new Random(1));
         budget.setRate(1_000, 1_000);
     }
--- a/coordination/src/test/java/org/geraniumreach/coordination/budget/EntryBudgetFuzzTest.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/budget/EntryBudgetFuzzTest.java
@@ -42,7 +42,7 @@
     // With this seed, a transfer came back to an entry that had been frozen and did not fit its outdated shares, which
     // stopped the entry's budget with an exception. Such a transfer must be skipped.
     @Property(seed = "8271939391588662206", tries = 3000)
-    void transferThatNoLongerFitsOutdatedSharesIsSkipped(@ForAll("chains") ActionChain<BudgetSimulation> chain) {
+    void aTransferThatOutdatedSharesNoLongerFitIsLeftUndone(@ForAll("chains") ActionChain<BudgetSimulation> chain) {
         run(chain);
     }
 
--- a/coordination/src/test/java/org/geraniumreach/coordination/budget/SimulatedEntry.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/budget/SimulatedEntry.java
@@ -83,14 +83,14 @@
     void readList(Set<HolderId.ListedHolder> listed) {
         pendingList.ifPresent(Runnable::run);
         long requestedAt = clockNanos();
-        pendingList = Optional.of(() -> budget.listed(listed, requestedAt));
+        pendingList = Optional.of(() -> budget.onHoldersListed(listed, requestedAt));
     }
 
     void receive(InstanceId peer, Object message) {
         carryOut(
-                message instanceof LoanWish request
-                        ? budget.loanAsked(peer, request)
-                        : budget.loanAnswered(peer, (Loan) message));
+                message instanceof BorrowRequest request
+                        ? budget.onLoanRequested(peer, request)
+                        : budget.onLoanAnswered(peer, (Loan) message));
     }
 
     void carryOut(BudgetStep step) {
@@ -99,9 +99,9 @@
                 simulation.onGranted(this, granted.grant());
             } else if (action instanceof BudgetAction.Refused refused) {
                 simulation.onRefused(refused);
-            } else if (action instanceof BudgetAction.AskLoan ask) {
-                simulation.send(this, ask.peer(), ask.wish());
-            } else if (action instanceof BudgetAction.GiveLoan give) {
+            } else if (action instanceof BudgetAction.RequestLoan ask) {
+                simulation.send(this, ask.peer(), ask.request());
+            } else if (action instanceof BudgetAction.AnswerLoanRequest give) {
                 simulation.send(this, give.peer(), give.loan());
             }
         }
@@ -113,48 +113,48 @@
             Runnable arrivedAnswer = pendingAnswer.get();
             pendingAnswer = Optional.empty();
             arrivedAnswer.run();
-            budget.publish().forEach(step -> carryOut(step.step()));
+            budget.publishShares().forEach(step -> carryOut(step.step()));
         } else if (pendingCall.isPresent()) {
             StoreCall storeCall = pendingCall.get();
             pendingCall = Optional.empty();
             pendingAnswer = Optional.of(applyCall(storeCall, outcome));
         } else {
-            pendingCall = budget.keeper().next();
+            pendingCall = budget.shareManager().nextCall();
         }
     }
 
     /** Runs calls to the table service for up to 40 stages, with the same outcome for all. */
     void runStoreCalls(int outcome) {
-        budget.publish().forEach(step -> carryOut(step.step()));
+        budget.publishShares().forEach(step -> carryOut(step.step()));
         for (int step = 0; step < 40; step++) {
             advanceStoreCall(outcome);
         }
     }
 
     private Runnable applyCall(StoreCall storeCall, int outcome) {
-        ShareKeeper shareManager = budget.keeper();
+        ShareManager shareManager = budget.shareManager();
         SimulatedTable table = simulation.table;
         if (outcome == 1) {
-            return () -> shareManager.failed(false);
+            return () -> shareManager.onCallFailed(false);
         }
         if (storeCall instanceof StoreCall.Read read) {
             Optional<Row> row = table.read(read.key());
-            return () -> shareManager.read(row);
+            return () -> shareManager.onRowRead(row);
         }
         if (storeCall instanceof StoreCall.Scan scan) {
             List<Row> rows = new ArrayList<>(table.scan(scan.table(), scan.after(), scan.limit()));
-            return () -> shareManager.scanned(rows);
+            return () -> shareManager.onScanned(rows);
         }
         StoreCall.Commit commit = (StoreCall.Commit) storeCall;
         if (outcome == 2) {
             table.commit(commit.transaction());
-            return () -> shareManager.failed(true);
+            return () -> shareManager.onCallFailed(true);
         }
         if (outcome == 3) {
             table.delay(commit.transaction());
-            return () -> shareManager.failed(true);
+            return () -> shareManager.onCallFailed(true);
         }
         boolean effective = table.commit(commit.transaction());
-        return () -> shareManager.committed(effective);
+        return () -> shareManager.onCommitted(effective);
     }
 }
--- a/coordination/src/test/java/org/geraniumreach/coordination/ledger/LedgerSimulation.java
+++ b/coordination/src/test/java/org/geraniumreach/coordination/ledger/LedgerSimulation.java
@@ -118,7 +118,7 @@
             this.entry = entry;
             this.key = key;
             this.body = body;
-            LedgerView view = new LedgerView(
+            LedgerContext view = new LedgerContext(
                     () -> currentTime,
                     this::newAttempt,
                     () -> Optional.of(currentCompanion(lastAttemptNumber % COMPANIONS)),
@@ -264,43 +264,43 @@
         } else if (action instanceof LedgerAction.Read read) {
             Optional<Row> row = table.read(read.key());
             call.pendingAnswer =
-                    Optional.of(outcome == 1 ? call.ledgerCall::readFailed : () -> call.ledgerCall.read(row));
+                    Optional.of(outcome == 1 ? call.ledgerCall::onReadFailed : () -> call.ledgerCall.onRowRead(row));
         } else if (action instanceof LedgerAction.Wait || action instanceof LedgerAction.Reply) {
             currentTime = currentTime.plus(POLICY.pollInterval());
-            call.pendingAction = call.ledgerCall.waited();
+            call.pendingAction = call.ledgerCall.onWaitFinished();
         } else if (action instanceof LedgerAction.Send send) {
             sendOrFollow(call, send, outcome);
         } else if (action instanceof LedgerAction.Resume resume) {
             if (outcome == 2) {
-                call.pendingAction = call.ledgerCall.lost(ExecutionStatus.NO);
+                call.pendingAction = call.ledgerCall.onConnectionLost(ExecutionStatus.NO);
             } else {
                 awaitAnswer(call, resume.attempt(), resume.companion(), outcome);
             }
         } else if (action instanceof LedgerAction.Seal seal) {
             SealResult result = sealWithOutcome(seal, outcome);
-            call.pendingAnswer = Optional.of(() -> call.ledgerCall.sealed(result));
+            call.pendingAnswer = Optional.of(() -> call.ledgerCall.onSealResult(result));
         }
     }
 
     private Supplier<LedgerAction> commitWithOutcome(LedgerCall core, Transaction transaction, int outcome) {
         switch (outcome) {
             case 1:
-                return () -> core.commitFailed(false);
+                return () -> core.onCommitFailed(false);
             case ANSWER_LOST_OUTCOME:
                 table.commit(transaction);
-                return () -> core.commitFailed(true);
+                return () -> core.onCommitFailed(true);
             case 3:
                 table.delay(transaction);
-                return () -> core.commitFailed(true);
+                return () -> core.onCommitFailed(true);
             default:
-                return table.commit(transaction) ? core::committed : core::conflicted;
+                return table.commit(transaction) ? core::onCommitted : core::onConflict;
         }
     }
 
     /** Sends the attempt, or waits for its answer once it was sent. */
     private void sendOrFollow(Call call, LedgerAction.Send send, int outcome) {
         if (!call.sent.contains(send.attempt()) && outcome == 1) {
-            call.pendingAction = call.ledgerCall.lost(ExecutionStatus.NO);
+            call.pendingAction = call.ledgerCall.onConnectionLost(ExecutionStatus.NO);
         } else if (call.sent.add(send.attempt())) {
             frames.add(new Frame(send.attempt(), send.companion(), send.notAfter()));
         } else {
@@ -311,15 +311,15 @@
     private void awaitAnswer(Call call, AttemptId attempt, Companion receiver, int outcome) {
         Optional<SimulatedCompanion> companion = find(receiver);
         if (outcome == 1 || companion.isEmpty()) {
-            call.pendingAction = call.ledgerCall.lost(ExecutionStatus.UNKNOWN);
+            call.pendingAction = call.ledgerCall.onConnectionLost(ExecutionStatus.UNKNOWN);
         } else if (companion.get().ended.contains(attempt)) {
-            call.pendingAction = call.ledgerCall.answered(new StoredAnswer.Inline("answer of " + attempt));
+            call.pendingAction = call.ledgerCall.onAnswered(new StoredAnswer.Inline("answer of " + attempt));
         } else if (companion.get().sealed.containsKey(attempt)) {
-            call.pendingAction = call.ledgerCall.refused(
+            call.pendingAction = call.ledgerCall.onRefused(
                     new LedgerAction.Refuse(ResultCode.DRAINING, ExecutionStatus.NO, Optional.empty(), "refused"));
         } else if (frames.stream().noneMatch(frame -> frame.attempt().equals(attempt))
                 && !companion.get().started.containsKey(attempt)) {
-            call.pendingAction = call.ledgerCall.lost(ExecutionStatus.UNKNOWN);
+            call.pendingAction = call.ledgerCall.onConnectionLost(ExecutionStatus.UNKNOWN);
         }
     }
 
@@ -349,7 +349,7 @@
 
     private void verifyOutcome(Call call) {
         if (call.pendingAction instanceof LedgerAction.Refuse refuse) {
-            call.refusedAsNotRun |= refuse.ran() == ExecutionStatus.NO;
+            call.refusedAsNotRun |= refuse.executionStatus() == ExecutionStatus.NO;
         } else if (call.pendingAction instanceof LedgerAction.Reply reply) {
             List<AttemptId> ran = startedAttempts.getOrDefault(call.key, List.of());
             assertThat(reply.answer())
--- a/daemon/src/main/java/org/geraniumreach/daemon/Main.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/Main.java
@@ -109,7 +109,7 @@
     private int serve(NodeRole role, String yaml) throws SettingsException, IOException {
         try (Daemon daemon = start(role, yaml)) {
             DrainLoop loop = new DrainLoop(daemon, MonotonicClock.system());
-            Signals.onEnd(loop::signal);
+            Signals.onTerminate(loop::signal);
             loop.run();
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
--- a/daemon/src/main/java/org/geraniumreach/daemon/budget/BudgetCallback.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/budget/BudgetCallback.java
@@ -15,12 +15,12 @@
      *
      * @param reservation the reservation, which must be settled when the request ends, not null
      */
-    void granted(Reservation reservation);
+    void onGranted(Reservation reservation);
 
     /**
      * Called when the request must not run.
      *
      * @param refusal OUT_OF_BUDGET with a retry-after time, or REQUEST_ABOVE_BURST, both as not run; not null
      */
-    void refused(ServingException refusal);
+    void onRefused(ServingException refusal);
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/budget/BudgetService.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/budget/BudgetService.java
@@ -19,6 +19,7 @@
 import java.util.random.RandomGenerator;
 import java.util.stream.Collectors;
 
+import org.geraniumreach.coordination.budget.BorrowRequest;
 import org.geraniumreach.coordination.budget.BudgetAction;
 import org.geraniumreach.coordination.budget.BudgetStep;
 import org.geraniumreach.coordination.budget.EntryBudget;
@@ -27,7 +28,6 @@
 import org.geraniumreach.coordination.budget.HolderId.ListedHolder;
 import org.geraniumreach.coordination.budget.HolderRow;
 import org.geraniumreach.coordination.budget.Loan;
-import org.geraniumreach.coordination.budget.LoanWish;
 import org.geraniumreach.coordination.budget.ShareParts;
 import org.geraniumreach.daemon.event.EventLog;
 import org.geraniumreach.link.FrameHandler;
@@ -67,13 +67,13 @@
      * @param random the source of random choices, safe for use by several threads
      * @param executor runs scheduled tasks; table service calls block at most one of its threads
      */
-    public record Surroundings(
+    public record Dependencies(
             InstanceId instance,
             InetSocketAddress linkAddress,
             long incarnation,
             TableService table,
             Links links,
-            Supplier<Optional<ListReading>> instanceList,
+            Supplier<Optional<EntryListReading>> instanceList,
             Supplier<Configuration> configuration,
             MonotonicClock clock,
             RandomGenerator random,
@@ -82,7 +82,7 @@
     private static final Duration TICK_INTERVAL = Duration.ofMillis(100);
     private static final String ENTRY_ROLE = "entry";
 
-    private final Surroundings dependencies;
+    private final Dependencies dependencies;
     private final EntryBudget budget;
     private final StoreCallExecutor storeCalls;
     private final Map<Long, BudgetCallback> pendingCallbacks = new ConcurrentHashMap<>();
@@ -90,7 +90,7 @@
     private final AtomicLong lastTicket = new AtomicLong();
     private final CompletableFuture<Void> releaseCompletion = new CompletableFuture<>();
     private Set<AccountId> knownAccounts = Set.of();
-    private Optional<ListReading> lastReading = Optional.empty();
+    private Optional<EntryListReading> lastReading = Optional.empty();
     private boolean wasProved;
     private ScheduledFuture<?> tickTask;
 
@@ -101,12 +101,12 @@
      * @param dependencies the collaborators, not null
      * @throws IllegalArgumentException if the quarantine is too short for the other settings
      */
-    public BudgetService(BudgetSettings settings, Surroundings dependencies) {
+    public BudgetService(BudgetSettings settings, Dependencies dependencies) {
         this.dependencies = dependencies;
         HolderId self = new HolderId(
                 dependencies.instance(), formatAddress(dependencies.linkAddress()), dependencies.incarnation());
         this.budget = new EntryBudget(self, settings.policy(), dependencies.clock(), dependencies.random());
-        this.storeCalls = new StoreCallExecutor(budget.keeper(), dependencies.table());
+        this.storeCalls = new StoreCallExecutor(budget.shareManager(), dependencies.table());
     }
 
     private static String formatAddress(InetSocketAddress address) {
@@ -117,7 +117,7 @@
     public synchronized void start() {
         dependencies
                 .links()
-                .handle(
+                .registerHandler(
                         EnumSet.of(Frame.BodyCase.LOAN_REQUEST, Frame.BodyCase.LOAN_ANSWER, Frame.BodyCase.SHARE_MOVED),
                         new LoanFrameHandler());
         configurationChanged();
@@ -193,11 +193,11 @@
             applyListReading();
             budget.setPeers(linkedEntries());
             do {
-                budget.publish().forEach(this::onShareChanged);
+                budget.publishShares().forEach(this::onShareChanged);
                 notifyShareRecipients();
             } while (storeCalls.executeNext());
             logProofLoss();
-            if (budget.keeper().isReleased()) {
+            if (budget.shareManager().isReleased()) {
                 releaseCompletion.complete(null);
             }
         } catch (RuntimeException fault) {
@@ -207,7 +207,7 @@
     }
 
     private void applyListReading() {
-        Optional<ListReading> reading = dependencies.instanceList().get();
+        Optional<EntryListReading> reading = dependencies.instanceList().get();
         if (reading.isEmpty() || reading.equals(lastReading)) {
             return;
         }
@@ -215,7 +215,7 @@
         Set<ListedHolder> listed = reading.get().entries().stream()
                 .map(entry -> new ListedHolder(entry.instance(), formatAddress(entry.linkAddress())))
                 .collect(Collectors.toSet());
-        budget.listed(listed, reading.get().requestedAtNanos());
+        budget.onHoldersListed(listed, reading.get().requestedAtNanos());
     }
 
     private List<InstanceId> linkedEntries() {
@@ -233,13 +233,13 @@
     }
 
     private void notifyShareRecipients() {
-        for (RowKey row : budget.keeper().takeHandedOverTo()) {
+        for (RowKey row : budget.shareManager().takeHandoverRecipients()) {
             dependencies.links().find(HolderRow.instanceOf(row)).ifPresent(peer -> peer.send(LoanFrames.shareMoved()));
         }
     }
 
     private void logProofLoss() {
-        boolean isProved = budget.isProved();
+        boolean isProved = budget.mayUseShares();
         if (wasProved && !isProved) {
             EventLog.write(
                     EventCode.SHARE_LAPSED, "neither the lease nor the instance list proves that the shares are held");
@@ -255,15 +255,18 @@
     private void perform(AccountId account, BudgetAction action) {
         if (action instanceof BudgetAction.Granted granted) {
             completeRequest(
-                    granted.ticket(), callback -> callback.granted(new GrantedReservation(account, granted.grant())));
+                    granted.ticket(), callback -> callback.onGranted(new GrantedReservation(account, granted.grant())));
         } else if (action instanceof BudgetAction.Refused refused) {
             ServingException refusal = ServingException.notRun(
                             refused.code(), refused.code().meaning())
                     .withRetryAfter(refused.retryAfter());
-            completeRequest(refused.ticket(), callback -> callback.refused(refusal));
-        } else if (action instanceof BudgetAction.AskLoan askLoan) {
-            dependencies.links().find(askLoan.peer()).ifPresent(peer -> peer.send(LoanFrames.encode(askLoan.wish())));
-        } else if (action instanceof BudgetAction.GiveLoan giveLoan) {
+            completeRequest(refused.ticket(), callback -> callback.onRefused(refusal));
+        } else if (action instanceof BudgetAction.RequestLoan askLoan) {
+            dependencies
+                    .links()
+                    .find(askLoan.peer())
+                    .ifPresent(peer -> peer.send(LoanFrames.encode(askLoan.request())));
+        } else if (action instanceof BudgetAction.AnswerLoanRequest giveLoan) {
             dependencies.links().find(giveLoan.peer()).ifPresent(peer -> peer.send(LoanFrames.encode(giveLoan.loan())));
         }
     }
@@ -316,17 +319,17 @@
     private final class LoanFrameHandler implements FrameHandler {
 
         @Override
-        public void opened(Peer peer) {
+        public void onOpened(Peer peer) {
             // Peers are looked up when a loan is needed, so none are tracked here.
         }
 
         @Override
-        public void closed(Peer peer, String reason) {
+        public void onClosed(Peer peer, String reason) {
             // A loan request without an answer ends by its timeout.
         }
 
         @Override
-        public void received(Peer peer, Frame frame) {
+        public void onFrame(Peer peer, Frame frame) {
             try {
                 handleFrame(InstanceId.of(peer.hello().getInstance()), frame);
             } catch (IllegalArgumentException invalid) {
@@ -337,14 +340,14 @@
         private void handleFrame(InstanceId peer, Frame frame) {
             switch (frame.getBodyCase()) {
                 case LOAN_REQUEST -> {
-                    LoanWish request = LoanFrames.decodeRequest(frame.getLoanRequest());
-                    perform(request.account(), budget.loanAsked(peer, request));
+                    BorrowRequest request = LoanFrames.decodeRequest(frame.getLoanRequest());
+                    perform(request.account(), budget.onLoanRequested(peer, request));
                 }
                 case LOAN_ANSWER -> {
                     Loan loan = LoanFrames.decodeAnswer(frame.getLoanAnswer());
-                    perform(loan.account(), budget.loanAnswered(peer, loan));
+                    perform(loan.account(), budget.onLoanAnswered(peer, loan));
                 }
-                default -> budget.keeper().refresh();
+                default -> budget.shareManager().refresh();
             }
         }
     }
--- a/daemon/src/main/java/org/geraniumreach/daemon/budget/ListReading.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/budget/EntryListReading.java
@@ -12,9 +12,9 @@
  * @param requestedAtNanos the monotonic clock in nanoseconds before the list was requested
  * @param entries the listed entries, including those that are leaving
  */
-public record ListReading(long requestedAtNanos, List<ListedInstance> entries) {
+public record EntryListReading(long requestedAtNanos, List<ListedInstance> entries) {
 
-    public ListReading {
+    public EntryListReading {
         entries = List.copyOf(entries);
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/budget/LoanFrames.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/budget/LoanFrames.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 import java.util.Optional;
 
+import org.geraniumreach.coordination.budget.BorrowRequest;
 import org.geraniumreach.coordination.budget.HolderRow;
 import org.geraniumreach.coordination.budget.Loan;
-import org.geraniumreach.coordination.budget.LoanWish;
 import org.geraniumreach.coordination.budget.ShareParts;
 import org.geraniumreach.messages.Frame;
 import org.geraniumreach.messages.LoanAnswer;
@@ -23,7 +23,7 @@
 
     private LoanFrames() {}
 
-    static Frame encode(LoanWish request) {
+    static Frame encode(BorrowRequest request) {
         return Frame.newBuilder()
                 .setLoanRequest(LoanRequest.newBuilder()
                         .setNumber(request.number())
@@ -31,9 +31,9 @@
                         .setTokensWanted(request.tokens())
                         .setShareWanted(request.parts())
                         .setDurationMillis(request.duration().toMillis())
-                        .setDemand(request.demand())
+                        .setDemand(request.tokensPerSecondDemanded())
                         .setShareHeld(request.heldParts())
-                        .setHolder(request.holder().map(RowKey::key).orElse("")))
+                        .setHolder(request.holderRow().map(RowKey::key).orElse("")))
                 .build();
     }
 
@@ -44,18 +44,18 @@
      * @return the request
      * @throws IllegalArgumentException if a value is out of range
      */
-    static LoanWish decodeRequest(LoanRequest request) {
+    static BorrowRequest decodeRequest(LoanRequest request) {
         Optional<RowKey> holder = request.getHolder().isEmpty()
                 ? Optional.empty()
                 : Optional.of(RowKey.of(HolderRow.TABLE, request.getHolder()));
-        return new LoanWish(
+        return new BorrowRequest(
                 request.getNumber(),
                 AccountId.of(request.getAccount()),
                 requireTokens(request.getTokensWanted()),
-                ShareParts.require(request.getShareWanted()),
+                ShareParts.requireValid(request.getShareWanted()),
                 toDuration(request.getDurationMillis()),
                 requireTokens(request.getDemand()),
-                ShareParts.require(request.getShareHeld()),
+                ShareParts.requireValid(request.getShareHeld()),
                 holder);
     }
 
@@ -82,7 +82,7 @@
                 answer.getNumber(),
                 AccountId.of(answer.getAccount()),
                 requireTokens(answer.getTokens()),
-                ShareParts.require(answer.getShare()),
+                ShareParts.requireValid(answer.getShare()),
                 toDuration(answer.getDurationMillis()));
     }
 
@@ -91,7 +91,7 @@
     }
 
     private static long requireTokens(long tokens) {
-        if (tokens < 0 || tokens > ShareParts.GREATEST_TOKENS) {
+        if (tokens < 0 || tokens > ShareParts.MAX_TOKENS) {
             throw new IllegalArgumentException("tokens out of range: " + tokens);
         }
         return tokens;
--- a/daemon/src/main/java/org/geraniumreach/daemon/budget/StoreCallExecutor.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/budget/StoreCallExecutor.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 
-import org.geraniumreach.coordination.budget.ShareKeeper;
+import org.geraniumreach.coordination.budget.ShareManager;
 import org.geraniumreach.coordination.budget.StoreCall;
 import org.geraniumreach.daemon.event.EventLog;
 import org.geraniumreach.model.EventCode;
@@ -12,25 +12,25 @@
 import org.geraniumreach.ports.TableService;
 
 /**
- * Executes the table service calls that a {@link ShareKeeper} requests and reports their results to it.
+ * Executes the table service calls that a {@link ShareManager} requests and reports their results to it.
  *
  * <p>Invariant: the keeper receives one result for each call, even if the table service throws. Not safe for use by
  * several threads.
  */
 final class StoreCallExecutor {
 
-    private final ShareKeeper keeper;
+    private final ShareManager keeper;
     private final TableService table;
     private boolean reachable = true;
 
-    StoreCallExecutor(ShareKeeper keeper, TableService table) {
+    StoreCallExecutor(ShareManager keeper, TableService table) {
         this.keeper = keeper;
         this.table = table;
     }
 
     /** Executes the next requested call; returns false if there was none. */
     boolean executeNext() {
-        Optional<StoreCall> call = keeper.next();
+        Optional<StoreCall> call = keeper.nextCall();
         call.ifPresent(this::execute);
         return call.isPresent();
     }
@@ -41,10 +41,10 @@
             report = callTable(call);
             logReachable();
         } catch (PlatformException failure) {
-            report = () -> keeper.failed(failure.effect() == PlatformException.Effect.UNKNOWN);
+            report = () -> keeper.onCallFailed(failure.effect() == PlatformException.Effect.UNKNOWN);
             logUnreachable(failure);
         } catch (RuntimeException fault) {
-            report = () -> keeper.failed(true);
+            report = () -> keeper.onCallFailed(true);
             EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "table service, for budget shares");
         }
         report.run();
@@ -53,14 +53,14 @@
     private Runnable callTable(StoreCall call) throws PlatformException {
         if (call instanceof StoreCall.Read read) {
             Optional<Row> row = table.read(read.key());
-            return () -> keeper.read(row);
+            return () -> keeper.onRowRead(row);
         }
         if (call instanceof StoreCall.Scan scan) {
             List<Row> rows = table.scan(scan.table(), "", scan.after(), scan.limit());
-            return () -> keeper.scanned(rows);
+            return () -> keeper.onScanned(rows);
         }
         boolean effective = table.commit(((StoreCall.Commit) call).transaction());
-        return () -> keeper.committed(effective);
+        return () -> keeper.onCommitted(effective);
     }
 
     private void logReachable() {
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/AdapterLoader.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/AdapterLoader.java
@@ -11,7 +11,7 @@
 import org.geraniumreach.model.ResultCode;
 import org.geraniumreach.model.ServingException;
 import org.geraniumreach.ports.ModelEngine;
-import org.geraniumreach.ports.ModelEngine.Order;
+import org.geraniumreach.ports.ModelEngine.CommandFence;
 import org.geraniumreach.ports.PlatformException;
 import org.geraniumreach.serving.queue.RequestQueue;
 import org.geraniumreach.serving.residency.AdapterLoadCommand;
@@ -73,7 +73,7 @@
         }
     }
 
-    private Order authorizedOrder() throws PlatformException {
+    private CommandFence authorizedOrder() throws PlatformException {
         return authorization
                 .authorize(clock.nanos())
                 .orElseThrow(() -> new PlatformException(
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/AttemptStream.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/AttemptStream.java
@@ -221,7 +221,7 @@
     }
 
     @Override
-    public void started(AdapterReference served) {
+    public void onStarted(AdapterReference served) {
         if (!acceptEvent()) {
             return;
         }
@@ -246,7 +246,7 @@
     }
 
     @Override
-    public void chunk(long sequence, String text, int tokens) {
+    public void onChunk(long sequence, String text, int tokens) {
         if (!acceptEvent()) {
             return;
         }
@@ -255,7 +255,7 @@
     }
 
     @Override
-    public void ended(GenerationEnd end) {
+    public void onEnded(GenerationEnd end) {
         if (!acceptEvent()) {
             return;
         }
@@ -287,7 +287,7 @@
     }
 
     @Override
-    public void failed(PlatformException failure) {
+    public void onFailed(PlatformException failure) {
         boolean hasNotStarted;
         boolean wasCancelled;
         synchronized (this) {
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionDaemon.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionDaemon.java
@@ -10,7 +10,7 @@
 import org.geraniumreach.daemon.companion.CompanionProcessSettings.TargetSettings;
 import org.geraniumreach.daemon.event.EventLog;
 import org.geraniumreach.daemon.node.Daemon;
-import org.geraniumreach.daemon.node.Foundation;
+import org.geraniumreach.daemon.node.NodeServices;
 import org.geraniumreach.daemon.node.PlatformSettings;
 import org.geraniumreach.model.EventCode;
 import org.geraniumreach.model.TargetId;
@@ -26,10 +26,10 @@
 public final class CompanionDaemon implements Daemon {
 
     private final CompanionProcessSettings settings;
-    private final Foundation foundation;
+    private final NodeServices foundation;
     private final CompanionNode node;
 
-    private CompanionDaemon(CompanionProcessSettings settings, Foundation foundation, CompanionNode node) {
+    private CompanionDaemon(CompanionProcessSettings settings, NodeServices foundation, CompanionNode node) {
         this.settings = settings;
         this.foundation = foundation;
         this.node = node;
@@ -44,11 +44,11 @@
      */
     public static CompanionDaemon start(CompanionProcessSettings settings) throws IOException {
         AtomicReference<CompanionNode> started = new AtomicReference<>();
-        Foundation.RoleHello hello =
-                new Foundation.RoleHello(Optional.of(settings.target().name()), () -> Optional.ofNullable(started.get())
+        NodeServices.RoleHello hello = new NodeServices.RoleHello(
+                Optional.of(settings.target().name()), () -> Optional.ofNullable(started.get())
                         .map(CompanionNode::fence)
                         .orElse(0L));
-        Foundation foundation = Foundation.start(settings.toFoundationSettings(), hello);
+        NodeServices foundation = NodeServices.start(settings.toFoundationSettings(), hello);
         CompanionNode node = CompanionNode.create(settings.companion(), dependencies(settings.target(), foundation));
         started.set(node);
         node.start();
@@ -61,7 +61,7 @@
         return new CompanionDaemon(settings, foundation, node);
     }
 
-    private static CompanionDependencies dependencies(TargetSettings target, Foundation foundation) {
+    private static CompanionDependencies dependencies(TargetSettings target, NodeServices foundation) {
         URI address = PlatformSettings.uri(target.address());
         Optional<ModelEngine> engine = Optional.empty();
         Optional<PlainService> service = Optional.empty();
@@ -95,7 +95,7 @@
     }
 
     @Override
-    public int running() {
+    public int runningRequests() {
         return node.unfinished();
     }
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionNode.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionNode.java
@@ -75,8 +75,8 @@
      */
     public static CompanionNode create(CompanionSettings settings, CompanionDependencies dependencies) {
         CompanionNode node = new CompanionNode(settings, dependencies);
-        dependencies.links().handle(HANDLED_FRAMES, node.new LinkHandler());
-        dependencies.configuration().listen(node::configurationChanged);
+        dependencies.links().registerHandler(HANDLED_FRAMES, node.new LinkHandler());
+        dependencies.configuration().addListener(node::configurationChanged);
         return node;
     }
 
@@ -144,24 +144,24 @@
     private final class LinkHandler implements FrameHandler {
 
         @Override
-        public void opened(Peer peer) {
+        public void onOpened(Peer peer) {
             if (peer.hello().getRole().equals(ENTRY_ROLE)) {
                 reporter.onLinkOpened(peer, status());
             }
         }
 
         @Override
-        public void received(Peer peer, Frame frame) {
+        public void onFrame(Peer peer, Frame frame) {
             requestHandler.onFrame(peer, frame);
         }
 
         @Override
-        public void writable(Peer peer) {
+        public void onWritable(Peer peer) {
             attempts.all().forEach(attempt -> attempt.onWritable(peer));
         }
 
         @Override
-        public void closed(Peer peer, String reason) {
+        public void onClosed(Peer peer, String reason) {
             reporter.onLinkClosed(peer);
             long now = dependencies.clock().nanos();
             attempts.all().forEach(attempt -> attempt.onLinkClosed(peer, now));
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionProcessSettings.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/CompanionProcessSettings.java
@@ -6,9 +6,9 @@
 import org.geraniumreach.daemon.configuration.ConfigurationSettings;
 import org.geraniumreach.daemon.event.LogSettings;
 import org.geraniumreach.daemon.membership.MembershipSettings;
-import org.geraniumreach.daemon.node.Foundation;
 import org.geraniumreach.daemon.node.LinkTuning;
 import org.geraniumreach.daemon.node.NodeRole;
+import org.geraniumreach.daemon.node.NodeServices;
 import org.geraniumreach.daemon.node.NodeSettings;
 import org.geraniumreach.daemon.node.PlatformSettings;
 import org.geraniumreach.daemon.settings.Setting;
@@ -45,8 +45,8 @@
         }
     }
 
-    Foundation.Settings toFoundationSettings() {
-        return new Foundation.Settings(role, node, platform, links, membership, configuration);
+    NodeServices.Settings toFoundationSettings() {
+        return new NodeServices.Settings(role, node, platform, links, membership, configuration);
     }
 
     /**
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/EngineRunner.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/EngineRunner.java
@@ -21,7 +21,7 @@
 import org.geraniumreach.model.ResultCode;
 import org.geraniumreach.model.ServingException;
 import org.geraniumreach.ports.ModelEngine;
-import org.geraniumreach.ports.ModelEngine.Order;
+import org.geraniumreach.ports.ModelEngine.CommandFence;
 import org.geraniumreach.ports.PlatformException;
 import org.geraniumreach.serving.queue.QueuedRequest;
 import org.geraniumreach.serving.queue.RequestQueue;
@@ -241,7 +241,7 @@
             requeue(stream);
             return;
         }
-        Optional<Order> order = authorization.authorize(clock.nanos());
+        Optional<CommandFence> order = authorization.authorize(clock.nanos());
         if (order.isEmpty()) {
             release(stream, 0, 0);
             refuse(stream, ResultCode.FENCED, ExecutionStatus.NO, "this companion may not give the target orders");
@@ -262,7 +262,7 @@
         return new AttemptStream(request, Optional.of(pin), incarnation, now - arrivedAt - loading, loading, this);
     }
 
-    private void generate(AttemptStream stream, Order order) {
+    private void generate(AttemptStream stream, CommandFence order) {
         CompanionAttempt attempt = stream.attempt();
         ModelEngine.Generation generation = new ModelEngine.Generation(
                 attempt.id(),
--- a/daemon/src/main/java/org/geraniumreach/daemon/companion/OrderAuthorization.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/companion/OrderAuthorization.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.Optional;
 
-import org.geraniumreach.ports.ModelEngine.Order;
+import org.geraniumreach.ports.ModelEngine.CommandFence;
 
 /**
  * Decides whether this companion may send orders to its target.
@@ -92,11 +92,11 @@
      * @param now the current time
      * @return the token and validity to send with the order, or empty if no order may be sent
      */
-    synchronized Optional<Order> authorize(long now) {
+    synchronized Optional<CommandFence> authorize(long now) {
         detectGap(now);
         if (fence == 0 || isFencedOut || mustConfirmFence && !targetChecksFence) {
             return Optional.empty();
         }
-        return Optional.of(new Order(fence, orderLimit));
+        return Optional.of(new CommandFence(fence, orderLimit));
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/History.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/ChangeHistory.java
@@ -18,7 +18,7 @@
  *
  * <p>Safe for use by several threads; calls block.
  */
-public final class History {
+public final class ChangeHistory {
 
     private final ConfigurationReader reader;
 
@@ -28,7 +28,7 @@
      * @param table the platform's table, not null
      * @param clock the clock, not null
      */
-    public History(TableService table, MonotonicClock clock) {
+    public ChangeHistory(TableService table, MonotonicClock clock) {
         this.reader = new ConfigurationReader(Objects.requireNonNull(table, "table"), clock);
     }
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/ConfigurationListener.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/ConfigurationListener.java
@@ -21,5 +21,5 @@
      * @param withdrawnKeys the keys that are no longer valid or belong to another client account; their running requests
      *     must be cancelled, not null
      */
-    void changed(Configuration before, Configuration after, Set<KeyDigest> withdrawnKeys);
+    void onConfigurationChanged(Configuration before, Configuration after, Set<KeyDigest> withdrawnKeys);
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/ConfigurationService.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/ConfigurationService.java
@@ -38,5 +38,5 @@
      *
      * @param listener the listener, not null
      */
-    void listen(ConfigurationListener listener);
+    void addListener(ConfigurationListener listener);
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/ConfigurationState.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/ConfigurationState.java
@@ -10,7 +10,7 @@
  *
  * @param configuration the configuration in force
  * @param obtained whether one was obtained from the table or a peer
- * @param freshUntil the monotonic clock in nanoseconds until which the configuration counts as current
+ * @param freshUntilNanos the monotonic clock in nanoseconds until which the configuration counts as current
  * @param poller whether this process polls the table
  * @param storeUnreachable whether this process cannot reach the table
  * @param fresh whether the configuration was fresh at that moment
@@ -18,7 +18,7 @@
 public record ConfigurationState(
         Configuration configuration,
         boolean obtained,
-        long freshUntil,
+        long freshUntilNanos,
         boolean poller,
         boolean storeUnreachable,
         boolean fresh) {
@@ -34,10 +34,10 @@
     }
 
     ConfigurationState withFresh(boolean newFresh) {
-        return new ConfigurationState(configuration, obtained, freshUntil, poller, storeUnreachable, newFresh);
+        return new ConfigurationState(configuration, obtained, freshUntilNanos, poller, storeUnreachable, newFresh);
     }
 
     boolean isFreshAt(long now) {
-        return obtained && now - freshUntil < 0;
+        return obtained && now - freshUntilNanos < 0;
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/ReplicatedConfiguration.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/ReplicatedConfiguration.java
@@ -112,7 +112,7 @@
             RandomGenerator random) {
         ReplicatedConfiguration started =
                 new ReplicatedConfiguration(self, settings, table, links, membership, clock, random);
-        links.handle(NodeFrames.FRAME_KINDS, started.new LinkHandler());
+        links.registerHandler(NodeFrames.FRAME_KINDS, started.new LinkHandler());
         long tick = settings.period().toNanos() / TICKS_PER_PERIOD;
         started.ownerExecutor.scheduleWithFixedDelay(started::tick, 0, tick, TimeUnit.NANOSECONDS);
         return started;
@@ -164,7 +164,7 @@
     }
 
     @Override
-    public void listen(ConfigurationListener listener) {
+    public void addListener(ConfigurationListener listener) {
         listeners.add(listener);
     }
 
@@ -348,7 +348,7 @@
         Set<KeyDigest> withdrawn = findWithdrawnKeys(before, after);
         for (ConfigurationListener listener : listeners) {
             try {
-                listener.changed(before, after, withdrawn);
+                listener.onConfigurationChanged(before, after, withdrawn);
             } catch (RuntimeException fault) {
                 EventLog.write(EventCode.UNEXPECTED_FAILURE, fault, "a listener of the configuration failed");
             }
@@ -372,7 +372,7 @@
     private final class LinkHandler implements FrameHandler {
 
         @Override
-        public void opened(Peer peer) {
+        public void onOpened(Peer peer) {
             enqueue(() -> {
                 InstanceId instance = InstanceId.of(peer.hello().getInstance());
                 Peer known = peers.put(instance, peer);
@@ -386,7 +386,7 @@
         }
 
         @Override
-        public void received(Peer peer, Frame frame) {
+        public void onFrame(Peer peer, Frame frame) {
             enqueue(() -> {
                 InstanceId instance = InstanceId.of(peer.hello().getInstance());
                 Peer known = peers.get(instance);
@@ -406,7 +406,7 @@
         }
 
         @Override
-        public void writable(Peer peer) {
+        public void onWritable(Peer peer) {
             enqueue(() -> {
                 snapshotSender.flush(peer);
                 return List.of();
@@ -414,7 +414,7 @@
         }
 
         @Override
-        public void closed(Peer peer, String reason) {
+        public void onClosed(Peer peer, String reason) {
             enqueue(() -> {
                 snapshotSender.onPeerClosed(peer);
                 InstanceId instance = InstanceId.of(peer.hello().getInstance());
--- a/daemon/src/main/java/org/geraniumreach/daemon/configuration/Submitter.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/configuration/Submitter.java
@@ -62,9 +62,9 @@
      * The result of a submission and the number of other entries that hold the change.
      *
      * @param result the result
-     * @param otherEntries the number of other entries known to hold an accepted change, 0 if it was refused
+     * @param otherHolderCount the number of other entries known to hold an accepted change, 0 if it was refused
      */
-    public record Outcome(SubmissionResult result, int otherEntries) {}
+    public record Outcome(SubmissionResult result, int otherHolderCount) {}
 
     /** Marks this submitter as closed to new submissions; call before announcing that this process leaves. */
     public void close() {
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/EntryDaemon.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/EntryDaemon.java
@@ -11,14 +11,14 @@
 import java.util.concurrent.TimeoutException;
 
 import org.geraniumreach.daemon.budget.BudgetService;
-import org.geraniumreach.daemon.budget.ListReading;
-import org.geraniumreach.daemon.configuration.History;
+import org.geraniumreach.daemon.budget.EntryListReading;
+import org.geraniumreach.daemon.configuration.ChangeHistory;
 import org.geraniumreach.daemon.configuration.Submitter;
 import org.geraniumreach.daemon.event.EventLog;
 import org.geraniumreach.daemon.http.HttpListener;
 import org.geraniumreach.daemon.ledger.LedgerService;
 import org.geraniumreach.daemon.node.Daemon;
-import org.geraniumreach.daemon.node.Foundation;
+import org.geraniumreach.daemon.node.NodeServices;
 import org.geraniumreach.daemon.operator.OperatorEndpoints;
 import org.geraniumreach.daemon.operator.OperatorStatus;
 import org.geraniumreach.link.LinkAttempts;
@@ -51,7 +51,7 @@
     private static final Duration SHARE_RELEASE_LIMIT = Duration.ofSeconds(3);
 
     private final EntrySettings settings;
-    private final Foundation nodeServices;
+    private final NodeServices nodeServices;
     private final ScheduledThreadPoolExecutor budgetThreads = threads(BUDGET_THREADS, "budget");
     private final ScheduledThreadPoolExecutor ledgerThreads = threads(LEDGER_THREADS, "ledger");
     private final LinkAttempts attempts;
@@ -65,7 +65,7 @@
     private HttpListener operatorListener;
     private volatile boolean draining;
 
-    private EntryDaemon(EntrySettings settings, Foundation nodeServices) {
+    private EntryDaemon(EntrySettings settings, NodeServices nodeServices) {
         this.settings = settings;
         this.nodeServices = nodeServices;
         this.attempts = LinkAttempts.start(
@@ -95,7 +95,7 @@
      * @throws IOException if an address cannot be bound
      */
     public static EntryDaemon start(EntrySettings settings) throws IOException {
-        Foundation nodeServices = Foundation.start(settings.nodeServices(), Foundation.RoleHello.none());
+        NodeServices nodeServices = NodeServices.start(settings.nodeServices(), NodeServices.RoleHello.none());
         EntryDaemon daemon = new EntryDaemon(settings, nodeServices);
         try {
             daemon.startServices();
@@ -107,8 +107,8 @@
         return daemon;
     }
 
-    private BudgetService.Surroundings budgetDependencies() {
-        return new BudgetService.Surroundings(
+    private BudgetService.Dependencies budgetDependencies() {
+        return new BudgetService.Dependencies(
                 nodeServices.instance(),
                 settings.node().link(),
                 nodeServices.incarnation(),
@@ -121,19 +121,19 @@
                 budgetThreads);
     }
 
-    private Optional<ListReading> listReading() {
+    private Optional<EntryListReading> listReading() {
         return nodeServices
                 .membership()
                 .lastReading()
-                .map(reading -> new ListReading(
-                        reading.askedNanos(),
+                .map(reading -> new EntryListReading(
+                        reading.requestedAtNanos(),
                         reading.instances().stream()
                                 .filter(listed -> listed.role() == ListedInstance.Role.ENTRY)
                                 .toList()));
     }
 
-    private LedgerService.Surroundings ledgerDependencies() {
-        return new LedgerService.Surroundings(
+    private LedgerService.Dependencies ledgerDependencies() {
+        return new LedgerService.Dependencies(
                 nodeServices.instance(),
                 nodeServices.incarnation(),
                 nodeServices.table(),
@@ -208,9 +208,9 @@
     }
 
     private void startServices() throws IOException {
-        nodeServices.links().handle(EnumSet.of(Frame.BodyCase.STATUS), fleet);
-        nodeServices.membership().listen((before, after) -> refreshFleet());
-        nodeServices.configuration().listen((before, after, withdrawnKeys) -> {
+        nodeServices.links().registerHandler(EnumSet.of(Frame.BodyCase.STATUS), fleet);
+        nodeServices.membership().addListener((before, after) -> refreshFleet());
+        nodeServices.configuration().addListener((before, after, withdrawnKeys) -> {
             activeCalls.cancel(withdrawnKeys);
             budget.configurationChanged();
             refreshFleet();
@@ -240,7 +240,7 @@
                 KeyDigest.ofHexadecimal(settings.operator().credentialDigest()),
                 nodeServices.configuration(),
                 submitter,
-                new History(nodeServices.table(), nodeServices.clock()),
+                new ChangeHistory(nodeServices.table(), nodeServices.clock()),
                 new OperatorStatus(
                         nodeServices.instance(),
                         nodeServices.configuration(),
@@ -281,7 +281,7 @@
     }
 
     @Override
-    public int running() {
+    public int runningRequests() {
         return callersListener.openCalls() + operatorListener.openCalls();
     }
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/EntrySettings.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/EntrySettings.java
@@ -8,9 +8,9 @@
 import org.geraniumreach.daemon.http.HttpLimits;
 import org.geraniumreach.daemon.ledger.LedgerSettings;
 import org.geraniumreach.daemon.membership.MembershipSettings;
-import org.geraniumreach.daemon.node.Foundation;
 import org.geraniumreach.daemon.node.LinkTuning;
 import org.geraniumreach.daemon.node.NodeRole;
+import org.geraniumreach.daemon.node.NodeServices;
 import org.geraniumreach.daemon.node.NodeSettings;
 import org.geraniumreach.daemon.node.PlatformSettings;
 import org.geraniumreach.daemon.operator.OperatorSettings;
@@ -58,7 +58,7 @@
         }
     }
 
-    Foundation.Settings nodeServices() {
-        return new Foundation.Settings(role, node, platform, links, membership, configuration);
+    NodeServices.Settings nodeServices() {
+        return new NodeServices.Settings(role, node, platform, links, membership, configuration);
     }
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/Fleet.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/Fleet.java
@@ -123,7 +123,7 @@
     }
 
     @Override
-    public void opened(Peer peer) {
+    public void onOpened(Peer peer) {
         updateFence(peer, peer.hello().getFence());
     }
 
@@ -140,7 +140,7 @@
     }
 
     @Override
-    public void received(Peer peer, Frame frame) {
+    public void onFrame(Peer peer, Frame frame) {
         TargetStatus status;
         try {
             status = toTargetStatus(frame.getStatus());
@@ -166,7 +166,7 @@
     }
 
     @Override
-    public void closed(Peer peer, String reason) {
+    public void onClosed(Peer peer, String reason) {
         companionStatuses.remove(InstanceId.of(peer.hello().getInstance()), peer);
     }
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/GenerationCall.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/GenerationCall.java
@@ -115,7 +115,7 @@
     }
 
     @Override
-    public synchronized void granted(Reservation granted) {
+    public synchronized void onGranted(Reservation granted) {
         if (ended) {
             granted.settle(0);
             return;
@@ -125,7 +125,7 @@
     }
 
     @Override
-    public synchronized void refused(ServingException refusal) {
+    public synchronized void onRefused(ServingException refusal) {
         fail(refusal);
     }
 
@@ -205,12 +205,12 @@
         }
 
         @Override
-        public void accepted() {
+        public void onAccepted() {
             sentRequest.onAccepted();
         }
 
         @Override
-        public void chunk(long sequence, ByteString payload, int tokens) {
+        public void onChunk(long sequence, ByteString payload, int tokens) {
             synchronized (GenerationCall.this) {
                 if (isCurrent()) {
                     recordPartTiming(tokens);
@@ -230,7 +230,7 @@
         }
 
         @Override
-        public void ended(End end) {
+        public void onEnded(End end) {
             sentRequest.onEnded();
             dependencies.fleet().recordSuccess(route.target());
             prefix.ifPresent(
@@ -243,7 +243,7 @@
         }
 
         @Override
-        public void refused(Refused refused) {
+        public void onRefused(Refused refused) {
             sentRequest.onEnded();
             ResultCode code = ResultCode.ofNumber(refused.getCode()).orElse(ResultCode.INTERNAL_ERROR);
             ServingException failure =
@@ -255,7 +255,7 @@
         }
 
         @Override
-        public void lost(ExecutionStatus ran, String reason) {
+        public void onLost(ExecutionStatus ran, String reason) {
             sentRequest.onEnded();
             onFailure(ServingException.of(ResultCode.ANSWER_INTERRUPTED, ran, reason), true, true);
         }
--- a/daemon/src/main/java/org/geraniumreach/daemon/entry/ServiceCall.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/entry/ServiceCall.java
@@ -15,7 +15,7 @@
 import org.geraniumreach.daemon.budget.BudgetCallback;
 import org.geraniumreach.daemon.budget.Reservation;
 import org.geraniumreach.daemon.http.Call;
-import org.geraniumreach.daemon.ledger.Dispatch;
+import org.geraniumreach.daemon.ledger.Dispatcher;
 import org.geraniumreach.daemon.ledger.LedgerAnswer;
 import org.geraniumreach.daemon.ledger.LedgerRequest;
 import org.geraniumreach.daemon.metrics.RequestClass;
@@ -37,7 +37,7 @@
  * <p>Invariants: the caller gets exactly one answer; the budget is settled once. The ledger ensures that the operation
  * runs at most once. Safe for use by several threads.
  */
-final class ServiceCall implements BudgetCallback, Dispatch {
+final class ServiceCall implements BudgetCallback, Dispatcher {
 
     private static final int INITIAL_CREDIT_CHUNKS = 32;
     private static final String REPLAYED_HEADER = "Idempotency-Replayed";
@@ -93,7 +93,7 @@
     }
 
     @Override
-    public void granted(Reservation reservation) {
+    public void onGranted(Reservation reservation) {
         dependencies.ledger().perform(request, this).whenComplete((answer, failure) -> {
             if (failure == null) {
                 finish(answer, reservation);
@@ -121,17 +121,17 @@
 
     private void fail(ServingException failure, Reservation reservation) {
         reservation.settle(failure.executionStatus() == ExecutionStatus.NO ? 0 : tokens);
-        refused(failure);
+        onRefused(failure);
     }
 
     @Override
-    public void refused(ServingException refusal) {
+    public void onRefused(ServingException refusal) {
         meters.countResult(refusal.code());
         call.fail(refusal);
     }
 
     @Override
-    public synchronized Optional<Companion> choose() {
+    public synchronized Optional<Companion> chooseCompanion() {
         RouteRequest routeRequest =
                 RouteRequest.ofService(Offering.ofService(service)).withExcluded(triedTargets);
         return dependencies.fleet().route(routeRequest).flatMap(route -> {
@@ -150,7 +150,7 @@
      * only chosen may be chosen again.
      */
     @Override
-    public synchronized Run runFor(AttemptId attempt, Companion companion) {
+    public synchronized Run createRun(AttemptId attempt, Companion companion) {
         Optional.ofNullable(chosenTargets.get(companion.instance())).ifPresent(triedTargets::add);
         return Run.newBuilder()
                 .setAttempt(attempt.value())
--- a/daemon/src/main/java/org/geraniumreach/daemon/http/HttpListener.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/http/HttpListener.java
@@ -12,7 +12,7 @@
 
 import org.geraniumreach.daemon.event.EventLog;
 import org.geraniumreach.httpserver.BodyReader;
-import org.geraniumreach.httpserver.UpgradeOffers;
+import org.geraniumreach.httpserver.UpgradeIgnoringFilter;
 import org.geraniumreach.model.EventCode;
 import org.geraniumreach.model.ExecutionStatus;
 import org.geraniumreach.model.ResultCode;
@@ -81,7 +81,7 @@
                         .setPoolName(name)
                         .setCorePoolSize(limits.workers())
                         .setMaxPoolSize(limits.workers()));
-        listener.registerAddOn(new UpgradeOffers());
+        listener.registerAddOn(new UpgradeIgnoringFilter());
         server.addListener(listener);
         server.getServerConfiguration().setName(name);
         server.getServerConfiguration().setHttpServerName("geraniumreach");
--- a/daemon/src/main/java/org/geraniumreach/daemon/ledger/AnswerCollector.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/ledger/AnswerCollector.java
@@ -67,12 +67,12 @@
     }
 
     @Override
-    public void accepted() {
+    public void onAccepted() {
         // Nothing to do: a queued attempt may still never run.
     }
 
     @Override
-    public void chunk(long sequence, ByteString payload, int tokens) {
+    public void onChunk(long sequence, ByteString payload, int tokens) {
         if (ended) {
             return;
         }
@@ -93,7 +93,7 @@
     }
 
     @Override
-    public void ended(End end) {
+    public void onEnded(End end) {
         if (end.getCount() != receivedChunks) {
             // An incomplete answer must never be stored: every later call with the key would get it.
             finish(new Ending.Lost(ExecutionStatus.UNKNOWN));
@@ -103,7 +103,7 @@
     }
 
     @Override
-    public void refused(Refused refused) {
+    public void onRefused(Refused refused) {
         ResultCode code = ResultCode.ofNumber(refused.getCode()).orElse(ResultCode.TARGET_FAILED);
         Optional<Duration> retryAfter = refused.getRetryAfterMillis() > 0
                 ? Optional.of(Duration.ofMillis(refused.getRetryAfterMillis()))
@@ -123,7 +123,7 @@
     }
 
     @Override
-    public void lost(ExecutionStatus executionStatus, String reason) {
+    public void onLost(ExecutionStatus executionStatus, String reason) {
         finish(new Ending.Lost(executionStatus));
     }
 
--- a/daemon/src/main/java/org/geraniumreach/daemon/ledger/CallRunner.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/ledger/CallRunner.java
@@ -33,20 +33,20 @@
 
     private static final int MAX_OBJECT_PUT_ATTEMPTS = 3;
 
-    private final LedgerService.Surroundings dependencies;
+    private final LedgerService.Dependencies dependencies;
     private final LedgerSettings settings;
     private final GroupCommitter committer;
     private final LedgerCall call;
-    private final Dispatch dispatcher;
+    private final Dispatcher dispatcher;
     private final CompletableFuture<LedgerAnswer> future = new CompletableFuture<>();
     private volatile byte[] receivedBody;
 
     CallRunner(
-            LedgerService.Surroundings dependencies,
+            LedgerService.Dependencies dependencies,
             LedgerSettings settings,
             GroupCommitter committer,
             LedgerCall call,
-            Dispatch dispatcher) {
+            Dispatcher dispatcher) {
         this.dependencies = dependencies;
         this.settings = settings;
         this.committer = committer;
@@ -95,15 +95,15 @@
     }
 
     private void scheduleWaitFinished(long nanos) {
-        dependencies.executor().schedule(() -> advance(call::waited), nanos, TimeUnit.NANOSECONDS);
+        dependencies.executor().schedule(() -> advance(call::onWaitFinished), nanos, TimeUnit.NANOSECONDS);
     }
 
     private void onCommitFinished(GroupCommitter.Outcome outcome) {
         switch (outcome) {
-            case COMMITTED -> advance(call::committed);
-            case CONFLICT -> advance(call::conflicted);
-            case FAILED -> advance(() -> call.commitFailed(false));
-            case UNKNOWN -> advance(() -> call.commitFailed(true));
+            case COMMITTED -> advance(call::onCommitted);
+            case CONFLICT -> advance(call::onConflict);
+            case FAILED -> advance(() -> call.onCommitFailed(false));
+            case UNKNOWN -> advance(() -> call.onCommitFailed(true));
             default -> throw new IllegalStateException("unhandled outcome " + outcome);
         }
     }
@@ -113,18 +113,18 @@
         try {
             row = dependencies.table().read(key);
         } catch (PlatformException failure) {
-            advance(call::readFailed);
+            advance(call::onReadFailed);
             return;
         }
-        advance(() -> call.read(row));
+        advance(() -> call.onRowRead(row));
     }
 
     private void send(LedgerAction.Send send) {
-        Dispatch.Companion companion = new Dispatch.Companion(
+        Dispatcher.Companion companion = new Dispatcher.Companion(
                 send.companion().instance(), send.companion().incarnation());
         // Another incarnation of the companion must refuse the frame, since it does not know the attempt: a frame that
         // arrives after the attempt was declared lost with the former incarnation would cause a second run.
-        Run run = dispatcher.runFor(send.attempt(), companion).toBuilder()
+        Run run = dispatcher.createRun(send.attempt(), companion).toBuilder()
                 .setAttempt(send.attempt().value())
                 .setCompanionIncarnation(companion.incarnation())
                 .setRepeatable(false)
@@ -156,7 +156,7 @@
                         seal.attempt().value(),
                         seal.companion().incarnation(),
                         seal.age(),
-                        outcome -> advance(() -> call.sealed(toSealResult(outcome))));
+                        outcome -> advance(() -> call.onSealResult(toSealResult(outcome))));
     }
 
     private static SealResult toSealResult(SealOutcome outcome) {
@@ -173,12 +173,12 @@
             receivedBody = whole.body();
             dependencies.executor().execute(() -> {
                 StoredAnswer stored = store(whole.body());
-                advance(() -> call.answered(stored));
+                advance(() -> call.onAnswered(stored));
             });
         } else if (ending instanceof AnswerCollector.Ending.Failed givenUp) {
-            advance(() -> call.refused(givenUp.refusal()));
+            advance(() -> call.onRefused(givenUp.refusal()));
         } else if (ending instanceof AnswerCollector.Ending.Lost lost) {
-            advance(() -> call.lost(lost.executionStatus()));
+            advance(() -> call.onConnectionLost(lost.executionStatus()));
         }
     }
 
@@ -236,7 +236,7 @@
         if (refuse.code() == ResultCode.OUTCOME_UNKNOWN) {
             EventLog.write(EventCode.OUTCOME_UNKNOWN, "{}", refuse.message());
         }
-        ServingException failure = ServingException.of(refuse.code(), refuse.ran(), refuse.message());
+        ServingException failure = ServingException.of(refuse.code(), refuse.executionStatus(), refuse.message());
         future.completeExceptionally(
                 refuse.retryAfter().map(failure::withRetryAfter).orElse(failure));
     }
--- a/daemon/src/main/java/org/geraniumreach/daemon/ledger/Dispatch.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/ledger/Dispatcher.java
@@ -11,7 +11,7 @@
  *
  * <p>Contract: safe for use by several threads; the methods do not block.
  */
-public interface Dispatch {
+public interface Dispatcher {
 
     /**
      * One incarnation of a companion.
@@ -26,7 +26,7 @@
      *
      * @return the companion, or empty if no live target offers the operation
      */
-    Optional<Companion> choose();
+    Optional<Companion> chooseCompanion();
 
     /**
      * Creates the frame of the request; the ledger sets the attempt and the companion's incarnation, and marks it as not
@@ -36,5 +36,5 @@
      * @param companion the receiver, not null
      * @return the frame, not null
      */
-    Run runFor(AttemptId attempt, Companion companion);
+    Run createRun(AttemptId attempt, Companion companion);
 }
--- a/daemon/src/main/java/org/geraniumreach/daemon/ledger/GroupCommitter.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/ledger/GroupCommitter.java
@@ -65,7 +65,7 @@
                 flushTimer = executor.schedule(this::flush, maxWait.toNanos(), TimeUnit.NANOSECONDS);
             }
         }
-        return member.tag();
+        return member.attachment();
     }
 
     private void flush() {
@@ -88,12 +88,12 @@
     }
 
     private void commitGroup(TransactionGroup<CompletableFuture<Outcome>> group) {
-        Outcome outcome = commitOnce(group.merged());
+        Outcome outcome = commitOnce(group.merge());
         if (outcome == Outcome.CONFLICT && group.size() > 1) {
-            group.halves().forEach(this::commitGroup);
+            group.split().forEach(this::commitGroup);
             return;
         }
-        group.members().forEach(member -> member.tag().complete(outcome));
+        group.members().forEach(member -> member.attachment().complete(outcome));
     }
 
     private Outcome commitOnce(Transaction transaction) {
--- a/daemon/src/main/java/org/geraniumreach/daemon/ledger/LedgerService.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/ledger/LedgerService.java
@@ -10,9 +10,9 @@
 
 import org.geraniumreach.coordination.ledger.Companion;
 import org.geraniumreach.coordination.ledger.LedgerCall;
+import org.geraniumreach.coordination.ledger.LedgerContext;
 import org.geraniumreach.coordination.ledger.LedgerPolicy;
 import org.geraniumreach.coordination.ledger.LedgerRowFormat;
-import org.geraniumreach.coordination.ledger.LedgerView;
 import org.geraniumreach.coordination.ledger.Sender;
 import org.geraniumreach.link.Attempts;
 import org.geraniumreach.model.AttemptId;
@@ -43,7 +43,7 @@
      * @param random the source of attempt ids, safe for use by several threads
      * @param executor runs scheduled tasks and blocking platform calls, so it needs several threads
      */
-    public record Surroundings(
+    public record Dependencies(
             InstanceId instance,
             long incarnation,
             TableService table,
@@ -59,7 +59,7 @@
     private static final int MAX_SEND_ATTEMPTS = 3;
 
     private final LedgerSettings settings;
-    private final Surroundings dependencies;
+    private final Dependencies dependencies;
     private final Sender self;
     private final LedgerPolicy policy;
     private final GroupCommitter committer;
@@ -71,7 +71,7 @@
      * @param settings the settings, not null
      * @param dependencies the collaborators, not null
      */
-    public LedgerService(LedgerSettings settings, Surroundings dependencies) {
+    public LedgerService(LedgerSettings settings, Dependencies dependencies) {
         this.settings = settings;
         this.dependencies = dependencies;
         this.self = new Sender(dependencies.instance(), dependencies.incarnation());
@@ -105,11 +105,13 @@
      * @return completed with the answer, or with a {@link org.geraniumreach.model.ServingException} that says whether the
      *     request ran, not null
      */
-    public CompletableFuture<LedgerAnswer> perform(LedgerRequest request, Dispatch dispatcher) {
-        LedgerView view = new LedgerView(
+    public CompletableFuture<LedgerAnswer> perform(LedgerRequest request, Dispatcher dispatcher) {
+        LedgerContext view = new LedgerContext(
                 dependencies.clock()::instant,
                 () -> AttemptId.random(dependencies.random()),
-                () -> dispatcher.choose().map(chosen -> new Companion(chosen.instance(), chosen.incarnation())),
+                () -> dispatcher
+                        .chooseCompanion()
+                        .map(chosen -> new Companion(chosen.instance(), chosen.incarnation())),
                 this::isLive,
                 companion -> dependencies.isCompanionGone().test(companion.instance()));
         LedgerCall call = new LedgerCall(
--- a/daemon/src/main/java/org/geraniumreach/daemon/ledger/LedgerSweep.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/ledger/LedgerSweep.java
@@ -19,11 +19,11 @@
 final class LedgerSweep {
 
     private final LedgerSettings settings;
-    private final LedgerService.Surroundings dependencies;
+    private final LedgerService.Dependencies dependencies;
     private final GroupCommitter committer;
     private String lastKey = "";
 
-    LedgerSweep(LedgerSettings settings, LedgerService.Surroundings dependencies, GroupCommitter committer) {
+    LedgerSweep(LedgerSettings settings, LedgerService.Dependencies dependencies, GroupCommitter committer) {
         this.settings = settings;
         this.dependencies = dependencies;
         this.committer = committer;
--- a/daemon/src/main/java/org/geraniumreach/daemon/membership/InstanceListReading.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/membership/InstanceListReading.java
@@ -9,10 +9,10 @@
  *
  * <p>Immutable and safe for use by several threads.
  *
- * @param askedNanos the monotonic clock in nanoseconds before the list was requested
+ * @param requestedAtNanos the monotonic clock in nanoseconds before the list was requested
  * @param instances the listed instances
  */
-public record InstanceListReading(long askedNanos, List<ListedInstance> instances) {
+public record InstanceListReading(long requestedAtNanos, List<ListedInstance> instances) {
 
     public InstanceListReading {
         instances = List.copyOf(instances);
--- a/daemon/src/main/java/org/geraniumreach/daemon/membership/LinkedMembership.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/membership/LinkedMembership.java
@@ -95,7 +95,7 @@
     public static LinkedMembership start(
             Hello hello, MembershipSettings settings, InstanceList list, Links links, MonotonicClock clock) {
         LinkedMembership started = new LinkedMembership(hello, settings, list, links, clock);
-        links.handle(Set.of(Frame.BodyCase.LEAVING), started.new LinkHandler());
+        links.registerHandler(Set.of(Frame.BodyCase.LEAVING), started.new LinkHandler());
         long interval = settings.readInterval().toNanos();
         started.executor.scheduleWithFixedDelay(started::readList, 0, interval, TimeUnit.NANOSECONDS);
         return started;
@@ -111,7 +111,7 @@
     }
 
     @Override
-    public void listen(MembershipListener listener) {
+    public void addListener(MembershipListener listener) {
         listeners.add(listener);
     }
 
@@ -287,7 +287,7 @@
     private final class LinkHandler implements FrameHandler {
 
         @Override
-        public void opened(Peer peer) {
+        public void onOpened(Peer peer) {
             try {
                 LinkedMember member = toLinkedMember(peer.hello());
                 update(() -> membership.onLinkOpened(member));
@@ -310,13 +310,13 @@
         }
 
         @Override
-        public void received(Peer peer, Frame frame) {
+        public void onFrame(Peer peer, Frame frame) {
             InstanceId instance = InstanceId.of(peer.hello().getInstance());
             update(() -> membership.onLeaving(instance, frame.getLeaving().getIncarnation()));
         }
 
         @Override
-        public void closed(Peer peer, String reason) {
+        public void onClosed(Peer peer, String reason) {
             InstanceId instance = InstanceId.of(peer.hello().getInstance());
             if (links.find(instance).isEmpty()) {
                 update(() -> membership.onLinkClosed(instance));
--- a/daemon/src/main/java/org/geraniumreach/daemon/membership/MembershipService.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/membership/MembershipService.java
@@ -19,7 +19,7 @@
      *
      * @param listener the listener, not null
      */
-    void listen(MembershipListener listener);
+    void addListener(MembershipListener listener);
 
     /**
      * Gets the latest reading of the instance list.
--- a/daemon/src/main/java/org/geraniumreach/daemon/metrics/NodeMetrics.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/metrics/NodeMetrics.java
@@ -11,7 +11,7 @@
 /**
  * The metrics of one process.
  *
- * <p>Invariant: the number of series is bounded. Client accounts beyond the first {@link ProcessMeters#MOST_ACCOUNTS}
+ * <p>Invariant: the number of series is bounded. Client accounts beyond the first {@link ProcessMeters#MAX_ACCOUNT_LABELS}
  * share one set of meters. Safe for use by several threads.
  */
 public final class NodeMetrics {
--- a/daemon/src/main/java/org/geraniumreach/daemon/node/Daemon.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/node/Daemon.java
@@ -17,7 +17,7 @@
      *
      * @return the number
      */
-    int running();
+    int runningRequests();
 
     /**
      * Gets how long running work may take after a drain has begun.
--- a/daemon/src/main/java/org/geraniumreach/daemon/node/DrainLoop.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/node/DrainLoop.java
@@ -48,17 +48,17 @@
      */
     public void run() throws InterruptedException {
         endSignalled.await();
-        EventLog.write(EventCode.DRAINING, "{} requests running", daemon.running());
+        EventLog.write(EventCode.DRAINING, "{} requests running", daemon.runningRequests());
         daemon.drain();
         long deadline = clock.nanos() + daemon.drainLimit().toNanos();
         int idle = 0;
         // A request sent before its sender learned of the drain may still be in transit, so a single idle poll does not
         // end the drain.
         while (idle < REQUIRED_IDLE_POLLS && signals.get() < 2 && clock.nanos() < deadline) {
-            idle = daemon.running() == 0 ? idle + 1 : 0;
+            idle = daemon.runningRequests() == 0 ? idle + 1 : 0;
             TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
         }
-        int aborted = daemon.running();
+        int aborted = daemon.runningRequests();
         if (aborted > 0) {
             EventLog.write(EventCode.DRAIN_CUT, "{} requests aborted", aborted);
         } else {
--- a/daemon/src/main/java/org/geraniumreach/daemon/node/Foundation.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/node/NodeServices.java
@@ -39,7 +39,7 @@
  * <p>Invariant: the link address is bound before the instance list is read, so that every process that finds this
  * instance on the list can connect to it. Safe for use by several threads.
  */
-public final class Foundation implements AutoCloseable {
+public final class NodeServices implements AutoCloseable {
 
     private static final int PROTOCOL_VERSION = 1;
     private static final int PLATFORM_THREADS = 2;
@@ -71,7 +71,7 @@
     private ReplicatedConfiguration configuration;
     private HttpListener management;
 
-    private Foundation(Settings settings) {
+    private NodeServices(Settings settings) {
         this.settings = settings;
         this.instance = InstanceId.of(settings.node().instance());
         this.incarnation = System.currentTimeMillis() * MICROS_PER_MILLI + random.nextInt((int) MICROS_PER_MILLI);
@@ -126,9 +126,9 @@
      * @return the started services, not null
      * @throws IOException if an address cannot be bound
      */
-    public static Foundation start(Settings settings, RoleHello roleHello) throws IOException {
+    public static NodeServices start(Settings settings, RoleHello roleHello) throws IOException {
         FailureDomain.of(settings.node().failureDomain());
-        Foundation services = new Foundation(settings);
+        NodeServices services = new NodeServices(settings);
         try {
             services.startLinks(roleHello);
         } catch (IOException failure) {
--- a/daemon/src/main/java/org/geraniumreach/daemon/operator/OperatorEndpoints.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/operator/OperatorEndpoints.java
@@ -11,8 +11,8 @@
 import org.geraniumreach.coordination.configuration.Submission;
 import org.geraniumreach.coordination.configuration.SubmissionCheck;
 import org.geraniumreach.coordination.configuration.SubmissionResult;
+import org.geraniumreach.daemon.configuration.ChangeHistory;
 import org.geraniumreach.daemon.configuration.ConfigurationService;
-import org.geraniumreach.daemon.configuration.History;
 import org.geraniumreach.daemon.configuration.Submitter;
 import org.geraniumreach.daemon.http.Call;
 import org.geraniumreach.daemon.http.Endpoint;
@@ -41,7 +41,7 @@
     private final KeyDigest credential;
     private final ConfigurationService configuration;
     private final Submitter submitter;
-    private final History history;
+    private final ChangeHistory history;
     private final Supplier<ObjectNode> status;
 
     /**
@@ -57,7 +57,7 @@
             KeyDigest credential,
             ConfigurationService configuration,
             Submitter submitter,
-            History history,
+            ChangeHistory history,
             Supplier<ObjectNode> status) {
         this.credential = Objects.requireNonNull(credential, "credential");
         this.configuration = Objects.requireNonNull(configuration, "configuration");
@@ -128,7 +128,7 @@
     private static ObjectNode accepted(Submitter.Outcome outcome) {
         ObjectNode json = RecordJson.object().put("result", ResultCode.OK.name());
         json.set("change", RecordJson.of(outcome.result().entry().orElseThrow()));
-        return json.put("otherEntries", outcome.otherEntries());
+        return json.put("otherEntries", outcome.otherHolderCount());
     }
 
     private static ObjectNode failure(SubmissionResult result) {
--- a/daemon/src/main/java/org/geraniumreach/daemon/operator/OperatorStatus.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/operator/OperatorStatus.java
@@ -48,7 +48,7 @@
     @Override
     public ObjectNode get() {
         ConfigurationState state = configuration.state();
-        long freshForMillis = TimeUnit.NANOSECONDS.toMillis(Math.max(0, state.freshUntil() - clock.nanos()));
+        long freshForMillis = TimeUnit.NANOSECONDS.toMillis(Math.max(0, state.freshUntilNanos() - clock.nanos()));
         ObjectNode json = RecordJson.object()
                 .put("instance", self.value())
                 .put("revision", state.configuration().revision())
--- a/daemon/src/test/java/org/geraniumreach/daemon/budget/BudgetServiceTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/budget/BudgetServiceTest.java
@@ -107,13 +107,13 @@
                 new ListedInstance(instance, ListedInstance.Role.ENTRY, FailureDomain.of("domain"), address, false);
         BudgetService budget = new BudgetService(
                 settings(),
-                new BudgetService.Surroundings(
+                new BudgetService.Dependencies(
                         instance,
                         address,
                         1,
                         table,
                         new LocalLinks(instance, network),
-                        () -> Optional.of(new ListReading(clock.nanos(), List.of(listed))),
+                        () -> Optional.of(new EntryListReading(clock.nanos(), List.of(listed))),
                         BudgetServiceTest::configuration,
                         clock,
                         new SecureRandom(),
@@ -148,12 +148,12 @@
         CompletableFuture<Reservation> future = new CompletableFuture<>();
         budget.reserve(ACCOUNT, tokens, Duration.ofSeconds(1), new BudgetCallback() {
             @Override
-            public void granted(Reservation reservation) {
+            public void onGranted(Reservation reservation) {
                 future.complete(reservation);
             }
 
             @Override
-            public void refused(ServingException refusal) {
+            public void onRefused(ServingException refusal) {
                 future.completeExceptionally(refusal);
             }
         });
--- a/daemon/src/test/java/org/geraniumreach/daemon/budget/LocalLinks.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/budget/LocalLinks.java
@@ -55,7 +55,7 @@
     }
 
     @Override
-    public void handle(Set<Frame.BodyCase> kinds, FrameHandler newHandler) {
+    public void registerHandler(Set<Frame.BodyCase> kinds, FrameHandler newHandler) {
         handler = newHandler;
     }
 
@@ -76,7 +76,7 @@
             if (receiver == null) {
                 return false;
             }
-            receiver.received(new LocalPeer(sender, other), frame);
+            receiver.onFrame(new LocalPeer(sender, other), frame);
             return true;
         }
 
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/ExchangeSimulation.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/ExchangeSimulation.java
@@ -157,12 +157,12 @@
         }
 
         @Override
-        public void accepted() {
+        public void onAccepted() {
             assertThat(ends).isZero();
         }
 
         @Override
-        public void chunk(long sequence, ByteString payload, int tokens) {
+        public void onChunk(long sequence, ByteString payload, int tokens) {
             assertThat(ends).isZero();
             assertThat(sequence).isEqualTo(chunks);
             assertThat(payload.toStringUtf8()).isEqualTo(id + "/" + chunks);
@@ -170,20 +170,20 @@
         }
 
         @Override
-        public void ended(End end) {
+        public void onEnded(End end) {
             assertThat(chunks).isEqualTo(expectedChunks);
             isComplete = true;
             ends++;
         }
 
         @Override
-        public void refused(Refused refused) {
+        public void onRefused(Refused refused) {
             recordExecution(refused.getRan());
             ends++;
         }
 
         @Override
-        public void lost(ExecutionStatus executionStatus, String reason) {
+        public void onLost(ExecutionStatus executionStatus, String reason) {
             recordExecution(executionStatus.ordinal());
             ends++;
         }
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/FakeConfiguration.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/FakeConfiguration.java
@@ -36,7 +36,7 @@
         List<LogEntry> changes = new ArrayList<>();
         changes.add(new LogEntry(before.revision() + 1, "operation", new RecordKey(kind, name), body));
         current = before.plus(changes);
-        listeners.forEach(listener -> listener.changed(before, current, withdrawn));
+        listeners.forEach(listener -> listener.onConfigurationChanged(before, current, withdrawn));
     }
 
     void makeStale() {
@@ -61,7 +61,7 @@
     }
 
     @Override
-    public void listen(ConfigurationListener listener) {
+    public void addListener(ConfigurationListener listener) {
         listeners.add(listener);
     }
 }
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/FakeEngine.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/FakeEngine.java
@@ -79,7 +79,7 @@
                     demand--;
                     sequence = next++;
                 }
-                recipient.chunk(sequence, text(generation, sequence), 1);
+                recipient.onChunk(sequence, text(generation, sequence), 1);
             }
             boolean isEnding;
             synchronized (FakeEngine.this) {
@@ -87,7 +87,7 @@
                 ended |= isEnding;
             }
             if (isEnding) {
-                recipient.ended(new GenerationEnd(next, served, 1, (int) next, "length", false));
+                recipient.onEnded(new GenerationEnd(next, served, 1, (int) next, "length", false));
             }
         }
 
@@ -104,8 +104,8 @@
     }
 
     @Override
-    public synchronized EngineStream generate(Generation generation, Order order, EngineListener listener) {
-        if (order.fence() < highestFence) {
+    public synchronized EngineStream generate(Generation generation, CommandFence order, EngineListener listener) {
+        if (order.fencingToken() < highestFence) {
             return refused(listener, Reason.FENCED);
         }
         boolean isResident = resident.contains(generation.adapter());
@@ -120,7 +120,7 @@
         boolean namesAdapterAtStart = !namesAdapterAtEnd;
         executor.execute(() -> {
             if (namesAdapterAtStart) {
-                listener.started(served);
+                listener.onStarted(served);
             }
             stream.sendChunks(listener);
         });
@@ -128,7 +128,8 @@
     }
 
     private EngineStream refused(EngineListener listener, Reason reason) {
-        executor.execute(() -> listener.failed(new PlatformException(Effect.NONE, reason, "refused: " + reason, null)));
+        executor.execute(
+                () -> listener.onFailed(new PlatformException(Effect.NONE, reason, "refused: " + reason, null)));
         return new EngineStream() {
             @Override
             public void request(int chunks) {}
@@ -159,7 +160,7 @@
     }
 
     @Override
-    public void load(AdapterReference adapter, Order order) throws PlatformException {
+    public void load(AdapterReference adapter, CommandFence order) throws PlatformException {
         synchronized (this) {
             awaitLoadsAllowed();
             if (failsLoads) {
@@ -184,7 +185,7 @@
     }
 
     @Override
-    public synchronized void unload(AdapterReference adapter, Order order) {
+    public synchronized void unload(AdapterReference adapter, CommandFence order) {
         for (Stream stream : streams.values()) {
             if (stream.generation.adapter().equals(adapter) && !stream.ended) {
                 unloadedInUse.add(adapter);
@@ -215,7 +216,7 @@
         EngineListener listener = stream.listener;
         stream.listener = null;
         if (listener != null && !stream.ended) {
-            executor.execute(() -> listener.failed(
+            executor.execute(() -> listener.onFailed(
                     new PlatformException(Effect.UNKNOWN, Reason.NO_ANSWER, "the connection broke", null)));
         }
     }
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/FakeLinks.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/FakeLinks.java
@@ -52,7 +52,7 @@
 
         private void deliver(Frame frame) {
             if (entryEnd.open) {
-                handlers.forEach(handler -> handler.received(entryEnd, frame));
+                handlers.forEach(handler -> handler.onFrame(entryEnd, frame));
             }
         }
 
@@ -107,7 +107,7 @@
     Link open() {
         Link link = new Link();
         entryLink = Optional.of(link);
-        handlers.forEach(handler -> handler.opened(link.entryEnd));
+        handlers.forEach(handler -> handler.onOpened(link.entryEnd));
         return link;
     }
 
@@ -118,7 +118,7 @@
         }
         link.entryEnd.open = false;
         entryLink = Optional.empty();
-        handlers.forEach(handler -> handler.closed(link.entryEnd, "closed by the test"));
+        handlers.forEach(handler -> handler.onClosed(link.entryEnd, "closed by the test"));
     }
 
     @Override
@@ -138,7 +138,7 @@
     }
 
     @Override
-    public void handle(Set<Frame.BodyCase> kinds, FrameHandler handler) {
+    public void registerHandler(Set<Frame.BodyCase> kinds, FrameHandler handler) {
         handlers.add(handler);
     }
 }
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/OrderAuthorizationTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/OrderAuthorizationTest.java
@@ -26,7 +26,7 @@
 
     @Test
     void orderCarriesTheFence() {
-        assertThat(withFence(false).authorize(1).orElseThrow().fence()).isEqualTo(5);
+        assertThat(withFence(false).authorize(1).orElseThrow().fencingToken()).isEqualTo(5);
     }
 
     @ParameterizedTest
--- a/daemon/src/test/java/org/geraniumreach/daemon/companion/RecordedAnswer.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/companion/RecordedAnswer.java
@@ -44,12 +44,12 @@
     }
 
     @Override
-    public synchronized void accepted() {
+    public synchronized void onAccepted() {
         accepted = true;
     }
 
     @Override
-    public void chunk(long sequence, ByteString payload, int tokens) {
+    public void onChunk(long sequence, ByteString payload, int tokens) {
         AttemptHandle currentHandle;
         synchronized (this) {
             if (sequence != chunks) {
@@ -66,20 +66,20 @@
     }
 
     @Override
-    public synchronized void ended(End received) {
+    public synchronized void onEnded(End received) {
         ends++;
         end = received;
     }
 
     @Override
-    public synchronized void refused(Refused refused) {
+    public synchronized void onRefused(Refused refused) {
         ends++;
         refusal = ResultCode.ofNumber(refused.getCode()).orElseThrow();
         executionStatus = ExecutionStatus.values()[refused.getRan()];
     }
 
     @Override
-    public synchronized void lost(ExecutionStatus lostStatus, String reason) {
+    public synchronized void onLost(ExecutionStatus lostStatus, String reason) {
         ends++;
         executionStatus = lostStatus;
     }
--- a/daemon/src/test/java/org/geraniumreach/daemon/configuration/InMemoryLinks.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/configuration/InMemoryLinks.java
@@ -40,14 +40,14 @@
         remoteEnd.reverse = localEnd;
         openPeers.put(InstanceId.of(other.hello.getInstance()), localEnd);
         other.openPeers.put(InstanceId.of(hello.getInstance()), remoteEnd);
-        handlers.forEach(registered -> registered.handler().opened(localEnd));
-        other.handlers.forEach(registered -> registered.handler().opened(remoteEnd));
+        handlers.forEach(registered -> registered.handler().onOpened(localEnd));
+        other.handlers.forEach(registered -> registered.handler().onOpened(remoteEnd));
     }
 
     private void receive(Peer peer, Frame frame) {
         handlers.stream()
                 .filter(registered -> registered.kinds().contains(frame.getBodyCase()))
-                .forEach(registered -> registered.handler().received(peer, frame));
+                .forEach(registered -> registered.handler().onFrame(peer, frame));
     }
 
     @Override
@@ -67,7 +67,7 @@
     }
 
     @Override
-    public void handle(Set<Frame.BodyCase> kinds, FrameHandler handler) {
+    public void registerHandler(Set<Frame.BodyCase> kinds, FrameHandler handler) {
         handlers.add(new Registration(kinds, handler));
     }
 
--- a/daemon/src/test/java/org/geraniumreach/daemon/configuration/MemoryTable.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/configuration/InMemoryTable.java
@@ -11,12 +11,12 @@
 import org.geraniumreach.ports.TableService;
 
 /** A table service in memory that can be made unavailable. */
-public final class MemoryTable implements TableService {
+public final class InMemoryTable implements TableService {
 
     private final TreeMap<String, Row> rows = new TreeMap<>();
     private boolean unavailable;
 
-    public synchronized void setAway(boolean newUnavailable) {
+    public synchronized void setUnavailable(boolean newUnavailable) {
         unavailable = newUnavailable;
     }
 
--- a/daemon/src/test/java/org/geraniumreach/daemon/configuration/ReplicatedConfigurationTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/configuration/ReplicatedConfigurationTest.java
@@ -35,7 +35,7 @@
     private static final KeyDigest DIGEST = KeyDigest.ofSecret("secret");
 
     private final MonotonicClock clock = MonotonicClock.system();
-    private final MemoryTable table = new MemoryTable();
+    private final InMemoryTable table = new InMemoryTable();
     private final List<ReplicatedConfiguration> started = new ArrayList<>();
 
     private final Set<InstanceId> entries = Set.of(InstanceId.of("entry-1"), InstanceId.of("entry-2"));
@@ -48,7 +48,7 @@
                 SETTINGS,
                 table,
                 links,
-                new LoneEntry.FixedMembership(entries),
+                new SingleEntry.FixedMembership(entries),
                 clock,
                 new Random(1));
         started.add(configuration);
@@ -95,13 +95,13 @@
         ReplicatedConfiguration second = start("entry-2", secondLinks);
         firstLinks.connect(secondLinks);
         List<Set<KeyDigest>> withdrawn = new CopyOnWriteArrayList<>();
-        second.listen((before, after, keys) -> withdrawn.add(keys));
+        second.addListener((before, after, keys) -> withdrawn.add(keys));
         Submitter submitter = submitter(first);
         String key = "{'schemaVersion':1,'account':'acme','digest':'" + DIGEST.toHexadecimal() + "'}";
         assertThat(submitter.submit(account(0, 0)).result().isAccepted()).isTrue();
         assertThat(submitter
                         .submit(submission("key", 1, RecordKind.KEY, "key", key))
-                        .otherEntries())
+                        .otherHolderCount())
                 .isEqualTo(1);
         assertThat(second.current().key(DIGEST)).isPresent();
         submitter.submit(submission("withdrawal", 2, RecordKind.KEY, "key", null));
@@ -153,7 +153,7 @@
      */
     @Test
     void instanceWithoutConfigurationRefusesWithRetryAfter() {
-        table.setAway(true);
+        table.setUnavailable(true);
         ReplicatedConfiguration alone = start("entry-1", firstLinks);
         ServingException refusal = catchThrowableOfType(ServingException.class, alone::requireFresh);
         assertThat(refusal.code()).isEqualTo(ResultCode.NOT_FRESH);
--- a/daemon/src/test/java/org/geraniumreach/daemon/configuration/LoneEntry.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/configuration/SingleEntry.java
@@ -12,11 +12,11 @@
 import org.geraniumreach.model.MonotonicClock;
 
 /** Starts the configuration of a single entry without peers. */
-public final class LoneEntry {
+public final class SingleEntry {
 
     private static final InstanceId SELF = InstanceId.of("entry-1");
 
-    private LoneEntry() {}
+    private SingleEntry() {}
 
     /** A membership with a fixed set of entries. */
     record FixedMembership(Set<InstanceId> entries) implements MembershipService {
@@ -27,7 +27,7 @@
         }
 
         @Override
-        public void listen(MembershipListener listener) {}
+        public void addListener(MembershipListener listener) {}
 
         @Override
         public Optional<InstanceListReading> lastReading() {
@@ -44,7 +44,7 @@
     }
 
     public static ReplicatedConfiguration start(
-            ConfigurationSettings settings, MemoryTable table, MonotonicClock clock) {
+            ConfigurationSettings settings, InMemoryTable table, MonotonicClock clock) {
         return ReplicatedConfiguration.start(
                 SELF,
                 settings,
--- a/daemon/src/test/java/org/geraniumreach/daemon/ledger/LedgerServiceTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/ledger/LedgerServiceTest.java
@@ -115,15 +115,15 @@
         return new LedgerRequest(AccountId.of("account"), "key", "service/book", body.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static Dispatch dispatch() {
-        return new Dispatch() {
+    private static Dispatcher dispatch() {
+        return new Dispatcher() {
             @Override
-            public Optional<Companion> choose() {
+            public Optional<Companion> chooseCompanion() {
                 return Optional.of(new Companion(COMPANION, 1));
             }
 
             @Override
-            public Run runFor(AttemptId attempt, Companion companion) {
+            public Run createRun(AttemptId attempt, Companion companion) {
                 return Run.getDefaultInstance();
             }
         };
@@ -146,7 +146,7 @@
                 200);
         return new LedgerService(
                 settings,
-                new LedgerService.Surroundings(
+                new LedgerService.Dependencies(
                         InstanceId.of("entry"),
                         1,
                         new FaultyTable(fault::get),
@@ -180,10 +180,10 @@
         public AttemptHandle run(InstanceId companion, Run run, AttemptListener listener) {
             executor.execute(() -> {
                 runs.incrementAndGet();
-                listener.accepted();
-                listener.chunk(0, ByteString.copyFrom(new byte[answerBytes / 2]), 0);
-                listener.chunk(1, ByteString.copyFrom(new byte[answerBytes - answerBytes / 2]), 0);
-                listener.ended(End.newBuilder().setCount(2).build());
+                listener.onAccepted();
+                listener.onChunk(0, ByteString.copyFrom(new byte[answerBytes / 2]), 0);
+                listener.onChunk(1, ByteString.copyFrom(new byte[answerBytes - answerBytes / 2]), 0);
+                listener.onEnded(End.newBuilder().setCount(2).build());
             });
             return new NoOpHandle();
         }
@@ -191,13 +191,13 @@
         @Override
         public AttemptHandle resume(
                 InstanceId companion, String attempt, long incarnation, long nextSequence, AttemptListener listener) {
-            listener.lost(ExecutionStatus.UNKNOWN, "not kept");
+            listener.onLost(ExecutionStatus.UNKNOWN, "not kept");
             return new NoOpHandle();
         }
 
         @Override
         public void seal(InstanceId companion, String attempt, long incarnation, Duration age, SealListener listener) {
-            listener.sealed(SealOutcome.STARTED);
+            listener.onSealed(SealOutcome.STARTED);
         }
     }
 
--- a/daemon/src/test/java/org/geraniumreach/daemon/operator/OperatorEndpointsTest.java
+++ b/daemon/src/test/java/org/geraniumreach/daemon/operator/OperatorEndpointsTest.java
@@ -13,11 +13,11 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
+import org.geraniumreach.daemon.configuration.ChangeHistory;
 import org.geraniumreach.daemon.configuration.ConfigurationSettings;
-import org.geraniumreach.daemon.configuration.History;
-import org.geraniumreach.daemon.configuration.LoneEntry;
-import org.geraniumreach.daemon.configuration.MemoryTable;
+import org.geraniumreach.daemon.configuration.InMemoryTable;
 import org.geraniumreach.daemon.configuration.ReplicatedConfiguration;
+import org.geraniumreach.daemon.configuration.SingleEntry;
 import org.geraniumreach.daemon.configuration.Submitter;
 import org.geraniumreach.daemon.http.HttpLimits;
 import org.geraniumreach.daemon.http.HttpListener;
@@ -51,7 +51,7 @@
                     + "'burst':1}}";
 
     private final MonotonicClock clock = MonotonicClock.system();
-    private final MemoryTable table = new MemoryTable();
+    private final InMemoryTable table = new InMemoryTable();
     private final ExecutorService executor = Executors.newFixedThreadPool(2);
     private final HttpClient client = HttpClient.newHttpClient();
     private ReplicatedConfiguration configuration;
@@ -60,13 +60,13 @@
 
     @BeforeEach
     void start() throws Exception {
-        configuration = LoneEntry.start(SETTINGS, table, clock);
+        configuration = SingleEntry.start(SETTINGS, table, clock);
         submitter = new Submitter(configuration, SETTINGS, table, clock, new Random(1));
         OperatorEndpoints endpoints = new OperatorEndpoints(
                 KeyDigest.ofSecret("operator"),
                 configuration,
                 submitter,
-                new History(table, clock),
+                new ChangeHistory(table, clock),
                 RecordJson::object);
         InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
         listener = HttpListener.start("operator", LIMITS, address, endpoints.routes(), executor);
@@ -187,7 +187,7 @@
 
     @Test
     void anUnavailableTableIsReported() throws Exception {
-        table.setAway(true);
+        table.setUnavailable(true);
         JsonNode answer = call("operator", "POST", "submit", ACCOUNT);
         assertThat(code(answer)).isEqualTo(ResultCode.STORE_UNAVAILABLE.number());
         assertThat(answer.path("error").path("ran").asText()).isEqualTo("no");
--- a/gateway/src/test/java/org/geraniumreach/gateway/adapter/AdapterSlotsTest.java
+++ b/gateway/src/test/java/org/geraniumreach/gateway/adapter/AdapterSlotsTest.java
@@ -36,7 +36,7 @@
     // twice, it would let a later load carry a number that is too high; executed seconds late, that load exceeds
     // the slots and crashes the target.
     @Test
-    void aDeferredUnloadIsNotCountedTwice() {
+    void anUnloadThatAwaitsRunsIsNotCountedTwice() {
         new SimulatedTarget(-4568).run();
     }
 
--- a/httpclient/src/main/java/org/geraniumreach/httpclient/HttpConnections.java
+++ b/httpclient/src/main/java/org/geraniumreach/httpclient/HttpConnections.java
@@ -123,7 +123,7 @@
      *
      * @param maxIdleTime the longest idle time to allow, not null
      */
-    public void closeIdle(Duration maxIdleTime) {
+    public void closeIdleLongerThan(Duration maxIdleTime) {
         long now = clock.nanos();
         for (Deque<HttpConnection> idle : idleConnections.values().stream().toList()) {
             for (HttpConnection connection : idle.stream().toList()) {
@@ -139,7 +139,7 @@
      *
      * @param address the address, not null
      */
-    public void forget(InetSocketAddress address) {
+    public void closeIdleTo(InetSocketAddress address) {
         Deque<HttpConnection> idle = idleConnections.remove(address);
         if (idle != null) {
             idle.forEach(HttpConnection::close);
--- a/httpserver/src/main/java/org/geraniumreach/httpserver/OneThreadListener.java
+++ b/httpserver/src/main/java/org/geraniumreach/httpserver/SingleThreadListeners.java
@@ -11,9 +11,9 @@
  * <p>An instance has one core, where handing requests over between threads costs wake-ups without any gain. Stateless and safe for
  * use by several threads.
  */
-public final class OneThreadListener {
+public final class SingleThreadListeners {
 
-    private OneThreadListener() {}
+    private SingleThreadListeners() {}
 
     /**
      * Creates a listener that is not started yet.
--- a/httpserver/src/main/java/org/geraniumreach/httpserver/UpgradeOffers.java
+++ b/httpserver/src/main/java/org/geraniumreach/httpserver/UpgradeIgnoringFilter.java
@@ -18,7 +18,7 @@
  * been received. Without the offer the request is read as HTTP/1.1, as the protocol permits. Stateless and safe for use by
  * several threads.
  */
-public final class UpgradeOffers extends BaseFilter implements AddOn {
+public final class UpgradeIgnoringFilter extends BaseFilter implements AddOn {
 
     @Override
     public void setup(NetworkListener listener, FilterChainBuilder filters) {
--- a/link/src/main/java/org/geraniumreach/link/Attempts.java
+++ b/link/src/main/java/org/geraniumreach/link/Attempts.java
@@ -76,7 +76,7 @@
          *
          * @param outcome the outcome, not null
          */
-        void sealed(SealOutcome outcome);
+        void onSealed(SealOutcome outcome);
     }
 
     /** The outcome of a seal request. */
--- a/link/src/main/java/org/geraniumreach/link/CompanionAttempts.java
+++ b/link/src/main/java/org/geraniumreach/link/CompanionAttempts.java
@@ -85,7 +85,7 @@
 
     private void complete(String attempt, PendingSeal pending, SealOutcome outcome) {
         if (seals.remove(attempt, pending)) {
-            pending.listener().sealed(outcome);
+            pending.listener().onSealed(outcome);
         }
     }
 
--- a/link/src/main/java/org/geraniumreach/link/FrameHandler.java
+++ b/link/src/main/java/org/geraniumreach/link/FrameHandler.java
@@ -14,7 +14,7 @@
      *
      * @param peer the remote end, not null
      */
-    void opened(Peer peer);
+    void onOpened(Peer peer);
 
     /**
      * Called for each frame of the registered kinds.
@@ -22,14 +22,14 @@
      * @param peer the sender, not null
      * @param frame the frame, not null
      */
-    void received(Peer peer, Frame frame);
+    void onFrame(Peer peer, Frame frame);
 
     /**
      * Called when a link becomes writable again after {@link Peer#isWritable} has returned false.
      *
      * @param peer the remote end, not null
      */
-    default void writable(Peer peer) {}
+    default void onWritable(Peer peer) {}
 
     /**
      * Called when a link is closed. A new link to the instance is a new {@link Peer}.
@@ -37,5 +37,5 @@
      * @param peer the remote end, not null
      * @param reason why it was closed, not null
      */
-    void closed(Peer peer, String reason);
+    void onClosed(Peer peer, String reason);
 }
--- a/link/src/main/java/org/geraniumreach/link/LinkAttempts.java
+++ b/link/src/main/java/org/geraniumreach/link/LinkAttempts.java
@@ -52,7 +52,7 @@
         this.limits =
                 new AttemptTracker.Limits(settings.resumeLimit(), settings.answerLimit(), settings.deadlineGrace());
         this.clock = clock;
-        links.handle(ANSWER_KINDS, new Handler());
+        links.registerHandler(ANSWER_KINDS, new Handler());
         this.tickTask = timer.scheduleWithFixedDelay(
                 this::tick, TICK_INTERVAL.toNanos(), TICK_INTERVAL.toNanos(), TimeUnit.NANOSECONDS);
     }
@@ -128,17 +128,17 @@
         }
 
         @Override
-        public void opened(Peer peer) {
+        public void onOpened(Peer peer) {
             attemptsAt(peer).ifPresent(attempts -> attempts.onLinkOpened(peer));
         }
 
         @Override
-        public void received(Peer peer, Frame frame) {
+        public void onFrame(Peer peer, Frame frame) {
             attemptsAt(peer).ifPresent(attempts -> attempts.onFrame(peer, frame));
         }
 
         @Override
-        public void closed(Peer peer, String reason) {
+        public void onClosed(Peer peer, String reason) {
             attemptsAt(peer).ifPresent(attempts -> attempts.onLinkClosed(peer, links.find(instanceOf(peer))));
         }
     }
--- a/link/src/main/java/org/geraniumreach/link/LinkChannel.java
+++ b/link/src/main/java/org/geraniumreach/link/LinkChannel.java
@@ -23,8 +23,8 @@
 /**
  * The protocol handler of one connection: exchanges Hello and heartbeats and dispatches other frames to handlers.
  *
- * <p>Invariants: handlers are not called before both Hellos have been exchanged; {@link FrameHandler#opened} is called
- * first and {@link FrameHandler#closed} last. A frame that cannot be decoded closes only this connection. Fields that
+ * <p>Invariants: handlers are not called before both Hellos have been exchanged; {@link FrameHandler#onOpened} is called
+ * first and {@link FrameHandler#onClosed} last. A frame that cannot be decoded closes only this connection. Fields that
  * are neither final nor volatile are confined to the channel's event loop; {@link Peer}'s methods are safe for use by
  * several threads.
  */
@@ -120,7 +120,7 @@
         }
         for (FrameHandler handler : matching) {
             notifyOpened(handler);
-            callHandler(() -> handler.received(this, frame));
+            callHandler(() -> handler.onFrame(this, frame));
         }
     }
 
@@ -187,7 +187,7 @@
 
     private void notifyOpened(FrameHandler handler) {
         if (closeReason == null && channel.isActive() && notifiedHandlers.add(handler)) {
-            callHandler(() -> handler.opened(this));
+            callHandler(() -> handler.onOpened(this));
         }
     }
 
@@ -197,7 +197,7 @@
     }
 
     private void notifyWritable() {
-        notifyHandlers(handler -> handler.writable(this));
+        notifyHandlers(handler -> handler.onWritable(this));
     }
 
     @Override
@@ -205,7 +205,7 @@
         String reason = closeReason != null ? closeReason : "closed by the peer";
         closeReason = reason;
         owner.onClosed(this, reason);
-        notifyHandlers(handler -> handler.closed(this, reason));
+        notifyHandlers(handler -> handler.onClosed(this, reason));
         notifiedHandlers.clear();
     }
 
--- a/link/src/main/java/org/geraniumreach/link/LinkNode.java
+++ b/link/src/main/java/org/geraniumreach/link/LinkNode.java
@@ -248,7 +248,7 @@
     }
 
     @Override
-    public void handle(Set<Frame.BodyCase> kinds, FrameHandler handler) {
+    public void registerHandler(Set<Frame.BodyCase> kinds, FrameHandler handler) {
         handlers.add(kinds, Objects.requireNonNull(handler, "handler"));
         table.all().forEach(link -> link.scheduleNotifyOpened(handler));
     }
--- a/link/src/main/java/org/geraniumreach/link/Links.java
+++ b/link/src/main/java/org/geraniumreach/link/Links.java
@@ -52,5 +52,5 @@
      * @param kinds the kinds of frame passed to the handler, not null
      * @param handler the handler, not null
      */
-    void handle(Set<Frame.BodyCase> kinds, FrameHandler handler);
+    void registerHandler(Set<Frame.BodyCase> kinds, FrameHandler handler);
 }
--- a/link/src/main/java/org/geraniumreach/link/Peer.java
+++ b/link/src/main/java/org/geraniumreach/link/Peer.java
@@ -28,7 +28,7 @@
     /**
      * Queries whether the link's outbound buffer is below its limit.
      *
-     * @return false if a sender of bulk data should wait for {@link FrameHandler#writable}
+     * @return false if a sender of bulk data should wait for {@link FrameHandler#onWritable}
      */
     boolean isWritable();
 
--- a/link/src/main/java/org/geraniumreach/link/SentAttempt.java
+++ b/link/src/main/java/org/geraniumreach/link/SentAttempt.java
@@ -156,15 +156,15 @@
 
     private void notifyListener(AttemptAction action) {
         if (action instanceof AttemptAction.NotifyChunk chunk) {
-            listener.chunk(chunk.sequence(), chunk.payload(), chunk.tokens());
+            listener.onChunk(chunk.sequence(), chunk.payload(), chunk.tokens());
         } else if (action instanceof AttemptAction.NotifyAccepted) {
-            listener.accepted();
+            listener.onAccepted();
         } else if (action instanceof AttemptAction.NotifyEnded ended) {
-            listener.ended(ended.end());
+            listener.onEnded(ended.end());
         } else if (action instanceof AttemptAction.NotifyRefused refused) {
-            listener.refused(refused.refused());
+            listener.onRefused(refused.refused());
         } else if (action instanceof AttemptAction.NotifyLost lost) {
-            listener.lost(lost.executionStatus(), lost.reason());
+            listener.onLost(lost.executionStatus(), lost.reason());
         }
     }
 }
--- a/link/src/test/java/org/geraniumreach/link/TestNode.java
+++ b/link/src/test/java/org/geraniumreach/link/TestNode.java
@@ -35,7 +35,7 @@
                 .setIncarnation(incarnation)
                 .build();
         node = LinkNode.create(settings, () -> hello, (event, detail) -> events.add(event));
-        node.handle(EnumSet.allOf(Frame.BodyCase.class), this);
+        node.registerHandler(EnumSet.allOf(Frame.BodyCase.class), this);
         address = node.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
 
@@ -66,17 +66,17 @@
     }
 
     @Override
-    public void opened(Peer peer) {
+    public void onOpened(Peer peer) {
         opened.add(peer);
     }
 
     @Override
-    public void received(Peer peer, Frame frame) {
+    public void onFrame(Peer peer, Frame frame) {
         received.add(frame);
     }
 
     @Override
-    public void closed(Peer peer, String reason) {
+    public void onClosed(Peer peer, String reason) {
         closed.add(reason);
     }
 
--- a/node/src/main/java/org/geraniumreach/node/EntryLinks.java
+++ b/node/src/main/java/org/geraniumreach/node/EntryLinks.java
@@ -109,7 +109,7 @@
             ProcessSettings settings, long incarnation, EventLoopGroup loops, Listener listener, DecisionLog log)
             throws IOException {
         EntryLinks entryLinks = new EntryLinks(settings, incarnation, loops, listener, log);
-        entryLinks.linkNode.handle(
+        entryLinks.linkNode.registerHandler(
                 EnumSet.of(
                         Frame.BodyCase.ADAPTER_DEMAND,
                         Frame.BodyCase.ADAPTER_CHANGES,
@@ -201,13 +201,13 @@
     }
 
     @Override
-    public void opened(Peer peer) {
+    public void onOpened(Peer peer) {
         log.write(EventCode.LINK_OPENED, peer.hello().getInstance());
         listener.onLinkOpened(peer.hello().getInstance());
     }
 
     @Override
-    public void received(Peer peer, Frame frame) {
+    public void onFrame(Peer peer, Frame frame) {
         if (frame.hasAdapterDemand()) {
             listener.onAdapterDemand(peer.hello().getInstance(), frame.getAdapterDemand());
         } else if (frame.hasAdapterChanges()) {
@@ -226,7 +226,7 @@
     }
 
     @Override
-    public void closed(Peer peer, String reason) {
+    public void onClosed(Peer peer, String reason) {
         // The link node has logged the loss, and requests that are still waiting are sent again.
     }
 
--- a/node/src/main/java/org/geraniumreach/node/EntryMetrics.java
+++ b/node/src/main/java/org/geraniumreach/node/EntryMetrics.java
@@ -20,7 +20,7 @@
  *
  * <p>Counts each log line, even if the log drops it, by its event and the result in its fields, such as the code of a refusal or the
  * result of an order. Invariant: the number of series is bounded by the number of events, by the number of results, which are enum
- * constants, and by {@link ProcessMeters#MOST_ACCOUNTS}. Safe for use by several threads.
+ * constants, and by {@link ProcessMeters#MAX_ACCOUNT_LABELS}. Safe for use by several threads.
  */
 final class EntryMetrics implements DecisionLog {
 
--- a/node/src/main/java/org/geraniumreach/node/EntryProcess.java
+++ b/node/src/main/java/org/geraniumreach/node/EntryProcess.java
@@ -265,7 +265,7 @@
 
     /** Starts the metrics server; a failure is only logged, since callers can be served without it and monitoring notices its absence. */
     private void serveMetrics(int port) {
-        metrics.gauge("geraniumreach.requests.open", "Requests read or answered now.", () -> ingress.open());
+        metrics.gauge("geraniumreach.requests.open", "Requests read or answered now.", () -> ingress.openRequests());
         metrics.gauge("geraniumreach.configuration.version", "The version in force, 0 for none.", () -> configuration
                 .map(TrafficConfiguration::version)
                 .orElse(0L));
@@ -337,7 +337,7 @@
         @Override
         public void onLeft(Target target) {
             health.remove(target.id());
-            connections.forget(target.description().address());
+            connections.closeIdleTo(target.description().address());
         }
 
         @Override
@@ -397,7 +397,7 @@
         }
         configuration = Optional.of(newer);
         quotas.configure(newer.accounts(), newer.shortestObjective());
-        ingress.limit(newer.limits().maxBodyBytes(), newer.limits().idleTimeout());
+        ingress.setLimits(newer.limits().maxBodyBytes(), newer.limits().idleTimeout());
         coordinator.refresh();
         directory.reconcile();
         log.write(EventCode.CONFIGURATION_ADVANCED, "", Field.of("version", newer.version()));
@@ -418,7 +418,7 @@
 
     private void sweep() {
         logReadinessChange();
-        connections.closeIdle(IDLE_CONNECTION_TIMEOUT);
+        connections.closeIdleLongerThan(IDLE_CONNECTION_TIMEOUT);
         updateTargetGauges();
         registry.expire();
         timers.schedule(SWEEP_INTERVAL, this::sweep);
@@ -459,9 +459,9 @@
         if (!draining.compareAndSet(false, true)) {
             return;
         }
-        log.write(EventCode.DRAINING, settings.instance(), Field.of("open", ingress.open()));
+        log.write(EventCode.DRAINING, settings.instance(), Field.of("open", ingress.openRequests()));
         ingress.drain();
-        new EntryDrain(ingress::open, this::releaseLease, settings.drainLimit(), clock)
+        new EntryDrain(ingress::openRequests, this::releaseLease, settings.drainLimit(), clock)
                 .run(
                         maxDuration -> loop.execute(() -> {
                             requests.drain(maxDuration);
@@ -473,7 +473,7 @@
                                 settings.instance(),
                                 Field.of("holder", ""),
                                 Field.of("told", answered)));
-        log.write(EventCode.DRAINED, settings.instance(), Field.of("open", ingress.open()));
+        log.write(EventCode.DRAINED, settings.instance(), Field.of("open", ingress.openRequests()));
         jsonLog.close();
     }
 
--- a/node/src/main/java/org/geraniumreach/node/Main.java
+++ b/node/src/main/java/org/geraniumreach/node/Main.java
@@ -10,8 +10,8 @@
 import org.geraniumreach.gateway.port.DecisionLog.Field;
 import org.geraniumreach.gateway.process.ProcessSettings;
 import org.geraniumreach.model.EventCode;
-import org.geraniumreach.platform.BootFile;
 import org.geraniumreach.platform.DocumentException;
+import org.geraniumreach.platform.SettingsFile;
 import org.geraniumreach.process.Signals;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.CmdLineException;
@@ -82,7 +82,7 @@
             return rehearse(log);
         }
         try {
-            ProcessSettings settings = BootFile.read(file == null ? BootFile.path() : file);
+            ProcessSettings settings = SettingsFile.read(file == null ? SettingsFile.path() : file);
             return command == Command.CHECK
                     ? 0
                     : serve(settings, metricsPort == null ? OptionalInt.empty() : OptionalInt.of(metricsPort), log);
@@ -108,7 +108,7 @@
     private static int serve(ProcessSettings settings, OptionalInt metricsPort, JsonLog log) {
         EntryProcess process = new EntryProcess(settings, metricsPort, log);
         CountDownLatch endSignal = new CountDownLatch(1);
-        Signals.onEnd(endSignal::countDown);
+        Signals.onTerminate(endSignal::countDown);
         Signals.onReload(() -> reload(log));
         try {
             process.start();
@@ -129,7 +129,7 @@
     /** Only validates the file: the configuration comes from the store, and changes of the file take effect at a restart. */
     private static void reload(JsonLog log) {
         try {
-            BootFile.read(BootFile.path());
+            SettingsFile.read(SettingsFile.path());
             log.write(EventCode.SETTINGS_READ, "");
         } catch (DocumentException invalid) {
             log.write(EventCode.SETTINGS_INVALID, "", Field.of("reason", invalid.getMessage()));
--- a/node/src/main/java/org/geraniumreach/node/MetricsServer.java
+++ b/node/src/main/java/org/geraniumreach/node/MetricsServer.java
@@ -4,7 +4,7 @@
 import java.net.InetSocketAddress;
 import java.util.function.Supplier;
 
-import org.geraniumreach.httpserver.OneThreadListener;
+import org.geraniumreach.httpserver.SingleThreadListeners;
 import org.glassfish.grizzly.http.server.HttpHandler;
 import org.glassfish.grizzly.http.server.HttpServer;
 import org.glassfish.grizzly.http.server.NetworkListener;
@@ -29,7 +29,7 @@
     }
 
     static MetricsServer start(InetSocketAddress address, Supplier<String> text) throws IOException {
-        NetworkListener listener = OneThreadListener.create("metrics", address);
+        NetworkListener listener = SingleThreadListeners.create("metrics", address);
         HttpServer server = new HttpServer();
         server.addListener(listener);
         server.getServerConfiguration().addHttpHandler(new TextHandler(text), PATH);
--- a/node/src/main/java/org/geraniumreach/node/Rehearsal.java
+++ b/node/src/main/java/org/geraniumreach/node/Rehearsal.java
@@ -62,7 +62,7 @@
             sendRequest(settings.callerAddress(), GET_REQUEST);
             Thread.sleep(SHARE_ASSIGNMENT_TIME.toMillis());
             for (int round = 0; round < ROUNDS; round++) {
-                for (byte[] request : SamplePlatform.callersRequests(round)) {
+                for (byte[] request : SamplePlatform.callerRequests(round)) {
                     sendRequest(settings.callerAddress(), request);
                 }
                 sendRequest(settings.readinessAddress(), GET_REQUEST);
--- a/node/src/test/java/org/geraniumreach/node/EntryMetricsTest.java
+++ b/node/src/test/java/org/geraniumreach/node/EntryMetricsTest.java
@@ -83,11 +83,11 @@
     // about forty.
     @Test
     void accountsBeyondLimitShareOneSeries() {
-        for (int number = 0; number < 10 * ProcessMeters.MOST_ACCOUNTS; number++) {
+        for (int number = 0; number < 10 * ProcessMeters.MAX_ACCOUNT_LABELS; number++) {
             metrics.onRequestEnded(outcome("account" + number, OutcomeListener.Kind.ANSWERED));
         }
         assertThat(metrics.scrape().lines().filter(line -> line.startsWith("geraniumreach_repeated_sends_total")))
-                .hasSize(ProcessMeters.MOST_ACCOUNTS + 1);
+                .hasSize(ProcessMeters.MAX_ACCOUNT_LABELS + 1);
     }
 
     @Test
--- a/ports/src/main/java/org/geraniumreach/ports/ModelEngine.java
+++ b/ports/src/main/java/org/geraniumreach/ports/ModelEngine.java
@@ -23,14 +23,14 @@
      * @param listener receives the stream, in order, called by one thread at a time, not null
      * @return the running stream, not null
      */
-    EngineStream generate(Generation generation, Order fence, EngineListener listener);
+    EngineStream generate(Generation generation, CommandFence fence, EngineListener listener);
 
     /**
      * Resumes a stream that the engine is running or has run.
      *
      * @param attempt the stream's attempt, not null
      * @param nextSequence the sequence number of the first chunk to receive
-     * @param listener receives the stream; {@link EngineListener#failed} is called with effect NONE if the engine does
+     * @param listener receives the stream; {@link EngineListener#onFailed} is called with effect NONE if the engine does
      *     not know the stream, not null
      * @return the running stream, not null
      */
@@ -51,7 +51,7 @@
      * @param fence the companion's fencing token and the command's validity, not null
      * @throws PlatformException if it was not loaded, or the call got no answer
      */
-    void load(AdapterReference adapter, Order fence) throws PlatformException;
+    void load(AdapterReference adapter, CommandFence fence) throws PlatformException;
 
     /**
      * Unloads an adapter; has no effect if it is not loaded.
@@ -60,7 +60,7 @@
      * @param fence the companion's fencing token and the command's validity, not null
      * @throws PlatformException if the call failed or got no answer
      */
-    void unload(AdapterReference adapter, Order fence) throws PlatformException;
+    void unload(AdapterReference adapter, CommandFence fence) throws PlatformException;
 
     /**
      * Reads the engine's state.
@@ -91,10 +91,10 @@
     /**
      * The fencing token and validity of a command to an engine.
      *
-     * @param fence the companion's fencing token; a target that checks it refuses lower ones
+     * @param fencingToken the companion's fencing token; a target that checks it refuses lower ones
      * @param validFor how long from now the command may be executed
      */
-    record Order(long fence, Duration validFor) {}
+    record CommandFence(long fencingToken, Duration validFor) {}
 
     /**
      * An engine's state.
@@ -130,7 +130,7 @@
          *
          * @param served the adapter and version, not null
          */
-        default void started(AdapterReference served) {}
+        default void onStarted(AdapterReference served) {}
 
         /**
          * Called for each chunk.
@@ -139,21 +139,21 @@
          * @param text the generated text
          * @param tokens the number of tokens in it
          */
-        void chunk(long sequence, String text, int tokens);
+        void onChunk(long sequence, String text, int tokens);
 
         /**
          * Called when the stream has ended; this is the last call.
          *
          * @param end the end, not null
          */
-        void ended(GenerationEnd end);
+        void onEnded(GenerationEnd end);
 
         /**
          * Called when the stream has failed; this is the last call.
          *
          * @param failure the failure; its effect tells whether the stream may have started, not null
          */
-        void failed(PlatformException failure);
+        void onFailed(PlatformException failure);
     }
 
     /**
--- a/process/src/main/java/org/geraniumreach/process/ProcessMeters.java
+++ b/process/src/main/java/org/geraniumreach/process/ProcessMeters.java
@@ -12,14 +12,14 @@
 /**
  * The meter registry of a process, with gauges, bounded client account labels and the Prometheus output.
  *
- * <p>Invariant: the number of labels is bounded. Only the first {@value #MOST_ACCOUNTS} client accounts have their own label;
+ * <p>Invariant: the number of labels is bounded. Only the first {@value #MAX_ACCOUNT_LABELS} client accounts have their own label;
  * the others share {@value #OTHER_ACCOUNTS}, so that memory does not grow with the number of accounts. Safe for use by
  * several threads.
  */
 public final class ProcessMeters {
 
     /** The maximum number of client accounts with their own label. */
-    public static final int MOST_ACCOUNTS = 64;
+    public static final int MAX_ACCOUNT_LABELS = 64;
 
     /** The label shared by all other client accounts. */
     public static final String OTHER_ACCOUNTS = "other";
@@ -47,7 +47,7 @@
             return account;
         }
         synchronized (labelledAccounts) {
-            if (labelledAccounts.size() >= MOST_ACCOUNTS) {
+            if (labelledAccounts.size() >= MAX_ACCOUNT_LABELS) {
                 return OTHER_ACCOUNTS;
             }
             labelledAccounts.add(account);
--- a/process/src/main/java/org/geraniumreach/process/Signals.java
+++ b/process/src/main/java/org/geraniumreach/process/Signals.java
@@ -25,7 +25,7 @@
      * @param action the action, run by a thread of the JDK, not null
      * @return whether the signals are handled
      */
-    public static boolean onEnd(Runnable action) {
+    public static boolean onTerminate(Runnable action) {
         return handle(TERMINATE, action) && handle(INTERRUPT, action);
     }
 
--- a/standalone/src/main/java/org/geraniumreach/standalone/EngineStreamReader.java
+++ b/standalone/src/main/java/org/geraniumreach/standalone/EngineStreamReader.java
@@ -173,7 +173,7 @@
                 if (line != null) {
                     processLine(line);
                 } else {
-                    listener.failed(ending);
+                    listener.onFailed(ending);
                 }
             } finally {
                 synchronized (this) {
@@ -234,7 +234,7 @@
 
     private void processStart(JsonNode start) {
         try {
-            listener.started(AdapterReference.of(
+            listener.onStarted(AdapterReference.of(
                     start.path("adapter").asText(), start.path("version").asText()));
         } catch (IllegalArgumentException e) {
             abort(badStream("start names no adapter", e));
@@ -255,7 +255,8 @@
             abort(badStream("chunk out of sequence", null));
             return;
         }
-        listener.chunk(sequence, json.path("text").asText(), json.path("tokens").asInt(1));
+        listener.onChunk(
+                sequence, json.path("text").asText(), json.path("tokens").asInt(1));
     }
 
     private void processEnd(JsonNode end) {
@@ -281,7 +282,7 @@
             abort(badStream("end out of sequence", null));
             return;
         }
-        listener.ended(new GenerationEnd(
+        listener.onEnded(new GenerationEnd(
                 chunks,
                 served,
                 end.path("promptTokens").asInt(),
--- a/standalone/src/main/java/org/geraniumreach/standalone/HttpModelEngine.java
+++ b/standalone/src/main/java/org/geraniumreach/standalone/HttpModelEngine.java
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public EngineStream generate(Generation generation, Order fence, EngineListener listener) {
+    public EngineStream generate(Generation generation, CommandFence fence, EngineListener listener) {
         ObjectNode body = commandJson(generation.adapter(), fence)
                 .put("attempt", generation.attempt().value())
                 .put("account", generation.account().value())
@@ -87,12 +87,12 @@
     }
 
     @Override
-    public void load(AdapterReference adapter, Order fence) throws PlatformException {
+    public void load(AdapterReference adapter, CommandFence fence) throws PlatformException {
         loadTransport.call(loadTransport.post("/v1/adapters/load", commandJson(adapter, fence)));
     }
 
     @Override
-    public void unload(AdapterReference adapter, Order fence) throws PlatformException {
+    public void unload(AdapterReference adapter, CommandFence fence) throws PlatformException {
         callTransport.call(callTransport.post("/v1/adapters/unload", commandJson(adapter, fence)));
     }
 
@@ -128,12 +128,12 @@
         return Set.copyOf(attempts);
     }
 
-    private static ObjectNode commandJson(AdapterReference adapter, Order fence) {
+    private static ObjectNode commandJson(AdapterReference adapter, CommandFence fence) {
         return HttpTransport.JSON
                 .createObjectNode()
                 .put("adapter", adapter.adapter())
                 .put("version", adapter.version())
-                .put("fence", fence.fence())
+                .put("fence", fence.fencingToken())
                 .put("validForMillis", fence.validFor().toMillis());
     }
 }
--- a/standins/src/test/java/org/geraniumreach/standins/EngineStandInTest.java
+++ b/standins/src/test/java/org/geraniumreach/standins/EngineStandInTest.java
@@ -9,10 +9,10 @@
 import org.geraniumreach.model.AdapterReference;
 import org.geraniumreach.model.AttemptId;
 import org.geraniumreach.ports.ModelEngine;
+import org.geraniumreach.ports.ModelEngine.CommandFence;
 import org.geraniumreach.ports.ModelEngine.EngineStream;
 import org.geraniumreach.ports.ModelEngine.Generation;
 import org.geraniumreach.ports.ModelEngine.GenerationEnd;
-import org.geraniumreach.ports.ModelEngine.Order;
 import org.geraniumreach.ports.PlatformException;
 import org.geraniumreach.ports.PlatformException.Effect;
 import org.geraniumreach.ports.PlatformException.Reason;
@@ -40,7 +40,7 @@
     private static final String PROMPT = "Summarise the fault note of the pump motor that came in this morning.";
     private static final int MAXIMUM_TOKENS = 100;
     private static final int LONG_ANSWER_TOKENS = 10_000;
-    private static final Order ORDER = new Order(3, Duration.ofSeconds(5));
+    private static final CommandFence ORDER = new CommandFence(3, Duration.ofSeconds(5));
 
     private final StandInsFixture fixture = new StandInsFixture();
     private WeightStoreStandIn weights;
@@ -158,7 +158,7 @@
 
     @Test
     void anOrderWithAnOldFenceIsRefused() {
-        Order old = new Order(2, Duration.ofSeconds(5));
+        CommandFence old = new CommandFence(2, Duration.ofSeconds(5));
         PlatformException failure = catchThrowableOfType(PlatformException.class, () -> engine.unload(ADAPTER, old));
         assertThat(failure.reason()).isEqualTo(Reason.FENCED);
     }
--- a/standins/src/test/java/org/geraniumreach/standins/RecordingListener.java
+++ b/standins/src/test/java/org/geraniumreach/standins/RecordingListener.java
@@ -18,24 +18,24 @@
     final CompletableFuture<GenerationEnd> end = new CompletableFuture<>();
 
     @Override
-    public void started(AdapterReference newServed) {
+    public void onStarted(AdapterReference newServed) {
         served.complete(newServed);
     }
 
     @Override
-    public synchronized void chunk(long sequence, String chunk, int tokens) {
+    public synchronized void onChunk(long sequence, String chunk, int tokens) {
         sequences.add(sequence);
         text.append(chunk);
         notifyAll();
     }
 
     @Override
-    public void ended(GenerationEnd newEnd) {
+    public void onEnded(GenerationEnd newEnd) {
         end.complete(newEnd);
     }
 
     @Override
-    public void failed(PlatformException failure) {
+    public void onFailed(PlatformException failure) {
         end.completeExceptionally(failure);
     }
 
