--- a/daemon/src/main/java/org/geraniumreach/daemon/node/DrainLoop.java
+++ b/daemon/src/main/java/org/geraniumreach/daemon/node/DrainLoop.java
@@ -60,7 +60,7 @@
         }
         int aborted = daemon.runningRequests();
         if (aborted > 0) {
-            EventLog.write(EventCode.DRAIN_CUT, "{} requests aborted", aborted);
+            EventLog.write(EventCode.DRAIN_CUT, "{} requests cut off", aborted);
         } else {
             EventLog.write(EventCode.DRAINED, "all requests have finished");
         }
